--- a/src/libs/fleet/endpoint.cpp
+++ b/src/libs/fleet/endpoint.cpp
@@ -2,7 +2,7 @@
 
 namespace Lagoonbank::Fleet {
 
-bool isOtherStart(const Endpoint &earlier, const Endpoint &later)
+bool isRestart(const Endpoint &earlier, const Endpoint &later)
 {
     return later.startedAt != earlier.startedAt || later.address != earlier.address;
 }
--- a/src/libs/fleet/endpoint.h
+++ b/src/libs/fleet/endpoint.h
@@ -36,6 +36,6 @@
 
 /// Whether \a later is another start than \a earlier under the same id: it says so, or it is at
 /// another address.
-bool isOtherStart(const Endpoint &earlier, const Endpoint &later);
+bool isRestart(const Endpoint &earlier, const Endpoint &later);
 
 } // namespace Lagoonbank::Fleet
--- a/src/libs/gateway/endpointbook.cpp
+++ b/src/libs/gateway/endpointbook.cpp
@@ -46,7 +46,7 @@
 void EndpointBook::put(const Fleet::Endpoint &endpoint, Base::MonoTime now)
 {
     const auto known = m_records.find(endpoint.id);
-    if (known != m_records.end() && !Fleet::isOtherStart(known->second->info, endpoint)) {
+    if (known != m_records.end() && !Fleet::isRestart(known->second->info, endpoint)) {
         if (endpoint.isWarmingUp && !known->second->info.isWarmingUp)
             becameCold(*known->second, now);
         known->second->info = endpoint;
