--- a/src/libs/fleet/configuration.cpp
+++ b/src/libs/fleet/configuration.cpp
@@ -17,7 +17,7 @@
     : m_parts(std::move(parts))
 {
     for (std::size_t i = 0; i < m_parts.routes.size(); ++i)
-        m_routes.emplace(Place(m_parts.routes[i].host, m_parts.routes[i].prefix), i);
+        m_routes.emplace(HostAndPrefix(m_parts.routes[i].host, m_parts.routes[i].prefix), i);
     for (std::size_t i = 0; i < m_parts.services.size(); ++i)
         m_services.emplace(m_parts.services[i].name, i);
     for (std::size_t i = 0; i < m_parts.workspaces.size(); ++i) {
@@ -28,7 +28,7 @@
 
 const Route *Configuration::findRoute(std::string_view host, std::string_view path) const
 {
-    Place place(hostName(host), std::string());
+    HostAndPrefix place(hostName(host), std::string());
     for (std::size_t end = path.rfind('/'); end != std::string_view::npos;
          end = path.rfind('/', end - 1)) {
         place.second = path.substr(0, end + 1);
--- a/src/libs/fleet/configuration.h
+++ b/src/libs/fleet/configuration.h
@@ -88,10 +88,10 @@
     const Service *findService(const Base::ServiceId &name) const;
 
 private:
-    using Place = std::pair<std::string, std::string>; ///< Host and prefix.
+    using HostAndPrefix = std::pair<std::string, std::string>; ///< Host and prefix.
 
     ConfigurationParts m_parts;
-    absl::flat_hash_map<Place, std::size_t> m_routes;
+    absl::flat_hash_map<HostAndPrefix, std::size_t> m_routes;
     absl::flat_hash_map<std::string, std::size_t> m_keys;
     absl::flat_hash_map<Base::ServiceId, std::size_t> m_services;
 };
