--- a/src/libs/fleet/endpointdirectory.cpp
+++ b/src/libs/fleet/endpointdirectory.cpp
@@ -190,7 +190,7 @@
 void EndpointDirectory::rememberGone(const Base::EndpointId &id, Base::LogOffset version)
 {
     m_gone.push_back({id, version});
-    if (m_gone.size() > m_options.rememberedGone)
+    if (m_gone.size() > m_options.maxGoneEndpoints)
         m_gone.pop_front();
 }
 
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -46,7 +46,7 @@
         /// How long endpoints take to write their entries again after the store's return.
         Base::Duration returnTime = std::chrono::milliseconds(2200);
         /// Gone endpoints that are remembered; far more than leave while news are on their way.
-        std::size_t rememberedGone = 256;
+        std::size_t maxGoneEndpoints = 256;
     };
     struct Entry
     {
