--- a/src/libs/fleet/endpointdirectory.cpp
+++ b/src/libs/fleet/endpointdirectory.cpp
@@ -90,8 +90,8 @@
     const auto known = m_entries.find(id);
     if (known == m_entries.end() || known->second.version > version)
         return;
-    const bool mayReturn =
-        (m_returnTimer || m_isHeld) && known->second.endpoint.state != EndpointState::Draining;
+    const bool mayReturn = (m_returnTimer || m_holdsRemovals)
+        && known->second.endpoint.state != EndpointState::Draining;
     if (!mayReturn) {
         remove(id, version);
         return;
@@ -137,7 +137,7 @@
 
 void EndpointDirectory::storeReturned()
 {
-    m_isHeld = false;
+    m_holdsRemovals = false;
     if (m_returnTimer)
         m_options.timers->cancel(*m_returnTimer);
     m_returnTimer = m_options.timers->start(m_options.returnTime, [this] {
@@ -151,7 +151,7 @@
     if (!m_returnTimer)
         return;
     m_options.timers->cancel(*std::exchange(m_returnTimer, std::nullopt));
-    m_isHeld = true;
+    m_holdsRemovals = true;
 }
 
 const Endpoint *EndpointDirectory::find(const Base::EndpointId &id) const
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -82,9 +82,9 @@
     /// The store is away again. Entries that it dropped lately are kept until it has returned.
     void storeLeft();
     /// Whether it does so.
-    bool isHeld() const { return m_isHeld; }
+    bool holdsRemovals() const { return m_holdsRemovals; }
     /// Whether entries that are dropped now are kept for a while.
-    bool isWaiting() const { return m_returnTimer || m_isHeld; }
+    bool isWaiting() const { return m_returnTimer || m_holdsRemovals; }
     /// Whether entries have been dropped that may still come back, or have come that may be late
     /// writes; only the store can tell.
     bool isUnsure() const { return !m_missing.empty() || !m_doubted.empty(); }
@@ -121,7 +121,7 @@
     absl::flat_hash_map<Base::EndpointId, Entry> m_doubted;
     std::vector<GoneEndpoint> m_missing; ///< Dropped by the store, not yet believed.
     std::optional<Runtime::TimerId> m_returnTimer; ///< Runs for returnTime after a return.
-    bool m_isHeld = false; ///< The store went away while the timer ran.
+    bool m_holdsRemovals = false; ///< The store went away while the timer ran.
 };
 
 } // namespace Lagoonbank::Fleet
--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -134,7 +134,7 @@
 {
     if (!m_knowledge.at() && m_options.directory->entries().empty())
         return; // Nothing can have lapsed.
-    if (!m_knowledge.at() || m_options.directory->isHeld()
+    if (!m_knowledge.at() || m_options.directory->holdsRemovals()
         || m_knowledge.mayHaveLapsed(now(), isUnanswered()))
         m_options.directory->storeReturned();
 }
