--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -87,7 +87,7 @@
     bool isWaiting() const { return m_returnTimer || m_holdsRemovals; }
     /// Whether entries have been dropped that may still come back, or have come that may be late
     /// writes; only the store can tell.
-    bool isUnsure() const { return !m_missing.empty() || !m_doubted.empty(); }
+    bool hasUnconfirmedEntries() const { return !m_missing.empty() || !m_doubted.empty(); }
 
     const Entries &entries() const { return m_entries; }
     const std::deque<GoneEndpoint> &gone() const { return m_gone; }
--- a/src/libs/fleetsync/fleetsyncduty.cpp
+++ b/src/libs/fleetsync/fleetsyncduty.cpp
@@ -20,7 +20,8 @@
 {
     // Until it knows anything a router reads, whoever else does; so it does while it waits for
     // entries to come back, or doubts some, as peers that do not would not tell.
-    const bool mustRead = !m_knowledge.at() || m_isDoubting || m_options.directory->isUnsure();
+    const bool mustRead =
+        !m_knowledge.at() || m_isDoubting || m_options.directory->hasUnconfirmedEntries();
     const bool leads = mustRead || !(hasLeader() || expectsLeader());
     const bool reads = mustRead || (leads && !canFollow());
     m_isAnnouncing = m_isAnnouncing || (leads && !m_isLeader);
