--- a/src/libs/fleet/endpointdirectory.cpp
+++ b/src/libs/fleet/endpointdirectory.cpp
@@ -146,7 +146,7 @@
     });
 }
 
-void EndpointDirectory::storeLeft()
+void EndpointDirectory::storeFailed()
 {
     if (!m_returnTimer)
         return;
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -80,7 +80,7 @@
     /// The store answers again after it was away.
     void storeReturned();
     /// The store is away again. Entries that it dropped lately are kept until it has returned.
-    void storeLeft();
+    void storeFailed();
     /// Whether it does so.
     bool holdsRemovals() const { return m_holdsRemovals; }
     /// Whether entries that are dropped now are kept for a while.
--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -119,7 +119,7 @@
 void FleetSync::storeFailed()
 {
     m_knowledge.readFailed();
-    m_options.directory->storeLeft();
+    m_options.directory->storeFailed();
 }
 
 /// What is known was true at \a at. A peer that the store has answered first tells of its return
--- a/tests/auto/fleet/tst_endpointdirectory.cpp
+++ b/tests/auto/fleet/tst_endpointdirectory.cpp
@@ -199,7 +199,7 @@
     f.put(endpoint("a"));
     f.directory.storeReturned();
     f.drop("a");
-    f.directory.storeLeft();
+    f.directory.storeFailed();
     f.pass(std::chrono::seconds(10));
     BOOST_TEST(f.directory.find(Base::EndpointId("a")));
     f.directory.storeReturned();
