--- a/src/libs/fleet/endpointdirectory.cpp
+++ b/src/libs/fleet/endpointdirectory.cpp
@@ -49,8 +49,8 @@
 
 EndpointDirectory::~EndpointDirectory()
 {
-    if (m_returnTimer)
-        m_options.timers->cancel(*m_returnTimer);
+    if (m_rewriteTimer)
+        m_options.timers->cancel(*m_rewriteTimer);
 }
 
 void EndpointDirectory::put(Endpoint endpoint, Base::LogOffset version, bool isConfirmed)
@@ -90,7 +90,7 @@
     const auto known = m_entries.find(id);
     if (known == m_entries.end() || known->second.version > version)
         return;
-    const bool mayReturn = (m_returnTimer || m_holdsRemovals)
+    const bool mayReturn = (m_rewriteTimer || m_holdsRemovals)
         && known->second.endpoint.state != EndpointState::Draining;
     if (!mayReturn) {
         remove(id, version);
@@ -138,19 +138,19 @@
 void EndpointDirectory::storeReturned()
 {
     m_holdsRemovals = false;
-    if (m_returnTimer)
-        m_options.timers->cancel(*m_returnTimer);
-    m_returnTimer = m_options.timers->start(m_options.returnTime, [this] {
-        m_returnTimer.reset();
+    if (m_rewriteTimer)
+        m_options.timers->cancel(*m_rewriteTimer);
+    m_rewriteTimer = m_options.timers->start(m_options.rewriteTime, [this] {
+        m_rewriteTimer.reset();
         removeMissing();
     });
 }
 
 void EndpointDirectory::storeFailed()
 {
-    if (!m_returnTimer)
+    if (!m_rewriteTimer)
         return;
-    m_options.timers->cancel(*std::exchange(m_returnTimer, std::nullopt));
+    m_options.timers->cancel(*std::exchange(m_rewriteTimer, std::nullopt));
     m_holdsRemovals = true;
 }
 
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -35,7 +35,7 @@
 /// nothing, whichever way they come.
 ///
 /// Entries lapse while the store is away, although their endpoints live. So an entry that is
-/// dropped within `returnTime` of the store's return is believed gone only after that time, unless
+/// dropped within `rewriteTime` of the store's return is believed gone only after that time, unless
 /// it was draining.
 class EndpointDirectory
 {
@@ -44,7 +44,7 @@
     {
         Runtime::TimerQueue *timers = nullptr;
         /// How long endpoints take to write their entries again after the store's return.
-        Base::Duration returnTime = std::chrono::milliseconds(2200);
+        Base::Duration rewriteTime = std::chrono::milliseconds(2200);
         /// Gone endpoints that are remembered; far more than leave while news are on their way.
         std::size_t maxGoneEndpoints = 256;
     };
@@ -84,7 +84,7 @@
     /// Whether it does so.
     bool holdsRemovals() const { return m_holdsRemovals; }
     /// Whether entries that are dropped now are kept for a while.
-    bool isWaiting() const { return m_returnTimer || m_holdsRemovals; }
+    bool isWaiting() const { return m_rewriteTimer || m_holdsRemovals; }
     /// Whether entries have been dropped that may still come back, or have come that may be late
     /// writes; only the store can tell.
     bool hasUnconfirmedEntries() const { return !m_missing.empty() || !m_doubted.empty(); }
@@ -120,7 +120,7 @@
     /// Entries of earlier starts that came last, and changed nothing.
     absl::flat_hash_map<Base::EndpointId, Entry> m_doubted;
     std::vector<GoneEndpoint> m_missing; ///< Dropped by the store, not yet believed.
-    std::optional<Runtime::TimerId> m_returnTimer; ///< Runs for returnTime after a return.
+    std::optional<Runtime::TimerId> m_rewriteTimer; ///< Runs for rewriteTime after a return.
     bool m_holdsRemovals = false; ///< The store went away while the timer ran.
 };
 
