--- a/src/libs/fleet/endpointdirectory.cpp
+++ b/src/libs/fleet/endpointdirectory.cpp
@@ -64,12 +64,12 @@
         return;
     const bool isEarlier =
         known != m_entries.end() && isOfEarlierStart(endpoint, known->second.endpoint);
-    if (isEarlier && !isConfirmed && isLate(endpoint, version))
+    if (isEarlier && !isConfirmed && isLateWrite(endpoint, version))
         return;
-    m_doubted.erase(id);
+    m_unconfirmed.erase(id);
     if (known != m_entries.end() && !endpoint.startedAt)
         endpoint.startedAt = known->second.endpoint.startedAt;
-    std::erase_if(m_missing,
+    std::erase_if(m_pendingRemovals,
                   [&](const GoneEndpoint &one) { return one.id == id && one.version < version; });
     if (known != m_entries.end()) {
         known->second.version = version;
@@ -96,8 +96,8 @@
         remove(id, version);
         return;
     }
-    std::erase_if(m_missing, [&](const GoneEndpoint &one) { return one.id == id; });
-    m_missing.push_back({id, version});
+    std::erase_if(m_pendingRemovals, [&](const GoneEndpoint &one) { return one.id == id; });
+    m_pendingRemovals.push_back({id, version});
 }
 
 void EndpointDirectory::remove(const Base::EndpointId &id, Base::LogOffset version)
@@ -110,11 +110,11 @@
     }
     if (known->second.version > version)
         return;
-    std::erase_if(m_missing, [&](const GoneEndpoint &one) { return one.id == id; });
+    std::erase_if(m_pendingRemovals, [&](const GoneEndpoint &one) { return one.id == id; });
     Entry last = std::move(known->second);
     last.version = version;
     m_entries.erase(known);
-    m_doubted.erase(id);
+    m_unconfirmed.erase(id);
     toggleInDigest(last.endpoint);
     rememberGone(id, version);
     if (removed)
@@ -142,7 +142,7 @@
         m_options.timers->cancel(*m_rewriteTimer);
     m_rewriteTimer = m_options.timers->start(m_options.rewriteTime, [this] {
         m_rewriteTimer.reset();
-        removeMissing();
+        removePending();
     });
 }
 
@@ -167,23 +167,23 @@
     });
 }
 
-bool EndpointDirectory::isMissing(const Base::EndpointId &id, Base::LogOffset version) const
+bool EndpointDirectory::isRemovalPending(const Base::EndpointId &id, Base::LogOffset version) const
 {
-    return std::any_of(m_missing.begin(), m_missing.end(), [&](const GoneEndpoint &one) {
-        return one.id == id && one.version < version;
-    });
+    return std::any_of(
+        m_pendingRemovals.begin(), m_pendingRemovals.end(),
+        [&](const GoneEndpoint &one) { return one.id == id && one.version < version; });
 }
 
 /// What comes after the known start's entry was dropped is not late, whatever its clock says.
-bool EndpointDirectory::isLate(const Endpoint &endpoint, Base::LogOffset version)
+bool EndpointDirectory::isLateWrite(const Endpoint &endpoint, Base::LogOffset version)
 {
-    if (isMissing(endpoint.id, version))
+    if (isRemovalPending(endpoint.id, version))
         return false;
-    const auto doubted = m_doubted.find(endpoint.id);
-    if (doubted != m_doubted.end() && doubted->second.endpoint.startedAt == endpoint.startedAt
+    const auto doubted = m_unconfirmed.find(endpoint.id);
+    if (doubted != m_unconfirmed.end() && doubted->second.endpoint.startedAt == endpoint.startedAt
         && doubted->second.version < version)
         return false;
-    m_doubted.insert_or_assign(endpoint.id, Entry{endpoint, version});
+    m_unconfirmed.insert_or_assign(endpoint.id, Entry{endpoint, version});
     return true;
 }
 
@@ -204,9 +204,9 @@
     m_digest.at(digestBucket(endpoint.id)) ^= contentHash(endpoint);
 }
 
-void EndpointDirectory::removeMissing()
+void EndpointDirectory::removePending()
 {
-    for (const GoneEndpoint &one : std::exchange(m_missing, {}))
+    for (const GoneEndpoint &one : std::exchange(m_pendingRemovals, {}))
         remove(one.id, one.version);
 }
 
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -87,7 +87,10 @@
     bool isWaiting() const { return m_rewriteTimer || m_holdsRemovals; }
     /// Whether entries have been dropped that may still come back, or have come that may be late
     /// writes; only the store can tell.
-    bool hasUnconfirmedEntries() const { return !m_missing.empty() || !m_doubted.empty(); }
+    bool hasUnconfirmedEntries() const
+    {
+        return !m_pendingRemovals.empty() || !m_unconfirmed.empty();
+    }
 
     const Entries &entries() const { return m_entries; }
     const std::deque<GoneEndpoint> &gone() const { return m_gone; }
@@ -102,13 +105,13 @@
 
 private:
     bool isGone(const Base::EndpointId &id, Base::LogOffset version) const;
-    bool isMissing(const Base::EndpointId &id, Base::LogOffset version) const;
+    bool isRemovalPending(const Base::EndpointId &id, Base::LogOffset version) const;
     /// Whether this entry of an earlier start is a write that came late.
-    bool isLate(const Endpoint &endpoint, Base::LogOffset version);
+    bool isLateWrite(const Endpoint &endpoint, Base::LogOffset version);
     void rememberGone(const Base::EndpointId &id, Base::LogOffset version);
     /// Adds the endpoint to the digest, or takes it out again.
     void toggleInDigest(const Endpoint &endpoint);
-    void removeMissing();
+    void removePending();
 
     Options m_options;
     Entries m_entries;
@@ -118,8 +121,8 @@
     Base::LogOffset m_completeTo;
     EndpointDigest m_digest{};
     /// Entries of earlier starts that came last, and changed nothing.
-    absl::flat_hash_map<Base::EndpointId, Entry> m_doubted;
-    std::vector<GoneEndpoint> m_missing; ///< Dropped by the store, not yet believed.
+    absl::flat_hash_map<Base::EndpointId, Entry> m_unconfirmed;
+    std::vector<GoneEndpoint> m_pendingRemovals; ///< Dropped by the store, not yet believed.
     std::optional<Runtime::TimerId> m_rewriteTimer; ///< Runs for rewriteTime after a return.
     bool m_holdsRemovals = false; ///< The store went away while the timer ran.
 };
