--- a/src/libs/fleet/datacentredrains.cpp
+++ b/src/libs/fleet/datacentredrains.cpp
@@ -5,14 +5,14 @@
 
 namespace Lagoonbank::Fleet {
 
-void DataCentreDrains::drained(const Base::DataCentreId &dataCentre, Base::LogOffset asOf)
+void DataCentreDrains::addDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf)
 {
     Set next = m_current;
     next.insert(dataCentre);
     replace(std::move(next), asOf);
 }
 
-void DataCentreDrains::takenBack(const Base::DataCentreId &dataCentre, Base::LogOffset asOf)
+void DataCentreDrains::removeDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf)
 {
     Set next = m_current;
     next.erase(dataCentre);
@@ -31,7 +31,7 @@
         changed(before, m_current);
 }
 
-void DataCentreDrains::readTo(Base::LogOffset asOf)
+void DataCentreDrains::advanceTo(Base::LogOffset asOf)
 {
     m_asOf = std::max(m_asOf, asOf);
 }
--- a/src/libs/fleet/datacentredrains.h
+++ b/src/libs/fleet/datacentredrains.h
@@ -16,12 +16,12 @@
     using Set = std::set<Base::DataCentreId>;
 
     /// The record before \a asOf drains a data centre, or takes that back.
-    void drained(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
-    void takenBack(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
+    void addDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
+    void removeDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
     /// All drains that there are, as of this place.
     void replace(Set dataCentres, Base::LogOffset asOf);
     /// The log holds nothing else up to this place.
-    void readTo(Base::LogOffset asOf);
+    void advanceTo(Base::LogOffset asOf);
 
     const Set &current() const { return m_current; }
     /// Where the log had been read to; 0 while nothing is known.
--- a/tests/auto/fleet/tst_datacentredrains.cpp
+++ b/tests/auto/fleet/tst_datacentredrains.cpp
@@ -39,10 +39,10 @@
 BOOST_AUTO_TEST_CASE(theLaterStateHoldsWhoeverTellsIt)
 {
     Fixture f;
-    f.drains.drained(east, at(5));
-    f.drains.takenBack(east, at(9));
+    f.drains.addDrain(east, at(5));
+    f.drains.removeDrain(east, at(9));
     f.drains.replace({east}, at(7)); // A peer that has read less.
-    f.drains.drained(west, at(8)); // A record that comes late.
+    f.drains.addDrain(west, at(8)); // A record that comes late.
     BOOST_TEST(f.drains.current().empty());
     f.drains.replace({west}, at(10));
     BOOST_TEST(f.drains.current().contains(west));
@@ -52,8 +52,8 @@
 BOOST_AUTO_TEST_CASE(theSameSetIsNoChange)
 {
     Fixture f;
-    f.drains.drained(east, at(5));
-    f.drains.drained(east, at(6));
+    f.drains.addDrain(east, at(5));
+    f.drains.addDrain(east, at(6));
     f.drains.replace({east}, at(7));
     BOOST_TEST(f.told == "[east ]");
     BOOST_TEST((f.drains.asOf() == at(7)));
@@ -63,10 +63,10 @@
 BOOST_AUTO_TEST_CASE(whatHasBeenReadCountsAlsoWhereItTellsOfNoDrain)
 {
     Fixture f;
-    f.drains.drained(east, at(5));
-    f.drains.readTo(at(9));
+    f.drains.addDrain(east, at(5));
+    f.drains.advanceTo(at(9));
     f.drains.replace({}, at(8));
     BOOST_TEST(f.drains.current().contains(east));
-    f.drains.readTo(at(3));
+    f.drains.advanceTo(at(3));
     BOOST_TEST((f.drains.asOf() == at(9)));
 }
