--- a/src/libs/keyedlog/keyedsource.h
+++ b/src/libs/keyedlog/keyedsource.h
@@ -32,7 +32,7 @@
 struct TailPage
 {
     /// Records at the offset asked for are not kept any more; there are none in the page.
-    bool isLost = false;
+    bool isOutOfRange = false;
     std::vector<KeyedRecord> records;
     Base::LogOffset end; ///< Offset of the next record to be written.
 };
--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -141,7 +141,7 @@
     // After a gap the records tell of what has come and gone meanwhile; only the newest are wanted.
     const bool isLate = isAfterGap();
     readAnswered();
-    if (page.value().isLost || isLate) {
+    if (page.value().isOutOfRange || isLate) {
         fill();
         return;
     }
--- a/tests/auto/adapter/tst_store.cpp
+++ b/tests/auto/adapter/tst_store.cpp
@@ -132,7 +132,7 @@
     const auto page = f.readTail(40);
     BOOST_REQUIRE(page);
     BOOST_REQUIRE(page->has_value());
-    BOOST_TEST(page->value().isLost);
+    BOOST_TEST(page->value().isOutOfRange);
 }
 
 BOOST_AUTO_TEST_CASE(anAnswerThatIsNoneIsAnError)
--- a/tests/auto/keyedlog/tst_keyedview.cpp
+++ b/tests/auto/keyedlog/tst_keyedview.cpp
@@ -148,7 +148,7 @@
     Fixture f;
     f.log.answerNewest({put("a", "new", 8)}, 9);
     f.pass(std::chrono::milliseconds(500));
-    f.log.take().tail(TailPage{.isLost = true});
+    f.log.take().tail(TailPage{.isOutOfRange = true});
     f.takeTold();
     // A stale page: it knows less than was read before.
     f.log.answerNewest({put("a", "old", 4)}, 5);
@@ -164,7 +164,7 @@
     f.pass(std::chrono::milliseconds(500));
     f.log.answerTail({put("a", "1", 3)}, 4);
     f.pass(std::chrono::milliseconds(500));
-    f.log.take().tail(TailPage{.isLost = true});
+    f.log.take().tail(TailPage{.isOutOfRange = true});
     f.takeTold();
     f.log.answerNewest({}, 3);
     BOOST_TEST(f.takeTold() == "filled ");
@@ -175,7 +175,7 @@
     Fixture f;
     f.log.answerNewest({put("a", "1", 3), put("b", "2", 4)}, 5);
     f.pass(std::chrono::milliseconds(500));
-    f.log.take().tail(TailPage{.isLost = true});
+    f.log.take().tail(TailPage{.isOutOfRange = true});
     f.takeTold();
     f.log.answerNewest({put("b", "3", 20)}, 21);
     BOOST_TEST(f.takeTold() == "b=3 -a filled ");
@@ -189,7 +189,7 @@
     f.view.keyDropped = [&](const std::string &, Base::LogOffset offset) { droppedBy = offset; };
     f.log.answerNewest({put("a", "1", 3)}, 5);
     f.pass(std::chrono::milliseconds(500));
-    f.log.take().tail(TailPage{.isLost = true});
+    f.log.take().tail(TailPage{.isOutOfRange = true});
     f.log.answerNewest({}, 21);
     BOOST_TEST((droppedBy == Base::LogOffset(20)));
 }
@@ -266,7 +266,7 @@
     f.log.answerTail({put("b", "1", 1), put("c", "1", 2)}, 3);
     BOOST_TEST(caughtUp == 1);
     f.pass(std::chrono::seconds(1));
-    f.log.take().tail(TailPage{.isLost = true});
+    f.log.take().tail(TailPage{.isOutOfRange = true});
     BOOST_TEST(caughtUp == 1);
     f.log.answerNewest({put("d", "1", 9)}, 10);
     BOOST_TEST(caughtUp == 2);
@@ -301,7 +301,7 @@
     BOOST_TEST(f.takeTold() == "up a=2 ");
     f.pass(std::chrono::milliseconds(500));
     const FakeLog::Read read = f.log.take();
-    read.tail(TailPage{.isLost = true});
+    read.tail(TailPage{.isOutOfRange = true});
     f.log.answerNewest({put("a", "3", 30)}, 31);
     BOOST_TEST(f.takeTold() == "a=3 filled ");
 }
--- a/tests/auto/simulation/simulatedstore.cpp
+++ b/tests/auto/simulation/simulatedstore.cpp
@@ -59,7 +59,7 @@
 {
     const Log &of = log(topic);
     if (from.value() < of.first)
-        return KeyedLog::TailPage{.isLost = true};
+        return KeyedLog::TailPage{.isOutOfRange = true};
     const std::size_t begin = from.value() - of.first;
     if (begin >= of.records.size())
         return std::nullopt;
