--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -162,7 +162,7 @@
         newest[record.key] = record.offset;
     }
     for (const KeyedRecord &record : records) {
-        if (!m_options.tellsNewestOnly || newest[record.key] == record.offset)
+        if (!m_options.reportsNewestOnly || newest[record.key] == record.offset)
             apply(record);
     }
 }
@@ -187,7 +187,7 @@
 
 bool KeyedView::isAfterGap() const
 {
-    return age().value_or(Base::Duration::zero()) > m_options.longestGap;
+    return age().value_or(Base::Duration::zero()) > m_options.maxAnswerGap;
 }
 
 void KeyedView::readAnswered()
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -31,12 +31,12 @@
         /// Of several records of one key that one read brings only the newest is told. For values
         /// that take long to read: a small VM takes 0.2 s for a configuration of 4,200 routes. Not
         /// where what came between tells something, as that an endpoint leaves before it is gone.
-        bool tellsNewestOnly = false;
+        bool reportsNewestOnly = false;
         PlatformClient::Backoff::Options backoff; ///< While the log does not answer.
         /// An answer that comes so long after the one before is told as the log's return, as nobody
         /// knows whether it was there meanwhile: a process that stood still has seen no read fail.
         /// The keys are then listed anew.
-        Base::Duration longestGap = std::chrono::seconds(2);
+        Base::Duration maxAnswerGap = std::chrono::seconds(2);
     };
 
     using Keys = absl::flat_hash_set<std::string>;
--- a/tests/auto/keyedlog/tst_keyedview.cpp
+++ b/tests/auto/keyedlog/tst_keyedview.cpp
@@ -82,11 +82,11 @@
 
 struct Fixture
 {
-    explicit Fixture(bool tellsNewestOnly = false)
+    explicit Fixture(bool reportsNewestOnly = false)
         : view({.source = log.source(),
                 .timers = &timers,
                 .interval = std::chrono::milliseconds(500),
-                .tellsNewestOnly = tellsNewestOnly,
+                .reportsNewestOnly = reportsNewestOnly,
                 .backoff = {.initial = std::chrono::milliseconds(100),
                             .max = std::chrono::milliseconds(800)}})
     {
@@ -275,15 +275,15 @@
 /// Pattern: configurations come in quick succession, each a large text that takes its reader long.
 BOOST_AUTO_TEST_CASE(ofSeveralRecordsOfOneKeyOnlyTheNewestIsTold)
 {
-    for (const bool tellsNewestOnly : {false, true}) {
-        Fixture f(tellsNewestOnly);
+    for (const bool reportsNewestOnly : {false, true}) {
+        Fixture f(reportsNewestOnly);
         f.log.answerNewest({put("a", "1", 1)}, 2);
         f.takeTold();
         f.pass(std::chrono::milliseconds(500));
         f.log.answerTail({put("a", "2", 2), put("b", "1", 3), put("a", "3", 4), drop("b", 5),
                           put("c", "1", 6), drop("a", 7), put("a", "4", 8)},
                          9);
-        BOOST_TEST(f.takeTold() == (tellsNewestOnly ? "c=1 a=4 " : "a=2 b=1 a=3 -b c=1 -a a=4 "));
+        BOOST_TEST(f.takeTold() == (reportsNewestOnly ? "c=1 a=4 " : "a=2 b=1 a=3 -b c=1 -a a=4 "));
     }
 }
 
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -155,7 +155,7 @@
     Run *run = m_run.get();
     KeyedLog::KeyedView::Options options = viewOptions(Topic::Configuration);
     options.wait = configurationWait;
-    options.tellsNewestOnly = true;
+    options.reportsNewestOnly = true;
     run->configurationView = std::make_unique<KeyedLog::KeyedView>(std::move(options));
     run->configurationView->valueChanged = [this](const KeyedLog::KeyedRecord &record) {
         if (record.key == configurationKey)
