--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -77,10 +77,10 @@
 {
     m_read.reset();
     if (!page) {
-        failed(&KeyedView::fill);
+        readFailed(&KeyedView::fill);
         return;
     }
-    readAnswered();
+    readSucceeded();
     if (!m_fillEnd)
         m_fillEnd = page.value().end;
     for (const KeyedRecord &record : page.value().records) {
@@ -121,7 +121,7 @@
     if (caughtUp)
         caughtUp();
     if (m_isRunning)
-        later(m_options.interval, &KeyedView::follow);
+        schedule(m_options.interval, &KeyedView::follow);
 }
 
 void KeyedView::follow()
@@ -135,12 +135,12 @@
 {
     m_read.reset();
     if (!page) {
-        failed(&KeyedView::follow);
+        readFailed(&KeyedView::follow);
         return;
     }
     // After a gap the records tell of what has come and gone meanwhile; only the newest are wanted.
-    const bool isLate = isAfterGap();
-    readAnswered();
+    const bool isLate = isAnswerOverdue();
+    readSucceeded();
     if (page.value().isOutOfRange || isLate) {
         fill();
         return;
@@ -151,7 +151,7 @@
         caughtUp();
     if (!m_isRunning)
         return;
-    later(isBehind ? Base::Duration::zero() : m_options.interval, &KeyedView::follow);
+    schedule(isBehind ? Base::Duration::zero() : m_options.interval, &KeyedView::follow);
 }
 
 void KeyedView::applyTail(const std::vector<KeyedRecord> &records)
@@ -185,15 +185,15 @@
         keyDropped(record.key, record.offset);
 }
 
-bool KeyedView::isAfterGap() const
+bool KeyedView::isAnswerOverdue() const
 {
     return age().value_or(Base::Duration::zero()) > m_options.maxAnswerGap;
 }
 
-void KeyedView::readAnswered()
+void KeyedView::readSucceeded()
 {
     m_backoff.reset();
-    const bool isLate = isAfterGap();
+    const bool isLate = isAnswerOverdue();
     m_answeredAt = m_options.timers->clock().now();
     const bool isNews = !m_hasHealth || !m_isUp || isLate;
     m_hasHealth = true;
@@ -202,17 +202,17 @@
         healthChanged(true);
 }
 
-void KeyedView::failed(void (KeyedView::*again)())
+void KeyedView::readFailed(void (KeyedView::*again)())
 {
     const bool isNews = !m_hasHealth || m_isUp;
     m_hasHealth = true;
     m_isUp = false;
-    later(m_backoff.next(), again);
+    schedule(m_backoff.next(), again);
     if (isNews && healthChanged)
         healthChanged(false);
 }
 
-void KeyedView::later(Base::Duration delay, void (KeyedView::*step)())
+void KeyedView::schedule(Base::Duration delay, void (KeyedView::*step)())
 {
     m_options.timers->cancel(m_timer);
     m_timer = m_options.timers->start(delay, [this, step] { (this->*step)(); });
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -84,10 +84,10 @@
     void tailRead(const Errors::Result<TailPage> &page);
     void applyTail(const std::vector<KeyedRecord> &records);
     void apply(const KeyedRecord &record);
-    bool isAfterGap() const;
-    void readAnswered();
-    void failed(void (KeyedView::*again)());
-    void later(Base::Duration delay, void (KeyedView::*step)());
+    bool isAnswerOverdue() const;
+    void readSucceeded();
+    void readFailed(void (KeyedView::*again)());
+    void schedule(Base::Duration delay, void (KeyedView::*step)());
 
     Options m_options;
     PlatformClient::Backoff m_backoff;
