--- a/src/libs/gateway/roomqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -1,4 +1,4 @@
-#include "gateway/roomqueue.h"
+#include "gateway/admissionqueue.h"
 
 #include <algorithm>
 #include <iterator>
@@ -7,7 +7,7 @@
 
 namespace Lagoonbank::Gateway {
 
-int RoomRank::compare(const RoomRank &other) const
+int QueuePriority::compare(const QueuePriority &other) const
 {
     if (isRepeat != other.isRepeat)
         return isRepeat ? -1 : 1;
@@ -18,13 +18,13 @@
     return 0;
 }
 
-bool RoomQueue::Key::operator<(const Key &other) const
+bool AdmissionQueue::Key::operator<(const Key &other) const
 {
     const int order = rank.compare(other.rank);
     return order != 0 ? order < 0 : number < other.number;
 }
 
-RoomQueue::~RoomQueue()
+AdmissionQueue::~AdmissionQueue()
 {
     if (m_lookTimer)
         m_options.timers->cancel(*m_lookTimer);
@@ -32,7 +32,7 @@
         m_options.timers->cancel(*m_tickTimer);
 }
 
-std::optional<RoomQueue::Ticket> RoomQueue::add(const Line &line, Waiter waiter)
+std::optional<AdmissionQueue::Ticket> AdmissionQueue::add(const Line &line, Waiter waiter)
 {
     Waiters &waiters = m_lines[line];
     if (waiters.size() >= m_options.most) {
@@ -47,7 +47,7 @@
     return Ticket{.line = line, .rank = key.rank, .number = key.number};
 }
 
-void RoomQueue::remove(const Ticket &ticket)
+void AdmissionQueue::remove(const Ticket &ticket)
 {
     const auto waiters = m_lines.find(ticket.line);
     if (waiters == m_lines.end())
@@ -57,7 +57,7 @@
         m_lines.erase(waiters);
 }
 
-bool RoomQueue::isBehind(const Line &line, const RoomRank &rank, bool mayRepeat) const
+bool AdmissionQueue::isBehind(const Line &line, const QueuePriority &rank, bool mayRepeat) const
 {
     const auto waiters = m_lines.find(line);
     if (waiters == m_lines.end())
@@ -70,7 +70,7 @@
     return first != waiters->second.end() && first->first.rank.compare(rank) <= 0;
 }
 
-void RoomQueue::roomMayBeFree(const Base::ServiceId &service)
+void AdmissionQueue::roomMayBeFree(const Base::ServiceId &service)
 {
     const auto first = m_lines.lower_bound({.service = service});
     if (first == m_lines.end() || first->first.service != service)
@@ -84,7 +84,7 @@
     }
 }
 
-std::size_t RoomQueue::size() const
+std::size_t AdmissionQueue::size() const
 {
     std::size_t sum = 0;
     for (const auto &[line, waiters] : m_lines)
@@ -92,7 +92,7 @@
     return sum;
 }
 
-void RoomQueue::lookAgain()
+void AdmissionQueue::lookAgain()
 {
     for (const Base::ServiceId &service : std::exchange(m_freed, {})) {
         for (const bool isStream : {false, true})
@@ -101,7 +101,7 @@
 }
 
 /// Calls may add and remove waiters: nothing of the line is kept across one.
-void RoomQueue::look(const Line &line, int mostInVain)
+void AdmissionQueue::look(const Line &line, int mostInVain)
 {
     Key after;
     int inVain = 0;
@@ -121,7 +121,7 @@
     }
 }
 
-void RoomQueue::giveUp(const Line &line, const Key &key)
+void AdmissionQueue::giveUp(const Line &line, const Key &key)
 {
     const auto waiters = m_lines.find(line);
     if (waiters == m_lines.end())
@@ -133,7 +133,7 @@
         node.mapped().giveUp();
 }
 
-void RoomQueue::giveUpLate()
+void AdmissionQueue::giveUpLate()
 {
     // Another interval would be too long.
     const Base::MonoTime soon = m_options.timers->clock().now() + m_options.interval;
@@ -148,7 +148,7 @@
         giveUp(line, key);
 }
 
-void RoomQueue::startTicking()
+void AdmissionQueue::startTicking()
 {
     if (m_tickTimer)
         return;
@@ -158,7 +158,7 @@
     });
 }
 
-void RoomQueue::tick()
+void AdmissionQueue::tick()
 {
     std::vector<Line> lines;
     lines.reserve(m_lines.size());
--- a/src/libs/gateway/roomqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -16,7 +16,7 @@
 namespace Lagoonbank::Gateway {
 
 /// Where a request stands among those that wait for room; the least goes first.
-struct RoomRank
+struct QueuePriority
 {
     /// Sent before: its work is done in part, and it may not go everywhere.
     bool isRepeat = false;
@@ -24,14 +24,14 @@
     Urgency urgency;
 
     /// Negative if this one goes before the other, 0 for equals.
-    int compare(const RoomRank &other) const;
+    int compare(const QueuePriority &other) const;
 };
 
 /// Requests that found no endpoint with room, in the order in which they get what comes free. Room
 /// that comes free wakes the first of them, and the next ones while there is more; nobody looks on
 /// their own. Against a look of each of them each 10 ms a refusal takes 15 us of a core instead of
 /// 16.5 (bm_refusal, within its noise); worth and processor time of whole days are the same.
-class RoomQueue
+class AdmissionQueue
 {
 public:
     /// Requests of one service that find room alike: plain ones may also wait at an endpoint.
@@ -56,7 +56,7 @@
     };
     struct Waiter
     {
-        RoomRank rank;
+        QueuePriority rank;
         bool mayRepeat = false; ///< So that it may find out whether a suspected endpoint is back.
         Base::MonoTime until; ///< It is given up then.
         /// Looks for a place; true if it waits no longer.
@@ -67,23 +67,23 @@
     struct Ticket
     {
         Line line;
-        RoomRank rank;
+        QueuePriority rank;
         std::uint64_t number = 0; ///< Equals go in the order in which they came.
     };
 
-    explicit RoomQueue(const Options &options)
+    explicit AdmissionQueue(const Options &options)
         : m_options(options)
     { }
-    ~RoomQueue();
-    RoomQueue(const RoomQueue &) = delete;
-    RoomQueue &operator=(const RoomQueue &) = delete;
+    ~AdmissionQueue();
+    AdmissionQueue(const AdmissionQueue &) = delete;
+    AdmissionQueue &operator=(const AdmissionQueue &) = delete;
 
     /// Nothing if the line is full of others that go before it.
     std::optional<Ticket> add(const Line &line, Waiter waiter);
     void remove(const Ticket &ticket);
     /// Whether one that has not looked yet would find nothing, as one in line goes before it that
     /// may go wherever it may, and found nothing.
-    bool isBehind(const Line &line, const RoomRank &rank, bool mayRepeat) const;
+    bool isBehind(const Line &line, const QueuePriority &rank, bool mayRepeat) const;
     /// A place of the service may have come free; those in line look soon, but not from this call.
     void roomMayBeFree(const Base::ServiceId &service);
     std::size_t size() const;
@@ -91,7 +91,7 @@
 private:
     struct Key
     {
-        RoomRank rank;
+        QueuePriority rank;
         std::uint64_t number = 0; ///< See Ticket.
 
         bool operator<(const Key &other) const;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -73,7 +73,7 @@
     , m_placement(m_options.placement)
     , m_retryBudget(m_options.retryBudget)
     , m_loadShedder(m_options.loadShedding)
-    , m_roomQueue({.timers = &m_options.loop->timers()})
+    , m_admissionQueue({.timers = &m_options.loop->timers()})
     , m_backlog(m_options.backlog)
     , m_prompts(m_options.prompts)
     , m_quarantine(m_options.quarantine)
@@ -114,7 +114,7 @@
 {
     m_endpoints.setDrainedDataCentres(std::move(dataCentres), m_options.loop->clock().now());
     for (const auto &[service, endpoints] : m_endpoints.services())
-        m_roomQueue.roomMayBeFree(service);
+        m_admissionQueue.roomMayBeFree(service);
 }
 
 void Gateway::setRouterCount(std::size_t routers)
@@ -305,7 +305,7 @@
     const Base::ServiceId &service = endpoint.info.service;
     concurrencyLimit(service).reported(report, m_endpoints.inFlight(service), now);
     if (m_endpoints.freePlaces(endpoint, now) > before)
-        m_roomQueue.roomMayBeFree(service);
+        m_admissionQueue.roomMayBeFree(service);
 }
 
 Schema::LoadNews Gateway::loadNews()
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include "fleet/configuration.h"
+#include "gateway/admissionqueue.h"
 #include "gateway/backlogcontrol.h"
 #include "gateway/callerrequest.h"
 #include "gateway/concurrencylimit.h"
@@ -16,7 +17,6 @@
 #include "gateway/promptdirectory.h"
 #include "gateway/reachability.h"
 #include "gateway/requestquarantine.h"
-#include "gateway/roomqueue.h"
 #include "http/client.h"
 #include "http/server.h"
 #include "logging/decisionlog.h"
@@ -212,7 +212,7 @@
     Placement m_placement;
     FleetRetryBudget m_retryBudget;
     LoadShedder m_loadShedder;
-    RoomQueue m_roomQueue;
+    AdmissionQueue m_admissionQueue;
     absl::flat_hash_map<Base::ServiceId, ConcurrencyLimit> m_concurrencyLimits;
     BacklogControl m_backlog;
     PromptDirectory m_prompts;
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -88,13 +88,13 @@
     void sendTo(const Place &place);
     /// A stream that has begun waits for an endpoint that can be reached; false if it may not.
     bool awaitEndpoint();
-    RoomQueue::Line roomLine() const;
-    RoomRank roomRank() const;
+    AdmissionQueue::Line roomLine() const;
+    QueuePriority roomRank() const;
     /// Chooses an endpoint and sends the request there, or waits or gives up for another reason
     /// than room; false if none has room.
     bool findPlace();
     /// No endpoint has room; waits in line a moment for it, then refuses.
-    void awaitRoom(const RoomRank &rank);
+    void awaitRoom(const QueuePriority &rank);
     void leaveLine();
     void roomNotFound();
     Base::Duration longestRoomWait() const;
@@ -178,7 +178,7 @@
     std::optional<Runtime::TimerId> m_silenceTimer;
     std::optional<Runtime::TimerId> m_placeTimer; ///< Until it looks for a place again.
     std::optional<Base::MonoTime> m_roomWantedAt; ///< Since its last send.
-    std::optional<RoomQueue::Ticket> m_roomTicket; ///< While it waits in line for room.
+    std::optional<AdmissionQueue::Ticket> m_roomTicket; ///< While it waits in line for room.
     Place m_full; ///< When it looked for room last and found none.
     std::optional<Place> m_next; ///< Where it goes on; chosen when it is sent if there is none.
     Base::MonoTime m_passedOnAt; ///< When its caller got something last.
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -98,8 +98,9 @@
 
 void RequestRun::place()
 {
-    const RoomRank rank = roomRank();
-    const bool isBehind = m_gateway.m_roomQueue.isBehind(roomLine(), rank, m_route->mayRepeat());
+    const QueuePriority rank = roomRank();
+    const bool isBehind =
+        m_gateway.m_admissionQueue.isBehind(roomLine(), rank, m_route->mayRepeat());
     if (isBehind || !findPlace())
         awaitRoom(rank);
 }
@@ -149,12 +150,12 @@
                                                          usableShare());
 }
 
-RoomQueue::Line RequestRun::roomLine() const
+AdmissionQueue::Line RequestRun::roomLine() const
 {
     return {.service = m_service, .isStream = m_route->kind == Fleet::RouteKind::Stream};
 }
 
-RoomRank RequestRun::roomRank() const
+QueuePriority RequestRun::roomRank() const
 {
     return {.isRepeat = !m_tried.empty(),
             .usableShare = usableShare(),
@@ -225,13 +226,13 @@
     return true;
 }
 
-void RequestRun::awaitRoom(const RoomRank &rank)
+void RequestRun::awaitRoom(const QueuePriority &rank)
 {
     const Base::MonoTime now = m_timers.clock().now();
     if (!m_roomWantedAt)
         m_roomWantedAt = now;
     const std::weak_ptr<RequestRun> weak = weak_from_this();
-    m_roomTicket = m_gateway.m_roomQueue.add(
+    m_roomTicket = m_gateway.m_admissionQueue.add(
         roomLine(),
         {.rank = rank,
          .mayRepeat = m_route->mayRepeat(),
@@ -253,7 +254,7 @@
 void RequestRun::leaveLine()
 {
     if (const auto ticket = std::exchange(m_roomTicket, std::nullopt))
-        m_gateway.m_roomQueue.remove(*ticket);
+        m_gateway.m_admissionQueue.remove(*ticket);
 }
 
 void RequestRun::roomNotFound()
@@ -271,7 +272,7 @@
              {"candidates", m_full.candidates},
              {"own_requests", m_gateway.m_endpoints.inFlight(m_service)},
              {"own_limit", m_gateway.concurrencyLimit(m_service).value()},
-             {"in_line", m_gateway.m_roomQueue.size()},
+             {"in_line", m_gateway.m_admissionQueue.size()},
              {"waited_ms", m_timers.clock().now() - *m_roomWantedAt},
              {"left_ms", timeLeft()}});
     }
--- a/tests/auto/gateway/tst_roomqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -1,9 +1,9 @@
 /// Pattern: a service has no room for all that come. Who waits gets it in order, and a look is made
 /// for each place that comes free, not by each who waits.
-#define BOOST_TEST_MODULE tst_roomqueue
+#define BOOST_TEST_MODULE tst_admissionqueue
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/roomqueue.h"
+#include "gateway/admissionqueue.h"
 #include "runtime/clock.h"
 
 #include <string>
@@ -20,8 +20,8 @@
 struct Fixture
 {
     /// Waits with a name; it takes a place of those that are free.
-    std::optional<RoomQueue::Ticket> wait(const std::string &name, const RoomRank &rank,
-                                          bool isStream = true, bool mayRepeat = true)
+    std::optional<AdmissionQueue::Ticket> wait(const std::string &name, const QueuePriority &rank,
+                                               bool isStream = true, bool mayRepeat = true)
     {
         return queue.add({.service = service, .isStream = isStream},
                          {.rank = rank,
@@ -55,7 +55,7 @@
 
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
-    RoomQueue queue{{.timers = &timers, .most = 3}};
+    AdmissionQueue queue{{.timers = &timers, .most = 3}};
     int free = 0;
     int looks = 0;
     std::string barred; ///< May not go where there is room.
@@ -63,10 +63,10 @@
     std::vector<std::string> refused;
 };
 
-constexpr RoomRank urgent{.urgency = {.priority = 0}};
-constexpr RoomRank usual{.urgency = {.priority = 1}};
-constexpr RoomRank beyondItsShare{.usableShare = 0.85, .urgency = {.priority = 0}};
-constexpr RoomRank repeat{.isRepeat = true, .urgency = {.priority = 2}};
+constexpr QueuePriority urgent{.urgency = {.priority = 0}};
+constexpr QueuePriority usual{.urgency = {.priority = 1}};
+constexpr QueuePriority beyondItsShare{.usableShare = 0.85, .urgency = {.priority = 0}};
+constexpr QueuePriority repeat{.isRepeat = true, .urgency = {.priority = 2}};
 
 using Names = std::vector<std::string>;
 
@@ -154,7 +154,7 @@
 BOOST_AUTO_TEST_CASE(newcomersLookOnlyIfTheyGoBeforeAllWhoWait)
 {
     Fixture f;
-    const RoomQueue::Line line{.service = service, .isStream = true};
+    const AdmissionQueue::Line line{.service = service, .isStream = true};
     BOOST_TEST(!f.queue.isBehind(line, usual, true));
     f.wait("sent before", repeat);
     BOOST_TEST(!f.queue.isBehind(line, usual, true));
