--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -232,7 +232,7 @@
         if (m_options.policy.reachability)
             m_reachability.foundUnreachable(record);
     }
-    std::vector<RequestEnd> ends;
+    std::vector<RequestCrash> ends;
     for (const RequestFingerprint request : requests) {
         ends.push_back({.request = request, .endpoint = endpoint.startHash});
         m_options.log->request(
@@ -240,16 +240,16 @@
             {{"endpoint", endpoint.info.id.value()}, {"asks", toString(request)}});
     }
     // Peers are told first of those that are the more likely to be to blame.
-    std::stable_partition(ends.begin(), ends.end(), [this](const RequestEnd &end) {
+    std::stable_partition(ends.begin(), ends.end(), [this](const RequestCrash &end) {
         return m_quarantine.hasEnds(end.request);
     });
     if (m_options.requestsEnded)
         m_options.requestsEnded(ends);
-    for (const RequestEnd &end : ends)
+    for (const RequestCrash &end : ends)
         noteRequestEnd(end);
 }
 
-void Gateway::noteRequestEnd(const RequestEnd &end)
+void Gateway::noteRequestEnd(const RequestCrash &end)
 {
     const Base::MonoTime now = m_options.loop->clock().now();
     if (!m_quarantine.ended(end, now))
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -104,7 +104,7 @@
         std::function<void(const PromptHolding &holding)> promptPlaced;
         /// An endpoint has ended while it had these requests of this router: peers ought to know.
         /// Null where there are none.
-        std::function<void(const std::vector<RequestEnd> &ends)> requestsEnded;
+        std::function<void(const std::vector<RequestCrash> &ends)> requestsEnded;
         /// A request is quarantined: peers ought to know, and routers that start. Null where there
         /// are none.
         std::function<void(const QuarantinedRequest &quarantined)> requestQuarantined;
@@ -150,7 +150,7 @@
     /// A peer's request with this prompt went to this endpoint.
     void promptLearnt(const PromptHolding &holding);
     /// An endpoint has ended while it had a request of this router or of a peer.
-    void noteRequestEnd(const RequestEnd &end);
+    void noteRequestEnd(const RequestCrash &end);
     /// A peer or the store tells of a request that is quarantined; for how long, if that is news.
     std::optional<Base::Duration> quarantineLearnt(const QuarantinedRequest &quarantined);
     std::vector<QuarantinedRequest> quarantined() const;
--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -4,12 +4,12 @@
 
 namespace Lagoonbank::Gateway {
 
-Schema::SharedRequestEnd toShared(const RequestEnd &end)
+Schema::SharedRequestEnd toShared(const RequestCrash &end)
 {
     return {.request = end.request.value(), .endpoint = end.endpoint};
 }
 
-RequestEnd fromShared(const Schema::SharedRequestEnd &shared)
+RequestCrash fromShared(const Schema::SharedRequestEnd &shared)
 {
     return {.request = RequestFingerprint(shared.request), .endpoint = shared.endpoint};
 }
@@ -26,7 +26,7 @@
             .left = std::chrono::milliseconds(shared.leftMs)};
 }
 
-bool RequestQuarantine::ended(const RequestEnd &end, Base::MonoTime now)
+bool RequestQuarantine::ended(const RequestCrash &end, Base::MonoTime now)
 {
     if (timeLeft(end.request, now))
         return false;
@@ -43,7 +43,7 @@
     return quarantine({.request = end.request, .left = m_options.time}, now);
 }
 
-bool RequestQuarantine::isLastEnd(const RequestEnd &end, Base::MonoTime now) const
+bool RequestQuarantine::isLastEnd(const RequestCrash &end, Base::MonoTime now) const
 {
     const auto found = m_ends.find(end.request);
     if (found == m_ends.end() || !isFresh(found->second, now))
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -15,7 +15,7 @@
 namespace Lagoonbank::Gateway {
 
 /// An endpoint that has ended while it had a request.
-struct RequestEnd
+struct RequestCrash
 {
     RequestFingerprint request;
     std::uint64_t endpoint = 0; ///< EndpointRecord::startHash.
@@ -28,8 +28,8 @@
     Base::Duration left = Base::Duration::max(); ///< A whole quarantine if that is less.
 };
 
-Schema::SharedRequestEnd toShared(const RequestEnd &end);
-RequestEnd fromShared(const Schema::SharedRequestEnd &shared);
+Schema::SharedRequestEnd toShared(const RequestCrash &end);
+RequestCrash fromShared(const Schema::SharedRequestEnd &shared);
 Schema::SharedQuarantine toShared(const QuarantinedRequest &quarantined);
 QuarantinedRequest fromShared(const Schema::SharedQuarantine &shared);
 
@@ -63,13 +63,13 @@
     { }
 
     /// An endpoint has ended under a request; true if that is quarantined by it.
-    bool ended(const RequestEnd &end, Base::MonoTime now);
+    bool ended(const RequestCrash &end, Base::MonoTime now);
     /// The request was answered, so that what ended under it ended for another reason.
     void answered(RequestFingerprint request) { m_ends.erase(request); }
     /// Whether an endpoint has ended under it lately.
     bool hasEnds(RequestFingerprint request) const { return m_ends.contains(request); }
     /// Whether the end of one more endpoint would have it quarantined.
-    bool isLastEnd(const RequestEnd &end, Base::MonoTime now) const;
+    bool isLastEnd(const RequestCrash &end, Base::MonoTime now) const;
     /// Somebody else has quarantined it; true if that is news.
     bool quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now);
     /// For how long the request is quarantined yet.
