--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -32,9 +32,9 @@
         m_options.timers->cancel(*m_tickTimer);
 }
 
-std::optional<AdmissionQueue::Ticket> AdmissionQueue::add(const Line &line, Waiter waiter)
+std::optional<AdmissionQueue::Ticket> AdmissionQueue::add(const QueueId &line, Waiter waiter)
 {
-    Waiters &waiters = m_lines[line];
+    Waiters &waiters = m_queues[line];
     if (waiters.size() >= m_options.most) {
         const Key last = std::prev(waiters.end())->first;
         if (waiter.rank.compare(last.rank) >= 0)
@@ -42,25 +42,25 @@
         giveUp(line, last);
     }
     const Key key{.rank = waiter.rank, .number = ++m_lastNumber};
-    m_lines[line].emplace(key, std::move(waiter));
+    m_queues[line].emplace(key, std::move(waiter));
     startTicking();
     return Ticket{.line = line, .rank = key.rank, .number = key.number};
 }
 
 void AdmissionQueue::remove(const Ticket &ticket)
 {
-    const auto waiters = m_lines.find(ticket.line);
-    if (waiters == m_lines.end())
+    const auto waiters = m_queues.find(ticket.line);
+    if (waiters == m_queues.end())
         return;
     waiters->second.erase({.rank = ticket.rank, .number = ticket.number});
     if (waiters->second.empty())
-        m_lines.erase(waiters);
+        m_queues.erase(waiters);
 }
 
-bool AdmissionQueue::isBehind(const Line &line, const QueuePriority &rank, bool mayRepeat) const
+bool AdmissionQueue::isBehind(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const
 {
-    const auto waiters = m_lines.find(line);
-    if (waiters == m_lines.end())
+    const auto waiters = m_queues.find(line);
+    if (waiters == m_queues.end())
         return false;
     // What was sent before may not go where it was, and tells nothing of others.
     const auto first =
@@ -72,8 +72,8 @@
 
 void AdmissionQueue::roomMayBeFree(const Base::ServiceId &service)
 {
-    const auto first = m_lines.lower_bound({.service = service});
-    if (first == m_lines.end() || first->first.service != service)
+    const auto first = m_queues.lower_bound({.service = service});
+    if (first == m_queues.end() || first->first.service != service)
         return;
     m_freed.insert(service);
     if (!m_lookTimer) {
@@ -87,7 +87,7 @@
 std::size_t AdmissionQueue::size() const
 {
     std::size_t sum = 0;
-    for (const auto &[line, waiters] : m_lines)
+    for (const auto &[line, waiters] : m_queues)
         sum += waiters.size();
     return sum;
 }
@@ -101,13 +101,13 @@
 }
 
 /// Calls may add and remove waiters: nothing of the line is kept across one.
-void AdmissionQueue::look(const Line &line, int mostInVain)
+void AdmissionQueue::look(const QueueId &line, int mostInVain)
 {
     Key after;
     int inVain = 0;
     for (bool isFirst = true; inVain < mostInVain; isFirst = false) {
-        const auto waiters = m_lines.find(line);
-        if (waiters == m_lines.end())
+        const auto waiters = m_queues.find(line);
+        if (waiters == m_queues.end())
             return;
         const auto next = isFirst ? waiters->second.begin() : waiters->second.upper_bound(after);
         if (next == waiters->second.end())
@@ -121,14 +121,14 @@
     }
 }
 
-void AdmissionQueue::giveUp(const Line &line, const Key &key)
+void AdmissionQueue::giveUp(const QueueId &line, const Key &key)
 {
-    const auto waiters = m_lines.find(line);
-    if (waiters == m_lines.end())
+    const auto waiters = m_queues.find(line);
+    if (waiters == m_queues.end())
         return;
     auto node = waiters->second.extract(key);
     if (waiters->second.empty())
-        m_lines.erase(waiters);
+        m_queues.erase(waiters);
     if (!node.empty())
         node.mapped().giveUp();
 }
@@ -137,8 +137,8 @@
 {
     // Another interval would be too long.
     const Base::MonoTime soon = m_options.timers->clock().now() + m_options.interval;
-    std::vector<std::pair<Line, Key>> late;
-    for (const auto &[line, waiters] : m_lines) {
+    std::vector<std::pair<QueueId, Key>> late;
+    for (const auto &[line, waiters] : m_queues) {
         for (const auto &[key, waiter] : waiters) {
             if (waiter.until < soon)
                 late.emplace_back(line, key);
@@ -160,14 +160,14 @@
 
 void AdmissionQueue::tick()
 {
-    std::vector<Line> lines;
-    lines.reserve(m_lines.size());
-    for (const auto &[line, waiters] : m_lines)
+    std::vector<QueueId> lines;
+    lines.reserve(m_queues.size());
+    for (const auto &[line, waiters] : m_queues)
         lines.push_back(line);
-    for (const Line &line : lines)
+    for (const QueueId &line : lines)
         look(line, 1);
     giveUpLate();
-    if (!m_lines.empty())
+    if (!m_queues.empty())
         startTicking();
 }
 
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -35,12 +35,12 @@
 {
 public:
     /// Requests of one service that find room alike: plain ones may also wait at an endpoint.
-    struct Line
+    struct QueueId
     {
         Base::ServiceId service;
         bool isStream = false;
 
-        auto operator<=>(const Line &) const = default;
+        auto operator<=>(const QueueId &) const = default;
     };
     struct Options
     {
@@ -66,7 +66,7 @@
     };
     struct Ticket
     {
-        Line line;
+        QueueId line;
         QueuePriority rank;
         std::uint64_t number = 0; ///< Equals go in the order in which they came.
     };
@@ -79,11 +79,11 @@
     AdmissionQueue &operator=(const AdmissionQueue &) = delete;
 
     /// Nothing if the line is full of others that go before it.
-    std::optional<Ticket> add(const Line &line, Waiter waiter);
+    std::optional<Ticket> add(const QueueId &line, Waiter waiter);
     void remove(const Ticket &ticket);
     /// Whether one that has not looked yet would find nothing, as one in line goes before it that
     /// may go wherever it may, and found nothing.
-    bool isBehind(const Line &line, const QueuePriority &rank, bool mayRepeat) const;
+    bool isBehind(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const;
     /// A place of the service may have come free; those in line look soon, but not from this call.
     void roomMayBeFree(const Base::ServiceId &service);
     std::size_t size() const;
@@ -101,13 +101,13 @@
     void tick();
     void startTicking();
     void lookAgain();
-    void look(const Line &line, int mostInVain);
+    void look(const QueueId &line, int mostInVain);
     /// Takes one out and calls its giveUp.
-    void giveUp(const Line &line, const Key &key);
+    void giveUp(const QueueId &line, const Key &key);
     void giveUpLate();
 
     Options m_options;
-    std::map<Line, Waiters> m_lines; ///< None is empty.
+    std::map<QueueId, Waiters> m_queues; ///< None is empty.
     std::uint64_t m_lastNumber = 0;
     absl::flat_hash_set<Base::ServiceId> m_freed; ///< Services that have had room since.
     std::optional<Runtime::TimerId> m_lookTimer;
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -88,7 +88,7 @@
     void sendTo(const Place &place);
     /// A stream that has begun waits for an endpoint that can be reached; false if it may not.
     bool awaitEndpoint();
-    AdmissionQueue::Line roomLine() const;
+    AdmissionQueue::QueueId roomLine() const;
     QueuePriority roomRank() const;
     /// Chooses an endpoint and sends the request there, or waits or gives up for another reason
     /// than room; false if none has room.
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -150,7 +150,7 @@
                                                          usableShare());
 }
 
-AdmissionQueue::Line RequestRun::roomLine() const
+AdmissionQueue::QueueId RequestRun::roomLine() const
 {
     return {.service = m_service, .isStream = m_route->kind == Fleet::RouteKind::Stream};
 }
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -154,7 +154,7 @@
 BOOST_AUTO_TEST_CASE(newcomersLookOnlyIfTheyGoBeforeAllWhoWait)
 {
     Fixture f;
-    const AdmissionQueue::Line line{.service = service, .isStream = true};
+    const AdmissionQueue::QueueId line{.service = service, .isStream = true};
     BOOST_TEST(!f.queue.isBehind(line, usual, true));
     f.wait("sent before", repeat);
     BOOST_TEST(!f.queue.isBehind(line, usual, true));
