--- a/src/libs/gateway/backlogcontrol.cpp
+++ b/src/libs/gateway/backlogcontrol.cpp
@@ -6,14 +6,15 @@
 
 namespace Lagoonbank::Gateway {
 
-bool BacklogControl::takes(const Claimant &claimant, Base::Duration delay, Base::MonoTime now)
+bool BacklogControl::takes(const AdmissionRequest &admissionRequest, Base::Duration delay,
+                           Base::MonoTime now)
 {
-    count(claimant, now);
+    count(admissionRequest, now);
     adapt(delay, now);
     if (m_taken >= 1)
         return true;
-    const double ofKind = delay > m_options.target ? m_kinds[claimant.urgency].share : 1;
-    const double share = ofKind * workspacePart(claimant.workspace, now);
+    const double ofKind = delay > m_options.target ? m_kinds[admissionRequest.urgency].share : 1;
+    const double share = ofKind * workspacePart(admissionRequest.workspace, now);
     return std::uniform_real_distribution<double>(0, 1)(m_random) < share;
 }
 
@@ -27,11 +28,11 @@
         std::chrono::duration<double>(std::min(seconds * spread(m_random), latest)));
 }
 
-void BacklogControl::count(const Claimant &claimant, Base::MonoTime now)
+void BacklogControl::count(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
     m_asked.add(1, now, m_options.halfLife);
-    m_kinds[claimant.urgency].asked.add(1, now, m_options.halfLife);
-    m_workspaces[claimant.workspace].add(1, now, m_options.halfLife);
+    m_kinds[admissionRequest.urgency].asked.add(1, now, m_options.halfLife);
+    m_workspaces[admissionRequest.workspace].add(1, now, m_options.halfLife);
 }
 
 void BacklogControl::adapt(Base::Duration delay, Base::MonoTime now)
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -56,7 +56,7 @@
     { }
 
     /// A request has come while the router's oldest work was \a delay old; whether it is taken.
-    bool takes(const Claimant &claimant, Base::Duration delay, Base::MonoTime now);
+    bool takes(const AdmissionRequest &admissionRequest, Base::Duration delay, Base::MonoTime now);
     /// For one that is not: when the work that waits is done, later the fewer are taken, so that as
     /// many come as there is time for; spread, so that callers do not return together.
     Base::Duration retryAfter(Base::Duration delay);
@@ -70,7 +70,7 @@
         double share = 1; ///< Of its requests, that are taken.
     };
 
-    void count(const Claimant &claimant, Base::MonoTime now);
+    void count(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     void adapt(Base::Duration delay, Base::MonoTime now);
     void divide(Base::MonoTime now);
     double workspacePart(const Base::WorkspaceId &workspace, Base::MonoTime now) const;
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -32,49 +32,52 @@
     m_at = now;
 }
 
-void LoadShedder::asked(const Claimant &claimant, Base::MonoTime now)
+void LoadShedder::asked(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
-    Service &service = m_services[claimant.service];
+    Service &service = m_services[admissionRequest.service];
     forgetOldKinds(service, now);
     ++service.changes;
     service.all.asked.add(1, now, m_options.halfLife);
-    service.kinds[{claimant.route, claimant.urgency}].asked.add(1, now, m_options.halfLife);
-    service.workspaces[claimant.workspace].asked.add(1, now, m_options.workspaceHalfLife);
+    service.kinds[{admissionRequest.route, admissionRequest.urgency}].asked.add(1, now,
+                                                                                m_options.halfLife);
+    service.workspaces[admissionRequest.workspace].asked.add(1, now, m_options.workspaceHalfLife);
     service.askedOfWorkspaces.add(1, now, m_options.workspaceHalfLife);
-    Route &route = service.routes[claimant.route];
+    Route &route = service.routes[admissionRequest.route];
     const auto kept =
         std::chrono::duration_cast<Base::Duration>(route.patience * m_options.patienceKept);
-    route.patience = std::max(claimant.patience.value_or(Base::Duration::zero()), kept);
+    route.patience = std::max(admissionRequest.patience.value_or(Base::Duration::zero()), kept);
 }
 
-void LoadShedder::admitted(const Claimant &claimant, Base::MonoTime now)
+void LoadShedder::admitted(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
-    Service &service = m_services[claimant.service];
+    Service &service = m_services[admissionRequest.service];
     ++service.changes;
     service.all.admitted.add(1, now, m_options.halfLife);
-    service.kinds[{claimant.route, claimant.urgency}].admitted.add(1, now, m_options.halfLife);
-    service.workspaces[claimant.workspace].admitted.add(1, now, m_options.workspaceHalfLife);
+    service.kinds[{admissionRequest.route, admissionRequest.urgency}].admitted.add(
+        1, now, m_options.halfLife);
+    service.workspaces[admissionRequest.workspace].admitted.add(1, now,
+                                                                m_options.workspaceHalfLife);
 }
 
-void LoadShedder::ended(const Claimant &claimant, Base::Duration held)
+void LoadShedder::ended(const AdmissionRequest &admissionRequest, Base::Duration held)
 {
-    Route &route = m_services[claimant.service].routes[claimant.route];
+    Route &route = m_services[admissionRequest.service].routes[admissionRequest.route];
     const double seconds = Base::toSeconds(held);
     route.cost = route.cost ? *route.cost + costStep * (seconds - *route.cost) : seconds;
 }
 
-double LoadShedder::usableShare(const Claimant &claimant, Base::MonoTime now)
+double LoadShedder::usableShare(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
-    const auto found = m_services.find(claimant.service);
+    const auto found = m_services.find(admissionRequest.service);
     if (found == m_services.end())
         return 1;
     Service &service = found->second;
     if (servedShare(service.all, now, m_options.halfLife) >= allServed)
         return 1;
-    double share = isWithinShare(service, claimant, now) ? 1 : 1 - m_options.reserved;
-    if (isLate(service, claimant))
+    double share = isWithinShare(service, admissionRequest, now) ? 1 : 1 - m_options.reserved;
+    if (isLate(service, admissionRequest))
         share -= m_options.reservedForOthers;
-    const auto workspace = service.workspaces.find(claimant.workspace);
+    const auto workspace = service.workspaces.find(admissionRequest.workspace);
     if (workspace == service.workspaces.end())
         return share;
     if (isStarved(service, workspace->second, now))
@@ -82,10 +85,10 @@
     return isGreedy(service, workspace->second, now) ? share - m_options.reservedForOthers : share;
 }
 
-bool LoadShedder::isWithinShare(Service &service, const Claimant &claimant,
+bool LoadShedder::isWithinShare(Service &service, const AdmissionRequest &admissionRequest,
                                 Base::MonoTime now) const
 {
-    const auto own = service.kinds.find({claimant.route, claimant.urgency});
+    const auto own = service.kinds.find({admissionRequest.route, admissionRequest.urgency});
     if (own == service.kinds.end() || own->second.asked.value(now, m_options.halfLife) < 1)
         return true;
     if (isDivisionOld(service, now))
@@ -133,11 +136,11 @@
         std::chrono::duration<double>(seconds * spread(m_random)));
 }
 
-bool LoadShedder::isLate(const Service &service, const Claimant &claimant)
+bool LoadShedder::isLate(const Service &service, const AdmissionRequest &admissionRequest)
 {
-    const auto route = service.routes.find(claimant.route);
-    return claimant.patience && route != service.routes.end()
-        && *claimant.patience + claimant.targetLatency < route->second.patience;
+    const auto route = service.routes.find(admissionRequest.route);
+    return admissionRequest.patience && route != service.routes.end()
+        && *admissionRequest.patience + admissionRequest.targetLatency < route->second.patience;
 }
 
 /// Of the requests that came lately; 1 where none did.
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -28,7 +28,7 @@
 };
 
 /// What of a request decides whether it goes before others when there is not room for all.
-struct Claimant
+struct AdmissionRequest
 {
     Base::ServiceId service;
     std::string route; ///< Its kind of request.
@@ -90,13 +90,13 @@
     { }
 
     /// A request has come.
-    void asked(const Claimant &claimant, Base::MonoTime now);
+    void asked(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     /// A request has been sent to an endpoint for the first time.
-    void admitted(const Claimant &claimant, Base::MonoTime now);
+    void admitted(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     /// A request that was sent has given its place back after \a held.
-    void ended(const Claimant &claimant, Base::Duration held);
+    void ended(const AdmissionRequest &admissionRequest, Base::Duration held);
     /// Part of an endpoint's places that may be taken when this request is sent there.
-    double usableShare(const Claimant &claimant, Base::MonoTime now);
+    double usableShare(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     /// For a request that is refused as there is no room; spread, so that callers do not return
     /// together.
     Base::Duration retryAfter(Base::Duration targetLatency);
@@ -129,13 +129,14 @@
     };
 
     /// Whether its kind has been served less than the share that it may have.
-    bool isWithinShare(Service &service, const Claimant &claimant, Base::MonoTime now) const;
+    bool isWithinShare(Service &service, const AdmissionRequest &admissionRequest,
+                       Base::MonoTime now) const;
     bool isDivisionOld(const Service &service, Base::MonoTime now) const;
     /// Works out the shares of all kinds.
     void divide(Service &service, Base::MonoTime now) const;
     /// Whether the caller has waited past the target latency already, in a try before: it has less
     /// patience left than others have at first.
-    static bool isLate(const Service &service, const Claimant &claimant);
+    static bool isLate(const Service &service, const AdmissionRequest &admissionRequest);
     static double servedShare(const Tally &tally, Base::MonoTime now, Base::Duration halfLife);
     bool isStarved(const Service &service, const Tally &workspace, Base::MonoTime now) const;
     bool isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const;
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -65,7 +65,7 @@
         deadlinePassed();
     });
     const Base::MonoTime now = m_timers.clock().now();
-    m_gateway.m_loadShedder.asked(claimant(), now);
+    m_gateway.m_loadShedder.asked(admissionRequest(), now);
     if (now - m_cameAt >= leastTime && timeLeft() < leastTime) {
         // It lay unread for as long as its caller waits.
         giveUp({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = false});
@@ -129,7 +129,7 @@
     const Base::MonoTime now = m_timers.clock().now();
     m_gateway.m_retryBudget.requestCame(m_service, now);
     const Base::Duration delay = m_gateway.ownDelay();
-    if (m_gateway.m_backlog.takes(claimant(), delay, now))
+    if (m_gateway.m_backlog.takes(admissionRequest(), delay, now))
         return true;
     refuse(ErrorKind::Overloaded, Ran::No, m_gateway.m_backlog.retryAfter(delay));
     return false;
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -77,7 +77,7 @@
     std::optional<std::uint64_t> resumeAfter() const;
     /// Sends the request to another endpoint; one that was reached before makes it a repeat.
     void goOn(const Failure &failure);
-    Claimant claimant() const;
+    AdmissionRequest admissionRequest() const;
     double usableShare() const;
     PlacementRequest placementRequest() const;
     /// Endpoints that are not to get it again.
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -53,7 +53,7 @@
     return m_prefixes.empty() ? Base::Tokens() : m_prefixes.back().tokens;
 }
 
-Claimant RequestRun::claimant() const
+AdmissionRequest RequestRun::admissionRequest() const
 {
     return {.service = m_service,
             .route = m_route->name,
@@ -135,7 +135,7 @@
     if (awaitReading(place))
         return true;
     if (m_tried.empty())
-        m_gateway.m_loadShedder.admitted(claimant(), now);
+        m_gateway.m_loadShedder.admitted(admissionRequest(), now);
     sendTo(place);
     return true;
 }
@@ -166,7 +166,9 @@
 double RequestRun::usableShare() const
 {
     const bool isDivided = m_tried.empty() && m_gateway.m_options.policy.shares;
-    return isDivided ? m_gateway.m_loadShedder.usableShare(claimant(), m_timers.clock().now()) : 1;
+    return isDivided
+        ? m_gateway.m_loadShedder.usableShare(admissionRequest(), m_timers.clock().now())
+        : 1;
 }
 
 void RequestRun::sendTo(const Place &place)
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -262,7 +262,7 @@
             scheduleNext(kind);
         });
     }
-    Lagoonbank::Gateway::Claimant claimant(const Job &job) const
+    Lagoonbank::Gateway::AdmissionRequest admissionRequest(const Job &job) const
     {
         using namespace Lagoonbank;
         const Kind &kind = m_options.kinds[job.kind];
@@ -277,14 +277,15 @@
     void come(const JobPtr &job)
     {
         job->router = std::uniform_int_distribution<std::size_t>(0, m_routers.size() - 1)(m_random);
-        m_routers[job->router]->shedder.asked(claimant(*job), at(m_now));
+        m_routers[job->router]->shedder.asked(admissionRequest(*job), at(m_now));
         place(job, m_now);
     }
     void place(const JobPtr &job, double since)
     {
         Router &router = *m_routers[job->router];
-        const double share =
-            m_options.isShedding ? router.shedder.usableShare(claimant(*job), at(m_now)) : 1e9;
+        const double share = m_options.isShedding
+            ? router.shedder.usableShare(admissionRequest(*job), at(m_now))
+            : 1e9;
         const bool isOverLimit =
             m_options.isLimiting && !router.limit.admits(router.book.inFlight(m_service), share);
         Lagoonbank::Gateway::Place chosen;
@@ -296,7 +297,7 @@
                                              router.book, at(m_now));
         }
         if (chosen.endpoint) {
-            router.shedder.admitted(claimant(*job), at(m_now));
+            router.shedder.admitted(admissionRequest(*job), at(m_now));
             send(job, chosen.endpoint);
         } else if (m_now - since < 0.03) {
             after(0.01, [this, job, since] { place(job, since); });
@@ -395,7 +396,8 @@
         --m_engines[job->engine].running;
         if (!job->hasLeft) {
             endAtRouter(*job);
-            m_routers[job->router]->shedder.ended(claimant(*job), duration(m_now - job->sentAt));
+            m_routers[job->router]->shedder.ended(admissionRequest(*job),
+                                                  duration(m_now - job->sentAt));
         }
         serve(job->engine);
     }
--- a/tests/auto/gateway/slowroutermodel.h
+++ b/tests/auto/gateway/slowroutermodel.h
@@ -251,7 +251,7 @@
         if (delay > behind)
             m_lastBehind = m_now;
         const Kind &kind = m_options.kinds[request.caller->kind];
-        const Lagoonbank::Gateway::Claimant claimant{
+        const Lagoonbank::Gateway::AdmissionRequest admissionRequest{
             .workspace =
                 Lagoonbank::Base::WorkspaceId("w" + std::to_string(request.caller->workspace)),
             .urgency = {.priority = kind.priority},
@@ -259,7 +259,7 @@
         const double leftAt = request.caller->cameAt + kind.patience;
         const bool isTooOld = m_options.isControlled && m_options.isAgeKnown && m_now >= leftAt;
         const bool isTaken = !m_options.isControlled
-            || (m_control.takes(claimant, duration(delay), timeOf(m_now)) && !isTooOld);
+            || (m_control.takes(admissionRequest, duration(delay), timeOf(m_now)) && !isTooOld);
         if (!isTaken) {
             ++m_refusals;
             const double wait = Lagoonbank::Base::toSeconds(m_control.retryAfter(duration(delay)));
--- a/tests/auto/gateway/tst_backlogcontrol.cpp
+++ b/tests/auto/gateway/tst_backlogcontrol.cpp
@@ -129,13 +129,13 @@
 {
     BacklogControl control({});
     Base::MonoTime now(std::chrono::hours(1));
-    const Claimant claimant{.workspace = Base::WorkspaceId("w")};
+    const AdmissionRequest admissionRequest{.workspace = Base::WorkspaceId("w")};
     for (int i = 0; i < 100; ++i) {
-        BOOST_TEST(control.takes(claimant, milliseconds(1), now));
+        BOOST_TEST(control.takes(admissionRequest, milliseconds(1), now));
         now += milliseconds(5);
     }
     for (int i = 0; i < 18; ++i) {
-        BOOST_TEST(control.takes(claimant, milliseconds(100 - 5 * i), now));
+        BOOST_TEST(control.takes(admissionRequest, milliseconds(100 - 5 * i), now));
         now += milliseconds(5);
     }
 }
@@ -144,18 +144,18 @@
 {
     BacklogControl control({});
     Base::MonoTime now(std::chrono::hours(1));
-    const Claimant claimant{.workspace = Base::WorkspaceId("w")};
+    const AdmissionRequest admissionRequest{.workspace = Base::WorkspaceId("w")};
     int taken = 0;
     for (int i = 0; i < 400; ++i) {
-        taken += control.takes(claimant, milliseconds(300), now) ? 1 : 0;
+        taken += control.takes(admissionRequest, milliseconds(300), now) ? 1 : 0;
         now += milliseconds(5);
     }
     BOOST_TEST(taken > 20);
     BOOST_TEST(taken < 200);
     BOOST_TEST(control.takenPart() < 0.1);
-    BOOST_TEST(control.takes(claimant, milliseconds(10), now));
+    BOOST_TEST(control.takes(admissionRequest, milliseconds(10), now));
     now += std::chrono::seconds(3);
-    control.takes(claimant, milliseconds(10), now);
+    control.takes(admissionRequest, milliseconds(10), now);
     BOOST_TEST(control.takenPart() == 1);
 }
 
