--- a/src/libs/gateway/crashwatch.h
+++ b/src/libs/gateway/crashwatch.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/endpointbook.h"
+#include "gateway/endpointregistry.h"
 #include "gateway/requestfingerprint.h"
 #include "runtime/timerqueue.h"
 
--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -73,7 +73,7 @@
     }
     const Base::MonoTime now = m_options.clock->now();
     if (facts.isWarmingUp && !m_options.book->isWarmingUp(endpoint, now))
-        EndpointBook::becameCold(endpoint, now);
+        EndpointRegistry::becameCold(endpoint, now);
     if (!facts.restTime)
         return;
     notice.restsUntil = std::max(notice.restsUntil, now + *facts.restTime);
--- a/src/libs/gateway/endpointhealth.h
+++ b/src/libs/gateway/endpointhealth.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/endpointbook.h"
+#include "gateway/endpointregistry.h"
 #include "logging/decisionlog.h"
 #include "runtime/clock.h"
 
@@ -13,7 +13,7 @@
 public:
     struct Options
     {
-        EndpointBook *book = nullptr;
+        EndpointRegistry *book = nullptr;
         const Runtime::Clock *clock = nullptr;
         Logging::DecisionLog *log = nullptr;
         /// Above the share of errors that good endpoints give for requests that are wrong
--- a/src/libs/gateway/endpointbook.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -1,4 +1,4 @@
-#include "gateway/endpointbook.h"
+#include "gateway/endpointregistry.h"
 
 #include "routing/rendezvous.h"
 
@@ -43,7 +43,7 @@
     return usual + (m_mean - usual) * kept;
 }
 
-void EndpointBook::put(const Fleet::Endpoint &endpoint, Base::MonoTime now)
+void EndpointRegistry::put(const Fleet::Endpoint &endpoint, Base::MonoTime now)
 {
     const auto known = m_records.find(endpoint.id);
     if (known != m_records.end() && !Fleet::isRestart(known->second->info, endpoint)) {
@@ -79,7 +79,7 @@
     others.insert(place, record);
 }
 
-void EndpointBook::remove(const Base::EndpointId &id)
+void EndpointRegistry::remove(const Base::EndpointId &id)
 {
     const auto known = m_records.find(id);
     if (known == m_records.end())
@@ -94,8 +94,8 @@
 }
 
 /// Endpoints that are taken back may have become cold meanwhile, and say so later.
-void EndpointBook::setDrainedDataCentres(std::set<Base::DataCentreId> dataCentres,
-                                         Base::MonoTime now)
+void EndpointRegistry::setDrainedDataCentres(std::set<Base::DataCentreId> dataCentres,
+                                             Base::MonoTime now)
 {
     m_drained = std::move(dataCentres);
     for (const auto &[id, record] : m_records) {
@@ -105,7 +105,7 @@
     }
 }
 
-void EndpointBook::setServices(const std::vector<Fleet::Service> &services)
+void EndpointRegistry::setServices(const std::vector<Fleet::Service> &services)
 {
     m_warmups.clear();
     for (const Fleet::Service &service : services) {
@@ -114,7 +114,7 @@
     }
 }
 
-bool EndpointBook::isWarmingUp(const EndpointRecord &endpoint, Base::MonoTime now) const
+bool EndpointRegistry::isWarmingUp(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
     if (!endpoint.warmup.since)
         return false;
@@ -122,7 +122,7 @@
     return warmup != m_warmups.end() && now - *endpoint.warmup.since < warmup->second.time;
 }
 
-bool EndpointBook::bearsRequest(EndpointRecord &endpoint, Base::MonoTime now) const
+bool EndpointRegistry::bearsRequest(EndpointRecord &endpoint, Base::MonoTime now) const
 {
     if (!isWarmingUp(endpoint, now))
         return true;
@@ -130,14 +130,14 @@
     return m_warmupQuota.admits(endpoint.warmup, endpoint.startHash, bearable, now);
 }
 
-void EndpointBook::requestSent(EndpointRecord &endpoint, Base::MonoTime now) const
+void EndpointRegistry::requestSent(EndpointRecord &endpoint, Base::MonoTime now) const
 {
     ++endpoint.inFlight;
     if (isWarmingUp(endpoint, now))
         m_warmupQuota.sent(endpoint.warmup, now);
 }
 
-void EndpointBook::keepNotice(const EndpointRecord &endpoint)
+void EndpointRegistry::keepNotice(const EndpointRecord &endpoint)
 {
     if (endpoint.notice == EndpointNotice())
         return;
@@ -146,21 +146,21 @@
     m_notices[endpoint.startHash] = {endpoint.info.address, endpoint.notice};
 }
 
-EndpointNotice EndpointBook::keptNotice(const EndpointRecord &endpoint) const
+EndpointNotice EndpointRegistry::keptNotice(const EndpointRecord &endpoint) const
 {
     const auto kept = m_notices.find(endpoint.startHash);
     const bool isSame = kept != m_notices.end() && kept->second.address == endpoint.info.address;
     return isSame ? kept->second.notice : EndpointNotice();
 }
 
-const std::vector<EndpointPtr> &EndpointBook::endpoints(const Base::ServiceId &service) const
+const std::vector<EndpointPtr> &EndpointRegistry::endpoints(const Base::ServiceId &service) const
 {
     static const std::vector<EndpointPtr> none;
     const auto found = m_services.find(service);
     return found == m_services.end() ? none : found->second;
 }
 
-std::vector<EndpointPtr> EndpointBook::inDataCentre(const Base::DataCentreId &dataCentre) const
+std::vector<EndpointPtr> EndpointRegistry::inDataCentre(const Base::DataCentreId &dataCentre) const
 {
     std::vector<EndpointPtr> found;
     for (const auto &[id, record] : m_records) {
@@ -170,27 +170,28 @@
     return found;
 }
 
-EndpointPtr EndpointBook::find(const Base::EndpointId &id) const
+EndpointPtr EndpointRegistry::find(const Base::EndpointId &id) const
 {
     const auto found = m_records.find(id);
     return found == m_records.end() ? nullptr : found->second;
 }
 
-EndpointPtr EndpointBook::findByStart(std::uint64_t startHash) const
+EndpointPtr EndpointRegistry::findByStart(std::uint64_t startHash) const
 {
     const auto found = m_byStart.find(startHash);
     return found == m_byStart.end() ? nullptr : found->second;
 }
 
-void EndpointBook::loadReported(EndpointRecord &endpoint, const LoadReport &report,
-                                Base::MonoTime now)
+void EndpointRegistry::loadReported(EndpointRecord &endpoint, const LoadReport &report,
+                                    Base::MonoTime now)
 {
     noteReport(endpoint, report, now);
     endpoint.isReportTold = false;
     m_usualLoads[endpoint.info.service].reported(report.running + report.waiting, now);
 }
 
-void EndpointBook::loadTold(EndpointRecord &endpoint, const LoadReport &report, Base::MonoTime at)
+void EndpointRegistry::loadTold(EndpointRecord &endpoint, const LoadReport &report,
+                                Base::MonoTime at)
 {
     if (endpoint.report && endpoint.reportedAt >= at)
         return;
@@ -198,14 +199,14 @@
     endpoint.isReportTold = true;
 }
 
-std::optional<double> EndpointBook::usualLoad(const Base::ServiceId &service,
-                                              Base::MonoTime now) const
+std::optional<double> EndpointRegistry::usualLoad(const Base::ServiceId &service,
+                                                  Base::MonoTime now) const
 {
     const auto found = m_usualLoads.find(service);
     return found == m_usualLoads.end() ? std::nullopt : found->second.value(now);
 }
 
-double EndpointBook::load(const EndpointRecord &endpoint, Base::MonoTime now) const
+double EndpointRegistry::load(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
     const double own = endpoint.inFlight;
     if (!hasFreshReport(endpoint, now))
@@ -220,7 +221,7 @@
     return std::max(own, others + own);
 }
 
-double EndpointBook::fleetLoad(const EndpointRecord &endpoint, Base::MonoTime now) const
+double EndpointRegistry::fleetLoad(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
     constexpr int fewest = 2;
     const double own = endpoint.inFlight;
@@ -235,8 +236,8 @@
     return own + std::max(0.0, reported - ownThen) * std::exp2(-halves);
 }
 
-void EndpointBook::answerTimed(EndpointRecord &endpoint, Base::Duration latency,
-                               Base::Duration target, Base::MonoTime now) const
+void EndpointRegistry::answerTimed(EndpointRecord &endpoint, Base::Duration latency,
+                                   Base::Duration target, Base::MonoTime now) const
 {
     endpoint.latency.add(Base::toSeconds(latency), now);
     if (target <= Base::Duration::zero())
@@ -255,7 +256,7 @@
     endpoint.timelyShare = std::max(m_options.leastTimelyShare, endpoint.timelyShare - step);
 }
 
-int EndpointBook::inFlight(const Base::ServiceId &service) const
+int EndpointRegistry::inFlight(const Base::ServiceId &service) const
 {
     int sum = 0;
     for (const EndpointPtr &endpoint : endpoints(service))
@@ -263,7 +264,7 @@
     return sum;
 }
 
-double EndpointBook::allPlaces(const Base::ServiceId &service, Base::MonoTime now) const
+double EndpointRegistry::allPlaces(const Base::ServiceId &service, Base::MonoTime now) const
 {
     double sum = 0;
     for (const EndpointPtr &endpoint : endpoints(service))
@@ -271,7 +272,7 @@
     return sum;
 }
 
-double EndpointBook::places(const EndpointRecord &endpoint, Base::MonoTime now) const
+double EndpointRegistry::places(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
     const double all = endpoint.report ? endpoint.report->slots : endpoint.info.slots;
     const double named = all * endpoint.timelyShare;
--- a/src/libs/gateway/endpointbook.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -115,7 +115,7 @@
 };
 
 /// What this router knows of all endpoints. Pure: time is an argument.
-class EndpointBook
+class EndpointRegistry
 {
 public:
     struct Options
@@ -155,7 +155,7 @@
         WarmupQuota::Options warmupQuota;
     };
 
-    explicit EndpointBook(Options options)
+    explicit EndpointRegistry(Options options)
         : m_options(options)
         , m_suspicion(options.suspicion)
         , m_warmupQuota(options.warmupQuota)
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -85,7 +85,7 @@
     };
     m_reachability.changed = [this](EndpointRecord &endpoint) {
         if (!endpoint.isUnreachable && std::exchange(endpoint.hasEnded, false))
-            EndpointBook::becameCold(endpoint, m_options.loop->clock().now());
+            EndpointRegistry::becameCold(endpoint, m_options.loop->clock().now());
         m_options.log->event(part,
                              endpoint.isUnreachable ? "An endpoint cannot be reached."
                                                     : "An endpoint can be reached again.",
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -6,9 +6,9 @@
 #include "gateway/callerrequest.h"
 #include "gateway/concurrencylimit.h"
 #include "gateway/crashwatch.h"
-#include "gateway/endpointbook.h"
 #include "gateway/endpointhealth.h"
 #include "gateway/endpointprotocol.h"
+#include "gateway/endpointregistry.h"
 #include "gateway/fleetretrybudget.h"
 #include "gateway/gatewaymetrics.h"
 #include "gateway/loadsharing.h"
@@ -111,7 +111,7 @@
         Schema::PolicySettings policy;
         Placement::Options placement;
         PromptDirectory::Options prompts;
-        EndpointBook::Options endpoints;
+        EndpointRegistry::Options endpoints;
         FleetRetryBudget::Options retryBudget;
         LoadShedder::Options loadShedding;
         BacklogControl::Options backlog;
@@ -133,7 +133,7 @@
     {
         return m_configuration;
     }
-    EndpointBook &endpoints() { return m_endpoints; }
+    EndpointRegistry &endpoints() { return m_endpoints; }
     /// Endpoints of these data centres get no new requests; what runs there ends in its own time.
     void setDrainedDataCentres(std::set<Base::DataCentreId> dataCentres);
     void setRetryBudget(const FleetRetryBudget::Options &options)
@@ -205,7 +205,7 @@
 
     Options m_options;
     std::shared_ptr<const Fleet::Configuration> m_configuration;
-    EndpointBook m_endpoints;
+    EndpointRegistry m_endpoints;
     LoadSharing m_loadSharing;
     EndpointHealth m_health;
     Reachability m_reachability;
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/endpointbook.h"
+#include "gateway/endpointregistry.h"
 #include "schema/generated/fleetsync.h"
 
 #include <cstddef>
@@ -21,7 +21,7 @@
 public:
     struct Options
     {
-        EndpointBook *book = nullptr;
+        EndpointRegistry *book = nullptr;
         std::uint64_t randomSeed = 1;
         /// Told are endpoints with so many times the usual load and so many requests more, and what
         /// becomes of them: fewer than what a prompt leaves its home for, so that routers that send
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -35,7 +35,7 @@
 
 /// An endpoint with requests that wait for a place has no more places than run now, however many it
 /// names: its memory is taken.
-bool hasRoom(const PlacementRequest &request, const EndpointBook &book,
+bool hasRoom(const PlacementRequest &request, const EndpointRegistry &book,
              const EndpointRecord &endpoint, Base::MonoTime now)
 {
     const double places = book.places(endpoint, now);
@@ -65,7 +65,7 @@
     return reasonNames.at(static_cast<std::size_t>(reason));
 }
 
-Place Placement::choose(const PlacementRequest &request, EndpointBook &book,
+Place Placement::choose(const PlacementRequest &request, EndpointRegistry &book,
                         Base::MonoTime now) const
 {
     Choice choice = choiceFor(request, book, now);
@@ -95,13 +95,13 @@
     return place;
 }
 
-bool Placement::canPlace(const PlacementRequest &request, const EndpointBook &book,
+bool Placement::canPlace(const PlacementRequest &request, const EndpointRegistry &book,
                          Base::MonoTime now) const
 {
     return !choiceFor(request, book, now).candidates.empty();
 }
 
-Place Placement::noRoom(const Choice &choice, const EndpointBook &book, Base::MonoTime now)
+Place Placement::noRoom(const Choice &choice, const EndpointRegistry &book, Base::MonoTime now)
 {
     double sum = 0;
     for (const EndpointPtr &endpoint : choice.full)
@@ -114,7 +114,7 @@
 /// The filters, one after the other: who is there, who is trusted or may prove itself, and who has
 /// room.
 Placement::Standing Placement::standingOf(const PlacementRequest &request,
-                                          const EndpointPtr &endpoint, const EndpointBook &book,
+                                          const EndpointPtr &endpoint, const EndpointRegistry &book,
                                           Base::MonoTime now)
 {
     const bool isThere =
@@ -133,8 +133,8 @@
     return isTrusted ? Standing::Candidate : Standing::Trial;
 }
 
-Placement::Choice Placement::choiceFor(const PlacementRequest &request, const EndpointBook &book,
-                                       Base::MonoTime now) const
+Placement::Choice Placement::choiceFor(const PlacementRequest &request,
+                                       const EndpointRegistry &book, Base::MonoTime now) const
 {
     Choice choice;
     for (const EndpointPtr &endpoint : book.endpoints(request.service)) {
@@ -153,7 +153,7 @@
 }
 
 Place Placement::byAffinity(const PlacementRequest &request, Choice choice,
-                            const EndpointBook &book, Base::MonoTime now) const
+                            const EndpointRegistry &book, Base::MonoTime now) const
 {
     const Routing::RendezvousCost order(*request.affinity);
     Candidates &candidates = choice.candidates;
@@ -207,7 +207,7 @@
 /// Of the candidates with the request itself, and of endpoints that are spared on purpose: they are
 /// part of the service, and what the others get for them is what the bound is there for.
 double Placement::meanLoad(const PlacementRequest &request, const Candidates &candidates,
-                           const EndpointBook &book, Base::MonoTime now) const
+                           const EndpointRegistry &book, Base::MonoTime now) const
 {
     const double usual =
         m_options.isUsualLoadHeeded ? book.usualLoad(request.service, now).value_or(0) : 0;
@@ -269,7 +269,7 @@
 
 /// Among many routers the part of the requests that leaves is the same on each.
 double Placement::mostLoad(const PlacementRequest &request, double mean,
-                           const EndpointBook &book) const
+                           const EndpointRegistry &book) const
 {
     const double most = bound().at(mean);
     if (!isLoadKnownLate(book))
@@ -280,7 +280,7 @@
 }
 
 std::size_t Placement::passedOver(const PlacementRequest &request, double homeLoad, double mean,
-                                  const EndpointBook &book) const
+                                  const EndpointRegistry &book) const
 {
     const double excess = homeLoad + 1 - bound().at(mean);
     if (excess <= 0 || !isLoadKnownLate(book))
@@ -294,7 +294,7 @@
 /// The endpoint where requests with this prompt went before: the first in their order that has been
 /// there for long, unless that is the target itself. A home that is passed over need not be there
 /// for long, as such requests are what it is busy with, unless it is cold.
-EndpointPtr Placement::cacheSource(const PlacementRequest &request, const EndpointBook &book,
+EndpointPtr Placement::cacheSource(const PlacementRequest &request, const EndpointRegistry &book,
                                    const Place &place, Base::MonoTime now) const
 {
     const EndpointRecord &target = *place.endpoint;
@@ -343,7 +343,7 @@
     return best;
 }
 
-Place Placement::lastResort(const PlacementRequest &request, const EndpointBook &book,
+Place Placement::lastResort(const PlacementRequest &request, const EndpointRegistry &book,
                             Base::MonoTime now)
 {
     Place place{.reason = PlacementReason::LastResort};
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/endpointbook.h"
+#include "gateway/endpointregistry.h"
 #include "gateway/promptdirectory.h"
 
 #include <cstdint>
@@ -128,9 +128,9 @@
         : m_options(options)
     { }
 
-    Place choose(const PlacementRequest &request, EndpointBook &book, Base::MonoTime now) const;
+    Place choose(const PlacementRequest &request, EndpointRegistry &book, Base::MonoTime now) const;
     /// Whether an endpoint that is trusted has room for the request.
-    bool canPlace(const PlacementRequest &request, const EndpointBook &book,
+    bool canPlace(const PlacementRequest &request, const EndpointRegistry &book,
                   Base::MonoTime now) const;
 
 private:
@@ -155,24 +155,25 @@
     };
 
     static Standing standingOf(const PlacementRequest &request, const EndpointPtr &endpoint,
-                               const EndpointBook &book, Base::MonoTime now);
-    Choice choiceFor(const PlacementRequest &request, const EndpointBook &book,
+                               const EndpointRegistry &book, Base::MonoTime now);
+    Choice choiceFor(const PlacementRequest &request, const EndpointRegistry &book,
                      Base::MonoTime now) const;
-    static Place noRoom(const Choice &choice, const EndpointBook &book, Base::MonoTime now);
-    Place byAffinity(const PlacementRequest &request, Choice choice, const EndpointBook &book,
+    static Place noRoom(const Choice &choice, const EndpointRegistry &book, Base::MonoTime now);
+    Place byAffinity(const PlacementRequest &request, Choice choice, const EndpointRegistry &book,
                      Base::MonoTime now) const;
     double meanLoad(const PlacementRequest &request, const Candidates &candidates,
-                    const EndpointBook &book, Base::MonoTime now) const;
+                    const EndpointRegistry &book, Base::MonoTime now) const;
     static bool hasMemory(const PlacementRequest &request, const EndpointRecord &endpoint);
-    EndpointPtr cacheSource(const PlacementRequest &request, const EndpointBook &book,
+    EndpointPtr cacheSource(const PlacementRequest &request, const EndpointRegistry &book,
                             const Place &place, Base::MonoTime now) const;
     /// Requests that an endpoint may have, this one included, for it to be sent there by affinity.
-    double mostLoad(const PlacementRequest &request, double mean, const EndpointBook &book) const;
+    double mostLoad(const PlacementRequest &request, double mean,
+                    const EndpointRegistry &book) const;
     /// Endpoints behind its home that a request passes over although they would take it.
     std::size_t passedOver(const PlacementRequest &request, double homeLoad, double mean,
-                           const EndpointBook &book) const;
+                           const EndpointRegistry &book) const;
     /// Whether routers hear of a load later than it changes.
-    bool isLoadKnownLate(const EndpointBook &book) const
+    bool isLoadKnownLate(const EndpointRegistry &book) const
     {
         return m_options.leavesGradually && book.routerCount() >= m_options.manyRouters;
     }
@@ -181,7 +182,7 @@
         return {.factor = m_options.boundFactor, .slack = m_options.boundSlack};
     }
     Place byCost(const Candidates &candidates, Base::MonoTime now) const;
-    static Place lastResort(const PlacementRequest &request, const EndpointBook &book,
+    static Place lastResort(const PlacementRequest &request, const EndpointRegistry &book,
                             Base::MonoTime now);
     /// Sums over the candidates, in seconds.
     struct Speeds
--- a/src/libs/gateway/reachability.h
+++ b/src/libs/gateway/reachability.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/endpointbook.h"
+#include "gateway/endpointregistry.h"
 #include "runtime/timerqueue.h"
 
 #include <absl/container/flat_hash_map.h>
@@ -24,7 +24,7 @@
 public:
     struct Options
     {
-        EndpointBook *book = nullptr;
+        EndpointRegistry *book = nullptr;
         Runtime::TimerQueue *timers = nullptr;
         /// Opens a connection and closes it; calls back once, later.
         std::function<void(const Runtime::SocketAddress &server, Base::Duration timeout,
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -150,7 +150,7 @@
             endpoint.slots = slots;
             book.put(endpoint, now);
         }
-        Lagoonbank::Gateway::EndpointBook book{{}};
+        Lagoonbank::Gateway::EndpointRegistry book{{}};
         Lagoonbank::Gateway::Placement placement;
         Lagoonbank::Gateway::LoadSharing sharing;
     };
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -148,7 +148,7 @@
     using JobPtr = std::shared_ptr<Job>;
     struct Router
     {
-        Lagoonbank::Gateway::EndpointBook book{{}};
+        Lagoonbank::Gateway::EndpointRegistry book{{}};
         Lagoonbank::Gateway::Placement placement{{}};
         Lagoonbank::Gateway::LoadShedder shedder{{}};
         Lagoonbank::Gateway::LoadSharing sharing{{.book = &book}};
--- a/tests/auto/gateway/tst_draineddatacentre.cpp
+++ b/tests/auto/gateway/tst_draineddatacentre.cpp
@@ -60,7 +60,7 @@
     }
 
     Base::MonoTime now = start;
-    EndpointBook book{{}};
+    EndpointRegistry book{{}};
     Placement placement{{}};
 };
 
--- a/tests/auto/gateway/tst_endpointhealth.cpp
+++ b/tests/auto/gateway/tst_endpointhealth.cpp
@@ -36,7 +36,7 @@
     Logging::DecisionLog log{{.output = &output,
                               .wallNow = [this] { return clock.wallNow(); },
                               .now = [this] { return clock.now(); }}};
-    EndpointBook book{{.suspicion = {.firstWait = milliseconds(500)}}};
+    EndpointRegistry book{{.suspicion = {.firstWait = milliseconds(500)}}};
     EndpointHealth health{{.book = &book, .clock = &clock, .log = &log}};
 };
 
--- a/tests/auto/gateway/tst_endpointbook.cpp
+++ b/tests/auto/gateway/tst_endpointregistry.cpp
@@ -1,7 +1,7 @@
-#define BOOST_TEST_MODULE tst_endpointbook
+#define BOOST_TEST_MODULE tst_endpointregistry
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/endpointbook.h"
+#include "gateway/endpointregistry.h"
 
 #include <string>
 
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_CASE(endpointsOfAServiceStandInOneOrderOnEveryRouter)
 {
-    EndpointBook book({});
+    EndpointRegistry book({});
     for (const char *id : {"c", "a", "b"})
         book.put(endpoint(id), start);
     std::string order;
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_CASE(aNewStartAtAnAddressIsAnotherEndpoint)
 {
-    EndpointBook book({});
+    EndpointRegistry book({});
     book.put(endpoint("old"), start);
     const EndpointPtr old = book.find(Base::EndpointId("old"));
     book.suspicion().suspect(old->index, start);
@@ -70,7 +70,7 @@
                  {"a later start", laterStart, true},
                  {"another address", elsewhere, true}};
     for (const auto &[what, next, isNew] : cases) {
-        EndpointBook book({});
+        EndpointRegistry book({});
         book.put(before, start);
         const EndpointPtr old = book.find(before.id);
         book.suspicion().suspect(old->index, start);
@@ -91,7 +91,7 @@
 
 BOOST_AUTO_TEST_CASE(anotherStartHoldsNoPromptsOfBefore)
 {
-    EndpointBook book({});
+    EndpointRegistry book({});
     Fleet::Endpoint one = endpoint("a");
     one.startedAt = Base::WallTime(std::chrono::seconds(5));
     book.put(one, start);
@@ -104,7 +104,7 @@
 /// Pattern: entries lapse while the store is down and come back after it.
 BOOST_AUTO_TEST_CASE(whatAnEndpointSaidOutlastsItsEntry)
 {
-    EndpointBook book({});
+    EndpointRegistry book({});
     Fleet::Endpoint one = endpoint("a");
     one.startedAt = Base::WallTime(std::chrono::seconds(7));
     book.put(one, start);
@@ -126,7 +126,7 @@
 
 BOOST_AUTO_TEST_CASE(loadIsTheReportAndWhatWasSentSince)
 {
-    EndpointBook book({});
+    EndpointRegistry book({});
     book.put(endpoint("a"), start);
     EndpointRecord &one = *book.find(Base::EndpointId("a"));
     book.requestSent(one, start);
@@ -144,7 +144,7 @@
 
 BOOST_AUTO_TEST_CASE(anOldReportSaysNothing)
 {
-    EndpointBook book({});
+    EndpointRegistry book({});
     book.put(endpoint("a"), start);
     EndpointRecord &one = *book.find(Base::EndpointId("a"));
     book.loadReported(one, {.running = 9}, start);
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -47,7 +47,7 @@
         return placement.choose({.service = service, .mayRepeat = mayRepeat}, book, now);
     }
 
-    EndpointBook book{
+    EndpointRegistry book{
         {.suspicion = {.unreachableToSuspect = 1, .firstWait = std::chrono::milliseconds(500)}}};
     Placement placement{{}};
     Base::MonoTime now = start;
--- a/tests/auto/gateway/tst_reachability.cpp
+++ b/tests/auto/gateway/tst_reachability.cpp
@@ -69,7 +69,7 @@
 
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
-    EndpointBook book{{}};
+    EndpointRegistry book{{}};
     std::set<std::string> cut;
     int count = 0;
     std::vector<std::pair<std::string, std::function<void(bool)>>> checks;
--- a/tests/auto/gateway/tst_scarcememory.cpp
+++ b/tests/auto/gateway/tst_scarcememory.cpp
@@ -55,7 +55,7 @@
 
 struct Router
 {
-    EndpointBook book{{}};
+    EndpointRegistry book{{}};
     Placement placement{{}};
     PromptDirectory prompts{{}};
 };
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -187,7 +187,7 @@
 
     const Base::ServiceId service{"service"};
     Base::MonoTime now{std::chrono::hours(1)};
-    EndpointBook book{{}};
+    EndpointRegistry book{{}};
     LoadSharing sharing{{.book = &book}};
 };
 
@@ -221,7 +221,7 @@
 BOOST_AUTO_TEST_CASE(ofMoreThanAMessageHoldsTheNewestIsTold)
 {
     Base::MonoTime now{std::chrono::hours(1)};
-    EndpointBook book{{}};
+    EndpointRegistry book{{}};
     const Base::ServiceId service("service");
     LoadSharing sharing{{.book = &book}};
     constexpr int busy = 40;
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -121,7 +121,7 @@
 
     static constexpr int endpoints = 4;
     Base::MonoTime now = start;
-    EndpointBook book{{}};
+    EndpointRegistry book{{}};
     Placement placement{{}};
 };
 
