--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -49,7 +49,7 @@
         m_timers.cancel(*m_silenceTimer);
     if (m_placeTimer)
         m_timers.cancel(*m_placeTimer);
-    leaveLine();
+    leaveQueue();
 }
 
 void RequestRun::start()
@@ -188,7 +188,7 @@
 
 void RequestRun::send(const EndpointPtr &endpoint, const CacheSource &cacheSource)
 {
-    m_roomWantedAt.reset();
+    m_queuedAt.reset();
     m_tried.push_back(endpoint);
     Attempt attempt;
     attempt.endpoint = endpoint;
@@ -408,7 +408,7 @@
     if (m_gateway.m_options.log->wants())
         logEnd(outcome, status, now);
     cancelAttempt();
-    leaveLine();
+    leaveQueue();
     m_gateway.m_runs.erase(self);
     m_gateway.m_options.metrics->inFlight.set(static_cast<double>(m_gateway.m_runs.size()));
 }
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -88,15 +88,15 @@
     void sendTo(const Place &place);
     /// A stream that has begun waits for an endpoint that can be reached; false if it may not.
     bool awaitEndpoint();
-    AdmissionQueue::QueueId roomLine() const;
-    QueuePriority roomRank() const;
+    AdmissionQueue::QueueId queueId() const;
+    QueuePriority queuePriority() const;
     /// Chooses an endpoint and sends the request there, or waits or gives up for another reason
     /// than room; false if none has room.
     bool findPlace();
     /// No endpoint has room; waits in line a moment for it, then refuses.
-    void awaitRoom(const QueuePriority &rank);
-    void leaveLine();
-    void roomNotFound();
+    void waitInQueue(const QueuePriority &rank);
+    void leaveQueue();
+    void queueWaitFailed();
     Base::Duration longestRoomWait() const;
     void placeLater(Base::Duration delay);
     /// Where parts of the prompt are copied from.
@@ -177,9 +177,9 @@
     std::optional<Runtime::TimerId> m_deadlineTimer;
     std::optional<Runtime::TimerId> m_silenceTimer;
     std::optional<Runtime::TimerId> m_placeTimer; ///< Until it looks for a place again.
-    std::optional<Base::MonoTime> m_roomWantedAt; ///< Since its last send.
-    std::optional<AdmissionQueue::Ticket> m_roomTicket; ///< While it waits in line for room.
-    Place m_full; ///< When it looked for room last and found none.
+    std::optional<Base::MonoTime> m_queuedAt; ///< Since its last send.
+    std::optional<AdmissionQueue::Ticket> m_queueTicket; ///< While it waits in line for room.
+    Place m_lastFullPlace; ///< When it looked for room last and found none.
     std::optional<Place> m_next; ///< Where it goes on; chosen when it is sent if there is none.
     Base::MonoTime m_passedOnAt; ///< When its caller got something last.
     Base::MonoTime m_silenceTimerDue;
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -98,11 +98,11 @@
 
 void RequestRun::place()
 {
-    const QueuePriority rank = roomRank();
+    const QueuePriority rank = queuePriority();
     const bool isBehind =
-        m_gateway.m_admissionQueue.isBehind(roomLine(), rank, m_route->mayRepeat());
+        m_gateway.m_admissionQueue.isBehind(queueId(), rank, m_route->mayRepeat());
     if (isBehind || !findPlace())
-        awaitRoom(rank);
+        waitInQueue(rank);
 }
 
 bool RequestRun::findPlace()
@@ -111,13 +111,13 @@
         return true;
     const Base::MonoTime now = m_timers.clock().now();
     if (isOverLimit()) {
-        m_full = {};
+        m_lastFullPlace = {};
         return false;
     }
     const Place place =
         m_gateway.m_placement.choose(placementRequest(), m_gateway.m_endpoints, now);
     if (place.isFull) {
-        m_full = place;
+        m_lastFullPlace = place;
         return false;
     }
     if (!place.endpoint && awaitEndpoint())
@@ -150,12 +150,12 @@
                                                          usableShare());
 }
 
-AdmissionQueue::QueueId RequestRun::roomLine() const
+AdmissionQueue::QueueId RequestRun::queueId() const
 {
     return {.service = m_service, .isStream = m_route->kind == Fleet::RouteKind::Stream};
 }
 
-QueuePriority RequestRun::roomRank() const
+QueuePriority RequestRun::queuePriority() const
 {
     return {.isRepeat = !m_tried.empty(),
             .usableShare = usableShare(),
@@ -228,17 +228,17 @@
     return true;
 }
 
-void RequestRun::awaitRoom(const QueuePriority &rank)
+void RequestRun::waitInQueue(const QueuePriority &rank)
 {
     const Base::MonoTime now = m_timers.clock().now();
-    if (!m_roomWantedAt)
-        m_roomWantedAt = now;
+    if (!m_queuedAt)
+        m_queuedAt = now;
     const std::weak_ptr<RequestRun> weak = weak_from_this();
-    m_roomTicket = m_gateway.m_admissionQueue.add(
-        roomLine(),
+    m_queueTicket = m_gateway.m_admissionQueue.add(
+        queueId(),
         {.rank = rank,
          .mayRepeat = m_route->mayRepeat(),
-         .until = m_hasBegun ? callerGivesUpAt() : *m_roomWantedAt + longestRoomWait(),
+         .until = m_hasBegun ? callerGivesUpAt() : *m_queuedAt + longestRoomWait(),
          .look =
              [weak] {
                  const auto self = weak.lock();
@@ -247,21 +247,21 @@
          .giveUp =
              [weak] {
                  if (const auto self = weak.lock())
-                     self->roomNotFound();
+                     self->queueWaitFailed();
              }});
-    if (!m_roomTicket)
-        roomNotFound();
+    if (!m_queueTicket)
+        queueWaitFailed();
 }
 
-void RequestRun::leaveLine()
+void RequestRun::leaveQueue()
 {
-    if (const auto ticket = std::exchange(m_roomTicket, std::nullopt))
+    if (const auto ticket = std::exchange(m_queueTicket, std::nullopt))
         m_gateway.m_admissionQueue.remove(*ticket);
 }
 
-void RequestRun::roomNotFound()
+void RequestRun::queueWaitFailed()
 {
-    m_roomTicket.reset();
+    m_queueTicket.reset();
     if (m_gateway.m_options.log->wants()) {
         m_gateway.m_options.log->request(
             part, "No endpoint has room.",
@@ -270,12 +270,12 @@
              {"priority", m_priority},
              {"usable_share", usableShare()},
              // As it looked last; none if another one in line spoke for it.
-             {"mean_load", m_full.meanLoad},
-             {"candidates", m_full.candidates},
+             {"mean_load", m_lastFullPlace.meanLoad},
+             {"candidates", m_lastFullPlace.candidates},
              {"own_requests", m_gateway.m_endpoints.inFlight(m_service)},
              {"own_limit", m_gateway.concurrencyLimit(m_service).value()},
              {"in_line", m_gateway.m_admissionQueue.size()},
-             {"waited_ms", m_timers.clock().now() - *m_roomWantedAt},
+             {"waited_ms", m_timers.clock().now() - *m_queuedAt},
              {"left_ms", timeLeft()}});
     }
     giveUp({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = !m_ranAt.empty()});
