--- a/tests/auto/adapter/tst_endpointsword.cpp
+++ b/tests/auto/adapter/tst_endpointselfreport.cpp
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE tst_endpointsword
+#define BOOST_TEST_MODULE tst_endpointselfreport
 #include "auto/adapter/keyedstore.h"
 #include "platform/routerprocess.h"
 
