--- a/src/libs/gateway/crashwatch.cpp
+++ b/src/libs/gateway/crashwatch.cpp
@@ -79,8 +79,8 @@
         std::erase_if(end.requests, [&](RequestFingerprint request) {
             return static_cast<double>(counts.at(request)) < least;
         });
-        if (!end.requests.empty() && ended)
-            ended(*end.endpoint, end.requests);
+        if (!end.requests.empty() && crashed)
+            crashed(*end.endpoint, end.requests);
     }
 }
 
--- a/src/libs/gateway/crashwatch.h
+++ b/src/libs/gateway/crashwatch.h
@@ -54,7 +54,7 @@
     /// blame.
     std::function<void(const EndpointRecord &endpoint,
                        const std::vector<RequestFingerprint> &requests)>
-        ended;
+        crashed;
 
 private:
     struct End
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -80,7 +80,7 @@
     , m_crashWatch(
           {.timers = &m_options.loop->timers(), .check = connectionCheck(*m_options.client)})
 {
-    m_crashWatch.ended = [this](const auto &endpoint, const auto &requests) {
+    m_crashWatch.crashed = [this](const auto &endpoint, const auto &requests) {
         endpointEnded(endpoint, requests);
     };
     m_reachability.changed = [this](EndpointRecord &endpoint) {
@@ -252,7 +252,7 @@
 void Gateway::noteRequestEnd(const RequestCrash &end)
 {
     const Base::MonoTime now = m_options.loop->clock().now();
-    if (!m_quarantine.ended(end, now))
+    if (!m_quarantine.crashed(end, now))
         return;
     const QuarantinedRequest quarantined{.request = end.request,
                                          .left = *m_quarantine.timeLeft(end.request, now)};
--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -26,7 +26,7 @@
             .left = std::chrono::milliseconds(shared.leftMs)};
 }
 
-bool RequestQuarantine::ended(const RequestCrash &end, Base::MonoTime now)
+bool RequestQuarantine::crashed(const RequestCrash &end, Base::MonoTime now)
 {
     if (timeLeft(end.request, now))
         return false;
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -63,7 +63,7 @@
     { }
 
     /// An endpoint has ended under a request; true if that is quarantined by it.
-    bool ended(const RequestCrash &end, Base::MonoTime now);
+    bool crashed(const RequestCrash &end, Base::MonoTime now);
     /// The request was answered, so that what ended under it ended for another reason.
     void answered(RequestFingerprint request) { m_ends.erase(request); }
     /// Whether an endpoint has ended under it lately.
--- a/tests/auto/gateway/tst_crashwatch.cpp
+++ b/tests/auto/gateway/tst_crashwatch.cpp
@@ -26,9 +26,9 @@
             endpoints.push_back(std::make_shared<EndpointRecord>());
             endpoints.back()->startHash = i;
         }
-        watch.ended = [this](const EndpointRecord &, const auto &requests) {
+        watch.crashed = [this](const EndpointRecord &, const auto &requests) {
             for (const RequestFingerprint request : requests)
-                ended.push_back(request.value());
+                crashed.push_back(request.value());
         };
     }
     void broke(std::uint64_t request, std::size_t endpoint = 0)
@@ -57,7 +57,7 @@
     std::vector<std::shared_ptr<EndpointRecord>> endpoints;
     std::vector<std::function<void(bool)>> pending;
     int checks = 0;
-    Numbers ended;
+    Numbers crashed;
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     CrashWatch watch{{.timers = &timers, .check = [this](const auto &, auto, auto checked) {
@@ -76,7 +76,7 @@
     f.broke(2);
     f.broke(2);
     f.endAll();
-    BOOST_TEST(f.ended == (Numbers{1, 2}), boost::test_tools::per_element());
+    BOOST_TEST(f.crashed == (Numbers{1, 2}), boost::test_tools::per_element());
     BOOST_TEST(f.checks == 1);
 }
 
@@ -88,10 +88,10 @@
     f.broke(2);
     f.answer(true);
     f.pass(milliseconds(100));
-    BOOST_TEST(f.ended.empty());
+    BOOST_TEST(f.crashed.empty());
     f.pass(milliseconds(100));
     f.endAll();
-    BOOST_TEST(f.ended == (Numbers{2}), boost::test_tools::per_element());
+    BOOST_TEST(f.crashed == (Numbers{2}), boost::test_tools::per_element());
 }
 
 /// Pattern: a router is cut off from most endpoints, and every connection is reset and refused. A
@@ -104,7 +104,7 @@
         f.broke(100 + endpoint, endpoint);
     }
     f.endAll();
-    BOOST_TEST(f.ended.empty());
+    BOOST_TEST(f.crashed.empty());
 }
 
 /// Pattern: the same request reaches several endpoints at a time, so that they end together, beside
@@ -118,7 +118,7 @@
         f.broke(100 + endpoint, endpoint);
     }
     f.endAll();
-    BOOST_TEST(f.ended == (Numbers{1, 1, 1, 1, 1}), boost::test_tools::per_element());
+    BOOST_TEST(f.crashed == (Numbers{1, 1, 1, 1, 1}), boost::test_tools::per_element());
 }
 
 /// Pattern: an endpoint that breaks half of its answers and stays.
@@ -131,7 +131,7 @@
         f.answer(true);
     }
     BOOST_TEST(f.checks <= 51); // In 10 s.
-    BOOST_TEST(f.ended.empty());
+    BOOST_TEST(f.crashed.empty());
     f.pass(milliseconds(200));
     f.answer(true);
     f.pass(milliseconds(200));
--- a/tests/auto/gateway/tst_requestquarantine.cpp
+++ b/tests/auto/gateway/tst_requestquarantine.cpp
@@ -21,9 +21,9 @@
     explicit Fixture(RequestQuarantine::Options options = {})
         : quarantine(options)
     { }
-    bool ended(RequestFingerprint request, std::uint64_t endpoint)
+    bool crashed(RequestFingerprint request, std::uint64_t endpoint)
     {
-        return quarantine.ended({.request = request, .endpoint = endpoint}, now);
+        return quarantine.crashed({.request = request, .endpoint = endpoint}, now);
     }
     bool isQuarantined(RequestFingerprint request) const
     {
@@ -40,14 +40,14 @@
 {
     Fixture f;
     BOOST_TEST(f.quarantine.isEmpty());
-    BOOST_TEST(!f.ended(one, 11));
-    BOOST_TEST(!f.ended(one, 12));
-    BOOST_TEST(!f.ended(other, 12));
+    BOOST_TEST(!f.crashed(one, 11));
+    BOOST_TEST(!f.crashed(one, 12));
+    BOOST_TEST(!f.crashed(other, 12));
     BOOST_TEST(!f.isQuarantined(one));
-    BOOST_TEST(f.ended(one, 13));
+    BOOST_TEST(f.crashed(one, 13));
     BOOST_TEST(f.isQuarantined(one));
     BOOST_TEST(!f.isQuarantined(other));
-    BOOST_TEST(!f.ended(one, 14)); // No news.
+    BOOST_TEST(!f.crashed(one, 14)); // No news.
 }
 
 /// Each router that had it there tells of the same end.
@@ -55,27 +55,27 @@
 {
     Fixture f;
     for (int i = 0; i < 5; ++i)
-        BOOST_TEST(!f.ended(one, 11));
-    BOOST_TEST(!f.ended(one, 12));
+        BOOST_TEST(!f.crashed(one, 11));
+    BOOST_TEST(!f.crashed(one, 12));
     BOOST_TEST(!f.isQuarantined(one));
 }
 
 BOOST_AUTO_TEST_CASE(anAnswerForgetsTheEndsBefore)
 {
     Fixture f;
-    f.ended(one, 11);
-    f.ended(one, 12);
+    f.crashed(one, 11);
+    f.crashed(one, 12);
     f.quarantine.answered(one);
-    BOOST_TEST(!f.ended(one, 13));
+    BOOST_TEST(!f.crashed(one, 13));
     BOOST_TEST(!f.isQuarantined(one));
 }
 
 BOOST_AUTO_TEST_CASE(theLastEndIsKnownBeforeItIsCertain)
 {
     Fixture f;
-    f.ended(one, 11);
+    f.crashed(one, 11);
     BOOST_TEST(!f.quarantine.isLastEnd({one, 12}, f.now));
-    f.ended(one, 12);
+    f.crashed(one, 12);
     BOOST_TEST(!f.quarantine.isLastEnd({one, 12}, f.now));
     BOOST_TEST(f.quarantine.isLastEnd({one, 13}, f.now));
     BOOST_TEST(!f.quarantine.isLastEnd({other, 13}, f.now));
@@ -84,20 +84,20 @@
 BOOST_AUTO_TEST_CASE(endsAndQuarantinesLapse)
 {
     Fixture f;
-    f.ended(one, 11);
-    f.ended(one, 12);
+    f.crashed(one, 11);
+    f.crashed(one, 12);
     f.now += minutes(11);
     BOOST_TEST(!f.quarantine.isLastEnd({one, 13}, f.now));
-    BOOST_TEST(!f.ended(one, 13));
-    f.ended(one, 14);
-    BOOST_TEST(f.ended(one, 15));
+    BOOST_TEST(!f.crashed(one, 13));
+    f.crashed(one, 14);
+    BOOST_TEST(f.crashed(one, 15));
     f.now += minutes(59);
     BOOST_TEST(f.isQuarantined(one));
     BOOST_TEST(f.quarantine.quarantined(f.now).size() == 1);
     f.now += minutes(2);
     BOOST_TEST(!f.isQuarantined(one));
     BOOST_TEST(f.quarantine.quarantined(f.now).empty());
-    BOOST_TEST(!f.ended(one, 16));
+    BOOST_TEST(!f.crashed(one, 16));
 }
 
 BOOST_AUTO_TEST_CASE(whatIsToldIsQuarantinedForTheRestOfItsTime)
@@ -117,11 +117,11 @@
 BOOST_AUTO_TEST_CASE(manyRequestsDoNotDriveOutTheOneToBlame)
 {
     Fixture f({.mostRequests = 10});
-    f.ended(one, 11);
-    f.ended(one, 12);
+    f.crashed(one, 11);
+    f.crashed(one, 12);
     for (std::uint64_t i = 100; i < 200; ++i)
-        f.ended(RequestFingerprint(i), 13);
-    BOOST_TEST(f.ended(one, 14));
+        f.crashed(RequestFingerprint(i), 13);
+    BOOST_TEST(f.crashed(one, 14));
 }
 
 BOOST_AUTO_TEST_CASE(aNewQuarantineTakesThePlaceOfTheOneThatEndsSoonest)
