--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -18,7 +18,7 @@
         return;
     using State = Routing::Suspicion::State;
     const Base::MonoTime now = m_options.clock->now();
-    Routing::Suspicion &suspicion = m_options.book->suspicion();
+    Routing::Suspicion &suspicion = m_options.registry->suspicion();
     const State before = suspicion.state(endpoint.index);
     if (!isGood && before == State::Trusted && isAtOnce(endpoint, now))
         return;
@@ -72,7 +72,7 @@
             {{"endpoint", endpoint.info.id.value()}, {"request", request.value()}});
     }
     const Base::MonoTime now = m_options.clock->now();
-    if (facts.isWarmingUp && !m_options.book->isWarmingUp(endpoint, now))
+    if (facts.isWarmingUp && !m_options.registry->isWarmingUp(endpoint, now))
         EndpointRegistry::becameCold(endpoint, now);
     if (!facts.restTime)
         return;
--- a/src/libs/gateway/endpointhealth.h
+++ b/src/libs/gateway/endpointhealth.h
@@ -13,7 +13,7 @@
 public:
     struct Options
     {
-        EndpointRegistry *book = nullptr;
+        EndpointRegistry *registry = nullptr;
         const Runtime::Clock *clock = nullptr;
         Logging::DecisionLog *log = nullptr;
         /// Above the share of errors that good endpoints give for requests that are wrong
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -65,9 +65,9 @@
 Gateway::Gateway(Options options)
     : m_options(withPolicy(std::move(options)))
     , m_endpoints(m_options.endpoints)
-    , m_loadSharing({.book = &m_endpoints})
-    , m_health({.book = &m_endpoints, .clock = &m_options.loop->clock(), .log = m_options.log})
-    , m_reachability({.book = &m_endpoints,
+    , m_loadSharing({.registry = &m_endpoints})
+    , m_health({.registry = &m_endpoints, .clock = &m_options.loop->clock(), .log = m_options.log})
+    , m_reachability({.registry = &m_endpoints,
                       .timers = &m_options.loop->timers(),
                       .check = connectionCheck(*m_options.client)})
     , m_placement(m_options.placement)
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -33,8 +33,8 @@
 Schema::LoadNews LoadSharing::news(Base::MonoTime now)
 {
     Schema::LoadNews news;
-    for (const auto &[service, endpoints] : m_options.book->services()) {
-        const auto usual = m_options.book->usualLoad(service, now);
+    for (const auto &[service, endpoints] : m_options.registry->services()) {
+        const auto usual = m_options.registry->usualLoad(service, now);
         if (!usual || news.usual.size() >= mostServices)
             continue;
         news.usual.push_back({.service = Routing::stableHash(service.value()),
@@ -67,21 +67,21 @@
 
 void LoadSharing::learn(const Schema::LoadNews &news, Base::Duration delay, Base::MonoTime now)
 {
-    for (const auto &[service, endpoints] : m_options.book->services()) {
+    for (const auto &[service, endpoints] : m_options.registry->services()) {
         const std::uint64_t hash = Routing::stableHash(service.value());
         for (const Schema::SharedUsualLoad &usual : news.usual) {
             if (usual.service == hash)
-                m_options.book->usualLoadTold(service, usual.requestsMilli / thousandths, now);
+                m_options.registry->usualLoadTold(service, usual.requestsMilli / thousandths, now);
         }
     }
     for (const Schema::SharedLoad &load : news.loads) {
-        const EndpointPtr endpoint = m_options.book->findByStart(load.endpoint);
+        const EndpointPtr endpoint = m_options.registry->findByStart(load.endpoint);
         if (!endpoint)
             continue; // Gone, or started again since.
         const LoadReport report{
             .running = load.running, .waiting = load.waiting, .slots = load.slots};
-        m_options.book->loadTold(*endpoint, report,
-                                 now - delay - std::chrono::milliseconds(load.ageMs));
+        m_options.registry->loadTold(*endpoint, report,
+                                     now - delay - std::chrono::milliseconds(load.ageMs));
     }
 }
 
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -21,7 +21,7 @@
 public:
     struct Options
     {
-        EndpointRegistry *book = nullptr;
+        EndpointRegistry *registry = nullptr;
         std::uint64_t randomSeed = 1;
         /// Told are endpoints with so many times the usual load and so many requests more, and what
         /// becomes of them: fewer than what a prompt leaves its home for, so that routers that send
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -35,12 +35,12 @@
 
 /// An endpoint with requests that wait for a place has no more places than run now, however many it
 /// names: its memory is taken.
-bool hasRoom(const PlacementRequest &request, const EndpointRegistry &book,
+bool hasRoom(const PlacementRequest &request, const EndpointRegistry &registry,
              const EndpointRecord &endpoint, Base::MonoTime now)
 {
-    const double places = book.places(endpoint, now);
+    const double places = registry.places(endpoint, now);
     const double usable = places * (1 + request.waitingPerPlace) * request.usableShare;
-    return places <= 0 || book.fleetLoad(endpoint, now) + 1 <= std::max(1.0, usable);
+    return places <= 0 || registry.fleetLoad(endpoint, now) + 1 <= std::max(1.0, usable);
 }
 
 /// The first of the full endpoints, if it comes before \a cost in the order; else null.
@@ -65,13 +65,14 @@
     return reasonNames.at(static_cast<std::size_t>(reason));
 }
 
-Place Placement::choose(const PlacementRequest &request, EndpointRegistry &book,
+Place Placement::choose(const PlacementRequest &request, EndpointRegistry &registry,
                         Base::MonoTime now) const
 {
-    Choice choice = choiceFor(request, book, now);
+    Choice choice = choiceFor(request, registry, now);
     const Candidates &candidates = choice.candidates;
     if (candidates.empty())
-        return choice.full.empty() ? lastResort(request, book, now) : noRoom(choice, book, now);
+        return choice.full.empty() ? lastResort(request, registry, now)
+                                   : noRoom(choice, registry, now);
     double sum = 0;
     for (const Candidate &candidate : candidates)
         sum += candidate.load;
@@ -83,10 +84,10 @@
     if (trial != candidates.end()) {
         place = {
             .endpoint = trial->endpoint, .reason = PlacementReason::Trial, .load = trial->load};
-        book.suspicion().noteTrialSent(trial->endpoint->index, now);
+        registry.suspicion().noteTrialSent(trial->endpoint->index, now);
     } else if (request.affinity) {
-        place = byAffinity(request, std::move(choice), book, now);
-        place.cacheSource = cacheSource(request, book, place, now);
+        place = byAffinity(request, std::move(choice), registry, now);
+        place.cacheSource = cacheSource(request, registry, place, now);
     } else {
         place = byCost(candidates, now);
     }
@@ -95,17 +96,17 @@
     return place;
 }
 
-bool Placement::canPlace(const PlacementRequest &request, const EndpointRegistry &book,
+bool Placement::canPlace(const PlacementRequest &request, const EndpointRegistry &registry,
                          Base::MonoTime now) const
 {
-    return !choiceFor(request, book, now).candidates.empty();
+    return !choiceFor(request, registry, now).candidates.empty();
 }
 
-Place Placement::noRoom(const Choice &choice, const EndpointRegistry &book, Base::MonoTime now)
+Place Placement::noRoom(const Choice &choice, const EndpointRegistry &registry, Base::MonoTime now)
 {
     double sum = 0;
     for (const EndpointPtr &endpoint : choice.full)
-        sum += book.fleetLoad(*endpoint, now);
+        sum += registry.fleetLoad(*endpoint, now);
     return {.meanLoad = sum / static_cast<double>(choice.full.size()),
             .candidates = choice.full.size(),
             .isFull = true};
@@ -114,31 +115,31 @@
 /// The filters, one after the other: who is there, who is trusted or may prove itself, and who has
 /// room.
 Placement::Standing Placement::standingOf(const PlacementRequest &request,
-                                          const EndpointPtr &endpoint, const EndpointRegistry &book,
-                                          Base::MonoTime now)
+                                          const EndpointPtr &endpoint,
+                                          const EndpointRegistry &registry, Base::MonoTime now)
 {
     const bool isThere =
         endpoint->takesRequests(now) && now >= endpoint->fullUntil && !isTried(request, endpoint);
     if (!isThere)
         return Standing::Out;
     const bool isTrusted = !request.isDoubtHeeded
-        || book.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
+        || registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
     const bool mayProveItself =
-        request.mayRepeat && book.suspicion().admitsTrial(endpoint->index, now);
+        request.mayRepeat && registry.suspicion().admitsTrial(endpoint->index, now);
     if (!isTrusted && !mayProveItself)
         return Standing::Out;
-    const bool hasPlace = !request.isRoomChecked || hasRoom(request, book, *endpoint, now);
-    if (!hasConnection(request, *endpoint) || !hasPlace || !book.bearsRequest(*endpoint, now))
+    const bool hasPlace = !request.isRoomChecked || hasRoom(request, registry, *endpoint, now);
+    if (!hasConnection(request, *endpoint) || !hasPlace || !registry.bearsRequest(*endpoint, now))
         return Standing::Full;
     return isTrusted ? Standing::Candidate : Standing::Trial;
 }
 
 Placement::Choice Placement::choiceFor(const PlacementRequest &request,
-                                       const EndpointRegistry &book, Base::MonoTime now) const
+                                       const EndpointRegistry &registry, Base::MonoTime now) const
 {
     Choice choice;
-    for (const EndpointPtr &endpoint : book.endpoints(request.service)) {
-        const Standing standing = standingOf(request, endpoint, book, now);
+    for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
+        const Standing standing = standingOf(request, endpoint, registry, now);
         if (standing == Standing::Out)
             continue;
         if (standing == Standing::Full) {
@@ -146,14 +147,14 @@
             continue;
         }
         choice.candidates.push_back({.endpoint = endpoint,
-                                     .load = book.load(*endpoint, now),
+                                     .load = registry.load(*endpoint, now),
                                      .isTrial = standing == Standing::Trial});
     }
     return choice;
 }
 
 Place Placement::byAffinity(const PlacementRequest &request, Choice choice,
-                            const EndpointRegistry &book, Base::MonoTime now) const
+                            const EndpointRegistry &registry, Base::MonoTime now) const
 {
     const Routing::RendezvousCost order(*request.affinity);
     Candidates &candidates = choice.candidates;
@@ -161,13 +162,13 @@
         candidate.cost = order.cost(candidate.endpoint->hash, 1);
     std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &a, const Candidate &b) { return a.cost < b.cost; });
-    const double mean = meanLoad(request, candidates, book, now);
-    const double most = mostLoad(request, mean, book);
+    const double mean = meanLoad(request, candidates, registry, now);
+    const double most = mostLoad(request, mean, registry);
     const Speeds speeds = speedsOf(candidates, now);
     const EndpointPtr fullHome = fullBefore(candidates.front().cost, order, choice.full);
     PlacementReason reason = fullHome ? PlacementReason::HomeBusy : PlacementReason::Home;
-    const double homeLoad = fullHome ? book.load(*fullHome, now) : candidates.front().load;
-    std::size_t toPass = passedOver(request, homeLoad, mean, book);
+    const double homeLoad = fullHome ? registry.load(*fullHome, now) : candidates.front().load;
+    std::size_t toPass = passedOver(request, homeLoad, mean, registry);
     if (toPass == 0) { // Holders are one or two; what is spread goes beyond them.
         if (const auto held = heldPlace(request, candidates, mean, most, speeds, now))
             return *held;
@@ -207,23 +208,23 @@
 /// Of the candidates with the request itself, and of endpoints that are spared on purpose: they are
 /// part of the service, and what the others get for them is what the bound is there for.
 double Placement::meanLoad(const PlacementRequest &request, const Candidates &candidates,
-                           const EndpointRegistry &book, Base::MonoTime now) const
+                           const EndpointRegistry &registry, Base::MonoTime now) const
 {
     const double usual =
-        m_options.isUsualLoadHeeded ? book.usualLoad(request.service, now).value_or(0) : 0;
+        m_options.isUsualLoadHeeded ? registry.usualLoad(request.service, now).value_or(0) : 0;
     double sum = 1;
     auto count = static_cast<double>(candidates.size());
     for (const Candidate &candidate : candidates) {
-        const bool isKnown = book.hasFreshReport(*candidate.endpoint, now)
-            || book.isWarmingUp(*candidate.endpoint, now);
+        const bool isKnown = registry.hasFreshReport(*candidate.endpoint, now)
+            || registry.isWarmingUp(*candidate.endpoint, now);
         sum += isKnown ? candidate.load : std::max(candidate.load, usual);
     }
-    for (const EndpointPtr &endpoint : book.endpoints(request.service)) {
+    for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         const bool isSpared = endpoint->isDrained
-            || (book.isWarmingUp(*endpoint, now) && !book.bearsRequest(*endpoint, now));
+            || (registry.isWarmingUp(*endpoint, now) && !registry.bearsRequest(*endpoint, now));
         if (!isSpared)
             continue;
-        sum += book.load(*endpoint, now);
+        sum += registry.load(*endpoint, now);
         ++count;
     }
     return sum / count;
@@ -269,10 +270,10 @@
 
 /// Among many routers the part of the requests that leaves is the same on each.
 double Placement::mostLoad(const PlacementRequest &request, double mean,
-                           const EndpointRegistry &book) const
+                           const EndpointRegistry &registry) const
 {
     const double most = bound().at(mean);
-    if (!isLoadKnownLate(book))
+    if (!isLoadKnownLate(registry))
         return most;
     const bool isShort = request.sharedTokens < m_options.shortPrompt;
     const double first = (isShort ? m_options.shortLeaves : m_options.longLeaves).at(mean);
@@ -280,10 +281,10 @@
 }
 
 std::size_t Placement::passedOver(const PlacementRequest &request, double homeLoad, double mean,
-                                  const EndpointRegistry &book) const
+                                  const EndpointRegistry &registry) const
 {
     const double excess = homeLoad + 1 - bound().at(mean);
-    if (excess <= 0 || !isLoadKnownLate(book))
+    if (excess <= 0 || !isLoadKnownLate(registry))
         return 0;
     const double endpoints =
         std::min(m_options.mostBehindHome, 1 + m_options.endpointsPerExcess * excess);
@@ -294,14 +295,15 @@
 /// The endpoint where requests with this prompt went before: the first in their order that has been
 /// there for long, unless that is the target itself. A home that is passed over need not be there
 /// for long, as such requests are what it is busy with, unless it is cold.
-EndpointPtr Placement::cacheSource(const PlacementRequest &request, const EndpointRegistry &book,
-                                   const Place &place, Base::MonoTime now) const
+EndpointPtr Placement::cacheSource(const PlacementRequest &request,
+                                   const EndpointRegistry &registry, const Place &place,
+                                   Base::MonoTime now) const
 {
     const EndpointRecord &target = *place.endpoint;
     const bool isPassedOver =
         place.reason == PlacementReason::HomeBusy || place.reason == PlacementReason::HomeSlow;
     const auto isHolder = [&](const EndpointRecord &endpoint) {
-        const bool isLeftForLoad = isPassedOver && !book.isWarmingUp(endpoint, now);
+        const bool isLeftForLoad = isPassedOver && !registry.isWarmingUp(endpoint, now);
         return isLeftForLoad || now - endpoint.knownSince >= m_options.newTime;
     };
     const Routing::RendezvousCost order(*request.affinity);
@@ -309,10 +311,10 @@
     const double targetCost = order.cost(target.hash, 1);
     EndpointPtr source;
     double least = isTargetNew ? std::numeric_limits<double>::max() : targetCost;
-    for (const EndpointPtr &endpoint : book.endpoints(request.service)) {
+    for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         const bool isUsable = endpoint.get() != &target && !endpoint->isUnreachable
             && !endpoint->notice.isReplaced && isHolder(*endpoint)
-            && book.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
+            && registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
         const double cost = isUsable ? order.cost(endpoint->hash, 1) : least;
         if (cost >= least)
             continue;
@@ -343,11 +345,11 @@
     return best;
 }
 
-Place Placement::lastResort(const PlacementRequest &request, const EndpointRegistry &book,
+Place Placement::lastResort(const PlacementRequest &request, const EndpointRegistry &registry,
                             Base::MonoTime now)
 {
     Place place{.reason = PlacementReason::LastResort};
-    for (const EndpointPtr &endpoint : book.endpoints(request.service)) {
+    for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         if (!endpoint->isInService() || isTried(request, endpoint))
             continue;
         if (!endpoint->takesRequests(now)) {
@@ -355,11 +357,11 @@
             place.restsUntil = std::min(place.restsUntil.value_or(until), until);
             continue;
         }
-        if (!book.bearsRequest(*endpoint, now))
+        if (!registry.bearsRequest(*endpoint, now))
             continue;
         const bool isBetter = !place.endpoint
-            || book.suspicion().suspectedSince(endpoint->index)
-                < book.suspicion().suspectedSince(place.endpoint->index);
+            || registry.suspicion().suspectedSince(endpoint->index)
+                < registry.suspicion().suspectedSince(place.endpoint->index);
         if (isBetter)
             place.endpoint = endpoint;
     }
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -128,9 +128,10 @@
         : m_options(options)
     { }
 
-    Place choose(const PlacementRequest &request, EndpointRegistry &book, Base::MonoTime now) const;
+    Place choose(const PlacementRequest &request, EndpointRegistry &registry,
+                 Base::MonoTime now) const;
     /// Whether an endpoint that is trusted has room for the request.
-    bool canPlace(const PlacementRequest &request, const EndpointRegistry &book,
+    bool canPlace(const PlacementRequest &request, const EndpointRegistry &registry,
                   Base::MonoTime now) const;
 
 private:
@@ -155,34 +156,34 @@
     };
 
     static Standing standingOf(const PlacementRequest &request, const EndpointPtr &endpoint,
-                               const EndpointRegistry &book, Base::MonoTime now);
-    Choice choiceFor(const PlacementRequest &request, const EndpointRegistry &book,
-                     Base::MonoTime now) const;
-    static Place noRoom(const Choice &choice, const EndpointRegistry &book, Base::MonoTime now);
-    Place byAffinity(const PlacementRequest &request, Choice choice, const EndpointRegistry &book,
+                               const EndpointRegistry &registry, Base::MonoTime now);
+    Choice choiceFor(const PlacementRequest &request, const EndpointRegistry &registry,
                      Base::MonoTime now) const;
+    static Place noRoom(const Choice &choice, const EndpointRegistry &registry, Base::MonoTime now);
+    Place byAffinity(const PlacementRequest &request, Choice choice,
+                     const EndpointRegistry &registry, Base::MonoTime now) const;
     double meanLoad(const PlacementRequest &request, const Candidates &candidates,
-                    const EndpointRegistry &book, Base::MonoTime now) const;
+                    const EndpointRegistry &registry, Base::MonoTime now) const;
     static bool hasMemory(const PlacementRequest &request, const EndpointRecord &endpoint);
-    EndpointPtr cacheSource(const PlacementRequest &request, const EndpointRegistry &book,
+    EndpointPtr cacheSource(const PlacementRequest &request, const EndpointRegistry &registry,
                             const Place &place, Base::MonoTime now) const;
     /// Requests that an endpoint may have, this one included, for it to be sent there by affinity.
     double mostLoad(const PlacementRequest &request, double mean,
-                    const EndpointRegistry &book) const;
+                    const EndpointRegistry &registry) const;
     /// Endpoints behind its home that a request passes over although they would take it.
     std::size_t passedOver(const PlacementRequest &request, double homeLoad, double mean,
-                           const EndpointRegistry &book) const;
+                           const EndpointRegistry &registry) const;
     /// Whether routers hear of a load later than it changes.
-    bool isLoadKnownLate(const EndpointRegistry &book) const
+    bool isLoadKnownLate(const EndpointRegistry &registry) const
     {
-        return m_options.leavesGradually && book.routerCount() >= m_options.manyRouters;
+        return m_options.leavesGradually && registry.routerCount() >= m_options.manyRouters;
     }
     LoadLine bound() const
     {
         return {.factor = m_options.boundFactor, .slack = m_options.boundSlack};
     }
     Place byCost(const Candidates &candidates, Base::MonoTime now) const;
-    static Place lastResort(const PlacementRequest &request, const EndpointRegistry &book,
+    static Place lastResort(const PlacementRequest &request, const EndpointRegistry &registry,
                             Base::MonoTime now);
     /// Sums over the candidates, in seconds.
     struct Speeds
--- a/src/libs/gateway/reachability.cpp
+++ b/src/libs/gateway/reachability.cpp
@@ -29,7 +29,7 @@
 /// Checks a few that are not known to be out of reach and not being checked.
 void Reachability::checkOthers(const EndpointRecord &failed)
 {
-    std::vector<EndpointPtr> others = m_options.book->inDataCentre(failed.info.dataCentre);
+    std::vector<EndpointPtr> others = m_options.registry->inDataCentre(failed.info.dataCentre);
     std::erase_if(others, [this](const EndpointPtr &other) {
         return other->isUnreachable || m_checking.contains(other->info.id);
     });
--- a/src/libs/gateway/reachability.h
+++ b/src/libs/gateway/reachability.h
@@ -24,7 +24,7 @@
 public:
     struct Options
     {
-        EndpointRegistry *book = nullptr;
+        EndpointRegistry *registry = nullptr;
         Runtime::TimerQueue *timers = nullptr;
         /// Opens a connection and closes it; calls back once, later.
         std::function<void(const Runtime::SocketAddress &server, Base::Duration timeout,
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -130,11 +130,11 @@
     {
         Router(const ManyRoutersModel &model, unsigned seed)
             : placement(model.m_options.placement)
-            , sharing({.book = &book, .randomSeed = seed})
+            , sharing({.registry = &registry, .randomSeed = seed})
         {
-            book.setRouterCount(static_cast<std::size_t>(model.m_options.routers));
-            book.setServices({{.name = service(), .warmup = model.m_options.warmup}});
-            book.setFleet(model.fleetOf(static_cast<int>(seed)));
+            registry.setRouterCount(static_cast<std::size_t>(model.m_options.routers));
+            registry.setServices({{.name = service(), .warmup = model.m_options.warmup}});
+            registry.setFleet(model.fleetOf(static_cast<int>(seed)));
             for (int i = 0; i < model.m_options.engines; ++i)
                 addEngine(i, i * model.m_options.dataCentres / model.m_options.engines,
                           model.mono());
@@ -148,9 +148,9 @@
             endpoint.address = {"127.0.0.1", 80};
             endpoint.dataCentre = dataCentreId(dataCentre);
             endpoint.slots = slots;
-            book.put(endpoint, now);
+            registry.put(endpoint, now);
         }
-        Lagoonbank::Gateway::EndpointRegistry book{{}};
+        Lagoonbank::Gateway::EndpointRegistry registry{{}};
         Lagoonbank::Gateway::Placement placement;
         Lagoonbank::Gateway::LoadSharing sharing;
     };
@@ -193,7 +193,7 @@
         else
             m_drained.erase(dataCentreId(dataCentre));
         for (const auto &router : m_routers)
-            router->book.setDrainedDataCentres(m_drained, mono());
+            router->registry.setDrainedDataCentres(m_drained, mono());
     }
     static Lagoonbank::Base::ServiceId service() { return Lagoonbank::Base::ServiceId("service"); }
     Lagoonbank::Base::MonoTime mono() const
@@ -248,7 +248,7 @@
                                      .sharedTokens = Base::Tokens(kind.sharedTokens),
                                      .requestHash = m_random(),
                                      .targetLatency = std::chrono::milliseconds(500)},
-                                    router.book, mono());
+                                    router.registry, mono());
         const Gateway::EndpointPtr engine = place.endpoint;
         const auto number = static_cast<std::size_t>(engine->index);
         if (m_now > m_options.warmUp)
@@ -256,15 +256,15 @@
         const bool isNew = m_held[prompt].insert(number).second;
         if (isNew && m_held[prompt].size() > 1 && m_now > m_options.warmUp)
             m_figures.tokensReadAgain += kind.sharedTokens;
-        router.book.requestSent(*engine, mono());
+        router.registry.requestSent(*engine, mono());
         ++m_running[number];
         ++m_underWay;
         at(m_now + firstEvent, [this, &router, engine, number] {
-            router.book.loadReported(
+            router.registry.loadReported(
                 *engine, {.running = m_running[number], .waiting = 0, .slots = slots}, mono());
         });
         at(m_now + firstEvent + exponential(kind.answerSeconds), [this, &router, engine, number] {
-            router.book.requestEnded(*engine);
+            router.registry.requestEnded(*engine);
             --m_running[number];
             --m_underWay;
         });
@@ -281,7 +281,7 @@
         m_figures.leftHome +=
             place.reason == Lagoonbank::Gateway::PlacementReason::HomeBusy ? 1 : 0;
         m_figures.meanLoad += meanLoad();
-        const double usual = router.book.usualLoad(service(), mono()).value_or(0);
+        const double usual = router.registry.usualLoad(service(), mono()).value_or(0);
         m_figures.usualError += std::abs(usual - meanLoad()) / meanLoad();
     }
 
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -82,7 +82,7 @@
         using namespace Lagoonbank;
         for (int r = 0; r < m_options.routers; ++r) {
             auto router = std::make_unique<Router>();
-            router->book.setRouterCount(static_cast<std::size_t>(m_options.routers));
+            router->registry.setRouterCount(static_cast<std::size_t>(m_options.routers));
             m_routers.push_back(std::move(router));
         }
         m_engines.resize(static_cast<std::size_t>(m_options.engines));
@@ -148,10 +148,10 @@
     using JobPtr = std::shared_ptr<Job>;
     struct Router
     {
-        Lagoonbank::Gateway::EndpointRegistry book{{}};
+        Lagoonbank::Gateway::EndpointRegistry registry{{}};
         Lagoonbank::Gateway::Placement placement{{}};
         Lagoonbank::Gateway::LoadShedder shedder{{}};
-        Lagoonbank::Gateway::LoadSharing sharing{{.book = &book}};
+        Lagoonbank::Gateway::LoadSharing sharing{{.registry = &registry}};
         Lagoonbank::Gateway::ConcurrencyLimit limit{{}};
     };
     struct Engine
@@ -204,13 +204,13 @@
         endpoint.slots = m_options.slots;
         endpoint.startedAt = Base::WallTime(std::chrono::seconds(static_cast<int>(m_now) + 1));
         for (const auto &router : m_routers)
-            router->book.put(endpoint, at(m_now));
+            router->registry.put(endpoint, at(m_now));
         setPlaces();
     }
     void setPlaces()
     {
         for (const auto &router : m_routers) {
-            const double places = router->book.allPlaces(m_service, at(m_now));
+            const double places = router->registry.allPlaces(m_service, at(m_now));
             router->limit.setPlaces(places, m_options.routers);
         }
     }
@@ -220,7 +220,7 @@
             Engine &engine = m_engines[static_cast<std::size_t>(e)];
             engine = {.boot = engine.boot + 1};
             for (const auto &router : m_routers)
-                router->book.remove(idOf(static_cast<std::size_t>(e)));
+                router->registry.remove(idOf(static_cast<std::size_t>(e)));
         }
         setPlaces();
     }
@@ -286,15 +286,15 @@
         const double share = m_options.isShedding
             ? router.shedder.usableShare(admissionRequest(*job), at(m_now))
             : 1e9;
-        const bool isOverLimit =
-            m_options.isLimiting && !router.limit.admits(router.book.inFlight(m_service), share);
+        const bool isOverLimit = m_options.isLimiting
+            && !router.limit.admits(router.registry.inFlight(m_service), share);
         Lagoonbank::Gateway::Place chosen;
         if (!isOverLimit) {
             chosen = router.placement.choose({.service = m_service,
                                               .affinity = job->prompt,
                                               .requestHash = m_random(),
                                               .usableShare = share},
-                                             router.book, at(m_now));
+                                             router.registry, at(m_now));
         }
         if (chosen.endpoint) {
             router.shedder.admitted(admissionRequest(*job), at(m_now));
@@ -318,7 +318,7 @@
     }
     void send(const JobPtr &job, const Lagoonbank::Gateway::EndpointPtr &endpoint)
     {
-        m_routers[job->router]->book.requestSent(*endpoint, at(m_now));
+        m_routers[job->router]->registry.requestSent(*endpoint, at(m_now));
         job->engine = static_cast<std::size_t>(std::stoi(endpoint->info.id.value().substr(1)));
         job->sentAt = m_now;
         Engine &engine = m_engines[job->engine];
@@ -335,7 +335,7 @@
         constexpr int mostSends = 3;
         ++m_rejected;
         Router &router = *m_routers[job->router];
-        router.book.requestEnded(endpoint);
+        router.registry.requestEnded(endpoint);
         router.limit.rejected(at(m_now));
         endpoint.fullUntil = at(m_now + 0.15);
         if (++job->sends < mostSends)
@@ -380,16 +380,16 @@
         const Kind &kind = m_options.kinds[job->kind];
         count(*job, m_now - job->cameAt <= kind.target ? &Tally::inTime : &Tally::late);
         Router &router = *m_routers[job->router];
-        const auto endpoint = router.book.find(idOf(job->engine));
+        const auto endpoint = router.registry.find(idOf(job->engine));
         const Engine &engine = m_engines[job->engine];
         const Lagoonbank::Gateway::LoadReport report{.running = engine.running,
                                                      .waiting =
                                                          static_cast<int>(engine.waiting.size()),
                                                      .slots = m_options.slots};
-        router.book.loadReported(*endpoint, report, at(m_now));
-        router.limit.reported(report, router.book.inFlight(m_service), at(m_now));
-        router.book.answerTimed(*endpoint, duration(m_now - job->sentAt), duration(kind.target),
-                                at(m_now));
+        router.registry.loadReported(*endpoint, report, at(m_now));
+        router.limit.reported(report, router.registry.inFlight(m_service), at(m_now));
+        router.registry.answerTimed(*endpoint, duration(m_now - job->sentAt), duration(kind.target),
+                                    at(m_now));
     }
     void finish(const JobPtr &job)
     {
@@ -404,9 +404,9 @@
     void endAtRouter(const Job &job)
     {
         Router &router = *m_routers[job.router];
-        const auto endpoint = router.book.find(idOf(job.engine));
+        const auto endpoint = router.registry.find(idOf(job.engine));
         if (endpoint && endpoint->inFlight > 0)
-            router.book.requestEnded(*endpoint);
+            router.registry.requestEnded(*endpoint);
     }
     static Lagoonbank::Base::EndpointId idOf(std::size_t engine)
     {
--- a/tests/auto/gateway/tst_draineddatacentre.cpp
+++ b/tests/auto/gateway/tst_draineddatacentre.cpp
@@ -31,12 +31,12 @@
         endpoint.address = {"127.0.0.1", 80};
         endpoint.dataCentre = dataCentre;
         endpoint.slots = 6;
-        book.put(endpoint, now);
+        registry.put(endpoint, now);
     }
     void suspect(int number)
     {
-        const auto record = book.find(Base::EndpointId("e" + std::to_string(number)));
-        book.suspicion().suspect(record->index, now);
+        const auto record = registry.find(Base::EndpointId("e" + std::to_string(number)));
+        registry.suspicion().suspect(record->index, now);
     }
     Place choose(std::uint64_t affinity, bool mayRepeat = false)
     {
@@ -45,7 +45,7 @@
                                  .targetLatency = std::chrono::milliseconds(300),
                                  .longestPause = std::chrono::milliseconds(250),
                                  .mayRepeat = mayRepeat},
-                                book, now);
+                                registry, now);
     }
     /// Requests of so many prompts that go to the data centre.
     int chosenIn(const Base::DataCentreId &dataCentre, bool mayRepeat = false)
@@ -60,7 +60,7 @@
     }
 
     Base::MonoTime now = start;
-    EndpointRegistry book{{}};
+    EndpointRegistry registry{{}};
     Placement placement{{}};
 };
 
@@ -86,17 +86,17 @@
 {
     PlacementFixture f;
     BOOST_TEST(f.chosenIn(there) > 0);
-    f.book.setDrainedDataCentres({there}, f.now);
+    f.registry.setDrainedDataCentres({there}, f.now);
     BOOST_TEST(f.chosenIn(there) == 0);
     BOOST_TEST(f.chosenIn(here) == 200);
-    f.book.setDrainedDataCentres({}, f.now);
+    f.registry.setDrainedDataCentres({}, f.now);
     BOOST_TEST(f.chosenIn(there) > 0);
 }
 
 BOOST_AUTO_TEST_CASE(anEndpointThatComesMeanwhileGetsNothing)
 {
     PlacementFixture f;
-    f.book.setDrainedDataCentres({there}, f.now);
+    f.registry.setDrainedDataCentres({there}, f.now);
     f.add("late", there);
     BOOST_TEST(f.chosenIn(there) == 0);
 }
@@ -107,7 +107,7 @@
     for (int i = 1; i < 8; i += 2)
         f.suspect(i);
     f.now += std::chrono::seconds(10);
-    f.book.setDrainedDataCentres({there}, f.now);
+    f.registry.setDrainedDataCentres({there}, f.now);
     BOOST_TEST(f.chosenIn(there, true) == 0);
 }
 
@@ -116,9 +116,9 @@
     PlacementFixture f;
     for (int i = 0; i < 8; ++i)
         f.suspect(i);
-    f.book.setDrainedDataCentres({here, there}, f.now);
+    f.registry.setDrainedDataCentres({here, there}, f.now);
     BOOST_TEST((f.choose(7919).endpoint == nullptr));
-    f.book.setDrainedDataCentres({there}, f.now);
+    f.registry.setDrainedDataCentres({there}, f.now);
     const Place place = f.choose(7919);
     BOOST_REQUIRE(place.endpoint);
     BOOST_TEST((place.endpoint->info.dataCentre == here));
--- a/tests/auto/gateway/tst_endpointhealth.cpp
+++ b/tests/auto/gateway/tst_endpointhealth.cpp
@@ -18,16 +18,19 @@
 
 struct Fixture
 {
-    Fixture() { book.put({.id = id, .service = Base::ServiceId("service")}, clock.now()); }
+    Fixture() { registry.put({.id = id, .service = Base::ServiceId("service")}, clock.now()); }
     void fail(int times, Base::Duration apart)
     {
         for (int i = 0; i < times; ++i) {
-            health.answered(*book.find(id), false, Base::RequestId("r"));
+            health.answered(*registry.find(id), false, Base::RequestId("r"));
             clock.advance(apart);
         }
     }
-    void answer() { health.answered(*book.find(id), true, Base::RequestId("r")); }
-    Routing::Suspicion::State state() { return book.suspicion().state(book.find(id)->index); }
+    void answer() { health.answered(*registry.find(id), true, Base::RequestId("r")); }
+    Routing::Suspicion::State state()
+    {
+        return registry.suspicion().state(registry.find(id)->index);
+    }
     bool isTrusted() { return state() == Routing::Suspicion::State::Trusted; }
 
     const Base::EndpointId id{"e"};
@@ -36,8 +39,8 @@
     Logging::DecisionLog log{{.output = &output,
                               .wallNow = [this] { return clock.wallNow(); },
                               .now = [this] { return clock.now(); }}};
-    EndpointRegistry book{{.suspicion = {.firstWait = milliseconds(500)}}};
-    EndpointHealth health{{.book = &book, .clock = &clock, .log = &log}};
+    EndpointRegistry registry{{.suspicion = {.firstWait = milliseconds(500)}}};
+    EndpointHealth health{{.registry = &registry, .clock = &clock, .log = &log}};
 };
 
 } // namespace
@@ -73,14 +76,14 @@
     Fixture f;
     f.fail(12, milliseconds(10));
     f.clock.advance(milliseconds(500));
-    const auto index = f.book.find(f.id)->index;
-    BOOST_REQUIRE(f.book.suspicion().admitsTrial(index, f.clock.now()));
+    const auto index = f.registry.find(f.id)->index;
+    BOOST_REQUIRE(f.registry.suspicion().admitsTrial(index, f.clock.now()));
     f.fail(1, {});
-    f.book.suspicion().noteTrialSent(index, f.clock.now());
+    f.registry.suspicion().noteTrialSent(index, f.clock.now());
     f.fail(1, {});
     BOOST_TEST((f.state() == Routing::Suspicion::State::Suspected));
     f.clock.advance(milliseconds(5000));
-    BOOST_TEST(f.book.suspicion().admitsTrial(index, f.clock.now()));
+    BOOST_TEST(f.registry.suspicion().admitsTrial(index, f.clock.now()));
 }
 
 BOOST_AUTO_TEST_CASE(goodAnswersBetweenFailuresKeepTrust)
--- a/tests/auto/gateway/tst_endpointregistry.cpp
+++ b/tests/auto/gateway/tst_endpointregistry.cpp
@@ -22,31 +22,31 @@
 
 BOOST_AUTO_TEST_CASE(endpointsOfAServiceStandInOneOrderOnEveryRouter)
 {
-    EndpointRegistry book({});
+    EndpointRegistry registry({});
     for (const char *id : {"c", "a", "b"})
-        book.put(endpoint(id), start);
+        registry.put(endpoint(id), start);
     std::string order;
-    for (const EndpointPtr &one : book.endpoints(service))
+    for (const EndpointPtr &one : registry.endpoints(service))
         order += one->info.id.value();
     BOOST_TEST(order == "abc");
-    book.remove(Base::EndpointId("a"));
-    BOOST_TEST(book.endpoints(service).size() == 2U);
-    BOOST_TEST(book.endpoints(Base::ServiceId("other")).empty());
+    registry.remove(Base::EndpointId("a"));
+    BOOST_TEST(registry.endpoints(service).size() == 2U);
+    BOOST_TEST(registry.endpoints(Base::ServiceId("other")).empty());
 }
 
 BOOST_AUTO_TEST_CASE(aNewStartAtAnAddressIsAnotherEndpoint)
 {
-    EndpointRegistry book({});
-    book.put(endpoint("old"), start);
-    const EndpointPtr old = book.find(Base::EndpointId("old"));
-    book.suspicion().suspect(old->index, start);
-    book.remove(Base::EndpointId("old"));
+    EndpointRegistry registry({});
+    registry.put(endpoint("old"), start);
+    const EndpointPtr old = registry.find(Base::EndpointId("old"));
+    registry.suspicion().suspect(old->index, start);
+    registry.remove(Base::EndpointId("old"));
     BOOST_TEST(old->isGone);
-    book.put(endpoint("new"), start);
-    const EndpointPtr fresh = book.find(Base::EndpointId("new"));
-    BOOST_TEST((book.suspicion().state(fresh->index) == Routing::Suspicion::State::Trusted));
-    BOOST_TEST((book.findByStart(fresh->startHash) == fresh));
-    BOOST_TEST(!book.findByStart(old->startHash));
+    registry.put(endpoint("new"), start);
+    const EndpointPtr fresh = registry.find(Base::EndpointId("new"));
+    BOOST_TEST((registry.suspicion().state(fresh->index) == Routing::Suspicion::State::Trusted));
+    BOOST_TEST((registry.findByStart(fresh->startHash) == fresh));
+    BOOST_TEST(!registry.findByStart(old->startHash));
 }
 
 BOOST_AUTO_TEST_CASE(anotherStartUnderTheSameIdIsANewEndpoint)
@@ -70,87 +70,88 @@
                  {"a later start", laterStart, true},
                  {"another address", elsewhere, true}};
     for (const auto &[what, next, isNew] : cases) {
-        EndpointRegistry book({});
-        book.put(before, start);
-        const EndpointPtr old = book.find(before.id);
-        book.suspicion().suspect(old->index, start);
-        book.requestSent(*old, start);
-        book.loadReported(*old, {.running = 4, .waiting = 2, .slots = 8}, start);
-        book.put(next, start + milliseconds(1));
-        const EndpointPtr now = book.find(before.id);
+        EndpointRegistry registry({});
+        registry.put(before, start);
+        const EndpointPtr old = registry.find(before.id);
+        registry.suspicion().suspect(old->index, start);
+        registry.requestSent(*old, start);
+        registry.loadReported(*old, {.running = 4, .waiting = 2, .slots = 8}, start);
+        registry.put(next, start + milliseconds(1));
+        const EndpointPtr now = registry.find(before.id);
         BOOST_TEST(old->isGone == isNew, what);
         BOOST_TEST((now != old) == isNew, what);
-        BOOST_TEST(book.endpoints(service).size() == 1U, what);
+        BOOST_TEST(registry.endpoints(service).size() == 1U, what);
         const bool isTrusted =
-            book.suspicion().state(now->index) == Routing::Suspicion::State::Trusted;
+            registry.suspicion().state(now->index) == Routing::Suspicion::State::Trusted;
         BOOST_TEST(isTrusted == isNew, what);
-        BOOST_TEST((book.load(*now, start) == 0) == isNew, what);
+        BOOST_TEST((registry.load(*now, start) == 0) == isNew, what);
         BOOST_TEST(now->hash == old->hash, what); // Its prompts keep their home.
     }
 }
 
 BOOST_AUTO_TEST_CASE(anotherStartHoldsNoPromptsOfBefore)
 {
-    EndpointRegistry book({});
+    EndpointRegistry registry({});
     Fleet::Endpoint one = endpoint("a");
     one.startedAt = Base::WallTime(std::chrono::seconds(5));
-    book.put(one, start);
-    const std::uint64_t before = book.find(one.id)->startHash;
+    registry.put(one, start);
+    const std::uint64_t before = registry.find(one.id)->startHash;
     one.startedAt = Base::WallTime(std::chrono::seconds(6));
-    book.put(one, start);
-    BOOST_TEST(!book.findByStart(before));
+    registry.put(one, start);
+    BOOST_TEST(!registry.findByStart(before));
 }
 
 /// Pattern: entries lapse while the store is down and come back after it.
 BOOST_AUTO_TEST_CASE(whatAnEndpointSaidOutlastsItsEntry)
 {
-    EndpointRegistry book({});
+    EndpointRegistry registry({});
     Fleet::Endpoint one = endpoint("a");
     one.startedAt = Base::WallTime(std::chrono::seconds(7));
-    book.put(one, start);
-    book.find(one.id)->notice = {.isLeaving = true, .restsUntil = start + std::chrono::hours(1)};
-    book.remove(one.id);
-    book.put(one, start);
-    BOOST_TEST(book.find(one.id)->notice.isLeaving);
-    BOOST_TEST(!book.find(one.id)->takesRequests(start));
-    book.remove(one.id);
+    registry.put(one, start);
+    registry.find(one.id)->notice = {.isLeaving = true,
+                                     .restsUntil = start + std::chrono::hours(1)};
+    registry.remove(one.id);
+    registry.put(one, start);
+    BOOST_TEST(registry.find(one.id)->notice.isLeaving);
+    BOOST_TEST(!registry.find(one.id)->takesRequests(start));
+    registry.remove(one.id);
     Fleet::Endpoint elsewhere = one;
     elsewhere.address.port = static_cast<std::uint16_t>(one.address.port + 1);
-    book.put(elsewhere, start);
-    BOOST_TEST(!book.find(one.id)->notice.isLeaving);
+    registry.put(elsewhere, start);
+    BOOST_TEST(!registry.find(one.id)->notice.isLeaving);
     Fleet::Endpoint again = one;
     again.startedAt = Base::WallTime(std::chrono::seconds(8));
-    book.put(again, start);
-    BOOST_TEST(book.find(one.id)->takesRequests(start));
+    registry.put(again, start);
+    BOOST_TEST(registry.find(one.id)->takesRequests(start));
 }
 
 BOOST_AUTO_TEST_CASE(loadIsTheReportAndWhatWasSentSince)
 {
-    EndpointRegistry book({});
-    book.put(endpoint("a"), start);
-    EndpointRecord &one = *book.find(Base::EndpointId("a"));
-    book.requestSent(one, start);
-    BOOST_TEST(book.load(one, start) == 1);
-    book.loadReported(one, {.running = 4, .waiting = 2, .slots = 8}, start);
-    BOOST_TEST(book.load(one, start) == 6);
-    book.requestSent(one, start);
-    book.requestSent(one, start);
-    BOOST_TEST(book.load(one, start) == 8);
-    book.requestEnded(one);
-    book.requestEnded(one);
-    book.requestEnded(one);
-    BOOST_TEST(book.load(one, start) == 5);
+    EndpointRegistry registry({});
+    registry.put(endpoint("a"), start);
+    EndpointRecord &one = *registry.find(Base::EndpointId("a"));
+    registry.requestSent(one, start);
+    BOOST_TEST(registry.load(one, start) == 1);
+    registry.loadReported(one, {.running = 4, .waiting = 2, .slots = 8}, start);
+    BOOST_TEST(registry.load(one, start) == 6);
+    registry.requestSent(one, start);
+    registry.requestSent(one, start);
+    BOOST_TEST(registry.load(one, start) == 8);
+    registry.requestEnded(one);
+    registry.requestEnded(one);
+    registry.requestEnded(one);
+    BOOST_TEST(registry.load(one, start) == 5);
 }
 
 BOOST_AUTO_TEST_CASE(anOldReportSaysNothing)
 {
-    EndpointRegistry book({});
-    book.put(endpoint("a"), start);
-    EndpointRecord &one = *book.find(Base::EndpointId("a"));
-    book.loadReported(one, {.running = 9}, start);
-    book.requestSent(one, start);
-    BOOST_TEST(book.load(one, start + std::chrono::seconds(2)) == 10);
-    BOOST_TEST(book.load(one, start + std::chrono::seconds(4)) == 1);
+    EndpointRegistry registry({});
+    registry.put(endpoint("a"), start);
+    EndpointRecord &one = *registry.find(Base::EndpointId("a"));
+    registry.loadReported(one, {.running = 9}, start);
+    registry.requestSent(one, start);
+    BOOST_TEST(registry.load(one, start + std::chrono::seconds(2)) == 10);
+    BOOST_TEST(registry.load(one, start + std::chrono::seconds(4)) == 1);
 }
 
 BOOST_AUTO_TEST_CASE(whatWasLearntFades)
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -22,17 +22,17 @@
     {
         for (int i = 0; i < endpoints; ++i) {
             const std::string id = "e" + std::to_string(i);
-            book.put({.id = Base::EndpointId(id),
-                      .service = service,
-                      .address = {"127.0.0.1", 80},
-                      .dataCentre = Base::DataCentreId(i % 2 == 0 ? "here" : "there"),
-                      .slots = 6},
-                     start);
+            registry.put({.id = Base::EndpointId(id),
+                          .service = service,
+                          .address = {"127.0.0.1", 80},
+                          .dataCentre = Base::DataCentreId(i % 2 == 0 ? "here" : "there"),
+                          .slots = 6},
+                         start);
         }
     }
     EndpointRecord &endpoint(int i)
     {
-        return *book.find(Base::EndpointId("e" + std::to_string(i)));
+        return *registry.find(Base::EndpointId("e" + std::to_string(i)));
     }
     Place choose(std::uint64_t affinity)
     {
@@ -40,14 +40,14 @@
                                  .affinity = affinity,
                                  .targetLatency = std::chrono::milliseconds(300),
                                  .longestPause = std::chrono::milliseconds(250)},
-                                book, now);
+                                registry, now);
     }
     Place chooseService(bool mayRepeat = false)
     {
-        return placement.choose({.service = service, .mayRepeat = mayRepeat}, book, now);
+        return placement.choose({.service = service, .mayRepeat = mayRepeat}, registry, now);
     }
 
-    EndpointRegistry book{
+    EndpointRegistry registry{
         {.suspicion = {.unreachableToSuspect = 1, .firstWait = std::chrono::milliseconds(500)}}};
     Placement placement{{}};
     Base::MonoTime now = start;
@@ -75,7 +75,7 @@
     std::map<std::uint64_t, std::string> before;
     for (std::uint64_t prompt = 1; prompt <= 200; ++prompt)
         before[prompt] = f.choose(prompt * 7919).endpoint->info.id.value();
-    f.book.remove(Base::EndpointId("e3"));
+    f.registry.remove(Base::EndpointId("e3"));
     for (const auto &[prompt, home] : before) {
         if (home != "e3")
             BOOST_TEST(f.choose(prompt * 7919).endpoint->info.id.value() == home);
@@ -94,7 +94,7 @@
     for (int i = 0; i < 400; ++i) {
         const bool isHot = random() % 4 == 0;
         const Place place = f.choose(isHot ? 42 : random());
-        f.book.requestSent(*place.endpoint, f.now);
+        f.registry.requestSent(*place.endpoint, f.now);
         double sum = 0;
         double most = 0;
         for (int e = 0; e < 9; ++e) {
@@ -136,16 +136,16 @@
     // Its home leaves, still there to copy from.
     Fleet::Endpoint draining = home->info;
     draining.state = Fleet::EndpointState::Draining;
-    f.book.put(draining, f.now);
+    f.registry.put(draining, f.now);
     const Place next = f.choose(42);
     BOOST_TEST((next.endpoint != home));
     BOOST_TEST((next.cacheSource == home));
     // Its home is gone; another one comes and takes its place.
-    f.book.remove(home->info.id);
+    f.registry.remove(home->info.id);
     const EndpointPtr second = f.choose(42).endpoint;
     BOOST_TEST(!f.choose(42).cacheSource);
     for (int i = 6; i < 40; ++i) {
-        f.book.put(
+        f.registry.put(
             {.id = Base::EndpointId("e" + std::to_string(i)), .service = service, .slots = 6},
             f.now);
     }
@@ -161,11 +161,11 @@
     Fixture f(2);
     Fleet::Endpoint draining = f.endpoint(0).info;
     draining.state = Fleet::EndpointState::Draining;
-    f.book.put(draining, f.now);
+    f.registry.put(draining, f.now);
     BOOST_TEST(f.choose(1).endpoint->info.id.value() == "e1");
     const Place none = f.placement.choose(
-        {.service = service, .affinity = 1, .tried = {f.book.find(Base::EndpointId("e1"))}}, f.book,
-        f.now);
+        {.service = service, .affinity = 1, .tried = {f.registry.find(Base::EndpointId("e1"))}},
+        f.registry, f.now);
     BOOST_TEST(!none.endpoint);
 }
 
@@ -183,7 +183,8 @@
 BOOST_AUTO_TEST_CASE(aSuspectedEndpointIsTriedByWhatMayBeRepeatedAlone)
 {
     Fixture f(2);
-    f.book.suspicion().noteResult(f.endpoint(0).index, Routing::ExchangeResult::Unreachable, f.now);
+    f.registry.suspicion().noteResult(f.endpoint(0).index, Routing::ExchangeResult::Unreachable,
+                                      f.now);
     BOOST_TEST(f.chooseService(true).endpoint->info.id.value() == "e1");
     f.now += std::chrono::seconds(1);
     BOOST_TEST(f.chooseService(false).endpoint->info.id.value() == "e1");
@@ -196,9 +197,10 @@
 BOOST_AUTO_TEST_CASE(whereAllAreSuspectedTheOldestSuspicionIsTried)
 {
     Fixture f(2);
-    f.book.suspicion().noteResult(f.endpoint(1).index, Routing::ExchangeResult::Unreachable, f.now);
-    f.book.suspicion().noteResult(f.endpoint(0).index, Routing::ExchangeResult::Unreachable,
-                                  f.now + std::chrono::milliseconds(10));
+    f.registry.suspicion().noteResult(f.endpoint(1).index, Routing::ExchangeResult::Unreachable,
+                                      f.now);
+    f.registry.suspicion().noteResult(f.endpoint(0).index, Routing::ExchangeResult::Unreachable,
+                                      f.now + std::chrono::milliseconds(10));
     const Place place = f.chooseService();
     BOOST_TEST(place.endpoint->info.id.value() == "e1");
     BOOST_TEST((place.reason == PlacementReason::LastResort));
@@ -212,7 +214,7 @@
     f.endpoint(1).latency.add(0.042, f.now);
     BOOST_TEST(f.chooseService().endpoint->info.id.value() == "e0");
     for (int i = 0; i < 12; ++i)
-        f.book.requestSent(f.endpoint(0), f.now);
+        f.registry.requestSent(f.endpoint(0), f.now);
     BOOST_TEST(f.chooseService().endpoint->info.id.value() == "e1");
 }
 
@@ -223,7 +225,7 @@
     Fixture f(6);
     const EndpointPtr home = f.choose(42).endpoint;
     for (int i = 0; i < 20; ++i)
-        f.book.requestSent(*home, f.now);
+        f.registry.requestSent(*home, f.now);
     const Place away = f.choose(42);
     BOOST_TEST((away.reason == PlacementReason::HomeBusy));
     BOOST_TEST((away.cacheSource == home));
@@ -238,7 +240,7 @@
         f.endpoint(i).isUnreachable = true;
     BOOST_TEST(!f.chooseService().endpoint);
     f.endpoint(1).isUnreachable = false;
-    f.book.suspicion().suspect(f.endpoint(1).index, f.now);
+    f.registry.suspicion().suspect(f.endpoint(1).index, f.now);
     BOOST_TEST((f.chooseService().endpoint->info.id == Base::EndpointId("e1")));
 }
 
@@ -246,23 +248,23 @@
 BOOST_AUTO_TEST_CASE(amongManyRoutersRequestsLeaveAHomeOneAfterTheOther)
 {
     Fixture f(60);
-    f.book.setRouterCount(80);
+    f.registry.setRouterCount(80);
     const auto leaving = [&](int load, int tokens) {
         const auto choose = [&](std::uint64_t request) {
             return f.placement.choose({.service = service,
                                        .affinity = 42,
                                        .sharedTokens = Base::Tokens(tokens),
                                        .requestHash = request},
-                                      f.book, f.now);
+                                      f.registry, f.now);
         };
-        f.book.usualLoadTold(service, 4, f.now);
+        f.registry.usualLoadTold(service, 4, f.now);
         const EndpointPtr home =
-            f.placement.choose({.service = service, .affinity = 42}, f.book, f.now).endpoint;
-        f.book.loadReported(*home, {.running = load, .waiting = 0, .slots = 20}, f.now);
+            f.placement.choose({.service = service, .affinity = 42}, f.registry, f.now).endpoint;
+        f.registry.loadReported(*home, {.running = load, .waiting = 0, .slots = 20}, f.now);
         int left = 0;
         for (std::uint64_t request = 0; request < 1024; ++request)
             left += choose(request).endpoint != home ? 1 : 0;
-        f.book.loadReported(*home, {.running = 0, .waiting = 0, .slots = 20}, f.now);
+        f.registry.loadReported(*home, {.running = 0, .waiting = 0, .slots = 20}, f.now);
         return left;
     };
     constexpr int shortPrompt = 700;
@@ -273,7 +275,7 @@
     BOOST_TEST(leaving(8, longPrompt) > 200);
     BOOST_TEST(leaving(8, longPrompt) < 1024);
     BOOST_TEST(leaving(10, longPrompt) == 1024);
-    f.book.setRouterCount(8);
+    f.registry.setRouterCount(8);
     BOOST_TEST(leaving(8, shortPrompt) == 0);
 }
 
@@ -282,20 +284,20 @@
 BOOST_AUTO_TEST_CASE(whatFindsItsHomeFullIsSpreadByHowMuchThatHasTooMuch)
 {
     Fixture f(60);
-    f.book.setRouterCount(80);
+    f.registry.setRouterCount(80);
     const auto choose = [&](std::uint64_t request) {
-        f.book.usualLoadTold(service, 4, f.now);
+        f.registry.usualLoadTold(service, 4, f.now);
         return f.placement.choose({.service = service,
                                    .affinity = 42,
                                    .sharedTokens = Base::Tokens(10000),
                                    .requestHash = request},
-                                  f.book, f.now);
+                                  f.registry, f.now);
     };
     const EndpointPtr home = choose(1).endpoint;
     constexpr std::uint64_t requests = 1U << 20U;
     constexpr std::uint64_t step = 1021; // All parts of a hash take part.
     const auto places = [&](int load) {
-        f.book.loadReported(*home, {.running = load, .slots = 60}, f.now);
+        f.registry.loadReported(*home, {.running = load, .slots = 60}, f.now);
         std::map<std::string, int> found;
         for (std::uint64_t request = 0; request < requests; request += step)
             ++found[choose(request).endpoint->info.id.value()];
@@ -312,21 +314,21 @@
         most = std::max(most, count);
     BOOST_TEST(most < static_cast<int>(requests / step) / 8);
     // A small fleet hears of it at once, and reads the prompt at one more place only.
-    f.book.setRouterCount(8);
+    f.registry.setRouterCount(8);
     BOOST_TEST(places(30).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(whereFewEndpointsAreLeftNoneIsPassedOverInVain)
 {
     Fixture f(3);
-    f.book.setRouterCount(80);
+    f.registry.setRouterCount(80);
     const auto choose = [&](std::uint64_t request) {
-        f.book.usualLoadTold(service, 4, f.now);
+        f.registry.usualLoadTold(service, 4, f.now);
         return f.placement.choose({.service = service, .affinity = 42, .requestHash = request},
-                                  f.book, f.now);
+                                  f.registry, f.now);
     };
     const EndpointPtr home = choose(1).endpoint;
-    f.book.loadReported(*home, {.running = 50, .slots = 60}, f.now);
+    f.registry.loadReported(*home, {.running = 50, .slots = 60}, f.now);
     for (std::uint64_t request = 0; request < 100'000; request += 997) {
         const Place place = choose(request);
         BOOST_TEST(place.endpoint != home);
@@ -350,7 +352,7 @@
                                  .memory = Base::Tokens(40000),
                                  .requestHash = request,
                                  .targetLatency = std::chrono::milliseconds(300)},
-                                book, now);
+                                registry, now);
     }
     void hold(const EndpointRecord &endpoint, std::uint64_t prompt = 42, int tokens = 10000)
     {
@@ -380,7 +382,7 @@
     BOOST_TEST((held.endpoint.get() == &holder));
     BOOST_TEST((held.reason == PlacementReason::Holder));
     for (int i = 0; i < 8; ++i)
-        f.book.requestSent(holder, f.now);
+        f.registry.requestSent(holder, f.now);
     BOOST_TEST((f.choose().endpoint.get() != &holder));
 }
 
@@ -418,15 +420,15 @@
     explicit HeldHomeFixture(int load)
         : HolderFixture(60)
     {
-        book.setRouterCount(22);
-        book.usualLoadTold(service, 4, now);
+        registry.setRouterCount(22);
+        registry.usualLoadTold(service, 4, now);
         home = HolderFixture::choose().endpoint;
         hold(*home);
-        book.loadReported(*home, {.running = load, .slots = 60}, now);
+        registry.loadReported(*home, {.running = load, .slots = 60}, now);
     }
     EndpointPtr choose(std::uint64_t request)
     {
-        book.usualLoadTold(service, 4, now);
+        registry.usualLoadTold(service, 4, now);
         return HolderFixture::choose(42, 10000, request).endpoint;
     }
 
--- a/tests/auto/gateway/tst_reachability.cpp
+++ b/tests/auto/gateway/tst_reachability.cpp
@@ -37,11 +37,11 @@
     {
         for (int i = 0; i < 9; ++i) {
             const std::string number = std::to_string(i);
-            book.put(endpointAt("e" + number, "10.0.0." + number, "dc" + std::to_string(i % 3)),
-                     clock.now());
+            registry.put(endpointAt("e" + number, "10.0.0." + number, "dc" + std::to_string(i % 3)),
+                         clock.now());
         }
     }
-    EndpointPtr endpoint(int i) { return book.find(Base::EndpointId("e" + std::to_string(i))); }
+    EndpointPtr endpoint(int i) { return registry.find(Base::EndpointId("e" + std::to_string(i))); }
     /// Answers checks after 2 ms, or lets them time out.
     void pass(Base::Duration duration)
     {
@@ -69,11 +69,11 @@
 
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
-    EndpointRegistry book{{}};
+    EndpointRegistry registry{{}};
     std::set<std::string> cut;
     int count = 0;
     std::vector<std::pair<std::string, std::function<void(bool)>>> checks;
-    Reachability reachability{{.book = &book,
+    Reachability reachability{{.registry = &registry,
                                .timers = &timers,
                                .check = [this](const auto &server, Base::Duration, auto checked) {
                                    checks.emplace_back(server.ip, std::move(checked));
@@ -92,7 +92,7 @@
     Placement placement({});
     for (std::uint64_t prompt = 1; prompt < 100; ++prompt) {
         const Place place = placement.choose({.service = service, .affinity = prompt * 7919},
-                                             f.book, f.clock.now());
+                                             f.registry, f.clock.now());
         BOOST_TEST(!place.endpoint->isUnreachable);
     }
     f.cut.clear();
@@ -127,7 +127,7 @@
     f.cut = {"10.0.0.1"};
     f.reachability.foundUnreachable(f.endpoint(1));
     f.pass(std::chrono::milliseconds(200));
-    f.book.remove(Base::EndpointId("e1"));
+    f.registry.remove(Base::EndpointId("e1"));
     f.pass(std::chrono::seconds(1));
     const int before = f.count;
     f.pass(std::chrono::seconds(2));
@@ -141,19 +141,19 @@
     Fixture f;
     for (int i = 0; i < 500; ++i) {
         const std::string number = std::to_string(i);
-        f.book.put(endpointAt("big" + number, "10.1.0." + number, "big"), f.clock.now());
+        f.registry.put(endpointAt("big" + number, "10.1.0." + number, "big"), f.clock.now());
     }
     f.cut = {"10.1.0.7"};
-    f.reachability.foundUnreachable(f.book.find(Base::EndpointId("big7")));
+    f.reachability.foundUnreachable(f.registry.find(Base::EndpointId("big7")));
     f.pass(std::chrono::milliseconds(200));
     BOOST_TEST(f.count <= 10);
     // The whole data centre is cut off.
     for (int i = 0; i < 500; ++i)
         f.cut.insert("10.1.0." + std::to_string(i));
-    f.reachability.foundUnreachable(f.book.find(Base::EndpointId("big8")));
+    f.reachability.foundUnreachable(f.registry.find(Base::EndpointId("big8")));
     f.pass(std::chrono::milliseconds(420));
     int unreachable = 0;
-    for (const EndpointPtr &endpoint : f.book.inDataCentre(Base::DataCentreId("big")))
+    for (const EndpointPtr &endpoint : f.registry.inDataCentre(Base::DataCentreId("big")))
         unreachable += endpoint->isUnreachable ? 1 : 0;
     BOOST_TEST(unreachable == 500);
 }
--- a/tests/auto/gateway/tst_scarcememory.cpp
+++ b/tests/auto/gateway/tst_scarcememory.cpp
@@ -55,7 +55,7 @@
 
 struct Router
 {
-    EndpointRegistry book{{}};
+    EndpointRegistry registry{{}};
     Placement placement{{}};
     PromptDirectory prompts{{}};
 };
@@ -82,7 +82,7 @@
         for (int i = 0; i < routerCount; ++i) {
             m_routers.push_back(std::make_unique<Router>());
             for (int e = 0; e < engineCount; ++e) {
-                m_routers.back()->book.put(
+                m_routers.back()->registry.put(
                     {.id = Base::EndpointId("e" + std::to_string(e)), .service = m_service}, m_now);
             }
         }
@@ -117,7 +117,7 @@
                                      .sharedTokens = prompt.tokens,
                                      .prompts = m_isShared ? &router.prompts : nullptr,
                                      .memory = Base::Tokens(engineMemory)},
-                                    router.book, m_now);
+                                    router.registry, m_now);
         const PromptHolding holding{.prompt = prompt,
                                     .endpoint = place.endpoint->startHash,
                                     .memory = Base::Tokens(engineMemory)};
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -168,15 +168,15 @@
     Fixture()
     {
         for (const char *id : {"a", "b", "c"}) {
-            book.put({.id = Base::EndpointId(id),
-                      .service = service,
-                      .address = {"127.0.0.1", 80},
-                      .slots = 12,
-                      .startedAt = Base::WallTime(seconds(5))},
-                     now);
+            registry.put({.id = Base::EndpointId(id),
+                          .service = service,
+                          .address = {"127.0.0.1", 80},
+                          .slots = 12,
+                          .startedAt = Base::WallTime(seconds(5))},
+                         now);
         }
     }
-    EndpointRecord &endpoint(const char *id) { return *book.find(Base::EndpointId(id)); }
+    EndpointRecord &endpoint(const char *id) { return *registry.find(Base::EndpointId(id)); }
     Schema::LoadNews news(const char *id, int running, std::uint16_t ageMs)
     {
         return {.loads = {{.endpoint = endpoint(id).startHash,
@@ -187,8 +187,8 @@
 
     const Base::ServiceId service{"service"};
     Base::MonoTime now{std::chrono::hours(1)};
-    EndpointRegistry book{{}};
-    LoadSharing sharing{{.book = &book}};
+    EndpointRegistry registry{{}};
+    LoadSharing sharing{{.registry = &registry}};
 };
 
 } // namespace
@@ -198,10 +198,10 @@
     Fixture f;
     for (int i = 0; i < 20; ++i) {
         f.now += milliseconds(100);
-        f.book.loadReported(f.endpoint("a"), {.running = 3, .slots = 12}, f.now);
-        f.book.loadReported(f.endpoint("b"), {.running = 3, .slots = 12}, f.now);
+        f.registry.loadReported(f.endpoint("a"), {.running = 3, .slots = 12}, f.now);
+        f.registry.loadReported(f.endpoint("b"), {.running = 3, .slots = 12}, f.now);
     }
-    f.book.loadReported(f.endpoint("c"), {.running = 9, .waiting = 2, .slots = 12}, f.now);
+    f.registry.loadReported(f.endpoint("c"), {.running = 9, .waiting = 2, .slots = 12}, f.now);
     const Schema::LoadNews news = f.sharing.news(f.now + milliseconds(40));
     BOOST_REQUIRE(news.loads.size() == 1U);
     BOOST_TEST(news.loads[0].endpoint == f.endpoint("c").startHash);
@@ -212,7 +212,8 @@
     BOOST_TEST(news.usual[0].requestsMilli > 2900U);
     BOOST_TEST(news.usual[0].requestsMilli < 4000U);
     // That it has less again is told as well, and nothing old.
-    f.book.loadReported(f.endpoint("c"), {.running = 2, .slots = 12}, f.now + milliseconds(200));
+    f.registry.loadReported(f.endpoint("c"), {.running = 2, .slots = 12},
+                            f.now + milliseconds(200));
     BOOST_TEST(f.sharing.news(f.now + milliseconds(200)).loads.at(0).running == 2);
     BOOST_TEST(f.sharing.news(f.now + seconds(3)).loads.empty());
 }
@@ -221,15 +222,16 @@
 BOOST_AUTO_TEST_CASE(ofMoreThanAMessageHoldsTheNewestIsTold)
 {
     Base::MonoTime now{std::chrono::hours(1)};
-    EndpointRegistry book{{}};
+    EndpointRegistry registry{{}};
     const Base::ServiceId service("service");
-    LoadSharing sharing{{.book = &book}};
+    LoadSharing sharing{{.registry = &registry}};
     constexpr int busy = 40;
     for (int i = 0; i < busy; ++i) {
         const Base::EndpointId id("e" + std::to_string(i));
-        book.put({.id = id, .service = service, .address = {"127.0.0.1", 80}, .slots = 12}, now);
-        book.usualLoadTold(service, 2, now);
-        book.loadReported(*book.find(id), {.running = 9, .slots = 12}, now);
+        registry.put({.id = id, .service = service, .address = {"127.0.0.1", 80}, .slots = 12},
+                     now);
+        registry.usualLoadTold(service, 2, now);
+        registry.loadReported(*registry.find(id), {.running = 9, .slots = 12}, now);
         now += milliseconds(10);
     }
     const Schema::LoadNews news = sharing.news(now);
@@ -244,7 +246,7 @@
     EndpointRecord &a = f.endpoint("a");
     f.sharing.learn(f.news("a", 8, 100), {}, f.now);
     BOOST_TEST((f.now - a.reportedAt == milliseconds(100)));
-    BOOST_TEST(f.book.load(a, f.now) > 7);
+    BOOST_TEST(f.registry.load(a, f.now) > 7);
     f.sharing.learn(f.news("a", 2, 500), {}, f.now); // Out of order.
     f.sharing.learn(f.news("a", 8, 100), {}, f.now); // Twice.
     BOOST_TEST(a.report->running == 8);
@@ -252,9 +254,9 @@
     f.sharing.learn(f.news("a", 1, 0), seconds(4), f.now);
     BOOST_TEST(a.report->running == 8);
     // The endpoint itself goes before what it told somebody else earlier.
-    f.book.loadReported(a, {.running = 5, .slots = 12}, f.now);
+    f.registry.loadReported(a, {.running = 5, .slots = 12}, f.now);
     f.sharing.learn(f.news("a", 9, 10), {}, f.now);
-    BOOST_TEST(f.book.load(a, f.now) == 5);
+    BOOST_TEST(f.registry.load(a, f.now) == 5);
 }
 
 BOOST_AUTO_TEST_CASE(newsOfAnEarlierStartSayNothing)
@@ -263,7 +265,7 @@
     const Schema::LoadNews news = f.news("a", 11, 0);
     Fleet::Endpoint again = f.endpoint("a").info;
     again.startedAt = Base::WallTime(seconds(9));
-    f.book.put(again, f.now);
+    f.registry.put(again, f.now);
     f.sharing.learn(news, {}, f.now);
     BOOST_TEST(!f.endpoint("a").report);
 }
@@ -273,10 +275,10 @@
 {
     Fixture f;
     f.sharing.learn(f.news("a", 10, 0), {}, f.now);
-    const double early = f.book.load(f.endpoint("a"), f.now + milliseconds(500));
-    const double late = f.book.load(f.endpoint("a"), f.now + milliseconds(2500));
+    const double early = f.registry.load(f.endpoint("a"), f.now + milliseconds(500));
+    const double late = f.registry.load(f.endpoint("a"), f.now + milliseconds(2500));
     BOOST_TEST(late < early);
-    BOOST_TEST(f.book.load(f.endpoint("a"), f.now + seconds(4)) == 0);
+    BOOST_TEST(f.registry.load(f.endpoint("a"), f.now + seconds(4)) == 0);
 }
 
 /// An endpoint with twice the requests is heard of twice as often.
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -84,10 +84,10 @@
     PlacementFixture()
     {
         for (int i = 0; i < endpoints; ++i)
-            book.put(endpoint(i, false), now);
-        book.setServices(
+            registry.put(endpoint(i, false), now);
+        registry.setServices(
             {{.name = service, .warmup = {.time = seconds(3), .requestsPerSecond = bearable}}});
-        book.setFleet({.self = routerName(0), .isWhole = true});
+        registry.setFleet({.self = routerName(0), .isWhole = true});
     }
     static Lagoonbank::Fleet::Endpoint endpoint(int i, bool isWarmingUp)
     {
@@ -99,7 +99,10 @@
         one.isWarmingUp = isWarmingUp;
         return one;
     }
-    EndpointRecord &record(int i) { return *book.find(Base::EndpointId("e" + std::to_string(i))); }
+    EndpointRecord &record(int i)
+    {
+        return *registry.find(Base::EndpointId("e" + std::to_string(i)));
+    }
     /// Requests of so many prompts that go to the endpoint at this moment.
     int chosen(int endpoint, int prompts)
     {
@@ -109,11 +112,11 @@
                 placement.choose({.service = service,
                                   .affinity = static_cast<std::uint64_t>(prompt) * 7919,
                                   .mayRepeat = true},
-                                 book, now);
+                                 registry, now);
             if (place.endpoint.get() != &record(endpoint))
                 continue;
-            book.requestSent(*place.endpoint, now);
-            book.requestEnded(*place.endpoint);
+            registry.requestSent(*place.endpoint, now);
+            registry.requestEnded(*place.endpoint);
             ++count;
         }
         return count;
@@ -121,7 +124,7 @@
 
     static constexpr int endpoints = 4;
     Base::MonoTime now = start;
-    EndpointRegistry book{{}};
+    EndpointRegistry registry{{}};
     Placement placement{{}};
 };
 
@@ -205,8 +208,8 @@
 {
     PlacementFixture f;
     BOOST_TEST(f.chosen(2, 200) > 25);
-    f.book.remove(Base::EndpointId("e2"));
-    f.book.put(PlacementFixture::endpoint(2, true), f.now);
+    f.registry.remove(Base::EndpointId("e2"));
+    f.registry.put(PlacementFixture::endpoint(2, true), f.now);
     BOOST_TEST(f.chosen(2, 200) == 18);
     BOOST_TEST(f.chosen(2, 200) == 0);
     f.now += milliseconds(1100);
@@ -218,12 +221,12 @@
 BOOST_AUTO_TEST_CASE(anEndpointThatBecomesColdAgainIsSparedAgain)
 {
     PlacementFixture f;
-    f.book.put(PlacementFixture::endpoint(1, true), f.now);
+    f.registry.put(PlacementFixture::endpoint(1, true), f.now);
     BOOST_TEST(f.chosen(1, 200) == 18);
     f.now += seconds(4);
-    f.book.put(PlacementFixture::endpoint(1, false), f.now);
+    f.registry.put(PlacementFixture::endpoint(1, false), f.now);
     BOOST_TEST(f.chosen(1, 200) > 25);
-    f.book.put(PlacementFixture::endpoint(1, true), f.now);
+    f.registry.put(PlacementFixture::endpoint(1, true), f.now);
     BOOST_TEST(f.chosen(1, 200) == 18);
 }
 
@@ -231,9 +234,9 @@
 BOOST_AUTO_TEST_CASE(endpointsOfADataCentreThatIsTakenBackAreSpared)
 {
     PlacementFixture f;
-    f.book.setDrainedDataCentres({Base::DataCentreId("here")}, f.now);
+    f.registry.setDrainedDataCentres({Base::DataCentreId("here")}, f.now);
     f.now += seconds(10);
-    f.book.setDrainedDataCentres({}, f.now);
+    f.registry.setDrainedDataCentres({}, f.now);
     for (int i = 0; i < PlacementFixture::endpoints; ++i)
         BOOST_TEST(f.chosen(i, 400) == 18);
 }
@@ -242,9 +245,9 @@
 BOOST_AUTO_TEST_CASE(trialsOfAColdEndpointCountToo)
 {
     PlacementFixture f;
-    f.book.put(PlacementFixture::endpoint(1, true), f.now);
+    f.registry.put(PlacementFixture::endpoint(1, true), f.now);
     BOOST_TEST(f.chosen(1, 200) == 18);
-    f.book.suspicion().suspect(f.record(1).index, f.now);
+    f.registry.suspicion().suspect(f.record(1).index, f.now);
     f.now += milliseconds(1000);
     BOOST_TEST(f.chosen(1, 200) == 0);
 }
@@ -253,10 +256,10 @@
 BOOST_AUTO_TEST_CASE(aColdEndpointThatHasHadItsPartIsNoLastResort)
 {
     PlacementFixture f;
-    f.book.put(PlacementFixture::endpoint(1, true), f.now);
+    f.registry.put(PlacementFixture::endpoint(1, true), f.now);
     BOOST_TEST(f.chosen(1, 200) == 18);
     for (int i = 0; i < PlacementFixture::endpoints; ++i) {
-        f.book.suspicion().suspect(f.record(i).index, f.now);
+        f.registry.suspicion().suspect(f.record(i).index, f.now);
         f.record(i).isUnreachable = i != 1;
     }
     BOOST_TEST(f.chosen(1, 20) == 0);
