--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -70,7 +70,7 @@
     return first != waiters->second.end() && first->first.rank.compare(rank) <= 0;
 }
 
-void AdmissionQueue::roomMayBeFree(const Base::ServiceId &service)
+void AdmissionQueue::slotMayBeFree(const Base::ServiceId &service)
 {
     const auto first = m_queues.lower_bound({.service = service});
     if (first == m_queues.end() || first->first.service != service)
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -85,7 +85,7 @@
     /// may go wherever it may, and found nothing.
     bool isBehind(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const;
     /// A place of the service may have come free; those in line look soon, but not from this call.
-    void roomMayBeFree(const Base::ServiceId &service);
+    void slotMayBeFree(const Base::ServiceId &service);
     std::size_t size() const;
 
 private:
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -114,7 +114,7 @@
 {
     m_endpoints.setDrainedDataCentres(std::move(dataCentres), m_options.loop->clock().now());
     for (const auto &[service, endpoints] : m_endpoints.services())
-        m_admissionQueue.roomMayBeFree(service);
+        m_admissionQueue.slotMayBeFree(service);
 }
 
 void Gateway::setRouterCount(std::size_t routers)
@@ -305,7 +305,7 @@
     const Base::ServiceId &service = endpoint.info.service;
     concurrencyLimit(service).reported(report, m_endpoints.inFlight(service), now);
     if (m_endpoints.freePlaces(endpoint, now) > before)
-        m_admissionQueue.roomMayBeFree(service);
+        m_admissionQueue.slotMayBeFree(service);
 }
 
 Schema::LoadNews Gateway::loadNews()
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -393,7 +393,7 @@
     if (!m_attempt)
         return;
     m_gateway.m_endpoints.requestEnded(*m_attempt->endpoint);
-    m_gateway.m_admissionQueue.roomMayBeFree(m_attempt->endpoint->info.service);
+    m_gateway.m_admissionQueue.slotMayBeFree(m_attempt->endpoint->info.service);
     m_attempt.reset();
 }
 
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -42,7 +42,7 @@
     {
         free += places;
         for (int i = 0; i < places; ++i)
-            queue.roomMayBeFree(service);
+            queue.slotMayBeFree(service);
         timers.runDue();
     }
     void pass(Base::Duration duration)
@@ -102,8 +102,8 @@
     for (const char *name : {"a", "b", "c"})
         f.wait(name, usual);
     f.release(0);
-    f.queue.roomMayBeFree(service);
-    f.queue.roomMayBeFree(service);
+    f.queue.slotMayBeFree(service);
+    f.queue.slotMayBeFree(service);
     f.timers.runDue();
     BOOST_TEST(f.looks == 3); // One wake for both, and no more than three in vain.
     f.pass(milliseconds(10));
