--- a/src/libs/gateway/crashwatch.cpp
+++ b/src/libs/gateway/crashwatch.cpp
@@ -19,7 +19,7 @@
         m_options.timers->cancel(*m_judgeTimer);
 }
 
-void CrashWatch::broke(const EndpointPtr &endpoint, RequestFingerprint request)
+void CrashWatch::answerBroke(const EndpointPtr &endpoint, RequestFingerprint request)
 {
     const auto [entry, isNew] =
         m_watched.try_emplace(endpoint->startHash, Watched{.endpoint = endpoint});
--- a/src/libs/gateway/crashwatch.h
+++ b/src/libs/gateway/crashwatch.h
@@ -48,7 +48,7 @@
     CrashWatch &operator=(const CrashWatch &) = delete;
 
     /// The request was there, and its answer has broken off.
-    void broke(const EndpointPtr &endpoint, RequestFingerprint request);
+    void answerBroke(const EndpointPtr &endpoint, RequestFingerprint request);
 
     /// The endpoint has ended while it had these requests, each named once, any of which may be to
     /// blame.
--- a/tests/auto/gateway/tst_crashwatch.cpp
+++ b/tests/auto/gateway/tst_crashwatch.cpp
@@ -31,9 +31,9 @@
                 crashed.push_back(request.value());
         };
     }
-    void broke(std::uint64_t request, std::size_t endpoint = 0)
+    void answerBroke(std::uint64_t request, std::size_t endpoint = 0)
     {
-        watch.broke(endpoints[endpoint], RequestFingerprint(request));
+        watch.answerBroke(endpoints[endpoint], RequestFingerprint(request));
     }
     void pass(Base::Duration duration)
     {
@@ -71,10 +71,10 @@
 BOOST_AUTO_TEST_CASE(oneCheckTellsOfAllThatBrokeTogether)
 {
     Fixture f;
-    f.broke(1);
+    f.answerBroke(1);
     f.pass(milliseconds(2));
-    f.broke(2);
-    f.broke(2);
+    f.answerBroke(2);
+    f.answerBroke(2);
     f.endAll();
     BOOST_TEST(f.crashed == (Numbers{1, 2}), boost::test_tools::per_element());
     BOOST_TEST(f.checks == 1);
@@ -83,9 +83,9 @@
 BOOST_AUTO_TEST_CASE(whatBreaksDuringACheckIsCheckedNext)
 {
     Fixture f;
-    f.broke(1);
+    f.answerBroke(1);
     f.pass(milliseconds(5));
-    f.broke(2);
+    f.answerBroke(2);
     f.answer(true);
     f.pass(milliseconds(100));
     BOOST_TEST(f.crashed.empty());
@@ -100,8 +100,8 @@
 {
     Fixture f;
     for (std::size_t endpoint = 0; endpoint < 17; ++endpoint) {
-        f.broke(1, endpoint % 6); // Goes on from one to the next.
-        f.broke(100 + endpoint, endpoint);
+        f.answerBroke(1, endpoint % 6); // Goes on from one to the next.
+        f.answerBroke(100 + endpoint, endpoint);
     }
     f.endAll();
     BOOST_TEST(f.crashed.empty());
@@ -114,8 +114,8 @@
     Fixture f;
     for (std::size_t endpoint = 0; endpoint < 6; ++endpoint) {
         if (endpoint > 0)
-            f.broke(1, endpoint);
-        f.broke(100 + endpoint, endpoint);
+            f.answerBroke(1, endpoint);
+        f.answerBroke(100 + endpoint, endpoint);
     }
     f.endAll();
     BOOST_TEST(f.crashed == (Numbers{1, 1, 1, 1, 1}), boost::test_tools::per_element());
@@ -126,7 +126,7 @@
 {
     Fixture f;
     for (int i = 0; i < 1000; ++i) {
-        f.broke(static_cast<std::uint64_t>(i));
+        f.answerBroke(static_cast<std::uint64_t>(i));
         f.pass(milliseconds(10));
         f.answer(true);
     }
