--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -98,17 +98,17 @@
 
 /// Counts as a request at an endpoint while it lives, so that others who look for a place meanwhile
 /// take it into account.
-class HeldPlace
+class SlotReservation
 {
 public:
-    explicit HeldPlace(EndpointPtr endpoint)
+    explicit SlotReservation(EndpointPtr endpoint)
         : m_endpoint(std::move(endpoint))
     {
         ++m_endpoint->inFlight;
     }
-    ~HeldPlace() { --m_endpoint->inFlight; }
-    HeldPlace(const HeldPlace &) = delete;
-    HeldPlace &operator=(const HeldPlace &) = delete;
+    ~SlotReservation() { --m_endpoint->inFlight; }
+    SlotReservation(const SlotReservation &) = delete;
+    SlotReservation &operator=(const SlotReservation &) = delete;
 
 private:
     EndpointPtr m_endpoint;
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -104,7 +104,7 @@
         return;
     }
     // Streams of one endpoint fall silent together, and each counts for where the next one goes.
-    auto held = std::make_shared<HeldPlace>(other.endpoint);
+    auto held = std::make_shared<SlotReservation>(other.endpoint);
     m_gateway.m_options.client->check(
         other.endpoint->info.address, m_gateway.m_options.patience.connect,
         [weak = weak_from_this(), other, held = std::move(held),
