--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -57,7 +57,7 @@
         m_queues.erase(waiters);
 }
 
-bool AdmissionQueue::isBehind(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const
+bool AdmissionQueue::mustWait(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const
 {
     const auto waiters = m_queues.find(line);
     if (waiters == m_queues.end())
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -83,7 +83,7 @@
     void remove(const Ticket &ticket);
     /// Whether one that has not looked yet would find nothing, as one in line goes before it that
     /// may go wherever it may, and found nothing.
-    bool isBehind(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const;
+    bool mustWait(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const;
     /// A place of the service may have come free; those in line look soon, but not from this call.
     void slotMayBeFree(const Base::ServiceId &service);
     std::size_t size() const;
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -99,9 +99,9 @@
 void RequestRun::place()
 {
     const QueuePriority rank = queuePriority();
-    const bool isBehind =
-        m_gateway.m_admissionQueue.isBehind(queueId(), rank, m_route->mayRepeat());
-    if (isBehind || !findPlace())
+    const bool mustWait =
+        m_gateway.m_admissionQueue.mustWait(queueId(), rank, m_route->mayRepeat());
+    if (mustWait || !findPlace())
         waitInQueue(rank);
 }
 
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -155,15 +155,15 @@
 {
     Fixture f;
     const AdmissionQueue::QueueId line{.service = service, .isStream = true};
-    BOOST_TEST(!f.queue.isBehind(line, usual, true));
+    BOOST_TEST(!f.queue.mustWait(line, usual, true));
     f.wait("sent before", repeat);
-    BOOST_TEST(!f.queue.isBehind(line, usual, true));
+    BOOST_TEST(!f.queue.mustWait(line, usual, true));
     f.wait("once at most", usual, true, false);
-    BOOST_TEST(f.queue.isBehind(line, usual, false));
-    BOOST_TEST(!f.queue.isBehind(line, usual, true)); // It may find out whether one is back.
+    BOOST_TEST(f.queue.mustWait(line, usual, false));
+    BOOST_TEST(!f.queue.mustWait(line, usual, true)); // It may find out whether one is back.
     f.wait("a", usual);
-    BOOST_TEST(f.queue.isBehind(line, usual, true));
-    BOOST_TEST(f.queue.isBehind(line, beyondItsShare, true));
-    BOOST_TEST(!f.queue.isBehind(line, urgent, true));
-    BOOST_TEST(!f.queue.isBehind({.service = service, .isStream = false}, usual, true));
+    BOOST_TEST(f.queue.mustWait(line, usual, true));
+    BOOST_TEST(f.queue.mustWait(line, beyondItsShare, true));
+    BOOST_TEST(!f.queue.mustWait(line, urgent, true));
+    BOOST_TEST(!f.queue.mustWait({.service = service, .isStream = false}, usual, true));
 }
