--- a/src/libs/gateway/crashwatch.cpp
+++ b/src/libs/gateway/crashwatch.cpp
@@ -11,42 +11,42 @@
 
 CrashWatch::~CrashWatch()
 {
-    for (const auto &[startHash, watched] : m_watched) {
-        if (watched.timer)
-            m_options.timers->cancel(*watched.timer);
+    for (const auto &[startHash, broken] : m_brokenEndpoints) {
+        if (broken.timer)
+            m_options.timers->cancel(*broken.timer);
     }
-    if (m_judgeTimer)
-        m_options.timers->cancel(*m_judgeTimer);
+    if (m_reportTimer)
+        m_options.timers->cancel(*m_reportTimer);
 }
 
 void CrashWatch::answerBroke(const EndpointPtr &endpoint, RequestFingerprint request)
 {
     const auto [entry, isNew] =
-        m_watched.try_emplace(endpoint->startHash, Watched{.endpoint = endpoint});
+        m_brokenEndpoints.try_emplace(endpoint->startHash, BrokenEndpoint{.endpoint = endpoint});
     std::vector<RequestFingerprint> &requests = entry->second.requests;
     if (std::find(requests.begin(), requests.end(), request) == requests.end())
         requests.push_back(request);
     if (isNew)
-        checkAfter(m_options.gatherTime, entry->second);
+        checkAfter(m_options.checkDelay, entry->second);
 }
 
-void CrashWatch::checkAfter(Base::Duration delay, Watched &watched)
+void CrashWatch::checkAfter(Base::Duration delay, BrokenEndpoint &broken)
 {
-    const std::uint64_t startHash = watched.endpoint->startHash;
-    watched.timer = m_options.timers->start(delay, [this, startHash] { check(startHash); });
+    const std::uint64_t startHash = broken.endpoint->startHash;
+    broken.timer = m_options.timers->start(delay, [this, startHash] { check(startHash); });
 }
 
 void CrashWatch::check(std::uint64_t startHash)
 {
-    Watched &watched = m_watched.at(startHash);
-    watched.timer.reset();
-    if (watched.requests.empty()) {
-        m_watched.erase(startHash);
+    BrokenEndpoint &broken = m_brokenEndpoints.at(startHash);
+    broken.timer.reset();
+    if (broken.requests.empty()) {
+        m_brokenEndpoints.erase(startHash);
         return;
     }
-    const std::vector<RequestFingerprint> requests = std::exchange(watched.requests, {});
+    const std::vector<RequestFingerprint> requests = std::exchange(broken.requests, {});
     m_options.check(
-        watched.endpoint->info.address, m_options.checkTimeout,
+        broken.endpoint->info.address, m_options.checkTimeout,
         [this, startHash, requests, isAlive = std::weak_ptr<bool>(m_isAlive)](bool isReachable) {
             if (!isAlive.expired())
                 checked(startHash, requests, isReachable);
@@ -56,26 +56,27 @@
 void CrashWatch::checked(std::uint64_t startHash, const std::vector<RequestFingerprint> &requests,
                          bool isReachable)
 {
-    Watched &watched = m_watched.at(startHash);
-    checkAfter(m_options.interval, watched);
+    BrokenEndpoint &broken = m_brokenEndpoints.at(startHash);
+    checkAfter(m_options.checkInterval, broken);
     if (isReachable)
         return;
-    m_ends.push_back({.endpoint = watched.endpoint, .requests = requests});
-    if (!m_judgeTimer)
-        m_judgeTimer = m_options.timers->start(m_options.judgeTime, [this] { judge(); });
+    m_crashes.push_back({.endpoint = broken.endpoint, .requests = requests});
+    if (!m_reportTimer)
+        m_reportTimer =
+            m_options.timers->start(m_options.correlationWindow, [this] { reportCrashes(); });
 }
 
-void CrashWatch::judge()
+void CrashWatch::reportCrashes()
 {
-    m_judgeTimer.reset();
-    std::vector<End> ends = std::exchange(m_ends, {});
+    m_reportTimer.reset();
+    std::vector<Crash> ends = std::exchange(m_crashes, {});
     absl::flat_hash_map<RequestFingerprint, std::size_t> counts;
-    for (const End &end : ends) {
+    for (const Crash &end : ends) {
         for (const RequestFingerprint request : end.requests)
             ++counts[request];
     }
-    const double least = m_options.blamedShare * static_cast<double>(ends.size());
-    for (End &end : ends) {
+    const double least = m_options.minCrashShare * static_cast<double>(ends.size());
+    for (Crash &end : ends) {
         std::erase_if(end.requests, [&](RequestFingerprint request) {
             return static_cast<double>(counts.at(request)) < least;
         });
--- a/src/libs/gateway/crashwatch.h
+++ b/src/libs/gateway/crashwatch.h
@@ -31,15 +31,15 @@
         Base::Duration checkTimeout = std::chrono::milliseconds(100);
         /// From the first broken answer to the check: the others of an endpoint that ended break
         /// within a round trip.
-        Base::Duration gatherTime = std::chrono::milliseconds(5);
+        Base::Duration checkDelay = std::chrono::milliseconds(5);
         /// Between two checks of one endpoint. One that breaks many answers and stays costs few
         /// connections, and none that ended is back by then.
-        Base::Duration interval = std::chrono::milliseconds(200);
+        Base::Duration checkInterval = std::chrono::milliseconds(200);
         /// For which ends are gathered: a cut shows at all endpoints within some tens of ms.
-        Base::Duration judgeTime = std::chrono::milliseconds(100);
+        Base::Duration correlationWindow = std::chrono::milliseconds(100);
         /// Part of the endpoints that ended together which a request must have been at for it to
         /// be to blame: it may have been at some of them through other routers.
-        double blamedShare = 0.5;
+        double minCrashShare = 0.5;
     };
 
     explicit CrashWatch(Options options);
@@ -57,28 +57,29 @@
         crashed;
 
 private:
-    struct End
+    struct Crash
     {
         EndpointPtr endpoint;
         std::vector<RequestFingerprint> requests;
     };
-    struct Watched
+    struct BrokenEndpoint
     {
         EndpointPtr endpoint;
         std::vector<RequestFingerprint> requests; ///< That broke since the last check.
         std::optional<Runtime::TimerId> timer; ///< Until the next check; none while one is made.
     };
 
-    void checkAfter(Base::Duration delay, Watched &watched);
+    void checkAfter(Base::Duration delay, BrokenEndpoint &broken);
     void check(std::uint64_t startHash);
     void checked(std::uint64_t startHash, const std::vector<RequestFingerprint> &requests,
                  bool isReachable);
-    void judge();
+    void reportCrashes();
 
     Options m_options;
-    absl::flat_hash_map<std::uint64_t, Watched> m_watched; ///< By EndpointRecord::startHash.
-    std::vector<End> m_ends; ///< That are not judged yet.
-    std::optional<Runtime::TimerId> m_judgeTimer;
+    absl::flat_hash_map<std::uint64_t, BrokenEndpoint>
+        m_brokenEndpoints; ///< By EndpointRecord::startHash.
+    std::vector<Crash> m_crashes; ///< That are not judged yet.
+    std::optional<Runtime::TimerId> m_reportTimer;
     /// Checks that end after this object is gone find it out by this.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
