--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -76,7 +76,7 @@
         EndpointRegistry::becameCold(endpoint, now);
     if (!facts.restTime)
         return;
-    notice.restsUntil = std::max(notice.restsUntil, now + *facts.restTime);
+    notice.backOffUntil = std::max(notice.backOffUntil, now + *facts.restTime);
     m_options.log->request(part, "An endpoint wants rest.",
                            {{"endpoint", endpoint.info.id.value()},
                             {"request", request.value()},
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -47,7 +47,7 @@
 {
     bool isLeaving = false; ///< It takes no new requests.
     bool isReplaced = false; ///< Another endpoint has answered at its address.
-    Base::MonoTime restsUntil{}; ///< It wants nothing before.
+    Base::MonoTime backOffUntil{}; ///< It wants nothing before.
 
     bool operator==(const EndpointNotice &) const = default;
 };
@@ -90,7 +90,7 @@
     }
     bool takesRequests(Base::MonoTime now) const
     {
-        return isInService() && now >= notice.restsUntil;
+        return isInService() && now >= notice.backOffUntil;
     }
 };
 
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -65,8 +65,8 @@
     return reasonNames.at(static_cast<std::size_t>(reason));
 }
 
-Place Placement::choose(const PlacementRequest &request, EndpointRegistry &registry,
-                        Base::MonoTime now) const
+PlacementResult Placement::choose(const PlacementRequest &request, EndpointRegistry &registry,
+                                  Base::MonoTime now) const
 {
     Choice choice = choiceFor(request, registry, now);
     const Candidates &candidates = choice.candidates;
@@ -78,7 +78,7 @@
         sum += candidate.load;
     const double mean = sum / static_cast<double>(candidates.size());
     const std::size_t count = candidates.size();
-    Place place;
+    PlacementResult place;
     const auto trial = std::find_if(candidates.begin(), candidates.end(),
                                     [](const Candidate &one) { return one.isTrial; });
     if (trial != candidates.end()) {
@@ -102,7 +102,8 @@
     return !choiceFor(request, registry, now).candidates.empty();
 }
 
-Place Placement::noRoom(const Choice &choice, const EndpointRegistry &registry, Base::MonoTime now)
+PlacementResult Placement::noRoom(const Choice &choice, const EndpointRegistry &registry,
+                                  Base::MonoTime now)
 {
     double sum = 0;
     for (const EndpointPtr &endpoint : choice.full)
@@ -153,8 +154,8 @@
     return choice;
 }
 
-Place Placement::byAffinity(const PlacementRequest &request, Choice choice,
-                            const EndpointRegistry &registry, Base::MonoTime now) const
+PlacementResult Placement::byAffinity(const PlacementRequest &request, Choice choice,
+                                      const EndpointRegistry &registry, Base::MonoTime now) const
 {
     const Routing::RendezvousCost order(*request.affinity);
     Candidates &candidates = choice.candidates;
@@ -163,7 +164,7 @@
     std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &a, const Candidate &b) { return a.cost < b.cost; });
     const double mean = meanLoad(request, candidates, registry, now);
-    const double most = mostLoad(request, mean, registry);
+    const double most = maximumLoad(request, mean, registry);
     const Speeds speeds = speedsOf(candidates, now);
     const EndpointPtr fullHome = fullBefore(candidates.front().cost, order, choice.full);
     PlacementReason reason = fullHome ? PlacementReason::HomeBusy : PlacementReason::Home;
@@ -173,7 +174,7 @@
         if (const auto held = heldPlace(request, candidates, mean, most, speeds, now))
             return *held;
     }
-    Place second; // The first one that is passed over, or has everything but memory.
+    PlacementResult second; // The first one that is passed over, or has everything but memory.
     for (const Candidate &candidate : candidates) {
         if (candidate.load + 1 > most) {
             reason = PlacementReason::HomeBusy;
@@ -183,10 +184,10 @@
             reason = PlacementReason::HomeSlow;
             continue;
         }
-        Place place{.endpoint = candidate.endpoint,
-                    .reason = reason,
-                    .load = candidate.load,
-                    .mostLoad = most};
+        PlacementResult place{.endpoint = candidate.endpoint,
+                              .reason = reason,
+                              .load = candidate.load,
+                              .maximumLoad = most};
         const bool isPassedOver = toPass > 0;
         if (!isPassedOver && hasMemory(request, *candidate.endpoint))
             return place;
@@ -202,7 +203,8 @@
     const auto least =
         std::min_element(candidates.begin(), candidates.end(),
                          [](const Candidate &a, const Candidate &b) { return a.load < b.load; });
-    return {.endpoint = least->endpoint, .reason = reason, .load = least->load, .mostLoad = most};
+    return {
+        .endpoint = least->endpoint, .reason = reason, .load = least->load, .maximumLoad = most};
 }
 
 /// Of the candidates with the request itself, and of endpoints that are spared on purpose: they are
@@ -230,10 +232,10 @@
     return sum / count;
 }
 
-std::optional<Place> Placement::heldPlace(const PlacementRequest &request,
-                                          const Candidates &candidates, double meanLoad,
-                                          double mostAtHome, const Speeds &speeds,
-                                          Base::MonoTime now) const
+std::optional<PlacementResult> Placement::heldPlace(const PlacementRequest &request,
+                                                    const Candidates &candidates, double meanLoad,
+                                                    double mostAtHome, const Speeds &speeds,
+                                                    Base::MonoTime now) const
 {
     if (!request.prompts)
         return std::nullopt;
@@ -253,10 +255,10 @@
             : m_options.holderBoundFactor * meanLoad + m_options.holderBoundSlack;
         if (candidate.load + 1 > most || isSlow(request, *candidate.endpoint, speeds, now))
             continue;
-        return Place{.endpoint = candidate.endpoint,
-                     .reason = isHome ? PlacementReason::Home : PlacementReason::Holder,
-                     .load = candidate.load,
-                     .mostLoad = most};
+        return PlacementResult{.endpoint = candidate.endpoint,
+                               .reason = isHome ? PlacementReason::Home : PlacementReason::Holder,
+                               .load = candidate.load,
+                               .maximumLoad = most};
     }
     return std::nullopt;
 }
@@ -269,8 +271,8 @@
 }
 
 /// Among many routers the part of the requests that leaves is the same on each.
-double Placement::mostLoad(const PlacementRequest &request, double mean,
-                           const EndpointRegistry &registry) const
+double Placement::maximumLoad(const PlacementRequest &request, double mean,
+                              const EndpointRegistry &registry) const
 {
     const double most = bound().at(mean);
     if (!isLoadKnownLate(registry))
@@ -296,7 +298,7 @@
 /// there for long, unless that is the target itself. A home that is passed over need not be there
 /// for long, as such requests are what it is busy with, unless it is cold.
 EndpointPtr Placement::cacheSource(const PlacementRequest &request,
-                                   const EndpointRegistry &registry, const Place &place,
+                                   const EndpointRegistry &registry, const PlacementResult &place,
                                    Base::MonoTime now) const
 {
     const EndpointRecord &target = *place.endpoint;
@@ -324,10 +326,10 @@
     return source;
 }
 
-Place Placement::byCost(const Candidates &candidates, Base::MonoTime now) const
+PlacementResult Placement::byCost(const Candidates &candidates, Base::MonoTime now) const
 {
     const double usual = speedsOf(candidates, now).latency / static_cast<double>(candidates.size());
-    Place best;
+    PlacementResult best;
     double least = std::numeric_limits<double>::max();
     for (const Candidate &candidate : candidates) {
         const EndpointRecord &endpoint = *candidate.endpoint;
@@ -345,16 +347,16 @@
     return best;
 }
 
-Place Placement::lastResort(const PlacementRequest &request, const EndpointRegistry &registry,
-                            Base::MonoTime now)
+PlacementResult Placement::lastResort(const PlacementRequest &request,
+                                      const EndpointRegistry &registry, Base::MonoTime now)
 {
-    Place place{.reason = PlacementReason::LastResort};
+    PlacementResult place{.reason = PlacementReason::LastResort};
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         if (!endpoint->isInService() || isTried(request, endpoint))
             continue;
         if (!endpoint->takesRequests(now)) {
-            const Base::MonoTime until = endpoint->notice.restsUntil;
-            place.restsUntil = std::min(place.restsUntil.value_or(until), until);
+            const Base::MonoTime until = endpoint->notice.backOffUntil;
+            place.backOffUntil = std::min(place.backOffUntil.value_or(until), until);
             continue;
         }
         if (!registry.bearsRequest(*endpoint, now))
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -50,7 +50,7 @@
 };
 std::string_view toString(PlacementReason reason);
 
-struct Place
+struct PlacementResult
 {
     EndpointPtr endpoint; ///< Null if there is none.
     PlacementReason reason = PlacementReason::Home;
@@ -60,11 +60,11 @@
     double load = 0; ///< Of the endpoint, in requests.
     double meanLoad = 0; ///< Of the candidates.
     /// With which it still takes requests of this prompt; nothing for a request without one.
-    std::optional<double> mostLoad;
+    std::optional<double> maximumLoad;
     std::size_t candidates = 0;
     bool isFull = false; ///< None of the candidates has room for the request.
     /// When the first one that rests takes requests again, if there is no endpoint but such.
-    std::optional<Base::MonoTime> restsUntil;
+    std::optional<Base::MonoTime> backOffUntil;
 };
 
 /// Chooses the endpoint of a request. Pure: state and time in, a place out.
@@ -128,8 +128,8 @@
         : m_options(options)
     { }
 
-    Place choose(const PlacementRequest &request, EndpointRegistry &registry,
-                 Base::MonoTime now) const;
+    PlacementResult choose(const PlacementRequest &request, EndpointRegistry &registry,
+                           Base::MonoTime now) const;
     /// Whether an endpoint that is trusted has room for the request.
     bool canPlace(const PlacementRequest &request, const EndpointRegistry &registry,
                   Base::MonoTime now) const;
@@ -159,17 +159,18 @@
                                const EndpointRegistry &registry, Base::MonoTime now);
     Choice choiceFor(const PlacementRequest &request, const EndpointRegistry &registry,
                      Base::MonoTime now) const;
-    static Place noRoom(const Choice &choice, const EndpointRegistry &registry, Base::MonoTime now);
-    Place byAffinity(const PlacementRequest &request, Choice choice,
-                     const EndpointRegistry &registry, Base::MonoTime now) const;
+    static PlacementResult noRoom(const Choice &choice, const EndpointRegistry &registry,
+                                  Base::MonoTime now);
+    PlacementResult byAffinity(const PlacementRequest &request, Choice choice,
+                               const EndpointRegistry &registry, Base::MonoTime now) const;
     double meanLoad(const PlacementRequest &request, const Candidates &candidates,
                     const EndpointRegistry &registry, Base::MonoTime now) const;
     static bool hasMemory(const PlacementRequest &request, const EndpointRecord &endpoint);
     EndpointPtr cacheSource(const PlacementRequest &request, const EndpointRegistry &registry,
-                            const Place &place, Base::MonoTime now) const;
+                            const PlacementResult &place, Base::MonoTime now) const;
     /// Requests that an endpoint may have, this one included, for it to be sent there by affinity.
-    double mostLoad(const PlacementRequest &request, double mean,
-                    const EndpointRegistry &registry) const;
+    double maximumLoad(const PlacementRequest &request, double mean,
+                       const EndpointRegistry &registry) const;
     /// Endpoints behind its home that a request passes over although they would take it.
     std::size_t passedOver(const PlacementRequest &request, double homeLoad, double mean,
                            const EndpointRegistry &registry) const;
@@ -182,9 +183,9 @@
     {
         return {.factor = m_options.boundFactor, .slack = m_options.boundSlack};
     }
-    Place byCost(const Candidates &candidates, Base::MonoTime now) const;
-    static Place lastResort(const PlacementRequest &request, const EndpointRegistry &registry,
-                            Base::MonoTime now);
+    PlacementResult byCost(const Candidates &candidates, Base::MonoTime now) const;
+    static PlacementResult lastResort(const PlacementRequest &request,
+                                      const EndpointRegistry &registry, Base::MonoTime now);
     /// Sums over the candidates, in seconds.
     struct Speeds
     {
@@ -194,9 +195,10 @@
     };
     Speeds speedsOf(const Candidates &candidates, Base::MonoTime now) const;
     /// Where the prompt is held; nothing if that is nowhere, or has too much work.
-    std::optional<Place> heldPlace(const PlacementRequest &request, const Candidates &candidates,
-                                   double meanLoad, double mostAtHome, const Speeds &speeds,
-                                   Base::MonoTime now) const;
+    std::optional<PlacementResult> heldPlace(const PlacementRequest &request,
+                                             const Candidates &candidates, double meanLoad,
+                                             double mostAtHome, const Speeds &speeds,
+                                             Base::MonoTime now) const;
     bool isSlow(const PlacementRequest &request, const EndpointRecord &endpoint, const Speeds &sum,
                 Base::MonoTime now) const;
 
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -285,7 +285,7 @@
     m_isPaidRepeat =
         m_sends > 0 && m_gateway.m_retryBudget.spend(m_service, m_timers.clock().now());
     m_gateway.m_options.metrics->repeats(failure.kind).increment();
-    const std::optional<Place> next = std::exchange(m_next, std::nullopt);
+    const std::optional<PlacementResult> next = std::exchange(m_next, std::nullopt);
     if (!next)
         place();
     else if (!findsCallerGone())
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -73,7 +73,7 @@
     std::optional<std::uint64_t> affinity() const;
     Base::Tokens sharedTokens() const;
     /// The endpoint is reading the prompt for another request; waits until it holds it.
-    bool awaitReading(const Place &place);
+    bool awaitReading(const PlacementResult &place);
     std::optional<std::uint64_t> resumeAfter() const;
     /// Sends the request to another endpoint; one that was reached before makes it a repeat.
     void goOn(const Failure &failure);
@@ -85,7 +85,7 @@
     /// It may not run at one more endpoint.
     bool areEndpointsUsed() const;
     void place();
-    void sendTo(const Place &place);
+    void sendTo(const PlacementResult &place);
     /// A stream that has begun waits for an endpoint that can be reached; false if it may not.
     bool awaitEndpoint();
     AdmissionQueue::QueueId queueId() const;
@@ -105,12 +105,12 @@
         EndpointPtr endpoint; ///< Null if all is read.
         bool isCertain = false; ///< It holds the prompt, as far as is known.
     };
-    CacheSource cacheSource(const Place &place) const;
+    CacheSource cacheSource(const PlacementResult &place) const;
     bool isOverLimit() const;
     /// At an endpoint of the service; nothing if it is not known.
     std::optional<double> usualLoad() const;
     double coldFor(const EndpointRecord &endpoint) const;
-    void logSend(const Place &place, const CacheSource &source) const;
+    void logSend(const PlacementResult &place, const CacheSource &source) const;
     void send(const EndpointPtr &endpoint, const CacheSource &cacheSource);
     Http::Hooks hooks();
     void headReceived(int status, const Http::Headers &headers);
@@ -141,7 +141,7 @@
     void leaveIfPossible();
     /// Goes on at another endpoint once that has taken a connection.
     void seekOther();
-    void otherChecked(const Place &other, bool isReachable);
+    void otherChecked(const PlacementResult &other, bool isReachable);
     void cancelAttempt();
     void releaseEndpoint();
     void end(std::string_view outcome, int status);
@@ -179,8 +179,9 @@
     std::optional<Runtime::TimerId> m_placeTimer; ///< Until it looks for a place again.
     std::optional<Base::MonoTime> m_queuedAt; ///< Since its last send.
     std::optional<AdmissionQueue::Ticket> m_queueTicket; ///< While it waits in line for room.
-    Place m_lastFullPlace; ///< When it looked for room last and found none.
-    std::optional<Place> m_next; ///< Where it goes on; chosen when it is sent if there is none.
+    PlacementResult m_lastFullPlace; ///< When it looked for room last and found none.
+    std::optional<PlacementResult>
+        m_next; ///< Where it goes on; chosen when it is sent if there is none.
     Base::MonoTime m_passedOnAt; ///< When its caller got something last.
     Base::MonoTime m_silenceTimerDue;
     Base::MonoTime m_silentAt;
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -114,7 +114,7 @@
         m_lastFullPlace = {};
         return false;
     }
-    const Place place =
+    const PlacementResult place =
         m_gateway.m_placement.choose(placementRequest(), m_gateway.m_endpoints, now);
     if (place.isFull) {
         m_lastFullPlace = place;
@@ -123,8 +123,8 @@
     if (!place.endpoint && awaitEndpoint())
         return true;
     if (!place.endpoint) {
-        const auto comeBack = place.restsUntil
-            ? std::optional<Base::Duration>(*place.restsUntil - now)
+        const auto comeBack = place.backOffUntil
+            ? std::optional<Base::Duration>(*place.backOffUntil - now)
             : std::nullopt;
         giveUp({.kind = ErrorKind::NoEndpoint,
                 .hasReached = false,
@@ -171,7 +171,7 @@
         : 1;
 }
 
-void RequestRun::sendTo(const Place &place)
+void RequestRun::sendTo(const PlacementResult &place)
 {
     if (isQuarantined()) // It has waited, or been elsewhere, since it came.
         return;
@@ -181,7 +181,7 @@
     send(place.endpoint, source);
 }
 
-void RequestRun::logSend(const Place &place, const CacheSource &source) const
+void RequestRun::logSend(const PlacementResult &place, const CacheSource &source) const
 {
     m_gateway.m_options.log->request(
         part, "Sending.",
@@ -191,7 +191,7 @@
          {"reason", toString(place.reason)},
          {"load", place.load},
          {"mean_load", place.meanLoad},
-         {"most_load", place.mostLoad.value_or(notKnown)},
+         {"most_load", place.maximumLoad.value_or(notKnown)},
          {"candidates", place.candidates},
          {"load_age_ms", m_timers.clock().now() - place.endpoint->reportedAt},
          {"load_told", place.endpoint->isReportTold},
@@ -299,7 +299,7 @@
     return std::min(patience.longestRoomWait, share);
 }
 
-RequestRun::CacheSource RequestRun::cacheSource(const Place &place) const
+RequestRun::CacheSource RequestRun::cacheSource(const PlacementResult &place) const
 {
     const bool isCopying = m_gateway.m_options.policy.copies;
     if (!isCopying || m_prefixes.empty())
@@ -318,7 +318,7 @@
 }
 
 /// Two requests that read a prompt at once read it twice, each at half the speed.
-bool RequestRun::awaitReading(const Place &place)
+bool RequestRun::awaitReading(const PlacementResult &place)
 {
     if (m_hasAwaitedReading || sharedTokens() < m_gateway.m_options.patience.leastAwaited)
         return false;
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -97,7 +97,7 @@
 void RequestRun::seekOther()
 {
     const Base::MonoTime now = m_timers.clock().now();
-    const Place other =
+    const PlacementResult other =
         m_gateway.m_placement.choose(placementRequest(), m_gateway.m_endpoints, now);
     if (!other.endpoint) {
         stay("no_other_endpoint");
@@ -117,7 +117,7 @@
         });
 }
 
-void RequestRun::otherChecked(const Place &other, bool isReachable)
+void RequestRun::otherChecked(const PlacementResult &other, bool isReachable)
 {
     if (!isReachable && m_gateway.m_options.policy.reachability) {
         m_gateway.m_reachability.foundUnreachable(other.endpoint);
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -242,7 +242,7 @@
     void request(Router &router, const Kind &kind, std::uint64_t prompt)
     {
         using namespace Lagoonbank;
-        const Gateway::Place place =
+        const Gateway::PlacementResult place =
             router.placement.choose({.service = service(),
                                      .affinity = prompt,
                                      .sharedTokens = Base::Tokens(kind.sharedTokens),
@@ -270,7 +270,7 @@
         });
     }
 
-    void count(const Router &router, const Lagoonbank::Gateway::Place &place, int running)
+    void count(const Router &router, const Lagoonbank::Gateway::PlacementResult &place, int running)
     {
         const bool isOver = running > 2 * meanLoad() + 3;
         Second &second = m_seconds[static_cast<int>(m_now)];
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -288,7 +288,7 @@
             : 1e9;
         const bool isOverLimit = m_options.isLimiting
             && !router.limit.admits(router.registry.inFlight(m_service), share);
-        Lagoonbank::Gateway::Place chosen;
+        Lagoonbank::Gateway::PlacementResult chosen;
         if (!isOverLimit) {
             chosen = router.placement.choose({.service = m_service,
                                               .affinity = job->prompt,
--- a/tests/auto/gateway/tst_draineddatacentre.cpp
+++ b/tests/auto/gateway/tst_draineddatacentre.cpp
@@ -38,7 +38,7 @@
         const auto record = registry.find(Base::EndpointId("e" + std::to_string(number)));
         registry.suspicion().suspect(record->index, now);
     }
-    Place choose(std::uint64_t affinity, bool mayRepeat = false)
+    PlacementResult choose(std::uint64_t affinity, bool mayRepeat = false)
     {
         return placement.choose({.service = service,
                                  .affinity = affinity,
@@ -53,7 +53,7 @@
         constexpr int prompts = 200;
         int count = 0;
         for (std::uint64_t prompt = 1; prompt <= prompts; ++prompt) {
-            const Place place = choose(prompt * 7919, mayRepeat);
+            const PlacementResult place = choose(prompt * 7919, mayRepeat);
             count += place.endpoint && place.endpoint->info.dataCentre == dataCentre ? 1 : 0;
         }
         return count;
@@ -119,7 +119,7 @@
     f.registry.setDrainedDataCentres({here, there}, f.now);
     BOOST_TEST((f.choose(7919).endpoint == nullptr));
     f.registry.setDrainedDataCentres({there}, f.now);
-    const Place place = f.choose(7919);
+    const PlacementResult place = f.choose(7919);
     BOOST_REQUIRE(place.endpoint);
     BOOST_TEST((place.endpoint->info.dataCentre == here));
 }
--- a/tests/auto/gateway/tst_endpointregistry.cpp
+++ b/tests/auto/gateway/tst_endpointregistry.cpp
@@ -109,7 +109,7 @@
     one.startedAt = Base::WallTime(std::chrono::seconds(7));
     registry.put(one, start);
     registry.find(one.id)->notice = {.isLeaving = true,
-                                     .restsUntil = start + std::chrono::hours(1)};
+                                     .backOffUntil = start + std::chrono::hours(1)};
     registry.remove(one.id);
     registry.put(one, start);
     BOOST_TEST(registry.find(one.id)->notice.isLeaving);
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -34,7 +34,7 @@
     {
         return *registry.find(Base::EndpointId("e" + std::to_string(i)));
     }
-    Place choose(std::uint64_t affinity)
+    PlacementResult choose(std::uint64_t affinity)
     {
         return placement.choose({.service = service,
                                  .affinity = affinity,
@@ -42,7 +42,7 @@
                                  .longestPause = std::chrono::milliseconds(250)},
                                 registry, now);
     }
-    Place chooseService(bool mayRepeat = false)
+    PlacementResult chooseService(bool mayRepeat = false)
     {
         return placement.choose({.service = service, .mayRepeat = mayRepeat}, registry, now);
     }
@@ -61,7 +61,7 @@
     Fixture other(9);
     std::set<std::string> used;
     for (std::uint64_t prompt = 1; prompt <= 200; ++prompt) {
-        const Place place = one.choose(prompt * 7919);
+        const PlacementResult place = one.choose(prompt * 7919);
         BOOST_TEST(place.endpoint->info.id == other.choose(prompt * 7919).endpoint->info.id);
         BOOST_TEST((place.reason == PlacementReason::Home));
         used.insert(place.endpoint->info.id.value());
@@ -93,7 +93,7 @@
     double worst = 0;
     for (int i = 0; i < 400; ++i) {
         const bool isHot = random() % 4 == 0;
-        const Place place = f.choose(isHot ? 42 : random());
+        const PlacementResult place = f.choose(isHot ? 42 : random());
         f.registry.requestSent(*place.endpoint, f.now);
         double sum = 0;
         double most = 0;
@@ -118,7 +118,7 @@
             f.endpoint(e).pause.add(isHome ? 0.24 : 0.03, f.now);
         }
     }
-    const Place away = f.choose(42);
+    const PlacementResult away = f.choose(42);
     BOOST_TEST((away.endpoint != home));
     BOOST_TEST((away.reason == PlacementReason::HomeSlow));
     f.now += std::chrono::seconds(15);
@@ -137,7 +137,7 @@
     Fleet::Endpoint draining = home->info;
     draining.state = Fleet::EndpointState::Draining;
     f.registry.put(draining, f.now);
-    const Place next = f.choose(42);
+    const PlacementResult next = f.choose(42);
     BOOST_TEST((next.endpoint != home));
     BOOST_TEST((next.cacheSource == home));
     // Its home is gone; another one comes and takes its place.
@@ -149,7 +149,7 @@
             {.id = Base::EndpointId("e" + std::to_string(i)), .service = service, .slots = 6},
             f.now);
     }
-    const Place moved = f.choose(42);
+    const PlacementResult moved = f.choose(42);
     BOOST_REQUIRE((moved.endpoint != second));
     BOOST_TEST((moved.cacheSource == second));
     f.now += std::chrono::seconds(13);
@@ -163,7 +163,7 @@
     draining.state = Fleet::EndpointState::Draining;
     f.registry.put(draining, f.now);
     BOOST_TEST(f.choose(1).endpoint->info.id.value() == "e1");
-    const Place none = f.placement.choose(
+    const PlacementResult none = f.placement.choose(
         {.service = service, .affinity = 1, .tried = {f.registry.find(Base::EndpointId("e1"))}},
         f.registry, f.now);
     BOOST_TEST(!none.endpoint);
@@ -188,7 +188,7 @@
     BOOST_TEST(f.chooseService(true).endpoint->info.id.value() == "e1");
     f.now += std::chrono::seconds(1);
     BOOST_TEST(f.chooseService(false).endpoint->info.id.value() == "e1");
-    const Place trial = f.chooseService(true);
+    const PlacementResult trial = f.chooseService(true);
     BOOST_TEST(trial.endpoint->info.id.value() == "e0");
     BOOST_TEST((trial.reason == PlacementReason::Trial));
     BOOST_TEST(f.chooseService(true).endpoint->info.id.value() == "e1");
@@ -201,7 +201,7 @@
                                       f.now);
     f.registry.suspicion().noteResult(f.endpoint(0).index, Routing::ExchangeResult::Unreachable,
                                       f.now + std::chrono::milliseconds(10));
-    const Place place = f.chooseService();
+    const PlacementResult place = f.chooseService();
     BOOST_TEST(place.endpoint->info.id.value() == "e1");
     BOOST_TEST((place.reason == PlacementReason::LastResort));
 }
@@ -226,7 +226,7 @@
     const EndpointPtr home = f.choose(42).endpoint;
     for (int i = 0; i < 20; ++i)
         f.registry.requestSent(*home, f.now);
-    const Place away = f.choose(42);
+    const PlacementResult away = f.choose(42);
     BOOST_TEST((away.reason == PlacementReason::HomeBusy));
     BOOST_TEST((away.cacheSource == home));
 }
@@ -330,7 +330,7 @@
     const EndpointPtr home = choose(1).endpoint;
     f.registry.loadReported(*home, {.running = 50, .slots = 60}, f.now);
     for (std::uint64_t request = 0; request < 100'000; request += 997) {
-        const Place place = choose(request);
+        const PlacementResult place = choose(request);
         BOOST_TEST(place.endpoint != home);
         BOOST_TEST((place.reason == PlacementReason::HomeBusy));
     }
@@ -343,7 +343,7 @@
     explicit HolderFixture(int endpoints = 4)
         : Fixture(endpoints)
     { }
-    Place choose(std::uint64_t prompt = 42, int tokens = 10000, std::uint64_t request = 0)
+    PlacementResult choose(std::uint64_t prompt = 42, int tokens = 10000, std::uint64_t request = 0)
     {
         return placement.choose({.service = service,
                                  .affinity = prompt,
@@ -378,7 +378,7 @@
     HolderFixture f;
     EndpointRecord &holder = f.notHome();
     f.hold(holder);
-    const Place held = f.choose();
+    const PlacementResult held = f.choose();
     BOOST_TEST((held.endpoint.get() == &holder));
     BOOST_TEST((held.reason == PlacementReason::Holder));
     for (int i = 0; i < 8; ++i)
@@ -401,7 +401,7 @@
     HolderFixture f;
     const EndpointPtr home = f.choose().endpoint;
     f.hold(*home, 7, 25000);
-    const Place away = f.choose();
+    const PlacementResult away = f.choose();
     BOOST_TEST((away.endpoint != home));
     BOOST_TEST((away.reason == PlacementReason::HomeFilled));
     // What it holds already stays.
--- a/tests/auto/gateway/tst_reachability.cpp
+++ b/tests/auto/gateway/tst_reachability.cpp
@@ -91,8 +91,8 @@
     BOOST_TEST(f.unreachable() == 3);
     Placement placement({});
     for (std::uint64_t prompt = 1; prompt < 100; ++prompt) {
-        const Place place = placement.choose({.service = service, .affinity = prompt * 7919},
-                                             f.registry, f.clock.now());
+        const PlacementResult place = placement.choose(
+            {.service = service, .affinity = prompt * 7919}, f.registry, f.clock.now());
         BOOST_TEST(!place.endpoint->isUnreachable);
     }
     f.cut.clear();
--- a/tests/auto/gateway/tst_scarcememory.cpp
+++ b/tests/auto/gateway/tst_scarcememory.cpp
@@ -111,7 +111,7 @@
 private:
     std::size_t send(Router &router, const PromptPrefix &prompt)
     {
-        const Place place =
+        const PlacementResult place =
             router.placement.choose({.service = m_service,
                                      .affinity = prompt.hash,
                                      .sharedTokens = prompt.tokens,
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -108,7 +108,7 @@
     {
         int count = 0;
         for (int prompt = 1; prompt <= prompts; ++prompt) {
-            const Place place =
+            const PlacementResult place =
                 placement.choose({.service = service,
                                   .affinity = static_cast<std::uint64_t>(prompt) * 7919,
                                   .mayRepeat = true},
