--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -35,7 +35,7 @@
 std::optional<AdmissionQueue::Ticket> AdmissionQueue::add(const QueueId &line, Waiter waiter)
 {
     Waiters &waiters = m_queues[line];
-    if (waiters.size() >= m_options.most) {
+    if (waiters.size() >= m_options.maxWaiters) {
         const Key last = std::prev(waiters.end())->first;
         if (waiter.rank.compare(last.rank) >= 0)
             return std::nullopt;
@@ -96,16 +96,16 @@
 {
     for (const Base::ServiceId &service : std::exchange(m_freed, {})) {
         for (const bool isStream : {false, true})
-            look({.service = service, .isStream = isStream}, m_options.mostInVain);
+            look({.service = service, .isStream = isStream}, m_options.maxFailedAttempts);
     }
 }
 
 /// Calls may add and remove waiters: nothing of the line is kept across one.
-void AdmissionQueue::look(const QueueId &line, int mostInVain)
+void AdmissionQueue::look(const QueueId &line, int maxFailedAttempts)
 {
     Key after;
     int inVain = 0;
-    for (bool isFirst = true; inVain < mostInVain; isFirst = false) {
+    for (bool isFirst = true; inVain < maxFailedAttempts; isFirst = false) {
         const auto waiters = m_queues.find(line);
         if (waiters == m_queues.end())
             return;
@@ -136,7 +136,7 @@
 void AdmissionQueue::giveUpLate()
 {
     // Another interval would be too long.
-    const Base::MonoTime soon = m_options.timers->clock().now() + m_options.interval;
+    const Base::MonoTime soon = m_options.timers->clock().now() + m_options.retryInterval;
     std::vector<std::pair<QueueId, Key>> late;
     for (const auto &[line, waiters] : m_queues) {
         for (const auto &[key, waiter] : waiters) {
@@ -152,7 +152,7 @@
 {
     if (m_tickTimer)
         return;
-    m_tickTimer = m_options.timers->start(m_options.interval, [this] {
+    m_tickTimer = m_options.timers->start(m_options.retryInterval, [this] {
         m_tickTimer.reset();
         tick();
     });
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -47,12 +47,12 @@
         Runtime::TimerQueue *timers = nullptr;
         /// Between two looks of the first in line where nothing has ended: what others have at an
         /// endpoint is guessed to shrink with time. An engine ends a request each 20 to 50 ms.
-        Base::Duration interval = std::chrono::milliseconds(10);
+        Base::Duration retryInterval = std::chrono::milliseconds(10);
         /// In one line; they wait for tens of ms, in which no router gets so many places.
-        std::size_t most = 256;
+        std::size_t maxWaiters = 256;
         /// Looks in vain before the others in line are taken to find nothing either: the first ones
         /// may be barred from the endpoint that has room.
-        int mostInVain = 3;
+        int maxFailedAttempts = 3;
     };
     struct Waiter
     {
@@ -101,7 +101,7 @@
     void tick();
     void startTicking();
     void lookAgain();
-    void look(const QueueId &line, int mostInVain);
+    void look(const QueueId &line, int maxFailedAttempts);
     /// Takes one out and calls its giveUp.
     void giveUp(const QueueId &line, const Key &key);
     void giveUpLate();
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -55,7 +55,7 @@
 
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
-    AdmissionQueue queue{{.timers = &timers, .most = 3}};
+    AdmissionQueue queue{{.timers = &timers, .maxWaiters = 3}};
     int free = 0;
     int looks = 0;
     std::string barred; ///< May not go where there is room.
