--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -38,28 +38,28 @@
     ends.lastAt = now;
     if (!ends.has(end.endpoint))
         ends.endpoints.push_back(end.endpoint);
-    if (ends.endpoints.size() < m_options.mostEnds)
+    if (ends.endpoints.size() < m_options.maxCrashes)
         return false;
-    return quarantine({.request = end.request, .left = m_options.time}, now);
+    return quarantine({.request = end.request, .left = m_options.quarantineTime}, now);
 }
 
-bool RequestQuarantine::isLastEnd(const RequestCrash &end, Base::MonoTime now) const
+bool RequestQuarantine::wouldQuarantine(const RequestCrash &end, Base::MonoTime now) const
 {
     const auto found = m_ends.find(end.request);
     if (found == m_ends.end() || !isFresh(found->second, now))
         return false;
     const Ends &ends = found->second;
-    return ends.endpoints.size() + (ends.has(end.endpoint) ? 0 : 1) >= m_options.mostEnds;
+    return ends.endpoints.size() + (ends.has(end.endpoint) ? 0 : 1) >= m_options.maxCrashes;
 }
 
 bool RequestQuarantine::quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now)
 {
     absl::erase_if(m_until, [now](const auto &entry) { return entry.second <= now; });
     m_ends.erase(quarantined.request);
-    const Base::Duration left = std::min(quarantined.left, m_options.time);
+    const Base::Duration left = std::min(quarantined.left, m_options.quarantineTime);
     if (left <= Base::Duration::zero() || m_until.contains(quarantined.request))
         return false;
-    if (m_until.size() >= m_options.mostQuarantined) {
+    if (m_until.size() >= m_options.maxQuarantined) {
         m_until.erase(
             std::min_element(m_until.begin(), m_until.end(),
                              [](const auto &a, const auto &b) { return a.second < b.second; }));
@@ -90,10 +90,10 @@
 /// For one request more.
 void RequestQuarantine::makeRoom(Base::MonoTime now)
 {
-    if (m_ends.size() < m_options.mostRequests)
+    if (m_ends.size() < m_options.maxRequests)
         return;
     absl::erase_if(m_ends, [&](const auto &entry) { return !isFresh(entry.second, now); });
-    if (m_ends.size() < m_options.mostRequests)
+    if (m_ends.size() < m_options.maxRequests)
         return;
     // One that several endpoints ended under stays before one with a single end.
     const auto least =
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -47,15 +47,15 @@
     {
         /// Endpoints that may end under a request. With fewer, two ends in a row would have sound
         /// streams quarantined that went on from the first endpoint at the second.
-        std::size_t mostEnds = 3;
+        std::size_t maxCrashes = 3;
         /// For which an end counts: callers of such a request come back within minutes.
-        Base::Duration endLife = std::chrono::minutes(10);
+        Base::Duration crashLifetime = std::chrono::minutes(10);
         /// After which the request may have its three ends again: time for operators to mend what
         /// it breaks.
-        Base::Duration time = std::chrono::hours(1);
+        Base::Duration quarantineTime = std::chrono::hours(1);
         /// Under which ends are remembered; those of most ends stay, and of these the latest.
-        std::size_t mostRequests = 4096;
-        std::size_t mostQuarantined = 256; ///< Then the one that ends soonest makes room.
+        std::size_t maxRequests = 4096;
+        std::size_t maxQuarantined = 256; ///< Then the one that ends soonest makes room.
     };
 
     explicit RequestQuarantine(Options options)
@@ -67,9 +67,9 @@
     /// The request was answered, so that what ended under it ended for another reason.
     void answered(RequestFingerprint request) { m_ends.erase(request); }
     /// Whether an endpoint has ended under it lately.
-    bool hasEnds(RequestFingerprint request) const { return m_ends.contains(request); }
+    bool hasCrashes(RequestFingerprint request) const { return m_ends.contains(request); }
     /// Whether the end of one more endpoint would have it quarantined.
-    bool isLastEnd(const RequestCrash &end, Base::MonoTime now) const;
+    bool wouldQuarantine(const RequestCrash &end, Base::MonoTime now) const;
     /// Somebody else has quarantined it; true if that is news.
     bool quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now);
     /// For how long the request is quarantined yet.
@@ -92,7 +92,7 @@
 
     bool isFresh(const Ends &ends, Base::MonoTime now) const
     {
-        return now - ends.lastAt < m_options.endLife;
+        return now - ends.lastAt < m_options.crashLifetime;
     }
     void makeRoom(Base::MonoTime now);
 
--- a/tests/auto/gateway/tst_requestquarantine.cpp
+++ b/tests/auto/gateway/tst_requestquarantine.cpp
@@ -74,11 +74,11 @@
 {
     Fixture f;
     f.crashed(one, 11);
-    BOOST_TEST(!f.quarantine.isLastEnd({one, 12}, f.now));
+    BOOST_TEST(!f.quarantine.wouldQuarantine({one, 12}, f.now));
     f.crashed(one, 12);
-    BOOST_TEST(!f.quarantine.isLastEnd({one, 12}, f.now));
-    BOOST_TEST(f.quarantine.isLastEnd({one, 13}, f.now));
-    BOOST_TEST(!f.quarantine.isLastEnd({other, 13}, f.now));
+    BOOST_TEST(!f.quarantine.wouldQuarantine({one, 12}, f.now));
+    BOOST_TEST(f.quarantine.wouldQuarantine({one, 13}, f.now));
+    BOOST_TEST(!f.quarantine.wouldQuarantine({other, 13}, f.now));
 }
 
 BOOST_AUTO_TEST_CASE(endsAndQuarantinesLapse)
@@ -87,7 +87,7 @@
     f.crashed(one, 11);
     f.crashed(one, 12);
     f.now += minutes(11);
-    BOOST_TEST(!f.quarantine.isLastEnd({one, 13}, f.now));
+    BOOST_TEST(!f.quarantine.wouldQuarantine({one, 13}, f.now));
     BOOST_TEST(!f.crashed(one, 13));
     f.crashed(one, 14);
     BOOST_TEST(f.crashed(one, 15));
@@ -116,7 +116,7 @@
 /// known before those of a single end.
 BOOST_AUTO_TEST_CASE(manyRequestsDoNotDriveOutTheOneToBlame)
 {
-    Fixture f({.mostRequests = 10});
+    Fixture f({.maxRequests = 10});
     f.crashed(one, 11);
     f.crashed(one, 12);
     for (std::uint64_t i = 100; i < 200; ++i)
@@ -126,7 +126,7 @@
 
 BOOST_AUTO_TEST_CASE(aNewQuarantineTakesThePlaceOfTheOneThatEndsSoonest)
 {
-    Fixture f({.mostQuarantined = 2});
+    Fixture f({.maxQuarantined = 2});
     f.quarantine.quarantine({one, minutes(2)}, f.now);
     f.quarantine.quarantine({other, minutes(3)}, f.now);
     constexpr RequestFingerprint third(3);
