--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -264,15 +264,15 @@
     return sum;
 }
 
-double EndpointRegistry::allPlaces(const Base::ServiceId &service, Base::MonoTime now) const
+double EndpointRegistry::totalSlots(const Base::ServiceId &service, Base::MonoTime now) const
 {
     double sum = 0;
     for (const EndpointPtr &endpoint : endpoints(service))
-        sum += endpoint->isInService() ? places(*endpoint, now) : 0;
+        sum += endpoint->isInService() ? effectiveSlots(*endpoint, now) : 0;
     return sum;
 }
 
-double EndpointRegistry::places(const EndpointRecord &endpoint, Base::MonoTime now) const
+double EndpointRegistry::effectiveSlots(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
     const double all = endpoint.report ? endpoint.report->slots : endpoint.info.slots;
     const double named = all * endpoint.timelyShare;
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -228,13 +228,13 @@
     /// Requests that this router has at the endpoints of a service.
     int inFlight(const Base::ServiceId &service) const;
     /// That all endpoints of a service that are there for new requests can run at once.
-    double allPlaces(const Base::ServiceId &service, Base::MonoTime now) const;
+    double totalSlots(const Base::ServiceId &service, Base::MonoTime now) const;
     /// Requests that the endpoint can run at once, as far as can be told; 0 for no limit.
-    double places(const EndpointRecord &endpoint, Base::MonoTime now) const;
+    double effectiveSlots(const EndpointRecord &endpoint, Base::MonoTime now) const;
     /// Of these, as many as are not taken; below zero where more are taken than there are.
-    double freePlaces(const EndpointRecord &endpoint, Base::MonoTime now) const
+    double freeSlots(const EndpointRecord &endpoint, Base::MonoTime now) const
     {
-        return places(endpoint, now) - fleetLoad(endpoint, now);
+        return effectiveSlots(endpoint, now) - fleetLoad(endpoint, now);
     }
     Routing::Suspicion &suspicion() { return m_suspicion; }
     const Routing::Suspicion &suspicion() const { return m_suspicion; }
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -38,9 +38,9 @@
 bool hasRoom(const PlacementRequest &request, const EndpointRegistry &registry,
              const EndpointRecord &endpoint, Base::MonoTime now)
 {
-    const double places = registry.places(endpoint, now);
-    const double usable = places * (1 + request.waitingPerPlace) * request.usableShare;
-    return places <= 0 || registry.fleetLoad(endpoint, now) + 1 <= std::max(1.0, usable);
+    const double effectiveSlots = registry.effectiveSlots(endpoint, now);
+    const double usable = effectiveSlots * (1 + request.waitingPerPlace) * request.usableShare;
+    return effectiveSlots <= 0 || registry.fleetLoad(endpoint, now) + 1 <= std::max(1.0, usable);
 }
 
 /// The first of the full endpoints, if it comes before \a cost in the order; else null.
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -210,8 +210,8 @@
     void setPlaces()
     {
         for (const auto &router : m_routers) {
-            const double places = router->registry.allPlaces(m_service, at(m_now));
-            router->limit.setPlaces(places, m_options.routers);
+            const double effectiveSlots = router->registry.totalSlots(m_service, at(m_now));
+            router->limit.setPlaces(effectiveSlots, m_options.routers);
         }
     }
     void loseEngines()
