--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -140,7 +140,7 @@
     std::vector<std::pair<QueueId, Key>> late;
     for (const auto &[line, waiters] : m_queues) {
         for (const auto &[key, waiter] : waiters) {
-            if (waiter.until < soon)
+            if (waiter.deadline < soon)
                 late.emplace_back(line, key);
         }
     }
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -58,7 +58,7 @@
     {
         QueuePriority rank;
         bool mayRepeat = false; ///< So that it may find out whether a suspected endpoint is back.
-        Base::MonoTime until; ///< It is given up then.
+        Base::MonoTime deadline; ///< It is given up then.
         /// Looks for a place; true if it waits no longer.
         std::function<bool()> look;
         /// There is no room for it.
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -238,7 +238,7 @@
         queueId(),
         {.rank = rank,
          .mayRepeat = m_route->mayRepeat(),
-         .until = m_hasBegun ? callerGivesUpAt() : *m_queuedAt + longestRoomWait(),
+         .deadline = m_hasBegun ? callerGivesUpAt() : *m_queuedAt + longestRoomWait(),
          .look =
              [weak] {
                  const auto self = weak.lock();
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -26,7 +26,7 @@
         return queue.add({.service = service, .isStream = isStream},
                          {.rank = rank,
                           .mayRepeat = mayRepeat,
-                          .until = clock.now() + milliseconds(40),
+                          .deadline = clock.now() + milliseconds(40),
                           .look =
                               [this, name] {
                                   ++looks;
