--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -241,7 +241,7 @@
     }
     // Peers are told first of those that are the more likely to be to blame.
     std::stable_partition(ends.begin(), ends.end(), [this](const RequestCrash &end) {
-        return m_quarantine.hasEnds(end.request);
+        return m_quarantine.hasCrashes(end.request);
     });
     if (m_options.requestsEnded)
         m_options.requestsEnded(ends);
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -176,7 +176,7 @@
 void RequestRun::noteBroken()
 {
     m_gateway.m_crashWatch.answerBroke(m_attempt->endpoint, fingerprint());
-    m_mayBeLastEnd = m_gateway.m_quarantine.isLastEnd(
+    m_mayBeLastEnd = m_gateway.m_quarantine.wouldQuarantine(
         {.request = fingerprint(), .endpoint = m_attempt->endpoint->startHash},
         m_timers.clock().now());
 }
