--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -124,7 +124,7 @@
     m_endpoints.setRouterCount(m_routerCount);
     const Base::MonoTime now = m_options.loop->clock().now();
     for (const auto &[service, endpoints] : m_endpoints.services()) {
-        const double places = m_endpoints.allPlaces(service, now);
+        const double places = m_endpoints.totalSlots(service, now);
         concurrencyLimit(service).setPlaces(places, static_cast<double>(m_routerCount));
     }
 }
@@ -300,11 +300,11 @@
     const auto usual = m_endpoints.usualLoad(endpoint.info.service, now);
     if (usual && report.running + report.waiting > fleetBound.at(*usual))
         m_options.metrics->overloadedAnswers.increment();
-    const double before = m_endpoints.freePlaces(endpoint, now);
+    const double before = m_endpoints.freeSlots(endpoint, now);
     m_endpoints.loadReported(endpoint, report, now);
     const Base::ServiceId &service = endpoint.info.service;
     concurrencyLimit(service).reported(report, m_endpoints.inFlight(service), now);
-    if (m_endpoints.freePlaces(endpoint, now) > before)
+    if (m_endpoints.freeSlots(endpoint, now) > before)
         m_admissionQueue.slotMayBeFree(service);
 }
 
