--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -96,12 +96,12 @@
 {
     for (const Base::ServiceId &service : std::exchange(m_freed, {})) {
         for (const bool isStream : {false, true})
-            look({.service = service, .isStream = isStream}, m_options.maxFailedAttempts);
+            tryPlace({.service = service, .isStream = isStream}, m_options.maxFailedAttempts);
     }
 }
 
 /// Calls may add and remove waiters: nothing of the line is kept across one.
-void AdmissionQueue::look(const QueueId &line, int maxFailedAttempts)
+void AdmissionQueue::tryPlace(const QueueId &line, int maxFailedAttempts)
 {
     Key after;
     int inVain = 0;
@@ -113,8 +113,8 @@
         if (next == waiters->second.end())
             return;
         after = next->first;
-        const auto look = next->second.look;
-        if (look())
+        const auto tryPlace = next->second.tryPlace;
+        if (tryPlace())
             remove({.line = line, .rank = after.rank, .number = after.number});
         else
             ++inVain;
@@ -165,7 +165,7 @@
     for (const auto &[line, waiters] : m_queues)
         lines.push_back(line);
     for (const QueueId &line : lines)
-        look(line, 1);
+        tryPlace(line, 1);
     giveUpLate();
     if (!m_queues.empty())
         startTicking();
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -60,7 +60,7 @@
         bool mayRepeat = false; ///< So that it may find out whether a suspected endpoint is back.
         Base::MonoTime deadline; ///< It is given up then.
         /// Looks for a place; true if it waits no longer.
-        std::function<bool()> look;
+        std::function<bool()> tryPlace;
         /// There is no room for it.
         std::function<void()> giveUp;
     };
@@ -101,7 +101,7 @@
     void tick();
     void startTicking();
     void lookAgain();
-    void look(const QueueId &line, int maxFailedAttempts);
+    void tryPlace(const QueueId &line, int maxFailedAttempts);
     /// Takes one out and calls its giveUp.
     void giveUp(const QueueId &line, const Key &key);
     void giveUpLate();
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -92,7 +92,7 @@
     QueuePriority queuePriority() const;
     /// Chooses an endpoint and sends the request there, or waits or gives up for another reason
     /// than room; false if none has room.
-    bool findPlace();
+    bool tryPlace();
     /// No endpoint has room; waits in line a moment for it, then refuses.
     void waitInQueue(const QueuePriority &rank);
     void leaveQueue();
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -101,11 +101,11 @@
     const QueuePriority rank = queuePriority();
     const bool mustWait =
         m_gateway.m_admissionQueue.mustWait(queueId(), rank, m_route->mayRepeat());
-    if (mustWait || !findPlace())
+    if (mustWait || !tryPlace())
         waitInQueue(rank);
 }
 
-bool RequestRun::findPlace()
+bool RequestRun::tryPlace()
 {
     if (findsCallerGone())
         return true;
@@ -239,10 +239,10 @@
         {.rank = rank,
          .mayRepeat = m_route->mayRepeat(),
          .deadline = m_hasBegun ? callerGivesUpAt() : *m_queuedAt + longestRoomWait(),
-         .look =
+         .tryPlace =
              [weak] {
                  const auto self = weak.lock();
-                 return !self || self->findPlace();
+                 return !self || self->tryPlace();
              },
          .giveUp =
              [weak] {
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -27,7 +27,7 @@
                          {.rank = rank,
                           .mayRepeat = mayRepeat,
                           .deadline = clock.now() + milliseconds(40),
-                          .look =
+                          .tryPlace =
                               [this, name] {
                                   ++looks;
                                   if (free == 0 || name == barred)
