--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -30,9 +30,9 @@
 {
     if (timeLeft(end.request, now))
         return false;
-    if (!m_ends.contains(end.request))
-        makeRoom(now);
-    Ends &ends = m_ends[end.request];
+    if (!m_crashes.contains(end.request))
+        evictIfFull(now);
+    Crashes &ends = m_crashes[end.request];
     if (!isFresh(ends, now))
         ends.endpoints.clear();
     ends.lastAt = now;
@@ -45,34 +45,34 @@
 
 bool RequestQuarantine::wouldQuarantine(const RequestCrash &end, Base::MonoTime now) const
 {
-    const auto found = m_ends.find(end.request);
-    if (found == m_ends.end() || !isFresh(found->second, now))
+    const auto found = m_crashes.find(end.request);
+    if (found == m_crashes.end() || !isFresh(found->second, now))
         return false;
-    const Ends &ends = found->second;
+    const Crashes &ends = found->second;
     return ends.endpoints.size() + (ends.has(end.endpoint) ? 0 : 1) >= m_options.maxCrashes;
 }
 
 bool RequestQuarantine::quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now)
 {
-    absl::erase_if(m_until, [now](const auto &entry) { return entry.second <= now; });
-    m_ends.erase(quarantined.request);
+    absl::erase_if(m_quarantinedUntil, [now](const auto &entry) { return entry.second <= now; });
+    m_crashes.erase(quarantined.request);
     const Base::Duration left = std::min(quarantined.left, m_options.quarantineTime);
-    if (left <= Base::Duration::zero() || m_until.contains(quarantined.request))
+    if (left <= Base::Duration::zero() || m_quarantinedUntil.contains(quarantined.request))
         return false;
-    if (m_until.size() >= m_options.maxQuarantined) {
-        m_until.erase(
-            std::min_element(m_until.begin(), m_until.end(),
+    if (m_quarantinedUntil.size() >= m_options.maxQuarantined) {
+        m_quarantinedUntil.erase(
+            std::min_element(m_quarantinedUntil.begin(), m_quarantinedUntil.end(),
                              [](const auto &a, const auto &b) { return a.second < b.second; }));
     }
-    m_until.emplace(quarantined.request, now + left);
+    m_quarantinedUntil.emplace(quarantined.request, now + left);
     return true;
 }
 
 std::optional<Base::Duration> RequestQuarantine::timeLeft(RequestFingerprint request,
                                                           Base::MonoTime now) const
 {
-    const auto found = m_until.find(request);
-    if (found == m_until.end() || found->second <= now)
+    const auto found = m_quarantinedUntil.find(request);
+    if (found == m_quarantinedUntil.end() || found->second <= now)
         return std::nullopt;
     return found->second - now;
 }
@@ -80,7 +80,7 @@
 std::vector<QuarantinedRequest> RequestQuarantine::quarantined(Base::MonoTime now) const
 {
     std::vector<QuarantinedRequest> all;
-    for (const auto &[request, until] : m_until) {
+    for (const auto &[request, until] : m_quarantinedUntil) {
         if (until > now)
             all.push_back({.request = request, .left = until - now});
     }
@@ -88,21 +88,21 @@
 }
 
 /// For one request more.
-void RequestQuarantine::makeRoom(Base::MonoTime now)
+void RequestQuarantine::evictIfFull(Base::MonoTime now)
 {
-    if (m_ends.size() < m_options.maxRequests)
+    if (m_crashes.size() < m_options.maxRequests)
         return;
-    absl::erase_if(m_ends, [&](const auto &entry) { return !isFresh(entry.second, now); });
-    if (m_ends.size() < m_options.maxRequests)
+    absl::erase_if(m_crashes, [&](const auto &entry) { return !isFresh(entry.second, now); });
+    if (m_crashes.size() < m_options.maxRequests)
         return;
     // One that several endpoints ended under stays before one with a single end.
     const auto least =
-        std::min_element(m_ends.begin(), m_ends.end(), [](const auto &a, const auto &b) {
+        std::min_element(m_crashes.begin(), m_crashes.end(), [](const auto &a, const auto &b) {
             const std::size_t ends = a.second.endpoints.size();
             const std::size_t others = b.second.endpoints.size();
             return ends != others ? ends < others : a.second.lastAt < b.second.lastAt;
         });
-    m_ends.erase(least);
+    m_crashes.erase(least);
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -65,9 +65,9 @@
     /// An endpoint has ended under a request; true if that is quarantined by it.
     bool crashed(const RequestCrash &end, Base::MonoTime now);
     /// The request was answered, so that what ended under it ended for another reason.
-    void answered(RequestFingerprint request) { m_ends.erase(request); }
+    void answered(RequestFingerprint request) { m_crashes.erase(request); }
     /// Whether an endpoint has ended under it lately.
-    bool hasCrashes(RequestFingerprint request) const { return m_ends.contains(request); }
+    bool hasCrashes(RequestFingerprint request) const { return m_crashes.contains(request); }
     /// Whether the end of one more endpoint would have it quarantined.
     bool wouldQuarantine(const RequestCrash &end, Base::MonoTime now) const;
     /// Somebody else has quarantined it; true if that is news.
@@ -76,10 +76,10 @@
     std::optional<Base::Duration> timeLeft(RequestFingerprint request, Base::MonoTime now) const;
     std::vector<QuarantinedRequest> quarantined(Base::MonoTime now) const;
     /// Nothing is known of any request: it need not be looked up.
-    bool isEmpty() const { return m_ends.empty() && m_until.empty(); }
+    bool isEmpty() const { return m_crashes.empty() && m_quarantinedUntil.empty(); }
 
 private:
-    struct Ends
+    struct Crashes
     {
         std::vector<std::uint64_t> endpoints;
         Base::MonoTime lastAt;
@@ -90,15 +90,16 @@
         }
     };
 
-    bool isFresh(const Ends &ends, Base::MonoTime now) const
+    bool isFresh(const Crashes &ends, Base::MonoTime now) const
     {
         return now - ends.lastAt < m_options.crashLifetime;
     }
-    void makeRoom(Base::MonoTime now);
+    void evictIfFull(Base::MonoTime now);
 
     Options m_options;
-    absl::flat_hash_map<RequestFingerprint, Ends> m_ends;
-    absl::flat_hash_map<RequestFingerprint, Base::MonoTime> m_until; ///< Of quarantined ones.
+    absl::flat_hash_map<RequestFingerprint, Crashes> m_crashes;
+    absl::flat_hash_map<RequestFingerprint, Base::MonoTime>
+        m_quarantinedUntil; ///< Of quarantined ones.
 };
 
 } // namespace Lagoonbank::Gateway
