--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -123,13 +123,13 @@
         endpoint->takesRequests(now) && now >= endpoint->fullUntil && !isTried(request, endpoint);
     if (!isThere)
         return Standing::Out;
-    const bool isTrusted = !request.isDoubtHeeded
+    const bool isTrusted = !request.excludeSuspected
         || registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
     const bool mayProveItself =
         request.mayRepeat && registry.suspicion().admitsTrial(endpoint->index, now);
     if (!isTrusted && !mayProveItself)
         return Standing::Out;
-    const bool hasPlace = !request.isRoomChecked || hasRoom(request, registry, *endpoint, now);
+    const bool hasPlace = !request.checkCapacity || hasRoom(request, registry, *endpoint, now);
     if (!hasConnection(request, *endpoint) || !hasPlace || !registry.bearsRequest(*endpoint, now))
         return Standing::Full;
     return isTrusted ? Standing::Candidate : Standing::Trial;
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -24,8 +24,8 @@
     Base::Duration targetLatency{};
     Base::Duration longestPause{};
     bool mayRepeat = false; ///< Only such a request finds out whether a suspected endpoint is back.
-    bool isRoomChecked = true; ///< Endpoints that have no place for the request are left out.
-    bool isDoubtHeeded = true; ///< And so are those that failed lately.
+    bool checkCapacity = true; ///< Endpoints that have no place for the request are left out.
+    bool excludeSuspected = true; ///< And so are those that failed lately.
     std::vector<EndpointPtr> tried; ///< Not to be taken again.
     /// Requests that this router may have at one endpoint; nothing for no limit.
     std::optional<std::size_t> connectionShare;
