--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -39,7 +39,7 @@
         const Key last = std::prev(waiters.end())->first;
         if (waiter.rank.compare(last.rank) >= 0)
             return std::nullopt;
-        giveUp(line, last);
+        fail(line, last);
     }
     const Key key{.rank = waiter.rank, .number = ++m_lastNumber};
     m_queues[line].emplace(key, std::move(waiter));
@@ -121,7 +121,7 @@
     }
 }
 
-void AdmissionQueue::giveUp(const QueueId &line, const Key &key)
+void AdmissionQueue::fail(const QueueId &line, const Key &key)
 {
     const auto waiters = m_queues.find(line);
     if (waiters == m_queues.end())
@@ -130,7 +130,7 @@
     if (waiters->second.empty())
         m_queues.erase(waiters);
     if (!node.empty())
-        node.mapped().giveUp();
+        node.mapped().fail();
 }
 
 void AdmissionQueue::giveUpLate()
@@ -145,7 +145,7 @@
         }
     }
     for (const auto &[line, key] : late)
-        giveUp(line, key);
+        fail(line, key);
 }
 
 void AdmissionQueue::startTicking()
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -62,7 +62,7 @@
         /// Looks for a place; true if it waits no longer.
         std::function<bool()> tryPlace;
         /// There is no room for it.
-        std::function<void()> giveUp;
+        std::function<void()> fail;
     };
     struct Ticket
     {
@@ -102,8 +102,8 @@
     void startTicking();
     void lookAgain();
     void tryPlace(const QueueId &line, int maxFailedAttempts);
-    /// Takes one out and calls its giveUp.
-    void giveUp(const QueueId &line, const Key &key);
+    /// Takes one out and calls its fail.
+    void fail(const QueueId &line, const Key &key);
     void giveUpLate();
 
     Options m_options;
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -68,7 +68,7 @@
     m_gateway.m_loadShedder.asked(admissionRequest(), now);
     if (now - m_cameAt >= leastTime && timeLeft() < leastTime) {
         // It lay unread for as long as its caller waits.
-        giveUp({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = false});
+        fail({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = false});
         return;
     }
     m_prefixes = sharedPrefixes();
@@ -157,10 +157,10 @@
     const auto left = quarantine.timeLeft(fingerprint(), m_timers.clock().now());
     if (!left)
         return false;
-    giveUp({.kind = ErrorKind::RequestCrashes,
-            .hasReached = false,
-            .hasRun = false,
-            .comeBack = left});
+    fail({.kind = ErrorKind::RequestCrashes,
+          .hasReached = false,
+          .hasRun = false,
+          .comeBack = left});
     return true;
 }
 
@@ -170,7 +170,7 @@
     if (!isWaiting || fingerprint() != request)
         return;
     cancelAttempt();
-    giveUp({.kind = ErrorKind::RequestCrashes, .hasRun = !m_ranAt.empty()});
+    fail({.kind = ErrorKind::RequestCrashes, .hasRun = !m_ranAt.empty()});
 }
 
 void RequestRun::noteBroken()
@@ -248,7 +248,7 @@
     if (goesOn)
         goOn(failure);
     else
-        giveUp(failure);
+        fail(failure);
 }
 
 bool RequestRun::mayGoOn()
@@ -304,7 +304,7 @@
         m_gateway.m_health.answered(*m_attempt->endpoint, false, m_request.id);
 }
 
-void RequestRun::giveUp(const Failure &failure)
+void RequestRun::fail(const Failure &failure)
 {
     if (m_hasBegun) {
         m_responder->abort();
@@ -373,8 +373,8 @@
         m_gateway.m_health.answered(*m_attempt->endpoint, false, m_request.id);
     cancelAttempt();
     const bool mayHaveRun = !m_ranAt.empty();
-    giveUp({.kind = mayHaveRun ? ErrorKind::EndpointTimeout : ErrorKind::EndpointUnreachable,
-            .hasRun = mayHaveRun});
+    fail({.kind = mayHaveRun ? ErrorKind::EndpointTimeout : ErrorKind::EndpointUnreachable,
+          .hasRun = mayHaveRun});
 }
 
 void RequestRun::cancelAttempt()
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -126,7 +126,7 @@
     /// Whether the request may be sent to another endpoint now.
     bool mayGoOn();
     void noteFailure(const Failure &failure);
-    void giveUp(const Failure &failure);
+    void fail(const Failure &failure);
     void refuse(Errors::ErrorKind kind, Errors::Ran ran,
                 std::optional<Base::Duration> retryAfter = std::nullopt);
     void callerLeft();
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -126,10 +126,10 @@
         const auto comeBack = place.backOffUntil
             ? std::optional<Base::Duration>(*place.backOffUntil - now)
             : std::nullopt;
-        giveUp({.kind = ErrorKind::NoEndpoint,
-                .hasReached = false,
-                .hasRun = !m_ranAt.empty(),
-                .comeBack = comeBack});
+        fail({.kind = ErrorKind::NoEndpoint,
+              .hasReached = false,
+              .hasRun = !m_ranAt.empty(),
+              .comeBack = comeBack});
         return true;
     }
     if (awaitReading(place))
@@ -244,7 +244,7 @@
                  const auto self = weak.lock();
                  return !self || self->tryPlace();
              },
-         .giveUp =
+         .fail =
              [weak] {
                  if (const auto self = weak.lock())
                      self->queueWaitFailed();
@@ -278,7 +278,7 @@
              {"waited_ms", m_timers.clock().now() - *m_queuedAt},
              {"left_ms", timeLeft()}});
     }
-    giveUp({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = !m_ranAt.empty()});
+    fail({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = !m_ranAt.empty()});
 }
 
 void RequestRun::placeLater(Base::Duration delay)
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -36,7 +36,7 @@
                                   got.push_back(name);
                                   return true;
                               },
-                          .giveUp = [this, name] { refused.push_back(name); }});
+                          .fail = [this, name] { refused.push_back(name); }});
     }
     void release(int places)
     {
