--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -255,7 +255,7 @@
     if (!m_quarantine.crashed(end, now))
         return;
     const QuarantinedRequest quarantined{.request = end.request,
-                                         .left = *m_quarantine.timeLeft(end.request, now)};
+                                         .remaining = *m_quarantine.timeLeft(end.request, now)};
     noteQuarantined(end.request, "ends");
     if (m_options.requestQuarantined)
         m_options.requestQuarantined(quarantined);
--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -17,13 +17,13 @@
 Schema::SharedQuarantine toShared(const QuarantinedRequest &quarantined)
 {
     return {.request = quarantined.request.value(),
-            .leftMs = static_cast<std::uint32_t>(Base::toMilliseconds(quarantined.left))};
+            .leftMs = static_cast<std::uint32_t>(Base::toMilliseconds(quarantined.remaining))};
 }
 
 QuarantinedRequest fromShared(const Schema::SharedQuarantine &shared)
 {
     return {.request = RequestFingerprint(shared.request),
-            .left = std::chrono::milliseconds(shared.leftMs)};
+            .remaining = std::chrono::milliseconds(shared.leftMs)};
 }
 
 bool RequestQuarantine::crashed(const RequestCrash &end, Base::MonoTime now)
@@ -40,7 +40,7 @@
         ends.endpoints.push_back(end.endpoint);
     if (ends.endpoints.size() < m_options.maxCrashes)
         return false;
-    return quarantine({.request = end.request, .left = m_options.quarantineTime}, now);
+    return quarantine({.request = end.request, .remaining = m_options.quarantineTime}, now);
 }
 
 bool RequestQuarantine::wouldQuarantine(const RequestCrash &end, Base::MonoTime now) const
@@ -56,15 +56,15 @@
 {
     absl::erase_if(m_quarantinedUntil, [now](const auto &entry) { return entry.second <= now; });
     m_crashes.erase(quarantined.request);
-    const Base::Duration left = std::min(quarantined.left, m_options.quarantineTime);
-    if (left <= Base::Duration::zero() || m_quarantinedUntil.contains(quarantined.request))
+    const Base::Duration remaining = std::min(quarantined.remaining, m_options.quarantineTime);
+    if (remaining <= Base::Duration::zero() || m_quarantinedUntil.contains(quarantined.request))
         return false;
     if (m_quarantinedUntil.size() >= m_options.maxQuarantined) {
         m_quarantinedUntil.erase(
             std::min_element(m_quarantinedUntil.begin(), m_quarantinedUntil.end(),
                              [](const auto &a, const auto &b) { return a.second < b.second; }));
     }
-    m_quarantinedUntil.emplace(quarantined.request, now + left);
+    m_quarantinedUntil.emplace(quarantined.request, now + remaining);
     return true;
 }
 
@@ -82,7 +82,7 @@
     std::vector<QuarantinedRequest> all;
     for (const auto &[request, until] : m_quarantinedUntil) {
         if (until > now)
-            all.push_back({.request = request, .left = until - now});
+            all.push_back({.request = request, .remaining = until - now});
     }
     return all;
 }
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -25,7 +25,7 @@
 struct QuarantinedRequest
 {
     RequestFingerprint request;
-    Base::Duration left = Base::Duration::max(); ///< A whole quarantine if that is less.
+    Base::Duration remaining = Base::Duration::max(); ///< A whole quarantine if that is less.
 };
 
 Schema::SharedRequestEnd toShared(const RequestCrash &end);
