--- a/src/libs/fleet/route.h
+++ b/src/libs/fleet/route.h
@@ -34,7 +34,7 @@
     int maxEndpoints = 1; ///< Endpoints at which one request may run.
     Base::Duration timeout{}; ///< Longest time to the end of the answer; zero for none.
     Base::Duration targetLatency{}; ///< To the answer, or to the first event of a stream.
-    Base::Duration longestPause{}; ///< Between two events of a stream in time; zero for none.
+    Base::Duration maxEventGap{}; ///< Between two events of a stream in time; zero for none.
     int priority = 0; ///< 0 is most urgent.
     bool isAnonymous = false; ///< Needs no key.
     bool usesPromptCache = false; ///< Goes where the parts of its prompt are cached.
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -393,7 +393,7 @@
     };
     const double pause = endpoint.pause.value(0, now, m_options.speedHalfLife);
     const double latency = endpoint.latency.value(0, now, m_options.speedHalfLife);
-    return takesTooLong(pause, sum.pause, request.longestPause)
+    return takesTooLong(pause, sum.pause, request.maxEventGap)
         || takesTooLong(latency, sum.latency, request.targetLatency);
 }
 
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -22,7 +22,7 @@
     Base::Tokens memory; ///< Of an endpoint of the service; 0 if it is not known.
     std::uint64_t requestHash = 0;
     Base::Duration targetLatency{};
-    Base::Duration longestPause{};
+    Base::Duration maxEventGap{};
     bool mayRepeat = false; ///< Only such a request finds out whether a suspected endpoint is back.
     bool checkCapacity = true; ///< Endpoints that have no place for the request are left out.
     bool excludeSuspected = true; ///< And so are those that failed lately.
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -277,7 +277,7 @@
     const GatewayPatience &patience = m_gateway.m_options.patience;
     return m_passedOnAt
         + std::max({patience.callersGap, patience.callersGapTargets * m_route->targetLatency,
-                    patience.callersGapPauses * m_route->longestPause});
+                    patience.callersGapPauses * m_route->maxEventGap});
 }
 
 void RequestRun::goOn(const Failure &failure)
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -116,7 +116,7 @@
     m_passedOnAt = now;
     ++m_events;
     m_responder->write(event.bytes);
-    if (watchesSilence() && m_route->longestPause > Base::Duration::zero())
+    if (watchesSilence() && m_route->maxEventGap > Base::Duration::zero())
         armSilence(silenceLimit(false));
     return true;
 }
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -86,7 +86,7 @@
             .memory = m_gateway.memoryOf(m_service),
             .requestHash = Routing::stableHash(m_request.id.value()),
             .targetLatency = m_route->targetLatency,
-            .longestPause = m_route->longestPause,
+            .maxEventGap = m_route->maxEventGap,
             .mayRepeat = m_route->mayRepeat(),
             .checkCapacity = policy.shedding,
             .excludeSuspected = policy.doubt,
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -27,7 +27,7 @@
 {
     const GatewayPatience &patience = m_gateway.m_options.patience;
     const bool isFirst = !m_attempt->lastEventAt;
-    const Base::Duration whole = isFirst ? m_route->targetLatency : m_route->longestPause;
+    const Base::Duration whole = isFirst ? m_route->targetLatency : m_route->maxEventGap;
     const double share =
         isBusy ? patience.busyFactor : (isFirst ? patience.firstShare : patience.pauseShare);
     auto limit = std::chrono::duration_cast<Base::Duration>(whole * share);
--- a/tests/auto/adapter/tst_storeobjects.cpp
+++ b/tests/auto/adapter/tst_storeobjects.cpp
@@ -38,7 +38,7 @@
     BOOST_TEST((first->kind == Fleet::RouteKind::Stream));
     BOOST_TEST(!first->mayRepeat());
     BOOST_TEST(first->usesPromptCache);
-    BOOST_TEST((first->longestPause == std::chrono::milliseconds(250)));
+    BOOST_TEST((first->maxEventGap == std::chrono::milliseconds(250)));
     BOOST_TEST(first->services.at(0).service.value() == "s1");
     const Fleet::Route *second = config.findRoute("a.example", "/q/1");
     BOOST_REQUIRE(second);
--- a/tests/auto/gateway/streamanswers.h
+++ b/tests/auto/gateway/streamanswers.h
@@ -16,7 +16,7 @@
             .maxEndpoints = 2,
             .timeout = std::chrono::seconds(10),
             .targetLatency = std::chrono::milliseconds(300),
-            .longestPause = std::chrono::milliseconds(250),
+            .maxEventGap = std::chrono::milliseconds(250),
             .isResumable = isResumable};
 }
 
--- a/tests/auto/gateway/tst_draineddatacentre.cpp
+++ b/tests/auto/gateway/tst_draineddatacentre.cpp
@@ -43,7 +43,7 @@
         return placement.choose({.service = service,
                                  .affinity = affinity,
                                  .targetLatency = std::chrono::milliseconds(300),
-                                 .longestPause = std::chrono::milliseconds(250),
+                                 .maxEventGap = std::chrono::milliseconds(250),
                                  .mayRepeat = mayRepeat},
                                 registry, now);
     }
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -39,7 +39,7 @@
         return placement.choose({.service = service,
                                  .affinity = affinity,
                                  .targetLatency = std::chrono::milliseconds(300),
-                                 .longestPause = std::chrono::milliseconds(250)},
+                                 .maxEventGap = std::chrono::milliseconds(250)},
                                 registry, now);
     }
     PlacementResult chooseService(bool mayRepeat = false)
--- a/tests/auto/gateway/tst_silentendpoint.cpp
+++ b/tests/auto/gateway/tst_silentendpoint.cpp
@@ -108,7 +108,7 @@
     SilentFixture f(2);
     Fleet::Route route = streamRoute(true);
     route.targetLatency = std::chrono::seconds(1);
-    route.longestPause = milliseconds(500);
+    route.maxEventGap = milliseconds(500);
     f.setRoute(route);
     f.begin(1);
     f.record(1).isUnreachable = true;
@@ -128,7 +128,7 @@
 {
     SilentFixture f(1);
     Fleet::Route route = streamRoute(true);
-    route.longestPause = {};
+    route.maxEventGap = {};
     f.setRoute(route);
     f.begin(1);
     f.pass(milliseconds(300)); // Longer than the first event may take.
