--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -39,7 +39,7 @@
              const EndpointRecord &endpoint, Base::MonoTime now)
 {
     const double effectiveSlots = registry.effectiveSlots(endpoint, now);
-    const double usable = effectiveSlots * (1 + request.waitingPerPlace) * request.usableShare;
+    const double usable = effectiveSlots * (1 + request.waitingPerSlot) * request.usableShare;
     return effectiveSlots <= 0 || registry.fleetLoad(endpoint, now) + 1 <= std::max(1.0, usable);
 }
 
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -34,7 +34,7 @@
     double usableShare = 1;
     /// Requests for each place that may wait for one at an endpoint: plain services are done with
     /// one in tens of ms, engines in seconds.
-    double waitingPerPlace = 0;
+    double waitingPerSlot = 0;
 };
 
 /// Why an endpoint was taken.
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view part = "gateway";
 /// Requests that may wait at an endpoint of a plain service for each that runs: with four in all,
 /// one that takes 60 ms is done within the 300 ms that its callers expect.
-constexpr double waitingPerPlace = 3;
+constexpr double waitingPerSlot = 3;
 /// In place of a load in the log.
 constexpr double notKnown = -1;
 
@@ -93,7 +93,7 @@
             .tried = endpointsToAvoid(),
             .connectionShare = m_gateway.connectionShare(m_service),
             .usableShare = usableShare(),
-            .waitingPerPlace = isStream ? 0 : waitingPerPlace};
+            .waitingPerSlot = isStream ? 0 : waitingPerSlot};
 }
 
 void RequestRun::place()
