--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -26,8 +26,8 @@
 
 AdmissionQueue::~AdmissionQueue()
 {
-    if (m_lookTimer)
-        m_options.timers->cancel(*m_lookTimer);
+    if (m_retryTimer)
+        m_options.timers->cancel(*m_retryTimer);
     if (m_tickTimer)
         m_options.timers->cancel(*m_tickTimer);
 }
@@ -76,10 +76,10 @@
     if (first == m_queues.end() || first->first.service != service)
         return;
     m_freed.insert(service);
-    if (!m_lookTimer) {
-        m_lookTimer = m_options.timers->start(Base::Duration::zero(), [this] {
-            m_lookTimer.reset();
-            lookAgain();
+    if (!m_retryTimer) {
+        m_retryTimer = m_options.timers->start(Base::Duration::zero(), [this] {
+            m_retryTimer.reset();
+            retryFreed();
         });
     }
 }
@@ -92,7 +92,7 @@
     return sum;
 }
 
-void AdmissionQueue::lookAgain()
+void AdmissionQueue::retryFreed()
 {
     for (const Base::ServiceId &service : std::exchange(m_freed, {})) {
         for (const bool isStream : {false, true})
@@ -133,7 +133,7 @@
         node.mapped().fail();
 }
 
-void AdmissionQueue::giveUpLate()
+void AdmissionQueue::failExpired()
 {
     // Another interval would be too long.
     const Base::MonoTime soon = m_options.timers->clock().now() + m_options.retryInterval;
@@ -166,7 +166,7 @@
         lines.push_back(line);
     for (const QueueId &line : lines)
         tryPlace(line, 1);
-    giveUpLate();
+    failExpired();
     if (!m_queues.empty())
         startTicking();
 }
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -100,17 +100,17 @@
 
     void tick();
     void startTicking();
-    void lookAgain();
+    void retryFreed();
     void tryPlace(const QueueId &line, int maxFailedAttempts);
     /// Takes one out and calls its fail.
     void fail(const QueueId &line, const Key &key);
-    void giveUpLate();
+    void failExpired();
 
     Options m_options;
     std::map<QueueId, Waiters> m_queues; ///< None is empty.
     std::uint64_t m_lastNumber = 0;
     absl::flat_hash_set<Base::ServiceId> m_freed; ///< Services that have had room since.
-    std::optional<Runtime::TimerId> m_lookTimer;
+    std::optional<Runtime::TimerId> m_retryTimer;
     std::optional<Runtime::TimerId> m_tickTimer;
 };
 
