--- a/src/libs/gateway/fleetretrybudget.cpp
+++ b/src/libs/gateway/fleetretrybudget.cpp
@@ -28,7 +28,7 @@
     return all * m_options.share - repeats;
 }
 
-void FleetRetryBudget::requestCame(const Base::ServiceId &service, Base::MonoTime now)
+void FleetRetryBudget::requestArrived(const Base::ServiceId &service, Base::MonoTime now)
 {
     Counts &counts = countsAt(service, now);
     ++counts.requests.at(static_cast<std::size_t>(counts.slice) % slices);
@@ -43,7 +43,7 @@
     return true;
 }
 
-void FleetRetryBudget::giveBack(const Base::ServiceId &service, Base::MonoTime now)
+void FleetRetryBudget::refund(const Base::ServiceId &service, Base::MonoTime now)
 {
     Counts &counts = countsAt(service, now);
     for (std::size_t age = 0; age < slices; ++age) {
@@ -56,7 +56,7 @@
     }
 }
 
-double FleetRetryBudget::left(const Base::ServiceId &service, Base::MonoTime now)
+double FleetRetryBudget::remaining(const Base::ServiceId &service, Base::MonoTime now)
 {
     return leftOf(countsAt(service, now));
 }
--- a/src/libs/gateway/fleetretrybudget.h
+++ b/src/libs/gateway/fleetretrybudget.h
@@ -34,13 +34,13 @@
     /// Routers that share the slack, this one included.
     void setRouters(int routers) { m_routers = routers > 1 ? routers : 1; }
 
-    void requestCame(const Base::ServiceId &service, Base::MonoTime now);
+    void requestArrived(const Base::ServiceId &service, Base::MonoTime now);
     /// Takes one repeat out; false and nothing taken where none is left.
     bool spend(const Base::ServiceId &service, Base::MonoTime now);
     /// A repeat that was taken out has reached no endpoint.
-    void giveBack(const Base::ServiceId &service, Base::MonoTime now);
+    void refund(const Base::ServiceId &service, Base::MonoTime now);
     /// Repeats that are left now.
-    double left(const Base::ServiceId &service, Base::MonoTime now);
+    double remaining(const Base::ServiceId &service, Base::MonoTime now);
 
 private:
     /// The window is counted in slices, so that it slides in small steps.
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -127,7 +127,7 @@
 bool RequestRun::hasTimeOfRouter()
 {
     const Base::MonoTime now = m_timers.clock().now();
-    m_gateway.m_retryBudget.requestCame(m_service, now);
+    m_gateway.m_retryBudget.requestArrived(m_service, now);
     const Base::Duration delay = m_gateway.ownDelay();
     if (m_gateway.m_backlog.takes(admissionRequest(), delay, now))
         return true;
@@ -154,13 +154,13 @@
     const RequestQuarantine &quarantine = m_gateway.m_quarantine;
     if (quarantine.isEmpty())
         return false;
-    const auto left = quarantine.timeLeft(fingerprint(), m_timers.clock().now());
-    if (!left)
+    const auto remaining = quarantine.timeLeft(fingerprint(), m_timers.clock().now());
+    if (!remaining)
         return false;
     fail({.kind = ErrorKind::RequestCrashes,
           .hasReached = false,
           .hasRun = false,
-          .comeBack = left});
+          .comeBack = remaining});
     return true;
 }
 
@@ -227,7 +227,7 @@
     if (m_attempt)
         noteFailure(failure);
     if (!failure.hasReached && std::exchange(m_isPaidRepeat, false))
-        m_gateway.m_retryBudget.giveBack(m_service, m_timers.clock().now());
+        m_gateway.m_retryBudget.refund(m_service, m_timers.clock().now());
     cancelAttempt();
     const bool goesOn = mayGoOn();
     m_gateway.m_options.log->request(
@@ -243,7 +243,7 @@
          {"goes_on", goesOn},
          {"quiet_ms", m_timers.clock().now() - m_quietSince},
          {"all_quiet_ms", m_timers.clock().now() - m_gateway.m_endpoints.heardAt()},
-         {"repeats_left", m_gateway.m_retryBudget.left(m_service, m_timers.clock().now())},
+         {"repeats_left", m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now())},
          {"left_ms", timeLeft()}});
     if (goesOn)
         goOn(failure);
@@ -259,7 +259,7 @@
     if (!m_ranAt.empty() && (!m_route->mayRepeat() || areEndpointsUsed()))
         return false;
     const bool isRepeat = m_sends > 0;
-    return !isRepeat || m_gateway.m_retryBudget.left(m_service, m_timers.clock().now()) >= 1;
+    return !isRepeat || m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now()) >= 1;
 }
 
 bool RequestRun::areEndpointsUsed() const
--- a/tests/auto/gateway/tst_fleetretrybudget.cpp
+++ b/tests/auto/gateway/tst_fleetretrybudget.cpp
@@ -43,7 +43,7 @@
                 const bool isQuiet = ms % 30000 < 10000;
                 for (int i = 0; i < (isQuiet ? 0 : 2); ++i) {
                     FleetRetryBudget &budget = budgets[next++ % budgets.size()];
-                    budget.requestCame(service, now);
+                    budget.requestArrived(service, now);
                     requests.push_back(now);
                     if (budget.spend(service, now))
                         repeats.push_back(now);
@@ -82,9 +82,9 @@
         ++spent;
     BOOST_TEST(spent >= 5);
     BOOST_TEST(spent <= 8);
-    BOOST_TEST(budget.left(service, now) < 1);
-    BOOST_TEST(budget.left(service, now + std::chrono::seconds(11)) >= 5);
-    BOOST_TEST(budget.left(Base::ServiceId("other"), now) >= 5);
+    BOOST_TEST(budget.remaining(service, now) < 1);
+    BOOST_TEST(budget.remaining(service, now + std::chrono::seconds(11)) >= 5);
+    BOOST_TEST(budget.remaining(Base::ServiceId("other"), now) >= 5);
 }
 
 /// Pattern: engines crash together, and repeats find no connection at several of them.
@@ -97,10 +97,10 @@
     BOOST_TEST(budget.spend(service, now));
     now += std::chrono::seconds(1);
     BOOST_TEST(budget.spend(service, now));
-    BOOST_TEST(budget.left(service, now) == 1);
-    budget.giveBack(service, now);
-    budget.giveBack(service, now);
-    BOOST_TEST(budget.left(service, now) == 3);
-    budget.giveBack(service, now); // More than was taken gives nothing.
-    BOOST_TEST(budget.left(service, now) == 3);
+    BOOST_TEST(budget.remaining(service, now) == 1);
+    budget.refund(service, now);
+    budget.refund(service, now);
+    BOOST_TEST(budget.remaining(service, now) == 3);
+    budget.refund(service, now); // More than was taken gives nothing.
+    BOOST_TEST(budget.remaining(service, now) == 3);
 }
