--- a/tests/auto/fleet/tst_datacentredrains.cpp
+++ b/tests/auto/fleet/tst_datacentredrains.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theLaterStateHoldsWhoeverTellsIt)
+BOOST_AUTO_TEST_CASE(laterOffsetWinsRegardlessOfSource)
 {
     Fixture f;
     f.drains.addDrain(east, at(5));
@@ -49,7 +49,7 @@
     BOOST_TEST(f.told == "[east ][][west ]");
 }
 
-BOOST_AUTO_TEST_CASE(theSameSetIsNoChange)
+BOOST_AUTO_TEST_CASE(unchangedSetIsNotReported)
 {
     Fixture f;
     f.drains.addDrain(east, at(5));
@@ -60,7 +60,7 @@
 }
 
 /// Whoever has read a later configuration knows that nothing was drained in between.
-BOOST_AUTO_TEST_CASE(whatHasBeenReadCountsAlsoWhereItTellsOfNoDrain)
+BOOST_AUTO_TEST_CASE(advancingTheOffsetRejectsOlderStates)
 {
     Fixture f;
     f.drains.addDrain(east, at(5));
--- a/tests/auto/fleet/tst_endpointdirectory.cpp
+++ b/tests/auto/fleet/tst_endpointdirectory.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(changesAreToldOnce)
+BOOST_AUTO_TEST_CASE(changesAreReportedOnce)
 {
     Fixture f;
     f.put(endpoint("a"));
@@ -58,7 +58,7 @@
     BOOST_TEST(!f.directory.find(Base::EndpointId("a")));
 }
 
-BOOST_AUTO_TEST_CASE(entriesThatLapsedWhileTheStoreWasAwayMayComeBack)
+BOOST_AUTO_TEST_CASE(entriesExpiredDuringAnOutageMayBeRewritten)
 {
     Fixture f;
     f.put(endpoint("back"));
@@ -78,7 +78,7 @@
     BOOST_TEST(f.directory.find(Base::EndpointId("back")));
 }
 
-BOOST_AUTO_TEST_CASE(laterAnEntryThatGoesIsGoneAtOnce)
+BOOST_AUTO_TEST_CASE(droppedEntryIsRemovedAtOnceAfterTheRewriteTime)
 {
     Fixture f;
     f.put(endpoint("a"));
@@ -88,7 +88,7 @@
     BOOST_TEST(f.told == "+a-a");
 }
 
-BOOST_AUTO_TEST_CASE(olderNewsChangeNothing)
+BOOST_AUTO_TEST_CASE(olderVersionsAreIgnored)
 {
     Fixture f;
     f.directory.put(endpoint("a", EndpointState::Draining), Base::LogOffset(5));
@@ -101,7 +101,7 @@
     BOOST_TEST(f.told == "+a-a");
 }
 
-BOOST_AUTO_TEST_CASE(entriesThatWereNotAmongAllHaveGone)
+BOOST_AUTO_TEST_CASE(reconcileRemovesAbsentEntries)
 {
     Fixture f;
     f.directory.put(endpoint("old"), Base::LogOffset(3));
@@ -111,7 +111,7 @@
     BOOST_TEST(f.told == "+old+kept+newer-old");
 }
 
-BOOST_AUTO_TEST_CASE(theHashIsThatOfWhatIsKnown)
+BOOST_AUTO_TEST_CASE(hashDependsOnContentOnly)
 {
     Fixture one;
     Fixture other;
@@ -128,7 +128,7 @@
     BOOST_TEST(one.directory.hash() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(anEntryOfAnEarlierStartChangesNothing)
+BOOST_AUTO_TEST_CASE(entryOfAnEarlierStartIsIgnored)
 {
     using std::chrono::milliseconds;
     const auto startAt = [](int ms) { return std::optional(Base::WallTime(milliseconds(ms))); };
@@ -156,7 +156,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aLateEntryOfAnEarlierStartDrainsNobody)
+BOOST_AUTO_TEST_CASE(lateDrainingEntryOfAnEarlierStartIsIgnored)
 {
     Fixture f;
     Endpoint one = endpoint("a");
@@ -168,7 +168,7 @@
     BOOST_TEST((f.directory.find(one.id)->state == EndpointState::Ready));
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatIsNotKnownIsRememberedAsGone)
+BOOST_AUTO_TEST_CASE(unknownEndpointIsRememberedAsGone)
 {
     Fixture f;
     f.directory.remove(Base::EndpointId("a"), Base::LogOffset(9));
@@ -183,7 +183,7 @@
 
 /// The record at the end is not among those that were read, so it may be the next one of an
 /// endpoint that was not there; what is older and was not there has gone, whoever tells of it.
-BOOST_AUTO_TEST_CASE(afterAllWereReadOnlyWhatWasWrittenLaterIsNews)
+BOOST_AUTO_TEST_CASE(reconcileRejectsOlderVersions)
 {
     Fixture f;
     f.directory.put(endpoint("back"), Base::LogOffset(3));
@@ -193,7 +193,7 @@
     BOOST_TEST(f.told == "+back-back+back");
 }
 
-BOOST_AUTO_TEST_CASE(entriesThatMayComeBackAreKeptWhileTheStoreIsAwayAgain)
+BOOST_AUTO_TEST_CASE(pendingRemovalsAreHeldDuringASecondOutage)
 {
     Fixture f;
     f.put(endpoint("a"));
@@ -208,7 +208,7 @@
 }
 
 /// A late write comes once; a start whose clock was set back writes again and again.
-BOOST_AUTO_TEST_CASE(anEarlierStartThatIsWrittenAgainIsBelieved)
+BOOST_AUTO_TEST_CASE(earlierStartWrittenTwiceIsAccepted)
 {
     Fixture f;
     Endpoint one = endpoint("a");
@@ -223,7 +223,7 @@
 }
 
 /// News of before the drop that come late do not bring the entry back.
-BOOST_AUTO_TEST_CASE(olderNewsDoNotBringAMissingEntryBack)
+BOOST_AUTO_TEST_CASE(olderVersionDoesNotCancelAPendingRemoval)
 {
     Fixture f;
     f.directory.put(endpoint("a"), Base::LogOffset(1));
--- a/tests/auto/fleet/tst_fleetconfiguration.cpp
+++ b/tests/auto/fleet/tst_fleetconfiguration.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theLongestPrefixOfTheHostIsTaken)
+BOOST_AUTO_TEST_CASE(longestPrefixOfTheHostWins)
 {
     struct Row
     {
@@ -54,7 +54,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aKeyNamesItsWorkspace)
+BOOST_AUTO_TEST_CASE(findsWorkspaceByKey)
 {
     const Configuration configuration = makeConfiguration();
     BOOST_REQUIRE(configuration.findWorkspace("k2"));
@@ -63,7 +63,7 @@
     BOOST_TEST(!configuration.findWorkspace(""));
 }
 
-BOOST_AUTO_TEST_CASE(requestsSpreadByTheWeights)
+BOOST_AUTO_TEST_CASE(requestsAreSpreadByWeight)
 {
     Route split = route("split", "a", "/");
     split.services = {{Base::ServiceId("most"), 90}, {Base::ServiceId("few"), 10}};
@@ -79,7 +79,7 @@
     BOOST_TEST(serviceFor(split, ~0ULL).value() == "few");
 }
 
-BOOST_AUTO_TEST_CASE(aServiceWithoutWeightGetsNothing)
+BOOST_AUTO_TEST_CASE(serviceWithZeroWeightGetsNoRequests)
 {
     Route split = route("split", "a", "/");
     split.services = {{Base::ServiceId("none"), 0}, {Base::ServiceId("all"), 1}};
