--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -22,7 +22,7 @@
 /// to the routers, and checks of reachability need some too.
 constexpr double connectionsUsed = 0.8;
 /// What no endpoint of a service may have, by the usual load; metrics count answers beyond it.
-constexpr Placement::LoadLine fleetBound{.factor = 2, .slack = 3};
+constexpr Placement::LoadThreshold fleetBound{.factor = 2, .slack = 3};
 
 /// With the parts of the policy that are options of others switched off as asked for.
 Gateway::Options withPolicy(Gateway::Options options)
@@ -31,7 +31,7 @@
     if (!policy.bound)
         options.placement.boundFactor = std::numeric_limits<double>::infinity();
     if (!policy.gradualLeaving || !policy.bound)
-        options.placement.leavesGradually = false;
+        options.placement.overflowsGradually = false;
     if (!policy.usualLoad)
         options.placement.isUsualLoadHeeded = false;
     if (!policy.slowness)
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -278,7 +278,8 @@
     if (!isLoadKnownLate(registry))
         return most;
     const bool isShort = request.sharedTokens < m_options.shortPrompt;
-    const double first = (isShort ? m_options.shortLeaves : m_options.longLeaves).at(mean);
+    const double first =
+        (isShort ? m_options.shortPromptOverflow : m_options.longPromptOverflow).at(mean);
     return first < most ? first + partOf(request.requestHash) * (most - first) : most;
 }
 
@@ -288,8 +289,8 @@
     const double excess = homeLoad + 1 - bound().at(mean);
     if (excess <= 0 || !isLoadKnownLate(registry))
         return 0;
-    const double endpoints =
-        std::min(m_options.mostBehindHome, 1 + m_options.endpointsPerExcess * excess);
+    const double endpoints = std::min(m_options.maximumOverflowEndpoints,
+                                      1 + m_options.overflowEndpointsPerRequest * excess);
     // Independent of the part by which a request leaves its home.
     return static_cast<std::size_t>(endpoints * partOf(request.requestHash / leavingParts));
 }
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -72,7 +72,7 @@
 {
 public:
     /// So many requests: a part of the mean load of the candidates, and some more.
-    struct LoadLine
+    struct LoadThreshold
     {
         double factor = 1;
         double slack = 0;
@@ -88,19 +88,19 @@
         /// router that knows ten of 200 takes the mean for next to nothing, and prompts leave homes
         /// with three requests.
         bool isUsualLoadHeeded = true;
-        bool leavesGradually = true;
+        bool overflowsGradually = true;
         /// In a fleet of many routers a part of the requests leave their home from these loads on,
         /// the more the nearer it is to the bound: all routers hear a second late what it has, and
         /// would else leave and come back together. Short prompts leave first, as reading them
         /// again costs little.
-        LoadLine shortLeaves{.factor = 1.0, .slack = 0.5};
-        LoadLine longLeaves{.factor = 1.4, .slack = 1};
+        LoadThreshold shortPromptOverflow{.factor = 1.0, .slack = 0.5};
+        LoadThreshold longPromptOverflow{.factor = 1.4, .slack = 1};
         /// In such a fleet, requests that find their home full go to any of the endpoints behind
         /// it: of so many for each request that it has too much. If all took the next one, it would
         /// be as full before the first of them hear of it.
-        double endpointsPerExcess = 4;
+        double overflowEndpointsPerRequest = 4;
         /// Each of them has to read the prompt or get a copy.
-        double mostBehindHome = 16;
+        double maximumOverflowEndpoints = 16;
         /// A prompt stays where it is held, though its home is another endpoint, up to these: new
         /// endpoints get their part of the work as soon as others have more than theirs.
         double holderBoundFactor = 1.3;
@@ -177,9 +177,9 @@
     /// Whether routers hear of a load later than it changes.
     bool isLoadKnownLate(const EndpointRegistry &registry) const
     {
-        return m_options.leavesGradually && registry.routerCount() >= m_options.manyRouters;
+        return m_options.overflowsGradually && registry.routerCount() >= m_options.manyRouters;
     }
-    LoadLine bound() const
+    LoadThreshold bound() const
     {
         return {.factor = m_options.boundFactor, .slack = m_options.boundSlack};
     }
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -22,7 +22,7 @@
 
 Placement::Options alone()
 {
-    return {.isUsualLoadHeeded = false, .leavesGradually = false};
+    return {.isUsualLoadHeeded = false, .overflowsGradually = false};
 }
 
 constexpr unsigned incidentSeeds = 6;
