--- a/src/libs/gateway/eventcutter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -1,4 +1,4 @@
-#include "gateway/eventcutter.h"
+#include "gateway/eventsplitter.h"
 
 #include "base/parsenumber.h"
 
@@ -47,7 +47,8 @@
 
 } // namespace
 
-bool EventCutter::read(std::string_view piece, const std::function<void(const Event &event)> &event)
+bool EventSplitter::read(std::string_view piece,
+                         const std::function<void(const Event &event)> &event)
 {
     m_rest.append(piece);
     std::size_t start = 0;
@@ -64,7 +65,7 @@
     return m_rest.size() <= longestEvent;
 }
 
-void EventCutter::clear()
+void EventSplitter::clear()
 {
     m_rest.clear();
     m_searched = 0;
--- a/src/libs/gateway/eventcutter.h
+++ b/src/libs/gateway/eventsplitter.h
@@ -10,7 +10,7 @@
 namespace Lagoonbank::Gateway {
 
 /// Cuts a stream of server-sent events into whole events, so that a torn one is never passed on.
-class EventCutter
+class EventSplitter
 {
 public:
     struct Event
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -196,7 +196,7 @@
     m_attempt = std::move(attempt);
     m_gateway.m_endpoints.requestSent(*endpoint, m_attempt->startedAt);
     m_attempt->bringsPrompt = m_gateway.notePrompt(m_prefixes, *endpoint, cacheSource.isCertain);
-    m_cutter.clear();
+    m_eventSplitter.clear();
     Http::Call call = m_gateway.m_options.protocol.makeCall(
         {.request = &m_request,
          .endpoint = &endpoint->info,
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/eventcutter.h"
+#include "gateway/eventsplitter.h"
 #include "gateway/gateway.h"
 #include "gateway/requestfingerprint.h"
 
@@ -115,7 +115,7 @@
     Http::Hooks hooks();
     void headReceived(int status, const Http::Headers &headers);
     void bodyReceived(std::string_view piece);
-    bool passEvent(const EventCutter::Event &event);
+    bool passEvent(const EventSplitter::Event &event);
     void callFinished(const Http::CallResult &result);
     void answerWhole();
     void passWhole();
@@ -173,7 +173,7 @@
     bool m_hasBegun = false; ///< The head of a stream has been passed on.
     std::optional<std::uint64_t> m_lastEvent;
     std::int64_t m_events = 0;
-    EventCutter m_cutter;
+    EventSplitter m_eventSplitter;
     std::optional<Runtime::TimerId> m_deadlineTimer;
     std::optional<Runtime::TimerId> m_silenceTimer;
     std::optional<Runtime::TimerId> m_placeTimer; ///< Until it looks for a place again.
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -77,14 +77,15 @@
         return;
     }
     bool isInOrder = true;
-    const bool isRead = m_cutter.read(
-        piece, [&](const EventCutter::Event &event) { isInOrder = isInOrder && passEvent(event); });
+    const bool isRead = m_eventSplitter.read(piece, [&](const EventSplitter::Event &event) {
+        isInOrder = isInOrder && passEvent(event);
+    });
     if (!isRead || !isInOrder)
         attemptFailed({.kind = ErrorKind::EndpointBroke});
 }
 
 /// Passes a whole event on; false if events before it are missing.
-bool RequestRun::passEvent(const EventCutter::Event &event)
+bool RequestRun::passEvent(const EventSplitter::Event &event)
 {
     Attempt &attempt = *m_attempt;
     const Base::MonoTime now = m_timers.clock().now();
@@ -177,7 +178,7 @@
     if (attempt.isStreaming) {
         if (!m_hasBegun)
             m_responder->begin(status, attempt.headers);
-        m_responder->write(m_cutter.rest());
+        m_responder->write(m_eventSplitter.rest());
         m_responder->end();
     } else {
         m_gateway.m_endpoints.answerTimed(*attempt.endpoint, now - attempt.startedAt,
--- a/tests/auto/gateway/tst_eventcutter.cpp
+++ b/tests/auto/gateway/tst_eventsplitter.cpp
@@ -1,12 +1,12 @@
-#define BOOST_TEST_MODULE tst_eventcutter
+#define BOOST_TEST_MODULE tst_eventsplitter
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/eventcutter.h"
+#include "gateway/eventsplitter.h"
 
 #include <string>
 #include <vector>
 
-using Lagoonbank::Gateway::EventCutter;
+using Lagoonbank::Gateway::EventSplitter;
 
 namespace {
 
@@ -15,9 +15,9 @@
     std::vector<std::string> events;
     std::vector<std::optional<std::uint64_t>> ids;
 
-    bool read(EventCutter &cutter, std::string_view piece)
+    bool read(EventSplitter &cutter, std::string_view piece)
     {
-        return cutter.read(piece, [this](const EventCutter::Event &event) {
+        return cutter.read(piece, [this](const EventSplitter::Event &event) {
             events.emplace_back(event.bytes);
             ids.push_back(event.id);
         });
@@ -34,7 +34,7 @@
     for (std::size_t size = 1; size <= stream.size(); ++size) {
         BOOST_TEST_CONTEXT("pieces of " << size)
         {
-            EventCutter cutter;
+            EventSplitter cutter;
             Seen seen;
             for (std::size_t at = 0; at < stream.size(); at += size)
                 BOOST_TEST(seen.read(cutter, std::string_view(stream).substr(at, size)));
@@ -50,7 +50,7 @@
 
 BOOST_AUTO_TEST_CASE(aTornEventStaysBehind)
 {
-    EventCutter cutter;
+    EventSplitter cutter;
     Seen seen;
     BOOST_TEST(seen.read(cutter, "id: 1\ndata: a\n\nid: 2\ndata: b\n"));
     BOOST_TEST(seen.events.size() == 1U);
@@ -62,7 +62,7 @@
 
 BOOST_AUTO_TEST_CASE(anEndlessEventIsRefused)
 {
-    EventCutter cutter;
+    EventSplitter cutter;
     Seen seen;
     const std::string block(512 * 1024, 'x');
     BOOST_TEST(seen.read(cutter, block));
