--- a/src/libs/gateway/fleetretrybudget.cpp
+++ b/src/libs/gateway/fleetretrybudget.cpp
@@ -10,55 +10,55 @@
 {
     Counts &counts = m_services[service];
     const std::int64_t slice =
-        now.time_since_epoch() / (m_options.window / static_cast<std::int64_t>(slices));
-    const std::int64_t first = std::max(counts.slice + 1, slice - static_cast<int>(slices) + 1);
+        now.time_since_epoch() / (m_options.window / static_cast<std::int64_t>(sliceCount));
+    const std::int64_t first = std::max(counts.slice + 1, slice - static_cast<int>(sliceCount) + 1);
     for (std::int64_t i = first; i <= slice; ++i) {
-        counts.requests.at(static_cast<std::size_t>(i) % slices) = 0;
-        counts.repeats.at(static_cast<std::size_t>(i) % slices) = 0;
+        counts.requests.at(static_cast<std::size_t>(i) % sliceCount) = 0;
+        counts.retries.at(static_cast<std::size_t>(i) % sliceCount) = 0;
     }
     counts.slice = std::max(counts.slice, slice);
     return counts;
 }
 
-double FleetRetryBudget::leftOf(const Counts &counts) const
+double FleetRetryBudget::remainingOf(const Counts &counts) const
 {
     const double requests = std::accumulate(counts.requests.begin(), counts.requests.end(), 0U);
-    const double repeats = std::accumulate(counts.repeats.begin(), counts.repeats.end(), 0U);
+    const double retries = std::accumulate(counts.retries.begin(), counts.retries.end(), 0U);
     const double all = m_options.ratio * requests + m_options.slack / m_routers;
-    return all * m_options.share - repeats;
+    return all * m_options.usedShare - retries;
 }
 
 void FleetRetryBudget::requestArrived(const Base::ServiceId &service, Base::MonoTime now)
 {
     Counts &counts = countsAt(service, now);
-    ++counts.requests.at(static_cast<std::size_t>(counts.slice) % slices);
+    ++counts.requests.at(static_cast<std::size_t>(counts.slice) % sliceCount);
 }
 
 bool FleetRetryBudget::spend(const Base::ServiceId &service, Base::MonoTime now)
 {
     Counts &counts = countsAt(service, now);
-    if (leftOf(counts) < 1)
+    if (remainingOf(counts) < 1)
         return false;
-    ++counts.repeats.at(static_cast<std::size_t>(counts.slice) % slices);
+    ++counts.retries.at(static_cast<std::size_t>(counts.slice) % sliceCount);
     return true;
 }
 
 void FleetRetryBudget::refund(const Base::ServiceId &service, Base::MonoTime now)
 {
     Counts &counts = countsAt(service, now);
-    for (std::size_t age = 0; age < slices; ++age) {
+    for (std::size_t age = 0; age < sliceCount; ++age) {
         const std::int64_t slice = counts.slice - static_cast<std::int64_t>(age);
-        std::uint32_t &repeats = counts.repeats.at(static_cast<std::size_t>(slice) % slices);
-        if (repeats == 0)
+        std::uint32_t &retries = counts.retries.at(static_cast<std::size_t>(slice) % sliceCount);
+        if (retries == 0)
             continue;
-        --repeats;
+        --retries;
         return;
     }
 }
 
 double FleetRetryBudget::remaining(const Base::ServiceId &service, Base::MonoTime now)
 {
-    return leftOf(countsAt(service, now));
+    return remainingOf(countsAt(service, now));
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/fleetretrybudget.h
+++ b/src/libs/gateway/fleetretrybudget.h
@@ -23,7 +23,7 @@
         double slack = 0; ///< Repeats in a window beyond the ratio, for the whole fleet.
         /// Part of the budget that is used. The rest covers routers that count their peers
         /// differently and windows that lie across ours.
-        double share = 0.7;
+        double usedShare = 0.7;
     };
 
     explicit FleetRetryBudget(Options options)
@@ -44,16 +44,16 @@
 
 private:
     /// The window is counted in slices, so that it slides in small steps.
-    static constexpr std::size_t slices = 20;
+    static constexpr std::size_t sliceCount = 20;
     struct Counts
     {
-        std::array<std::uint32_t, slices> requests{};
-        std::array<std::uint32_t, slices> repeats{};
+        std::array<std::uint32_t, sliceCount> requests{};
+        std::array<std::uint32_t, sliceCount> retries{};
         std::int64_t slice = 0; ///< Number of the newest one, since the clock's beginning.
     };
 
     Counts &countsAt(const Base::ServiceId &service, Base::MonoTime now);
-    double leftOf(const Counts &counts) const;
+    double remainingOf(const Counts &counts) const;
 
     Options m_options;
     int m_routers = 1;
