--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -26,7 +26,7 @@
                .strength = m_options.strength,
                .clock = &m_options.timers->clock(),
                .randomSeed = m_options.randomSeed})
-    , m_knowledge({.clock = &m_options.timers->clock()})
+    , m_freshness({.clock = &m_options.timers->clock()})
 {
     m_drains.changed = [this](const auto &before, const auto &current) {
         if (drainsChanged)
@@ -48,7 +48,7 @@
 void FleetSync::start()
 {
     m_startedAt = now();
-    m_knowledge.arrivedAt();
+    m_freshness.arrivedAt();
     m_readingSince = m_startedAt;
     m_startTimer = m_options.timers->start(m_options.startPatience, [this] { checkDuty(); });
     tick();
@@ -80,14 +80,14 @@
     if (beacon.router == m_options.id)
         return;
     bool isNew = false;
-    const Peer &peer = m_peers.note(fromIp, beacon, m_knowledge.arrivedAt(), isNew);
-    const auto knownBefore = m_knowledge.at();
+    const Peer &peer = m_peers.note(fromIp, beacon, m_freshness.arrivedAt(), isNew);
+    const auto knownBefore = m_freshness.at();
     learnDrains(beacon);
     for (const SharedEndpoint &news : beacon.news)
         learn(news);
     compare(peer);
     watch(peer);
-    const bool isNews = knownBefore && *m_knowledge.at() - *knownBefore > leastAdvance;
+    const bool isNews = knownBefore && *m_freshness.at() - *knownBefore > leastAdvance;
     if (isFollowing() && isNews)
         pushKnowledge();
     if (isNew && !peer.isTold)
@@ -96,7 +96,7 @@
 
 void FleetSync::storeRead()
 {
-    if (m_knowledge.read(isUnanswered()))
+    if (m_freshness.read(isUnanswered()))
         m_options.directory->storeReturned();
     m_isDoubting = m_isDoubting && isBehind();
     m_hasFollowed = false;
@@ -118,7 +118,7 @@
 
 void FleetSync::storeFailed()
 {
-    m_knowledge.readFailed();
+    m_freshness.readFailed();
     m_options.directory->storeFailed();
 }
 
@@ -126,16 +126,16 @@
 /// before the own read does.
 void FleetSync::noteKnown(Base::MonoTime at)
 {
-    if (m_knowledge.learn(at, isUnanswered()))
+    if (m_freshness.learn(at, isUnanswered()))
         m_options.directory->storeReturned();
 }
 
 void FleetSync::storeReturned()
 {
-    if (!m_knowledge.at() && m_options.directory->entries().empty())
+    if (!m_freshness.at() && m_options.directory->entries().empty())
         return; // Nothing can have lapsed.
-    if (!m_knowledge.at() || m_options.directory->holdsRemovals()
-        || m_knowledge.mayHaveLapsed(now(), isUnanswered()))
+    if (!m_freshness.at() || m_options.directory->holdsRemovals()
+        || m_freshness.mayHaveLapsed(now(), isUnanswered()))
         m_options.directory->storeReturned();
 }
 
@@ -207,9 +207,9 @@
 
 std::optional<Base::Duration> FleetSync::knowledgeAge() const
 {
-    if (!m_knowledge.at())
+    if (!m_freshness.at())
         return std::nullopt;
-    return now() - *m_knowledge.at();
+    return now() - *m_freshness.at();
 }
 
 std::vector<const Peer *> FleetSync::stayingPeers() const
@@ -240,7 +240,7 @@
 
 void FleetSync::tick()
 {
-    m_knowledge.arrivedAt();
+    m_freshness.arrivedAt();
     checkDuty();
     sendBeacons();
     m_timer = m_options.timers->start(m_peers.beaconInterval(), [this] { tick(); });
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -5,7 +5,7 @@
 #include "fleet/datacentredrains.h"
 #include "fleet/endpointdirectory.h"
 #include "fleetsync/peertable.h"
-#include "fleetsync/storeknowledge.h"
+#include "fleetsync/storefreshness.h"
 #include "runtime/timerqueue.h"
 #include "runtime/udpsocket.h"
 #include "schema/generated/fleetsync.h"
@@ -147,14 +147,14 @@
     void endpointChanged(const Fleet::EndpointDirectory::Entry &entry, bool isGone);
 
     /// How long a message that is read now may have waited for this process.
-    Base::Duration arrivalDelay() { return now() - m_knowledge.arrivedAt(); }
+    Base::Duration arrivalDelay() { return now() - m_freshness.arrivedAt(); }
     bool readsStore() const { return m_isReading; }
     /// Whether it tells its data centre what it knows.
     bool isLeader() const { return m_isLeader; }
     /// Age of what this router knows; nothing if it knows nothing.
     std::optional<Base::Duration> knowledgeAge() const;
     /// Whether the endpoints are known, from the store or from a peer.
-    bool knowsEndpoints() const { return m_knowledge.at().has_value(); }
+    bool knowsEndpoints() const { return m_freshness.at().has_value(); }
     /// Routers that were registered or heard of, this one included.
     std::size_t routerCount() const { return m_peers.peers().size() + 1; }
     const std::map<std::string, Peer> &peers() const { return m_peers.peers(); }
@@ -208,7 +208,7 @@
     PeerTable m_peers;
     StoredConfiguration m_configuration;
     Fleet::DataCentreDrains m_drains;
-    StoreKnowledge m_knowledge;
+    StoreFreshness m_freshness;
     Base::MonoTime m_startedAt{};
     Base::MonoTime m_readingSince{};
     Base::MonoTime m_pulledAt{};
--- a/src/libs/fleetsync/fleetsyncduty.cpp
+++ b/src/libs/fleetsync/fleetsyncduty.cpp
@@ -21,7 +21,7 @@
     // Until it knows anything a router reads, whoever else does; so it does while it waits for
     // entries to come back, or doubts some, as peers that do not would not tell.
     const bool mustRead =
-        !m_knowledge.at() || m_isDoubting || m_options.directory->hasUnconfirmedEntries();
+        !m_freshness.at() || m_isDoubting || m_options.directory->hasUnconfirmedEntries();
     const bool leads = mustRead || !(hasLeader() || expectsLeader());
     const bool reads = mustRead || (leads && !canFollow());
     m_isAnnouncing = m_isAnnouncing || (leads && !m_isLeader);
@@ -32,7 +32,7 @@
     m_isReading = reads;
     m_hasFollowed = reads && wasFollowing;
     if (!reads)
-        m_knowledge.forgetFailure();
+        m_freshness.forgetFailure();
     m_readingSince = now();
     if (dutyChanged)
         dutyChanged(reads);
@@ -52,7 +52,7 @@
 /// each other; meanwhile each would read the store two or three times more.
 bool FleetSync::expectsLeader() const
 {
-    const bool knowsAll = m_knowledge.readAt() && m_configuration.revision > Base::Revision();
+    const bool knowsAll = m_freshness.readAt() && m_configuration.revision > Base::Revision();
     if (!knowsAll || now() - m_startedAt >= m_options.startPatience)
         return false;
     const auto &peers = m_peers.peers();
@@ -95,7 +95,7 @@
 
 bool FleetSync::canFollow() const
 {
-    if (now() - *m_knowledge.at() > m_options.followedAgeLimit)
+    if (now() - *m_freshness.at() > m_options.followedAgeLimit)
         return false;
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(),
@@ -115,7 +115,7 @@
 /// return before its own read fails; it has missed the store all the same.
 bool FleetSync::isUnanswered() const
 {
-    const bool isFirst = !m_knowledge.readAt() || *m_knowledge.readAt() < m_readingSince;
+    const bool isFirst = !m_freshness.readAt() || *m_freshness.readAt() < m_readingSince;
     return m_isReading && isFirst && now() - m_readingSince > m_options.answerTime;
 }
 
@@ -123,13 +123,13 @@
 /// learns from them says nothing of its own reads.
 bool FleetSync::readsWell() const
 {
-    if (!m_isLeader || !m_knowledge.at())
+    if (!m_isLeader || !m_freshness.at())
         return false;
     if (isFollowing() || m_hasFollowed)
-        return now() - *m_knowledge.at() <= m_options.readerAgeLimit;
+        return now() - *m_freshness.at() <= m_options.readerAgeLimit;
     // Its followers read beyond that limit, and what it knows then may have come from them.
-    return m_knowledge.readAt() && *m_knowledge.readAt() >= m_readingSince
-        && now() - *m_knowledge.readAt() <= m_options.followedAgeLimit;
+    return m_freshness.readAt() && *m_freshness.readAt() >= m_readingSince
+        && now() - *m_freshness.readAt() <= m_options.followedAgeLimit;
 }
 
 /// A leaving endpoint has to be known in 2 s, of which 1.6 s go by until a leader counts as
@@ -139,7 +139,7 @@
     if (isFollowing() && isFollowed(peer)) {
         m_options.timers->cancel(m_silenceTimer);
         m_silenceTimer = m_options.timers->start(m_options.followedAgeLimit
-                                                     - (now() - *m_knowledge.at()) + readMargin,
+                                                     - (now() - *m_freshness.at()) + readMargin,
                                                  [this] { checkDuty(); });
         return;
     }
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -27,17 +27,17 @@
 /// Whether a pull of endpoints from this peer would tell anything new.
 bool FleetSync::wantsEndpoints(const Peer &peer) const
 {
-    if (m_knowledge.at() && peer.knownAt <= *m_knowledge.at())
+    if (m_freshness.at() && peer.knownAt <= *m_freshness.at())
         return false;
     // Bytes between data centres are dear, and the own reader tells the same a moment later.
-    const bool isStale = now() - m_knowledge.at().value_or(m_startedAt) > m_options.readerAgeLimit;
-    if (!isSource(peer) && !isStale && !m_knowledge.hasFailed())
+    const bool isStale = now() - m_freshness.at().value_or(m_startedAt) > m_options.readerAgeLimit;
+    if (!isSource(peer) && !isStale && !m_freshness.hasFailed())
         return false;
     if (!m_isReading)
         return true;
-    if (m_knowledge.readAt())
-        return now() - *m_knowledge.readAt() > m_options.storeFreshness;
-    return m_knowledge.hasFailed() || now() - m_readingSince > m_options.firstReadTime;
+    if (m_freshness.readAt())
+        return now() - *m_freshness.readAt() > m_options.storeFreshness;
+    return m_freshness.hasFailed() || now() - m_readingSince > m_options.firstReadTime;
 }
 
 /// A newer configuration of another data centre is pulled only if the own one stays behind.
@@ -152,7 +152,7 @@
     if (isFruitless)
         noteFruitless();
     // The store may have dropped some of them while it was away.
-    if (!m_knowledge.at())
+    if (!m_freshness.at())
         m_options.directory->storeReturned();
     if (state.knowledgeAgeMs != unknownAge && !m_isDoubting)
         noteKnown(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
--- a/src/libs/fleetsync/storeknowledge.cpp
+++ b/src/libs/fleetsync/storefreshness.cpp
@@ -1,4 +1,4 @@
-#include "fleetsync/storeknowledge.h"
+#include "fleetsync/storefreshness.h"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-Base::MonoTime StoreKnowledge::arrivedAt()
+Base::MonoTime StoreFreshness::arrivedAt()
 {
     const Base::MonoTime now = m_options.clock->now();
     if (now - m_activeAt > standstill) {
@@ -26,7 +26,7 @@
 
 /// Outages count as one if endpoints had no time to write in between. A gap that begins right
 /// behind an outage is taken for its second part, whatever its cause.
-bool StoreKnowledge::mayHaveLapsed(Base::MonoTime at, bool isUnanswered)
+bool StoreFreshness::mayHaveLapsed(Base::MonoTime at, bool isUnanswered)
 {
     const Base::Duration thereFor = *m_at - m_thereSince;
     const bool isOutage = m_hasFailed || isUnanswered || thereFor <= m_options.briefReturn;
@@ -41,14 +41,14 @@
     return at - m_awaySince > m_options.shortestLapse;
 }
 
-bool StoreKnowledge::learn(Base::MonoTime at, bool isUnanswered)
+bool StoreFreshness::learn(Base::MonoTime at, bool isUnanswered)
 {
     const bool isLapsed = m_at && mayHaveLapsed(at, isUnanswered);
     m_at = std::max(m_at.value_or(at), at);
     return isLapsed;
 }
 
-bool StoreKnowledge::read(bool isUnanswered)
+bool StoreFreshness::read(bool isUnanswered)
 {
     const bool isLapsed = learn(arrivedAt(), isUnanswered);
     m_readAt = m_at;
--- a/src/libs/fleetsync/storeknowledge.h
+++ b/src/libs/fleetsync/storefreshness.h
@@ -9,7 +9,7 @@
 
 /// Up to when a router knows what the store held, from the store or from peers, and whether entries
 /// may have lapsed while nobody could read it.
-class StoreKnowledge
+class StoreFreshness
 {
 public:
     struct Options
@@ -27,7 +27,7 @@
         Base::Duration writeTime = std::chrono::milliseconds(2200);
     };
 
-    explicit StoreKnowledge(Options options)
+    explicit StoreFreshness(Options options)
         : m_options(options)
         , m_activeAt(options.clock->now())
     { }
