--- a/tests/auto/keyedlog/tst_keyedview.cpp
+++ b/tests/auto/keyedlog/tst_keyedview.cpp
@@ -116,7 +116,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(itFillsItselfPageByPageAndFollowsTheTail)
+BOOST_AUTO_TEST_CASE(fillsPageByPageAndFollowsTheTail)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 3)}, 10, true);
@@ -133,7 +133,7 @@
     BOOST_TEST((f.log.reads.front().from == Base::LogOffset(12)));
 }
 
-BOOST_AUTO_TEST_CASE(aTailThatIsLongIsReadOnAtOnce)
+BOOST_AUTO_TEST_CASE(readsOnAtOnceWhileBehind)
 {
     Fixture f;
     f.log.answerNewest({}, 0);
@@ -143,7 +143,7 @@
     BOOST_TEST((f.log.reads.front().from == Base::LogOffset(1)));
 }
 
-BOOST_AUTO_TEST_CASE(aKeyNeverGoesBack)
+BOOST_AUTO_TEST_CASE(neverRevertsAKeyToAnOlderRecord)
 {
     Fixture f;
     f.log.answerNewest({put("a", "new", 8)}, 9);
@@ -157,7 +157,7 @@
     BOOST_TEST((f.log.reads.front().from == Base::LogOffset(9)));
 }
 
-BOOST_AUTO_TEST_CASE(aStalePageDropsNoKeyThatIsNewer)
+BOOST_AUTO_TEST_CASE(stalePageDropsNoNewerKey)
 {
     Fixture f;
     f.log.answerNewest({}, 3);
@@ -170,7 +170,7 @@
     BOOST_TEST(f.takeTold() == "filled ");
 }
 
-BOOST_AUTO_TEST_CASE(keysThatWentWithLostRecordsAreDropped)
+BOOST_AUTO_TEST_CASE(dropsKeysAbsentFromARefill)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 3), put("b", "2", 4)}, 5);
@@ -182,7 +182,7 @@
 }
 
 /// The record at the end is not among those that were listed; it may be the key's next one.
-BOOST_AUTO_TEST_CASE(aKeyThatAListingLacksIsDroppedByARecordBeforeItsEnd)
+BOOST_AUTO_TEST_CASE(keyAbsentFromAFillIsDroppedBeforeItsEnd)
 {
     Fixture f;
     std::optional<Base::LogOffset> droppedBy;
@@ -194,7 +194,7 @@
     BOOST_TEST((droppedBy == Base::LogOffset(20)));
 }
 
-BOOST_AUTO_TEST_CASE(whileTheLogIsAwayItAsksAgainMoreAndMoreSeldom)
+BOOST_AUTO_TEST_CASE(backsOffWhileTheLogIsUnavailable)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 3)}, 5);
@@ -218,7 +218,7 @@
     BOOST_TEST(f.takeTold() == "up ");
 }
 
-BOOST_AUTO_TEST_CASE(aFailedFillBeginsAnew)
+BOOST_AUTO_TEST_CASE(failedFillStartsOver)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 3)}, 5, true);
@@ -228,7 +228,7 @@
     BOOST_TEST(!f.view.isFilled());
 }
 
-BOOST_AUTO_TEST_CASE(aRestartGivesUpAReadThatMayBeSilent)
+BOOST_AUTO_TEST_CASE(restartCancelsThePendingRead)
 {
     Fixture f;
     f.log.answerNewest({}, 5);
@@ -240,7 +240,7 @@
     BOOST_TEST((f.log.reads.front().from == Base::LogOffset(5)));
 }
 
-BOOST_AUTO_TEST_CASE(itHasCaughtUpOnlyAfterTheLastPage)
+BOOST_AUTO_TEST_CASE(reportsCaughtUpAfterTheLastPage)
 {
     Fixture f;
     int caughtUp = 0;
@@ -253,7 +253,7 @@
     BOOST_TEST(caughtUp == 1);
 }
 
-BOOST_AUTO_TEST_CASE(itHasNotCaughtUpWhileTheTailIsBehindOrLost)
+BOOST_AUTO_TEST_CASE(doesNotReportCaughtUpWhileBehindOrOutOfRange)
 {
     Fixture f;
     int caughtUp = 0;
@@ -273,7 +273,7 @@
 }
 
 /// Pattern: configurations come in quick succession, each a large text that takes its reader long.
-BOOST_AUTO_TEST_CASE(ofSeveralRecordsOfOneKeyOnlyTheNewestIsTold)
+BOOST_AUTO_TEST_CASE(reportsOnlyTheNewestRecordOfAKey)
 {
     for (const bool reportsNewestOnly : {false, true}) {
         Fixture f(reportsNewestOnly);
@@ -289,7 +289,7 @@
 
 /// Pattern: the reader of a data centre dies, and another router takes up its duty. What that has
 /// learnt from its peers, a configuration of 880 KB, is not read again over its small link.
-BOOST_AUTO_TEST_CASE(whatIsKnownByOtherMeansIsNotReadAgain)
+BOOST_AUTO_TEST_CASE(startAfterDoesNotRereadKnownRecords)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 1)}, 2);
@@ -308,7 +308,7 @@
 
 /// Pattern: one router reads the log, and another goes on where that one was. It has not read the
 /// key that is dropped next.
-BOOST_AUTO_TEST_CASE(aKeyThatWasKnownByOtherMeansIsDroppedToo)
+BOOST_AUTO_TEST_CASE(startAfterReportsDroppedKnownKeys)
 {
     Fixture f;
     std::string dropped;
