--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -307,10 +307,10 @@
         place.reason == PlacementReason::HomeBusy || place.reason == PlacementReason::HomeSlow;
     const auto isHolder = [&](const EndpointRecord &endpoint) {
         const bool isLeftForLoad = isPassedOver && !registry.isWarmingUp(endpoint, now);
-        return isLeftForLoad || now - endpoint.knownSince >= m_options.newTime;
+        return isLeftForLoad || now - endpoint.knownSince >= m_options.newEndpointPeriod;
     };
     const Routing::RendezvousCost order(*request.affinity);
-    const bool isTargetNew = now - target.knownSince < m_options.newTime;
+    const bool isTargetNew = now - target.knownSince < m_options.newEndpointPeriod;
     const double targetCost = order.cost(target.hash, 1);
     EndpointPtr source;
     double least = isTargetNew ? std::numeric_limits<double>::max() : targetCost;
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -114,7 +114,7 @@
         Base::Duration speedHalfLife = std::chrono::seconds(4);
         /// For which an endpoint that is new to its service counts as one without the prompts whose
         /// home it has become: chats return within this time or seldom.
-        Base::Duration newTime = std::chrono::seconds(12);
+        Base::Duration newEndpointPeriod = std::chrono::seconds(12);
         /// Prompts of fewer shared tokens are short: engines read 80 to 160 tokens in a
         /// millisecond.
         Base::Tokens shortPrompt{1500};
