--- a/src/libs/gateway/eventsplitter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -50,24 +50,24 @@
 bool EventSplitter::read(std::string_view piece,
                          const std::function<void(const Event &event)> &event)
 {
-    m_rest.append(piece);
+    m_remainder.append(piece);
     std::size_t start = 0;
     std::size_t from = m_searched;
-    while (const auto end = endOfEvent(m_rest, from)) {
-        const std::string_view bytes = std::string_view(m_rest).substr(start, *end - start);
+    while (const auto end = endOfEvent(m_remainder, from)) {
+        const std::string_view bytes = std::string_view(m_remainder).substr(start, *end - start);
         event({bytes, idOf(bytes)});
         start = *end;
         from = start;
     }
-    m_rest.erase(0, start);
+    m_remainder.erase(0, start);
     const std::size_t overlap = eventEndWithReturns.size() - 1;
-    m_searched = m_rest.size() > overlap ? m_rest.size() - overlap : 0;
-    return m_rest.size() <= longestEvent;
+    m_searched = m_remainder.size() > overlap ? m_remainder.size() - overlap : 0;
+    return m_remainder.size() <= longestEvent;
 }
 
 void EventSplitter::clear()
 {
-    m_rest.clear();
+    m_remainder.clear();
     m_searched = 0;
 }
 
--- a/src/libs/gateway/eventsplitter.h
+++ b/src/libs/gateway/eventsplitter.h
@@ -23,11 +23,11 @@
     /// any sender makes.
     bool read(std::string_view piece, const std::function<void(const Event &event)> &event);
     /// Bytes of an event that is not whole.
-    const std::string &rest() const { return m_rest; }
+    const std::string &remainder() const { return m_remainder; }
     void clear();
 
 private:
-    std::string m_rest;
+    std::string m_remainder;
     std::size_t m_searched = 0; ///< Bytes of the rest in which no end of an event was found.
 };
 
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -178,7 +178,7 @@
     if (attempt.isStreaming) {
         if (!m_hasBegun)
             m_responder->begin(status, attempt.headers);
-        m_responder->write(m_eventSplitter.rest());
+        m_responder->write(m_eventSplitter.remainder());
         m_responder->end();
     } else {
         m_gateway.m_endpoints.answerTimed(*attempt.endpoint, now - attempt.startedAt,
--- a/tests/auto/gateway/tst_eventsplitter.cpp
+++ b/tests/auto/gateway/tst_eventsplitter.cpp
@@ -43,7 +43,7 @@
                 joined += event;
             BOOST_TEST(joined == stream);
             BOOST_TEST((seen.ids == ids));
-            BOOST_TEST(cutter.rest().empty());
+            BOOST_TEST(cutter.remainder().empty());
         }
     }
 }
@@ -54,7 +54,7 @@
     Seen seen;
     BOOST_TEST(seen.read(cutter, "id: 1\ndata: a\n\nid: 2\ndata: b\n"));
     BOOST_TEST(seen.events.size() == 1U);
-    BOOST_TEST(cutter.rest() == "id: 2\ndata: b\n");
+    BOOST_TEST(cutter.remainder() == "id: 2\ndata: b\n");
     cutter.clear();
     BOOST_TEST(seen.read(cutter, "id: 2\ndata: b\n\n"));
     BOOST_TEST(seen.events.back() == "id: 2\ndata: b\n\n");
