--- a/src/libs/gateway/fleetretrybudget.h
+++ b/src/libs/gateway/fleetretrybudget.h
@@ -32,7 +32,7 @@
 
     void setOptions(const Options &options) { m_options = options; }
     /// Routers that share the slack, this one included.
-    void setRouters(int routers) { m_routers = routers > 1 ? routers : 1; }
+    void setRouterCount(int routers) { m_routers = routers > 1 ? routers : 1; }
 
     void requestArrived(const Base::ServiceId &service, Base::MonoTime now);
     /// Takes one repeat out; false and nothing taken where none is left.
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -120,7 +120,7 @@
 void Gateway::setRouterCount(std::size_t routers)
 {
     m_routerCount = std::max<std::size_t>(1, routers);
-    m_retryBudget.setRouters(static_cast<int>(m_routerCount));
+    m_retryBudget.setRouterCount(static_cast<int>(m_routerCount));
     m_endpoints.setRouterCount(m_routerCount);
     const Base::MonoTime now = m_options.loop->clock().now();
     for (const auto &[service, endpoints] : m_endpoints.services()) {
--- a/tests/auto/gateway/tst_fleetretrybudget.cpp
+++ b/tests/auto/gateway/tst_fleetretrybudget.cpp
@@ -31,7 +31,7 @@
             std::vector<FleetRetryBudget> budgets(static_cast<std::size_t>(routers),
                                                   FleetRetryBudget(usersOptions()));
             for (FleetRetryBudget &budget : budgets)
-                budget.setRouters(routers);
+                budget.setRouterCount(routers);
             // 120 requests a second over all routers; each asks for a repeat.
             std::deque<Base::MonoTime> requests;
             std::deque<Base::MonoTime> repeats;
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(aQuietServiceStillHasItsSlack)
 {
     FleetRetryBudget budget(usersOptions());
-    budget.setRouters(6);
+    budget.setRouterCount(6);
     const Base::MonoTime now{std::chrono::hours(1)};
     int spent = 0;
     while (budget.spend(service, now))
