--- a/src/libs/fleetsync/storefreshness.cpp
+++ b/src/libs/fleetsync/storefreshness.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-Base::MonoTime StoreFreshness::arrivedAt()
+Base::MonoTime StoreFreshness::arrivalTime()
 {
     const Base::MonoTime now = m_options.clock->now();
     if (now - m_activeAt > standstill) {
@@ -26,32 +26,32 @@
 
 /// Outages count as one if endpoints had no time to write in between. A gap that begins right
 /// behind an outage is taken for its second part, whatever its cause.
-bool StoreFreshness::mayHaveLapsed(Base::MonoTime at, bool isUnanswered)
+bool StoreFreshness::mayHaveExpired(Base::MonoTime asOf, bool isUnanswered)
 {
-    const Base::Duration thereFor = *m_at - m_thereSince;
+    const Base::Duration thereFor = *m_asOf - m_thereSince;
     const bool isOutage = m_hasFailed || isUnanswered || thereFor <= m_options.briefReturn;
     // Without a read of its own that failed a router may just have lost its reader.
     if (!isOutage)
-        return at - *m_at > m_options.shortestLapse;
-    if (at - *m_at <= m_options.longestReadGap)
+        return asOf - *m_asOf > m_options.shortestLapse;
+    if (asOf - *m_asOf <= m_options.longestReadGap)
         return false;
     if (thereFor >= m_options.writeTime)
-        m_awaySince = *m_at;
-    m_thereSince = at;
-    return at - m_awaySince > m_options.shortestLapse;
+        m_awaySince = *m_asOf;
+    m_thereSince = asOf;
+    return asOf - m_awaySince > m_options.shortestLapse;
 }
 
-bool StoreFreshness::learn(Base::MonoTime at, bool isUnanswered)
+bool StoreFreshness::advanceTo(Base::MonoTime asOf, bool isUnanswered)
 {
-    const bool isLapsed = m_at && mayHaveLapsed(at, isUnanswered);
-    m_at = std::max(m_at.value_or(at), at);
+    const bool isLapsed = m_asOf && mayHaveExpired(asOf, isUnanswered);
+    m_asOf = std::max(m_asOf.value_or(asOf), asOf);
     return isLapsed;
 }
 
-bool StoreFreshness::read(bool isUnanswered)
+bool StoreFreshness::readSucceeded(bool isUnanswered)
 {
-    const bool isLapsed = learn(arrivedAt(), isUnanswered);
-    m_readAt = m_at;
+    const bool isLapsed = advanceTo(arrivalTime(), isUnanswered);
+    m_readAt = m_asOf;
     m_hasFailed = false;
     return isLapsed;
 }
--- a/src/libs/fleetsync/storefreshness.h
+++ b/src/libs/fleetsync/storefreshness.h
@@ -33,7 +33,7 @@
     { }
 
     /// Time to which what is known was true; nothing if nothing is known.
-    const std::optional<Base::MonoTime> &at() const { return m_at; }
+    const std::optional<Base::MonoTime> &asOf() const { return m_asOf; }
     /// When this router has read the store itself.
     const std::optional<Base::MonoTime> &readAt() const { return m_readAt; }
     /// A read has failed since.
@@ -42,21 +42,21 @@
     /// To be called whenever the process does anything. When a message that is read now may have
     /// come: those that came while the process stood still have waited in its sockets, and what
     /// they call new is as old as that.
-    Base::MonoTime arrivedAt();
+    Base::MonoTime arrivalTime();
     /// Whether entries may have lapsed of which nothing was known until \a at. Something is known.
     /// \a isUnanswered says that a read of this router's own waits for longer than the store takes.
-    bool mayHaveLapsed(Base::MonoTime at, bool isUnanswered);
+    bool mayHaveExpired(Base::MonoTime asOf, bool isUnanswered);
     /// What is known was true at \a at; gives back whether entries may have lapsed since before.
-    bool learn(Base::MonoTime at, bool isUnanswered);
+    bool advanceTo(Base::MonoTime asOf, bool isUnanswered);
     /// The same of a read of this router's own.
-    bool read(bool isUnanswered);
+    bool readSucceeded(bool isUnanswered);
     void readFailed() { m_hasFailed = true; }
     /// This router reads no more, so its reads say nothing of what comes.
-    void forgetFailure() { m_hasFailed = false; }
+    void clearFailure() { m_hasFailed = false; }
 
 private:
     Options m_options;
-    std::optional<Base::MonoTime> m_at;
+    std::optional<Base::MonoTime> m_asOf;
     std::optional<Base::MonoTime> m_readAt;
     bool m_hasFailed = false;
     Base::MonoTime m_thereSince{}; ///< Since the last gap.
