--- a/tests/auto/adapter/tst_boundary.cpp
+++ b/tests/auto/adapter/tst_boundary.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theProductKnowsNoNameOfThePlatform)
+BOOST_AUTO_TEST_CASE(librariesContainNoPlatformNames)
 {
     const std::regex names("lagoonbank-(attempt|deadline|prompt|token-count|model|tenant|expect|"
                            "server-seal|not-executed|engine-load|instance|request-priority|kv|pin|"
@@ -55,7 +55,7 @@
         BOOST_ERROR(place + " names something of the platform; it belongs into platform/");
 }
 
-BOOST_AUTO_TEST_CASE(theAdapterDecidesNothing)
+BOOST_AUTO_TEST_CASE(adapterContainsNoDecisions)
 {
     // What decides knows loads, budgets, time and chance.
     const std::regex deciding("suspicion|retryBudget\\(\\)|\\.load\\(|std::mt19937|rendezvous",
--- a/tests/auto/adapter/tst_crashingrequestfleet.cpp
+++ b/tests/auto/adapter/tst_crashingrequestfleet.cpp
@@ -105,7 +105,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(routersTellEachOtherUnderWhatEndpointsEnd)
+BOOST_AUTO_TEST_CASE(routersShareCrashReports)
 {
     RouterFleet f(4);
     for (int attempt = 0; attempt < 8; ++attempt)
@@ -113,7 +113,7 @@
     BOOST_TEST(f.ended <= mostEnds);
 }
 
-BOOST_AUTO_TEST_CASE(routersThatStartLearnIt)
+BOOST_AUTO_TEST_CASE(startingRoutersReceiveTheQuarantine)
 {
     RouterFleet f(3);
     for (int attempt = 0; f.ended < mostEnds; ++attempt)
--- a/tests/auto/adapter/tst_endpointselfreport.cpp
+++ b/tests/auto/adapter/tst_endpointselfreport.cpp
@@ -122,7 +122,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(anEndpointThatSaysThatItLeavesGetsNothingNew)
+BOOST_AUTO_TEST_CASE(leavingEndpointGetsNoNewRequests)
 {
     Fixture f(2);
     Engine &leaving = *f.engines[0];
@@ -138,7 +138,7 @@
 }
 
 /// Pattern: entries lapse while the store is down, and are back after it.
-BOOST_AUTO_TEST_CASE(itsWordOutlastsItsEntryUntilItStartsAgain)
+BOOST_AUTO_TEST_CASE(leavingStateOutlastsTheEntryUntilARestart)
 {
     Fixture f(2);
     Engine &leaving = *f.engines[0];
@@ -156,7 +156,7 @@
 }
 
 /// Also where nobody else is there: callers are told when to come back.
-BOOST_AUTO_TEST_CASE(anEndpointThatNamesATimeGetsNothingBeforeIt)
+BOOST_AUTO_TEST_CASE(retryAfterOfAnEndpointIsObserved)
 {
     Fixture f(1);
     Engine &full = *f.engines[0];
--- a/tests/auto/adapter/tst_enginecodec.cpp
+++ b/tests/auto/adapter/tst_enginecodec.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theRequestGoesOnUnchanged)
+BOOST_AUTO_TEST_CASE(forwardsTheRequestUnchanged)
 {
     Fixture f;
     const Http::Call call = f.call({.workspace = Base::WorkspaceId("w"),
@@ -56,7 +56,7 @@
     BOOST_TEST(!call.headers.find("lagoonbank-request-priority"));
 }
 
-BOOST_AUTO_TEST_CASE(aPromptBringsItsPriorityAndWhereItIsCached)
+BOOST_AUTO_TEST_CASE(promptAddsPriorityAndCacheSource)
 {
     Fixture f;
     f.request.prompt.emplace();
@@ -67,7 +67,7 @@
     BOOST_TEST(call.headers.find("kv-fetch").value_or("") == "10.0.0.2:81");
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerCountsOnlyWithItsProof)
+BOOST_AUTO_TEST_CASE(successCountsOnlyWithProof)
 {
     struct Row
     {
@@ -112,7 +112,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointsWordOnItselfIsReadFromItsOwnAnswers)
+BOOST_AUTO_TEST_CASE(readsEndpointStateFromItsOwnAnswersOnly)
 {
     Fixture f;
     const Http::Header leaving{"server-leaving", "1"};
@@ -135,7 +135,7 @@
     BOOST_TEST(rest(200, "3") == -1);
 }
 
-BOOST_AUTO_TEST_CASE(loadIsReadOrLeftOut)
+BOOST_AUTO_TEST_CASE(readsLoadReport)
 {
     Fixture f;
     const auto facts = f.read(200, {{"lagoonbank-engine-load", "3,1,8"}});
@@ -147,7 +147,7 @@
         BOOST_TEST(!f.read(200, {{"lagoonbank-engine-load", text}}).load, text);
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointSaysThatItIsCold)
+BOOST_AUTO_TEST_CASE(readsWarmupState)
 {
     Fixture f;
     const Http::Header cold{"lagoonbank-warmup-remaining", "1200"};
--- a/tests/auto/adapter/tst_ingress.cpp
+++ b/tests/auto/adapter/tst_ingress.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aRequestIsDecodedOnce)
+BOOST_AUTO_TEST_CASE(decodesARequest)
 {
     const auto read = Platform::readRequest(exampleRequest());
     BOOST_REQUIRE(read);
@@ -77,7 +77,7 @@
     BOOST_TEST(!request.headers.find("api-key"));
 }
 
-BOOST_AUTO_TEST_CASE(whatOnlyTheFleetMaySetIsNotPassedOn)
+BOOST_AUTO_TEST_CASE(fleetOnlyFieldsAreNotForwarded)
 {
     for (const char *name :
          {"lagoonbank-tenant", "lagoonbank-expect-instance", "lagoonbank-request-priority",
@@ -96,7 +96,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatIsWrongIsRefused)
+BOOST_AUTO_TEST_CASE(malformedRequestIsRejected)
 {
     Http::Request noId = exampleRequest();
     noId.headers = {{"host", "h"}};
@@ -116,7 +116,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aPromptThatCannotBeReadIsPassedOnWithoutUse)
+BOOST_AUTO_TEST_CASE(unreadablePromptIsForwardedButNotUsed)
 {
     for (const char *parts : {"", "xyz", "5c:", "zz:5", "5c:5,", ":5"}) {
         Http::Request request = exampleRequest();
@@ -132,7 +132,7 @@
 }
 
 /// 429 and 503 promise that the request has not run and never will.
-BOOST_AUTO_TEST_CASE(aRefusalPromisesNoMoreThanIsKnown)
+BOOST_AUTO_TEST_CASE(statusClaimsNotRunOnlyIfKnown)
 {
     using Errors::ErrorKind;
     using Errors::Ran;
@@ -172,7 +172,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(theTimeToComeBackMayBeAFraction)
+BOOST_AUTO_TEST_CASE(retryAfterMayBeFractional)
 {
     FakeResponder responder;
     Platform::sendRefusal(
--- a/tests/auto/adapter/tst_routerprocess.cpp
+++ b/tests/auto/adapter/tst_routerprocess.cpp
@@ -158,7 +158,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(itIsReadyOnceItKnowsConfigurationAndEndpoints)
+BOOST_AUTO_TEST_CASE(isReadyWithConfigurationAndEndpoints)
 {
     Fixture f;
     f.store.status = 503;
@@ -171,7 +171,7 @@
     BOOST_TEST(f.isReadyWith("200"));
 }
 
-BOOST_AUTO_TEST_CASE(anEntryThatCannotBeReadNamesNoEndpointUntilTheNextOne)
+BOOST_AUTO_TEST_CASE(unreadableEntryRemovesItsEndpoint)
 {
     Fixture f;
     f.start();
@@ -188,7 +188,7 @@
     BOOST_TEST(caller.has("HTTP/1.1 503"));
 }
 
-BOOST_AUTO_TEST_CASE(aCallGoesThroughToTheEndpointAndBack)
+BOOST_AUTO_TEST_CASE(forwardsACallAndItsAnswer)
 {
     Fixture f;
     f.start();
@@ -211,7 +211,7 @@
     BOOST_TEST(f.runUntil([&] { return unknown.has("HTTP/1.1 404"); }));
 }
 
-BOOST_AUTO_TEST_CASE(itTellsHowFarItWasBehind)
+BOOST_AUTO_TEST_CASE(exportsLoopLagMetrics)
 {
     Fixture f;
     f.start();
@@ -240,7 +240,7 @@
     BOOST_TEST(metric("lagoonbank_gateway_caller_connections") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aPlannedStopLosesNothing)
+BOOST_AUTO_TEST_CASE(gracefulStopLosesNoRequests)
 {
     Fixture f;
     f.start();
@@ -258,7 +258,7 @@
     BOOST_TEST(caller.has("Connection: close\r\n"));
 }
 
-BOOST_AUTO_TEST_CASE(newSettingsChangeWhatMayChangeAndBadOnesNothing)
+BOOST_AUTO_TEST_CASE(reloadAppliesValidSettingsOnly)
 {
     Fixture f;
     f.start();
@@ -281,7 +281,7 @@
         f.runUntil([&] { return collector.has("lagoonbank_gateway_configuration_revision 7"); }));
 }
 
-BOOST_AUTO_TEST_CASE(endpointsOfADrainedDataCentreGetNothingUntilItIsTakenBack)
+BOOST_AUTO_TEST_CASE(drainedDataCentreGetsNoRequestsUntilDrainEnds)
 {
     Fixture f;
     f.store.drained = {"another", "dc0"};
@@ -301,7 +301,7 @@
 }
 
 /// The records that took them back are lost; all that can be seen is that both have gone.
-BOOST_AUTO_TEST_CASE(drainsThatWentWithLostHistoryAreTakenBackTogether)
+BOOST_AUTO_TEST_CASE(drainsAbsentFromARefillEndTogether)
 {
     Fixture f;
     f.store.drained = {"another", "dc0"};
--- a/tests/auto/adapter/tst_store.cpp
+++ b/tests/auto/adapter/tst_store.cpp
@@ -75,7 +75,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theTailIsReadRecordByRecord)
+BOOST_AUTO_TEST_CASE(readsTailRecords)
 {
     Fixture f;
     f.body = number(42, 8) + number(3, 8) + record("a", "value") + record("b", "");
@@ -93,7 +93,7 @@
     BOOST_TEST(records[1].offset.value() == 41U);
 }
 
-BOOST_AUTO_TEST_CASE(theNewestRecordsAreRead)
+BOOST_AUTO_TEST_CASE(readsNewestRecords)
 {
     Fixture f;
     f.body =
@@ -107,7 +107,7 @@
     BOOST_TEST(page->value().records.at(0).value.value_or("") == "hallo");
 }
 
-BOOST_AUTO_TEST_CASE(aRecordIsWritten)
+BOOST_AUTO_TEST_CASE(writesARecord)
 {
     Fixture f;
     f.body = R"({"offset":3,"end":4})";
@@ -124,7 +124,7 @@
     BOOST_TEST(written->has_error());
 }
 
-BOOST_AUTO_TEST_CASE(recordsThatAreNotKeptAnyMoreAreToldOf)
+BOOST_AUTO_TEST_CASE(reportsOffsetOutOfRange)
 {
     Fixture f;
     f.status = 410;
@@ -135,7 +135,7 @@
     BOOST_TEST(page->value().isOutOfRange);
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerThatIsNoneIsAnError)
+BOOST_AUTO_TEST_CASE(malformedAnswerIsAnError)
 {
     struct Row
     {
@@ -173,7 +173,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aSilentConnectionIsGivenUpAndNotUsedAgain)
+BOOST_AUTO_TEST_CASE(silentConnectionTimesOutAndIsNotReused)
 {
     Fixture f;
     f.isSilent = true;
--- a/tests/auto/adapter/tst_storeobjects.cpp
+++ b/tests/auto/adapter/tst_storeobjects.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aConfigurationIsDecoded)
+BOOST_AUTO_TEST_CASE(decodesAConfiguration)
 {
     const auto read = Platform::readConfiguration(configuration);
     BOOST_REQUIRE(read);
@@ -59,7 +59,7 @@
     BOOST_TEST(!config.findWorkspace("k3")->priority);
 }
 
-BOOST_AUTO_TEST_CASE(aConfigurationThatCannotBeReadIsAnError)
+BOOST_AUTO_TEST_CASE(unreadableConfigurationIsAnError)
 {
     for (const char *json :
          {"", "[]", "{", "{}", R"({"version":"x","routes":[]})", R"({"version":1})",
@@ -72,7 +72,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEntryOfAnEndpointIsDecoded)
+BOOST_AUTO_TEST_CASE(decodesAnEndpointEntry)
 {
     const auto read = Platform::readEndpoint(
         "i-1",
@@ -89,7 +89,7 @@
     BOOST_TEST(endpoint.isWarmingUp);
 }
 
-BOOST_AUTO_TEST_CASE(anEntryThatCannotBeReadIsAnError)
+BOOST_AUTO_TEST_CASE(unreadableEntryIsAnError)
 {
     for (const char *json :
          {"", "{}", "[1]", R"({"service":"s"})", R"({"address":"10.0.0.1:1"})",
@@ -98,7 +98,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEntryWithAFieldThatIsMissingOrOfAnotherTypeIsAnError)
+BOOST_AUTO_TEST_CASE(entryWithAMissingOrMistypedFieldIsAnError)
 {
     const std::map<std::string, std::string> good{
         {"service", R"("s1")"},     {"address", R"("10.1.0.9:8080")"},
