--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -121,7 +121,7 @@
         /// With fewer routers each hears of an endpoint's load soon enough by itself: an engine
         /// answers some five requests a second, so that one of eight routers hears of it twice in
         /// three seconds, one of sixteen once, and one of eighty each 16 s (worked out).
-        double manyRouters = 10;
+        double largeFleetRouters = 10;
     };
 
     explicit Placement(Options options)
@@ -177,7 +177,8 @@
     /// Whether routers hear of a load later than it changes.
     bool isLoadKnownLate(const EndpointRegistry &registry) const
     {
-        return m_options.overflowsGradually && registry.routerCount() >= m_options.manyRouters;
+        return m_options.overflowsGradually
+            && registry.routerCount() >= m_options.largeFleetRouters;
     }
     LoadThreshold bound() const
     {
