--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -213,7 +213,7 @@
     return isBrought;
 }
 
-void Gateway::promptLearnt(const PromptHolding &holding)
+void Gateway::promptReceived(const PromptHolding &holding)
 {
     const EndpointPtr endpoint = m_endpoints.findByStart(holding.endpoint);
     if (!endpoint)
@@ -261,7 +261,7 @@
         m_options.requestQuarantined(quarantined);
 }
 
-std::optional<Base::Duration> Gateway::quarantineLearnt(const QuarantinedRequest &quarantined)
+std::optional<Base::Duration> Gateway::quarantineReceived(const QuarantinedRequest &quarantined)
 {
     const Base::MonoTime now = m_options.loop->clock().now();
     if (!m_quarantine.quarantine(quarantined, now))
@@ -315,7 +315,7 @@
     return m_loadSharing.news(m_options.loop->clock().now());
 }
 
-void Gateway::loadLearnt(const Schema::LoadNews &news, Base::Duration delay)
+void Gateway::peerLoadsReceived(const Schema::LoadNews &news, Base::Duration delay)
 {
     if (m_options.policy.sharedLoads)
         m_loadSharing.learn(news, delay, m_options.loop->clock().now());
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -146,13 +146,13 @@
     /// What a peer ought to know of endpoints' loads.
     Schema::LoadNews loadNews();
     /// A peer has told this; it came \a delay ago.
-    void loadLearnt(const Schema::LoadNews &news, Base::Duration delay);
+    void peerLoadsReceived(const Schema::LoadNews &news, Base::Duration delay);
     /// A peer's request with this prompt went to this endpoint.
-    void promptLearnt(const PromptHolding &holding);
+    void promptReceived(const PromptHolding &holding);
     /// An endpoint has ended while it had a request of this router or of a peer.
     void noteRequestEnd(const RequestCrash &end);
     /// A peer or the store tells of a request that is quarantined; for how long, if that is news.
-    std::optional<Base::Duration> quarantineLearnt(const QuarantinedRequest &quarantined);
+    std::optional<Base::Duration> quarantineReceived(const QuarantinedRequest &quarantined);
     std::vector<QuarantinedRequest> quarantined() const;
 
     void run(CallerRequest request, std::shared_ptr<Http::Responder> responder);
