--- a/src/libs/gateway/backlogcontrol.cpp
+++ b/src/libs/gateway/backlogcontrol.cpp
@@ -68,7 +68,7 @@
         asked += requests;
     }
     const std::vector<double> shares =
-        servedShares(demands, m_taken * asked, m_options.leastShare * m_taken);
+        servedShares(demands, m_taken * asked, m_options.minShare * m_taken);
     auto share = shares.begin();
     for (auto &[urgency, kind] : m_kinds)
         kind.share = *share++;
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -37,7 +37,7 @@
         /// Taken at least, to learn whether there is time again.
         double leastTaken = 0.05;
         /// Part of what all get that each urgency gets at least; see LoadShedder.
-        double leastShare = 0.35;
+        double minShare = 0.35;
         /// A workspace that asks for more than so many times what the others do on average gets no
         /// more than that, behind or not: who repeats at once displaces nobody else.
         double greedyFactor = 2.5;
--- a/src/libs/gateway/concurrencylimit.cpp
+++ b/src/libs/gateway/concurrencylimit.cpp
@@ -20,7 +20,7 @@
         return;
     }
     // A limit that nobody reaches says nothing of what endpoints can take.
-    if (inFlight < m_options.leastShare * m_limit)
+    if (inFlight < m_options.minShare * m_limit)
         return;
     m_limit += m_options.raise / std::max(1.0, m_limit);
     clamp();
@@ -43,7 +43,7 @@
 void ConcurrencyLimit::clamp()
 {
     m_limit =
-        std::clamp(m_limit, m_options.leastShare * m_evenPart, m_options.mostShare * m_evenPart);
+        std::clamp(m_limit, m_options.minShare * m_evenPart, m_options.mostShare * m_evenPart);
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/concurrencylimit.h
+++ b/src/libs/gateway/concurrencylimit.h
@@ -26,7 +26,7 @@
         Base::Duration cutInterval = std::chrono::milliseconds(300);
         double raise = 1; ///< For each limit's worth of answers.
         /// Never less than this part of the router's even part of all places.
-        double leastShare = 0.5;
+        double minShare = 0.5;
         /// Nor more than so many times that, so that it is cut soon when load comes.
         double mostShare = 4;
     };
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -121,7 +121,7 @@
     }
     const double served = servedShare(service.all, now, m_options.halfLife);
     const std::vector<double> shares = servedShares(demands, supply * m_options.headroom,
-                                                    m_options.leastShare * std::min(1.0, served));
+                                                    m_options.minShare * std::min(1.0, served));
     auto share = shares.begin();
     for (auto &[kind, tally] : service.kinds)
         tally.share = *share++;
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -58,7 +58,7 @@
         double greedyFactor = 2.5;
         /// Part of what all are served that each kind of request gets at least. The users count
         /// less than a quarter as starved.
-        double leastShare = 0.35;
+        double minShare = 0.35;
         /// A workspace that is served under this part of what all are goes before its equals.
         double starvedShare = 0.3;
         /// Of what has been served lately, so that a kind's share grows when places are free.
--- a/src/libs/gateway/urgencyshares.h
+++ b/src/libs/gateway/urgencyshares.h
@@ -23,11 +23,11 @@
     double cost = 0; ///< Of one of them: seconds for which it takes a place.
 };
 
-/// Divides a service's places among demands that do not all fit: each gets \a leastShare of its
+/// Divides a service's places among demands that do not all fit: each gets \a minShare of its
 /// requests, then the most urgent ones all that they ask for, then the next; equals the same share.
 /// \a supply is in the unit of requests times cost. Gives the share of requests of each demand that
 /// may be served, in the order of \a demands.
 std::vector<double> servedShares(const std::vector<Demand> &demands, double supply,
-                                 double leastShare);
+                                 double minShare);
 
 } // namespace Lagoonbank::Gateway
--- a/tests/auto/gateway/tst_urgencyshares.cpp
+++ b/tests/auto/gateway/tst_urgencyshares.cpp
@@ -28,7 +28,7 @@
         const char *what;
         std::vector<Demand> demands;
         double supply;
-        double leastShare;
+        double minShare;
         std::vector<double> shares;
     } cases[] = {
         {"nobody asks", {}, 10, 0.1, {}},
@@ -45,10 +45,10 @@
         {"less than the least parts", {{first, 10, 1}, {second, 10, 1}}, 1, 0.3, {0.3, 0.3}},
         {"what costs nothing is served", {{first, 10, 1}, {second, 10, 0}}, 5, 0, {0.5, 1}},
     };
-    for (const auto &[what, demands, supply, leastShare, expected] : cases) {
+    for (const auto &[what, demands, supply, minShare, expected] : cases) {
         BOOST_TEST_CONTEXT(what)
         {
-            const std::vector<double> shares = servedShares(demands, supply, leastShare);
+            const std::vector<double> shares = servedShares(demands, supply, minShare);
             BOOST_REQUIRE(shares.size() == expected.size());
             for (std::size_t i = 0; i < shares.size(); ++i)
                 BOOST_TEST(shares[i] == expected[i], boost::test_tools::tolerance(1e-9));
