--- a/src/libs/fleetsync/storefreshness.cpp
+++ b/src/libs/fleetsync/storefreshness.cpp
@@ -17,28 +17,28 @@
 {
     const Base::MonoTime now = m_options.clock->now();
     if (now - m_activeAt > standstill) {
-        m_stoodStillAt = m_activeAt;
+        m_suspendedAt = m_activeAt;
         m_backlogUntil = now + backlogTime;
     }
     m_activeAt = now;
-    return now < m_backlogUntil ? m_stoodStillAt : now;
+    return now < m_backlogUntil ? m_suspendedAt : now;
 }
 
 /// Outages count as one if endpoints had no time to write in between. A gap that begins right
 /// behind an outage is taken for its second part, whatever its cause.
 bool StoreFreshness::mayHaveExpired(Base::MonoTime asOf, bool isUnanswered)
 {
-    const Base::Duration thereFor = *m_asOf - m_thereSince;
-    const bool isOutage = m_hasFailed || isUnanswered || thereFor <= m_options.briefReturn;
+    const Base::Duration thereFor = *m_asOf - m_availableSince;
+    const bool isOutage = m_hasFailed || isUnanswered || thereFor <= m_options.briefRecovery;
     // Without a read of its own that failed a router may just have lost its reader.
     if (!isOutage)
-        return asOf - *m_asOf > m_options.shortestLapse;
-    if (asOf - *m_asOf <= m_options.longestReadGap)
+        return asOf - *m_asOf > m_options.minExpiryOutage;
+    if (asOf - *m_asOf <= m_options.maxReadInterval)
         return false;
-    if (thereFor >= m_options.writeTime)
-        m_awaySince = *m_asOf;
-    m_thereSince = asOf;
-    return asOf - m_awaySince > m_options.shortestLapse;
+    if (thereFor >= m_options.rewriteTime)
+        m_outageStartedAt = *m_asOf;
+    m_availableSince = asOf;
+    return asOf - m_outageStartedAt > m_options.minExpiryOutage;
 }
 
 bool StoreFreshness::advanceTo(Base::MonoTime asOf, bool isUnanswered)
--- a/src/libs/fleetsync/storefreshness.h
+++ b/src/libs/fleetsync/storefreshness.h
@@ -17,14 +17,14 @@
         const Runtime::Clock *clock = nullptr;
         /// Entries lapse after three heartbeats of 1.2 s, of which one may have passed when the
         /// store went away; in less than this none has. A reader that dies leaves a gap of 2 s.
-        Base::Duration shortestLapse = std::chrono::milliseconds(2300);
+        Base::Duration minExpiryOutage = std::chrono::milliseconds(2300);
         /// From one read to the next; where reads failed, longer ones are gaps.
-        Base::Duration longestReadGap = std::chrono::milliseconds(800);
+        Base::Duration maxReadInterval = std::chrono::milliseconds(800);
         /// A store that was there for no longer than this between two gaps was not there for most
         /// endpoints: they write each 1.2 s.
-        Base::Duration briefReturn = std::chrono::milliseconds(250);
+        Base::Duration briefRecovery = std::chrono::milliseconds(250);
         /// In which endpoints write their entries again after the store's return: 2 s, and a read.
-        Base::Duration writeTime = std::chrono::milliseconds(2200);
+        Base::Duration rewriteTime = std::chrono::milliseconds(2200);
     };
 
     explicit StoreFreshness(Options options)
@@ -59,10 +59,10 @@
     std::optional<Base::MonoTime> m_asOf;
     std::optional<Base::MonoTime> m_readAt;
     bool m_hasFailed = false;
-    Base::MonoTime m_thereSince{}; ///< Since the last gap.
-    Base::MonoTime m_awaySince{}; ///< Start of the gaps that count as one.
+    Base::MonoTime m_availableSince{}; ///< Since the last gap.
+    Base::MonoTime m_outageStartedAt{}; ///< Start of the gaps that count as one.
     Base::MonoTime m_activeAt; ///< When the process last did anything.
-    Base::MonoTime m_stoodStillAt{}; ///< Since when it stood still, the last time.
+    Base::MonoTime m_suspendedAt{}; ///< Since when it stood still, the last time.
     Base::MonoTime m_backlogUntil{}; ///< What is read until then may have come meanwhile.
 };
 
