--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -68,11 +68,11 @@
 PlacementResult Placement::choose(const PlacementRequest &request, EndpointRegistry &registry,
                                   Base::MonoTime now) const
 {
-    Choice choice = choiceFor(request, registry, now);
+    CandidateSets choice = candidateSets(request, registry, now);
     const Candidates &candidates = choice.candidates;
     if (candidates.empty())
-        return choice.full.empty() ? lastResort(request, registry, now)
-                                   : noRoom(choice, registry, now);
+        return choice.full.empty() ? chooseLastResort(request, registry, now)
+                                   : fullResult(choice, registry, now);
     double sum = 0;
     for (const Candidate &candidate : candidates)
         sum += candidate.load;
@@ -86,10 +86,10 @@
             .endpoint = trial->endpoint, .reason = PlacementReason::Trial, .load = trial->load};
         registry.suspicion().noteTrialSent(trial->endpoint->index, now);
     } else if (request.affinity) {
-        place = byAffinity(request, std::move(choice), registry, now);
+        place = chooseByAffinity(request, std::move(choice), registry, now);
         place.cacheSource = cacheSource(request, registry, place, now);
     } else {
-        place = byCost(candidates, now);
+        place = chooseByCost(candidates, now);
     }
     place.meanLoad = mean;
     place.candidates = count;
@@ -99,11 +99,11 @@
 bool Placement::canPlace(const PlacementRequest &request, const EndpointRegistry &registry,
                          Base::MonoTime now) const
 {
-    return !choiceFor(request, registry, now).candidates.empty();
+    return !candidateSets(request, registry, now).candidates.empty();
 }
 
-PlacementResult Placement::noRoom(const Choice &choice, const EndpointRegistry &registry,
-                                  Base::MonoTime now)
+PlacementResult Placement::fullResult(const CandidateSets &choice, const EndpointRegistry &registry,
+                                      Base::MonoTime now)
 {
     double sum = 0;
     for (const EndpointPtr &endpoint : choice.full)
@@ -115,47 +115,50 @@
 
 /// The filters, one after the other: who is there, who is trusted or may prove itself, and who has
 /// room.
-Placement::Standing Placement::standingOf(const PlacementRequest &request,
-                                          const EndpointPtr &endpoint,
-                                          const EndpointRegistry &registry, Base::MonoTime now)
+Placement::Eligibility Placement::eligibilityOf(const PlacementRequest &request,
+                                                const EndpointPtr &endpoint,
+                                                const EndpointRegistry &registry,
+                                                Base::MonoTime now)
 {
     const bool isThere =
         endpoint->takesRequests(now) && now >= endpoint->fullUntil && !isTried(request, endpoint);
     if (!isThere)
-        return Standing::Out;
+        return Eligibility::Excluded;
     const bool isTrusted = !request.excludeSuspected
         || registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
     const bool mayProveItself =
         request.mayRepeat && registry.suspicion().admitsTrial(endpoint->index, now);
     if (!isTrusted && !mayProveItself)
-        return Standing::Out;
+        return Eligibility::Excluded;
     const bool hasPlace = !request.checkCapacity || hasRoom(request, registry, *endpoint, now);
     if (!hasConnection(request, *endpoint) || !hasPlace || !registry.bearsRequest(*endpoint, now))
-        return Standing::Full;
-    return isTrusted ? Standing::Candidate : Standing::Trial;
+        return Eligibility::Full;
+    return isTrusted ? Eligibility::Candidate : Eligibility::Trial;
 }
 
-Placement::Choice Placement::choiceFor(const PlacementRequest &request,
-                                       const EndpointRegistry &registry, Base::MonoTime now) const
+Placement::CandidateSets Placement::candidateSets(const PlacementRequest &request,
+                                                  const EndpointRegistry &registry,
+                                                  Base::MonoTime now) const
 {
-    Choice choice;
+    CandidateSets choice;
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
-        const Standing standing = standingOf(request, endpoint, registry, now);
-        if (standing == Standing::Out)
+        const Eligibility standing = eligibilityOf(request, endpoint, registry, now);
+        if (standing == Eligibility::Excluded)
             continue;
-        if (standing == Standing::Full) {
+        if (standing == Eligibility::Full) {
             choice.full.push_back(endpoint);
             continue;
         }
         choice.candidates.push_back({.endpoint = endpoint,
                                      .load = registry.load(*endpoint, now),
-                                     .isTrial = standing == Standing::Trial});
+                                     .isTrial = standing == Eligibility::Trial});
     }
     return choice;
 }
 
-PlacementResult Placement::byAffinity(const PlacementRequest &request, Choice choice,
-                                      const EndpointRegistry &registry, Base::MonoTime now) const
+PlacementResult Placement::chooseByAffinity(const PlacementRequest &request, CandidateSets choice,
+                                            const EndpointRegistry &registry,
+                                            Base::MonoTime now) const
 {
     const Routing::RendezvousCost order(*request.affinity);
     Candidates &candidates = choice.candidates;
@@ -165,13 +168,13 @@
               [](const Candidate &a, const Candidate &b) { return a.cost < b.cost; });
     const double mean = meanLoad(request, candidates, registry, now);
     const double most = maximumLoad(request, mean, registry);
-    const Speeds speeds = speedsOf(candidates, now);
+    const LatencySums speeds = latencySums(candidates, now);
     const EndpointPtr fullHome = fullBefore(candidates.front().cost, order, choice.full);
     PlacementReason reason = fullHome ? PlacementReason::HomeBusy : PlacementReason::Home;
     const double homeLoad = fullHome ? registry.load(*fullHome, now) : candidates.front().load;
-    std::size_t toPass = passedOver(request, homeLoad, mean, registry);
+    std::size_t toPass = skippedEndpoints(request, homeLoad, mean, registry);
     if (toPass == 0) { // Holders are one or two; what is spread goes beyond them.
-        if (const auto held = heldPlace(request, candidates, mean, most, speeds, now))
+        if (const auto held = chooseHolder(request, candidates, mean, most, speeds, now))
             return *held;
     }
     PlacementResult second; // The first one that is passed over, or has everything but memory.
@@ -232,10 +235,11 @@
     return sum / count;
 }
 
-std::optional<PlacementResult> Placement::heldPlace(const PlacementRequest &request,
-                                                    const Candidates &candidates, double meanLoad,
-                                                    double mostAtHome, const Speeds &speeds,
-                                                    Base::MonoTime now) const
+std::optional<PlacementResult> Placement::chooseHolder(const PlacementRequest &request,
+                                                       const Candidates &candidates,
+                                                       double meanLoad, double mostAtHome,
+                                                       const LatencySums &speeds,
+                                                       Base::MonoTime now) const
 {
     if (!request.prompts)
         return std::nullopt;
@@ -275,7 +279,7 @@
                               const EndpointRegistry &registry) const
 {
     const double most = bound().at(mean);
-    if (!isLoadKnownLate(registry))
+    if (!isLoadStale(registry))
         return most;
     const bool isShort = request.sharedTokens < m_options.shortPrompt;
     const double first =
@@ -283,11 +287,11 @@
     return first < most ? first + partOf(request.requestHash) * (most - first) : most;
 }
 
-std::size_t Placement::passedOver(const PlacementRequest &request, double homeLoad, double mean,
-                                  const EndpointRegistry &registry) const
+std::size_t Placement::skippedEndpoints(const PlacementRequest &request, double homeLoad,
+                                        double mean, const EndpointRegistry &registry) const
 {
     const double excess = homeLoad + 1 - bound().at(mean);
-    if (excess <= 0 || !isLoadKnownLate(registry))
+    if (excess <= 0 || !isLoadStale(registry))
         return 0;
     const double endpoints = std::min(m_options.maximumOverflowEndpoints,
                                       1 + m_options.overflowEndpointsPerRequest * excess);
@@ -327,9 +331,10 @@
     return source;
 }
 
-PlacementResult Placement::byCost(const Candidates &candidates, Base::MonoTime now) const
+PlacementResult Placement::chooseByCost(const Candidates &candidates, Base::MonoTime now) const
 {
-    const double usual = speedsOf(candidates, now).latency / static_cast<double>(candidates.size());
+    const double usual =
+        latencySums(candidates, now).latency / static_cast<double>(candidates.size());
     PlacementResult best;
     double least = std::numeric_limits<double>::max();
     for (const Candidate &candidate : candidates) {
@@ -348,8 +353,8 @@
     return best;
 }
 
-PlacementResult Placement::lastResort(const PlacementRequest &request,
-                                      const EndpointRegistry &registry, Base::MonoTime now)
+PlacementResult Placement::chooseLastResort(const PlacementRequest &request,
+                                            const EndpointRegistry &registry, Base::MonoTime now)
 {
     PlacementResult place{.reason = PlacementReason::LastResort};
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
@@ -371,9 +376,10 @@
     return place;
 }
 
-Placement::Speeds Placement::speedsOf(const Candidates &candidates, Base::MonoTime now) const
+Placement::LatencySums Placement::latencySums(const Candidates &candidates,
+                                              Base::MonoTime now) const
 {
-    Speeds sum;
+    LatencySums sum;
     for (const Candidate &candidate : candidates) {
         sum.latency += candidate.endpoint->latency.value(0, now, m_options.speedHalfLife);
         sum.pause += candidate.endpoint->pause.value(0, now, m_options.speedHalfLife);
@@ -383,7 +389,7 @@
 }
 
 bool Placement::isSlow(const PlacementRequest &request, const EndpointRecord &endpoint,
-                       const Speeds &sum, Base::MonoTime now) const
+                       const LatencySums &sum, Base::MonoTime now) const
 {
     if (sum.count < 2)
         return false;
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -143,26 +143,26 @@
         bool isTrial = false;
     };
     using Candidates = std::vector<Candidate>;
-    enum class Standing : std::uint8_t {
-        Out, ///< Gets no such request.
+    enum class Eligibility : std::uint8_t {
+        Excluded, ///< Gets no such request.
         Full, ///< Would be a candidate if it could take more.
         Trial, ///< A candidate that has to prove itself.
         Candidate
     };
-    struct Choice
+    struct CandidateSets
     {
         Candidates candidates;
         std::vector<EndpointPtr> full; ///< Would be candidates if they had room.
     };
 
-    static Standing standingOf(const PlacementRequest &request, const EndpointPtr &endpoint,
-                               const EndpointRegistry &registry, Base::MonoTime now);
-    Choice choiceFor(const PlacementRequest &request, const EndpointRegistry &registry,
-                     Base::MonoTime now) const;
-    static PlacementResult noRoom(const Choice &choice, const EndpointRegistry &registry,
-                                  Base::MonoTime now);
-    PlacementResult byAffinity(const PlacementRequest &request, Choice choice,
-                               const EndpointRegistry &registry, Base::MonoTime now) const;
+    static Eligibility eligibilityOf(const PlacementRequest &request, const EndpointPtr &endpoint,
+                                     const EndpointRegistry &registry, Base::MonoTime now);
+    CandidateSets candidateSets(const PlacementRequest &request, const EndpointRegistry &registry,
+                                Base::MonoTime now) const;
+    static PlacementResult fullResult(const CandidateSets &choice, const EndpointRegistry &registry,
+                                      Base::MonoTime now);
+    PlacementResult chooseByAffinity(const PlacementRequest &request, CandidateSets choice,
+                                     const EndpointRegistry &registry, Base::MonoTime now) const;
     double meanLoad(const PlacementRequest &request, const Candidates &candidates,
                     const EndpointRegistry &registry, Base::MonoTime now) const;
     static bool hasMemory(const PlacementRequest &request, const EndpointRecord &endpoint);
@@ -172,10 +172,10 @@
     double maximumLoad(const PlacementRequest &request, double mean,
                        const EndpointRegistry &registry) const;
     /// Endpoints behind its home that a request passes over although they would take it.
-    std::size_t passedOver(const PlacementRequest &request, double homeLoad, double mean,
-                           const EndpointRegistry &registry) const;
+    std::size_t skippedEndpoints(const PlacementRequest &request, double homeLoad, double mean,
+                                 const EndpointRegistry &registry) const;
     /// Whether routers hear of a load later than it changes.
-    bool isLoadKnownLate(const EndpointRegistry &registry) const
+    bool isLoadStale(const EndpointRegistry &registry) const
     {
         return m_options.overflowsGradually
             && registry.routerCount() >= m_options.largeFleetRouters;
@@ -184,24 +184,24 @@
     {
         return {.factor = m_options.boundFactor, .slack = m_options.boundSlack};
     }
-    PlacementResult byCost(const Candidates &candidates, Base::MonoTime now) const;
-    static PlacementResult lastResort(const PlacementRequest &request,
-                                      const EndpointRegistry &registry, Base::MonoTime now);
+    PlacementResult chooseByCost(const Candidates &candidates, Base::MonoTime now) const;
+    static PlacementResult chooseLastResort(const PlacementRequest &request,
+                                            const EndpointRegistry &registry, Base::MonoTime now);
     /// Sums over the candidates, in seconds.
-    struct Speeds
+    struct LatencySums
     {
         double latency = 0;
         double pause = 0;
         std::size_t count = 0;
     };
-    Speeds speedsOf(const Candidates &candidates, Base::MonoTime now) const;
+    LatencySums latencySums(const Candidates &candidates, Base::MonoTime now) const;
     /// Where the prompt is held; nothing if that is nowhere, or has too much work.
-    std::optional<PlacementResult> heldPlace(const PlacementRequest &request,
-                                             const Candidates &candidates, double meanLoad,
-                                             double mostAtHome, const Speeds &speeds,
-                                             Base::MonoTime now) const;
-    bool isSlow(const PlacementRequest &request, const EndpointRecord &endpoint, const Speeds &sum,
-                Base::MonoTime now) const;
+    std::optional<PlacementResult> chooseHolder(const PlacementRequest &request,
+                                                const Candidates &candidates, double meanLoad,
+                                                double mostAtHome, const LatencySums &speeds,
+                                                Base::MonoTime now) const;
+    bool isSlow(const PlacementRequest &request, const EndpointRecord &endpoint,
+                const LatencySums &sum, Base::MonoTime now) const;
 
     Options m_options;
 };
