--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -308,7 +308,7 @@
         m_admissionQueue.slotMayBeFree(service);
 }
 
-Schema::LoadNews Gateway::loadNews()
+Schema::LoadNews Gateway::loadsForPeers()
 {
     if (!m_options.policy.sharedLoads)
         return {};
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -144,7 +144,7 @@
     void setRouterCount(std::size_t routers);
 
     /// What a peer ought to know of endpoints' loads.
-    Schema::LoadNews loadNews();
+    Schema::LoadNews loadsForPeers();
     /// A peer has told this; it came \a delay ago.
     void peerLoadsReceived(const Schema::LoadNews &news, Base::Duration delay);
     /// A peer's request with this prompt went to this endpoint.
