--- a/src/libs/gateway/backlogcontrol.cpp
+++ b/src/libs/gateway/backlogcontrol.cpp
@@ -83,7 +83,7 @@
     const double others = m_asked.value(now, m_options.halfLife) - asked;
     const double usual =
         others / static_cast<double>(std::max<std::size_t>(1, m_workspaces.size() - 1));
-    const double most = std::max(m_options.leastAsked, m_options.greedyFactor * usual);
+    const double most = std::max(m_options.minRequests, m_options.greedyFactor * usual);
     return asked > most ? most / asked : 1;
 }
 
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -44,7 +44,7 @@
         /// For what is counted: bursts last some seconds.
         Base::Duration halfLife = std::chrono::seconds(3);
         /// Fewer requests of a workspace than this say nothing.
-        double leastAsked = 6;
+        double minRequests = 6;
         /// The latest time to come back; callers wait some seconds at most.
         Base::Duration latestReturn = std::chrono::seconds(1);
         std::uint64_t randomSeed = 1;
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -153,7 +153,7 @@
 bool LoadShedder::isStarved(const Service &service, const Tally &workspace,
                             Base::MonoTime now) const
 {
-    return workspace.asked.value(now, m_options.workspaceHalfLife) >= m_options.leastAsked
+    return workspace.asked.value(now, m_options.workspaceHalfLife) >= m_options.minRequests
         && servedShare(workspace, now, m_options.workspaceHalfLife)
         < m_options.starvedShare * servedShare(service.all, now, m_options.halfLife);
 }
@@ -162,7 +162,7 @@
 bool LoadShedder::isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const
 {
     const double asked = workspace.asked.value(now, m_options.workspaceHalfLife);
-    if (asked < m_options.leastAsked)
+    if (asked < m_options.minRequests)
         return false;
     const double all = service.askedOfWorkspaces.value(now, m_options.workspaceHalfLife);
     const double equal = all / static_cast<double>(service.workspaces.size());
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -70,7 +70,7 @@
         /// For what is counted of workspaces, of whom a router sees few requests.
         Base::Duration workspaceHalfLife = std::chrono::seconds(12);
         /// Fewer requests than this say nothing of a kind or a workspace.
-        double leastAsked = 6;
+        double minRequests = 6;
         /// When to come back, as a part of the target latency: while the answer can still be in
         /// time. Places become free each few ms, to whoever asks then; a later return finds as many
         /// others.
