--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -96,7 +96,7 @@
 
 void FleetSync::storeRead()
 {
-    if (m_freshness.read(isUnanswered()))
+    if (m_freshness.read(isReadOverdue()))
         m_options.directory->storeReturned();
     m_isDoubting = m_isDoubting && isBehind();
     m_hasFollowed = false;
@@ -126,7 +126,7 @@
 /// before the own read does.
 void FleetSync::noteKnown(Base::MonoTime at)
 {
-    if (m_freshness.learn(at, isUnanswered()))
+    if (m_freshness.learn(at, isReadOverdue()))
         m_options.directory->storeReturned();
 }
 
@@ -135,7 +135,7 @@
     if (!m_freshness.at() && m_options.directory->entries().empty())
         return; // Nothing can have lapsed.
     if (!m_freshness.at() || m_options.directory->holdsRemovals()
-        || m_freshness.mayHaveLapsed(now(), isUnanswered()))
+        || m_freshness.mayHaveLapsed(now(), isReadOverdue()))
         m_options.directory->storeReturned();
 }
 
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -179,7 +179,7 @@
     void watch(const Peer &peer);
     bool isFailing(const Peer &peer) const;
     bool readsWell() const;
-    bool isUnanswered() const;
+    bool isReadOverdue() const;
     /// A peer has a newer configuration.
     bool isBehind() const;
     void sendBeacons();
--- a/src/libs/fleetsync/fleetsyncduty.cpp
+++ b/src/libs/fleetsync/fleetsyncduty.cpp
@@ -113,7 +113,7 @@
 
 /// Whoever takes a reader's place for a moment while the store is silent may hear of the store's
 /// return before its own read fails; it has missed the store all the same.
-bool FleetSync::isUnanswered() const
+bool FleetSync::isReadOverdue() const
 {
     const bool isFirst = !m_freshness.readAt() || *m_freshness.readAt() < m_readingSince;
     return m_isReading && isFirst && now() - m_readingSince > m_options.answerTime;
--- a/src/libs/fleetsync/storefreshness.cpp
+++ b/src/libs/fleetsync/storefreshness.cpp
@@ -26,10 +26,10 @@
 
 /// Outages count as one if endpoints had no time to write in between. A gap that begins right
 /// behind an outage is taken for its second part, whatever its cause.
-bool StoreFreshness::mayHaveExpired(Base::MonoTime asOf, bool isUnanswered)
+bool StoreFreshness::mayHaveExpired(Base::MonoTime asOf, bool isReadOverdue)
 {
     const Base::Duration thereFor = *m_asOf - m_availableSince;
-    const bool isOutage = m_hasFailed || isUnanswered || thereFor <= m_options.briefRecovery;
+    const bool isOutage = m_hasFailed || isReadOverdue || thereFor <= m_options.briefRecovery;
     // Without a read of its own that failed a router may just have lost its reader.
     if (!isOutage)
         return asOf - *m_asOf > m_options.minExpiryOutage;
@@ -41,16 +41,16 @@
     return asOf - m_outageStartedAt > m_options.minExpiryOutage;
 }
 
-bool StoreFreshness::advanceTo(Base::MonoTime asOf, bool isUnanswered)
+bool StoreFreshness::advanceTo(Base::MonoTime asOf, bool isReadOverdue)
 {
-    const bool isLapsed = m_asOf && mayHaveExpired(asOf, isUnanswered);
+    const bool isLapsed = m_asOf && mayHaveExpired(asOf, isReadOverdue);
     m_asOf = std::max(m_asOf.value_or(asOf), asOf);
     return isLapsed;
 }
 
-bool StoreFreshness::readSucceeded(bool isUnanswered)
+bool StoreFreshness::readSucceeded(bool isReadOverdue)
 {
-    const bool isLapsed = advanceTo(arrivalTime(), isUnanswered);
+    const bool isLapsed = advanceTo(arrivalTime(), isReadOverdue);
     m_readAt = m_asOf;
     m_hasFailed = false;
     return isLapsed;
--- a/src/libs/fleetsync/storefreshness.h
+++ b/src/libs/fleetsync/storefreshness.h
@@ -44,12 +44,13 @@
     /// they call new is as old as that.
     Base::MonoTime arrivalTime();
     /// Whether entries may have lapsed of which nothing was known until \a at. Something is known.
-    /// \a isUnanswered says that a read of this router's own waits for longer than the store takes.
-    bool mayHaveExpired(Base::MonoTime asOf, bool isUnanswered);
+    /// \a isReadOverdue says that a read of this router's own waits for longer than the store
+    /// takes.
+    bool mayHaveExpired(Base::MonoTime asOf, bool isReadOverdue);
     /// What is known was true at \a at; gives back whether entries may have lapsed since before.
-    bool advanceTo(Base::MonoTime asOf, bool isUnanswered);
+    bool advanceTo(Base::MonoTime asOf, bool isReadOverdue);
     /// The same of a read of this router's own.
-    bool readSucceeded(bool isUnanswered);
+    bool readSucceeded(bool isReadOverdue);
     void readFailed() { m_hasFailed = true; }
     /// This router reads no more, so its reads say nothing of what comes.
     void clearFailure() { m_hasFailed = false; }
