--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -186,17 +186,17 @@
                                     Base::MonoTime now)
 {
     noteReport(endpoint, report, now);
-    endpoint.isReportTold = false;
+    endpoint.isReportFromPeer = false;
     m_usualLoads[endpoint.info.service].reported(report.running + report.waiting, now);
 }
 
-void EndpointRegistry::loadTold(EndpointRecord &endpoint, const LoadReport &report,
-                                Base::MonoTime at)
+void EndpointRegistry::mergeLoadReport(EndpointRecord &endpoint, const LoadReport &report,
+                                       Base::MonoTime at)
 {
     if (endpoint.report && endpoint.reportedAt >= at)
         return;
     noteReport(endpoint, report, at);
-    endpoint.isReportTold = true;
+    endpoint.isReportFromPeer = true;
 }
 
 std::optional<double> EndpointRegistry::usualLoad(const Base::ServiceId &service,
@@ -212,10 +212,10 @@
     if (!hasFreshReport(endpoint, now))
         return own;
     double others = endpoint.report->running + endpoint.report->waiting - endpoint.inFlightAtReport;
-    if (endpoint.isReportTold) {
+    if (endpoint.isReportFromPeer) {
         const double usual = usualLoad(endpoint.info.service, now).value_or(0);
-        const double halves =
-            Base::toSeconds(now - endpoint.reportedAt) / Base::toSeconds(m_options.toldHalfLife);
+        const double halves = Base::toSeconds(now - endpoint.reportedAt)
+            / Base::toSeconds(m_options.peerReportHalfLife);
         others = usual + (others - usual) * std::exp2(-halves);
     }
     return std::max(own, others + own);
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -70,7 +70,7 @@
     int inFlight = 0; ///< Requests of this router.
     std::optional<LoadReport> report;
     Base::MonoTime reportedAt;
-    bool isReportTold = false; ///< By a peer; else the endpoint has told this router.
+    bool isReportFromPeer = false; ///< By a peer; else the endpoint has told this router.
     int inFlightAtReport = 0;
     std::optional<Base::MonoTime> hotAt; ///< When it had far more than the usual load last.
     /// Part of its places at which it still answers within the target latency.
@@ -132,7 +132,7 @@
         Base::Duration reportLife = std::chrono::seconds(3);
         /// In which half of what an endpoint has beyond the usual load is taken to have ended,
         /// where peers have told of it: all of them have heard it, and send elsewhere.
-        Base::Duration toldHalfLife = std::chrono::seconds(4);
+        Base::Duration peerReportHalfLife = std::chrono::seconds(4);
         /// Age to which requests that wait at an endpoint show that it has no place; they last some
         /// seconds.
         Base::Duration waitingLife = std::chrono::milliseconds(600);
@@ -201,7 +201,8 @@
     /// It has told this router its load.
     void loadReported(EndpointRecord &endpoint, const LoadReport &report, Base::MonoTime now);
     /// A peer tells what the endpoint told somebody \a at that time; older news change nothing.
-    static void loadTold(EndpointRecord &endpoint, const LoadReport &report, Base::MonoTime at);
+    static void mergeLoadReport(EndpointRecord &endpoint, const LoadReport &report,
+                                Base::MonoTime at);
     /// Requests at an endpoint of the service on average; nothing if no report tells.
     std::optional<double> usualLoad(const Base::ServiceId &service, Base::MonoTime now) const;
     void usualLoadTold(const Base::ServiceId &service, double requests, Base::MonoTime now)
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -80,8 +80,8 @@
             continue; // Gone, or started again since.
         const LoadReport report{
             .running = load.running, .waiting = load.waiting, .slots = load.slots};
-        m_options.registry->loadTold(*endpoint, report,
-                                     now - delay - std::chrono::milliseconds(load.ageMs));
+        m_options.registry->mergeLoadReport(*endpoint, report,
+                                            now - delay - std::chrono::milliseconds(load.ageMs));
     }
 }
 
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -194,7 +194,7 @@
          {"most_load", place.maximumLoad.value_or(notKnown)},
          {"candidates", place.candidates},
          {"load_age_ms", m_timers.clock().now() - place.endpoint->reportedAt},
-         {"load_told", place.endpoint->isReportTold},
+         {"load_told", place.endpoint->isReportFromPeer},
          {"cold_ms", coldFor(*place.endpoint)},
          {"usual_load", usualLoad().value_or(notKnown)},
          {"prompt", static_cast<std::int64_t>(affinity().value_or(0))},
