--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -168,7 +168,7 @@
 
 EndpointPtr Gateway::cacheSource(const PromptPrefix &prefix, const EndpointRecord &target) const
 {
-    if (prefix.tokens < leastCopied)
+    if (prefix.tokens < minCopiedTokens)
         return nullptr;
     const Base::MonoTime now = m_options.loop->clock().now();
     for (const PromptDirectory::Holder &one : m_prompts.holders(prefix.hash)) {
@@ -182,9 +182,9 @@
     return nullptr;
 }
 
-bool Gateway::isToldOf(const PromptPrefix &prefix) const
+bool Gateway::isAnnouncedToPeers(const PromptPrefix &prefix) const
 {
-    return prefix.tokens >= leastTold && sharedPrompts();
+    return prefix.tokens >= minAnnouncedTokens && sharedPrompts();
 }
 
 bool Gateway::notePrompt(const std::vector<PromptPrefix> &prefixes, const EndpointRecord &endpoint,
@@ -202,7 +202,7 @@
                               .reading = setup + perToken * prefix.tokens.value()};
         const PromptDirectory::News news = m_prompts.used(holding, now);
         isBrought = news == PromptDirectory::News::New;
-        const bool isTold = &prefix == &prefixes.back() && isToldOf(prefix);
+        const bool isTold = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
         if (!isTold || news == PromptDirectory::News::None)
             continue;
         holding.isNew = isBrought;
@@ -290,7 +290,7 @@
 
 const PromptDirectory *Gateway::sharedPrompts() const
 {
-    const bool isShared = m_options.promptPlaced && m_routerCount <= mostToldRouters;
+    const bool isShared = m_options.promptPlaced && m_routerCount <= maxAnnouncingRouters;
     return isShared ? &m_prompts : nullptr;
 }
 
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -162,12 +162,12 @@
     friend class RequestRun;
 
     /// Fewer tokens are read as fast as a copy of them is set up.
-    static constexpr Base::Tokens leastCopied{256};
+    static constexpr Base::Tokens minCopiedTokens{256};
     /// Shorter prompts are read in 12 ms or less, so that peers need not know where they are.
-    static constexpr Base::Tokens leastTold{1000};
+    static constexpr Base::Tokens minAnnouncedTokens{1000};
     /// Routers that can tell each other of all prompts within the bytes that they may spend: 24 of
     /// them, each 1,500 bytes a second, tell of 25 new places in a second.
-    static constexpr std::size_t mostToldRouters = 24;
+    static constexpr std::size_t maxAnnouncingRouters = 24;
 
     /// Connections that this router may have to one endpoint of a service; nothing where there is
     /// no limit.
@@ -185,7 +185,7 @@
     EndpointPtr cacheSource(const PromptPrefix &prefix, const EndpointRecord &target) const;
     /// Whether routers tell each other where this prompt is, so that one that is not known to be
     /// held is held nowhere.
-    bool isToldOf(const PromptPrefix &prefix) const;
+    bool isAnnouncedToPeers(const PromptPrefix &prefix) const;
     /// A request with the prompt is sent to the endpoint; true if that was not known to hold it.
     bool notePrompt(const std::vector<PromptPrefix> &prefixes, const EndpointRecord &endpoint,
                     bool isCopied);
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -307,8 +307,8 @@
     const PromptPrefix &whole = m_prefixes.back();
     if (EndpointPtr holder = m_gateway.cacheSource(whole, *place.endpoint))
         return {.endpoint = std::move(holder), .isCertain = true};
-    const bool isGuessed = sharedTokens() >= m_gateway.leastCopied && place.cacheSource;
-    if (isGuessed && !m_gateway.isToldOf(whole))
+    const bool isGuessed = sharedTokens() >= m_gateway.minCopiedTokens && place.cacheSource;
+    if (isGuessed && !m_gateway.isAnnouncedToPeers(whole))
         return {.endpoint = place.cacheSource};
     for (auto prefix = std::next(m_prefixes.rbegin()); prefix != m_prefixes.rend(); ++prefix) {
         if (EndpointPtr holder = m_gateway.cacheSource(*prefix, *place.endpoint))
