--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -44,7 +44,7 @@
     service.askedOfWorkspaces.add(1, now, m_options.workspaceHalfLife);
     Route &route = service.routes[admissionRequest.route];
     const auto kept =
-        std::chrono::duration_cast<Base::Duration>(route.patience * m_options.patienceKept);
+        std::chrono::duration_cast<Base::Duration>(route.patience * m_options.patienceDecay);
     route.patience = std::max(admissionRequest.patience.value_or(Base::Duration::zero()), kept);
 }
 
@@ -74,15 +74,15 @@
     Service &service = found->second;
     if (servedShare(service.all, now, m_options.halfLife) >= allServed)
         return 1;
-    double share = isWithinShare(service, admissionRequest, now) ? 1 : 1 - m_options.reserved;
+    double share = isWithinShare(service, admissionRequest, now) ? 1 : 1 - m_options.reservedShare;
     if (isLate(service, admissionRequest))
-        share -= m_options.reservedForOthers;
+        share -= m_options.fairnessReserve;
     const auto workspace = service.workspaces.find(admissionRequest.workspace);
     if (workspace == service.workspaces.end())
         return share;
     if (isStarved(service, workspace->second, now))
-        return std::min(1.0, share + m_options.reservedForOthers);
-    return isGreedy(service, workspace->second, now) ? share - m_options.reservedForOthers : share;
+        return std::min(1.0, share + m_options.fairnessReserve);
+    return isGreedy(service, workspace->second, now) ? share - m_options.fairnessReserve : share;
 }
 
 bool LoadShedder::isWithinShare(Service &service, const AdmissionRequest &admissionRequest,
@@ -98,9 +98,9 @@
 
 bool LoadShedder::isDivisionOld(const Service &service, Base::MonoTime now) const
 {
-    return !service.dividedAt || now - *service.dividedAt >= m_options.shareLife
+    return !service.dividedAt || now - *service.dividedAt >= m_options.maxShareAge
         || service.changes
-        > m_options.shareChange * service.all.asked.value(now, m_options.halfLife);
+        > m_options.maxShareChange * service.all.asked.value(now, m_options.halfLife);
 }
 
 void LoadShedder::divide(Service &service, Base::MonoTime now) const
@@ -131,7 +131,7 @@
 {
     // From half to one and a half of it.
     std::uniform_real_distribution<double> spread(0.5, 1.5);
-    const double seconds = Base::toSeconds(targetLatency) * m_options.returnShare;
+    const double seconds = Base::toSeconds(targetLatency) * m_options.retryAfterShare;
     return std::chrono::duration_cast<Base::Duration>(
         std::chrono::duration<double>(seconds * spread(m_random)));
 }
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -51,10 +51,10 @@
     {
         /// Part of the places that is kept for requests within the share of their kind (selective
         /// circuit reservation, E.412): what routers know of places is some requests off.
-        double reserved = 0.15;
+        double reservedShare = 0.15;
         /// Part of the places that a workspace that asks for so many times its equal part leaves
         /// free, and a caller that is past its target latency from an earlier try.
-        double reservedForOthers = 0.05;
+        double fairnessReserve = 0.05;
         double greedyFactor = 2.5;
         /// Part of what all are served that each kind of request gets at least. The users count
         /// less than a quarter as starved.
@@ -64,7 +64,7 @@
         /// Of what has been served lately, so that a kind's share grows when places are free.
         double headroom = 1.1;
         /// In which the longest patience of a route's callers is forgotten, by each request.
-        double patienceKept = 0.995;
+        double patienceDecay = 0.995;
         /// For what is counted of kinds: bursts last some seconds.
         Base::Duration halfLife = std::chrono::seconds(3);
         /// For what is counted of workspaces, of whom a router sees few requests.
@@ -74,13 +74,13 @@
         /// When to come back, as a part of the target latency: while the answer can still be in
         /// time. Places become free each few ms, to whoever asks then; a later return finds as many
         /// others.
-        double returnShare = 0.3;
+        double retryAfterShare = 0.3;
         /// Shares of kinds are worked out again after this time, in which sums with a half-life of
         /// 3 s change by 0.5%...
-        Base::Duration shareLife = std::chrono::milliseconds(20);
+        Base::Duration maxShareAge = std::chrono::milliseconds(20);
         /// ...or when so large a part of the requests is new: per look it was a walk over all
         /// kinds.
-        double shareChange = 0.02;
+        double maxShareChange = 0.02;
         std::uint64_t randomSeed = 1;
     };
 
