--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -48,7 +48,7 @@
 void FleetSync::start()
 {
     m_startedAt = now();
-    m_freshness.arrivedAt();
+    m_freshness.arrivalTime();
     m_readingSince = m_startedAt;
     m_startTimer = m_options.timers->start(m_options.startPatience, [this] { checkDuty(); });
     tick();
@@ -80,7 +80,7 @@
     if (beacon.router == m_options.id)
         return;
     bool isNew = false;
-    const Peer &peer = m_peers.note(fromIp, beacon, m_freshness.arrivedAt(), isNew);
+    const Peer &peer = m_peers.note(fromIp, beacon, m_freshness.arrivalTime(), isNew);
     const auto knownBefore = m_freshness.at();
     learnDrains(beacon);
     for (const SharedEndpoint &news : beacon.news)
@@ -135,7 +135,7 @@
     if (!m_freshness.at() && m_options.directory->entries().empty())
         return; // Nothing can have lapsed.
     if (!m_freshness.at() || m_options.directory->holdsRemovals()
-        || m_freshness.mayHaveLapsed(now(), isReadOverdue()))
+        || m_freshness.mayHaveExpired(now(), isReadOverdue()))
         m_options.directory->storeReturned();
 }
 
@@ -240,7 +240,7 @@
 
 void FleetSync::tick()
 {
-    m_freshness.arrivedAt();
+    m_freshness.arrivalTime();
     checkDuty();
     sendBeacons();
     m_timer = m_options.timers->start(m_peers.beaconInterval(), [this] { tick(); });
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -147,7 +147,7 @@
     void endpointChanged(const Fleet::EndpointDirectory::Entry &entry, bool isGone);
 
     /// How long a message that is read now may have waited for this process.
-    Base::Duration arrivalDelay() { return now() - m_freshness.arrivedAt(); }
+    Base::Duration arrivalDelay() { return now() - m_freshness.arrivalTime(); }
     bool readsStore() const { return m_isReading; }
     /// Whether it tells its data centre what it knows.
     bool isLeader() const { return m_isLeader; }
--- a/src/libs/fleetsync/fleetsyncduty.cpp
+++ b/src/libs/fleetsync/fleetsyncduty.cpp
@@ -32,7 +32,7 @@
     m_isReading = reads;
     m_hasFollowed = reads && wasFollowing;
     if (!reads)
-        m_freshness.forgetFailure();
+        m_freshness.clearFailure();
     m_readingSince = now();
     if (dutyChanged)
         dutyChanged(reads);
