--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -249,11 +249,11 @@
         return;
     }
     const bool isLoaded = endpoint.report
-        && fleetLoad(endpoint, now) >= m_options.leastTimelyShare * endpoint.report->slots;
+        && fleetLoad(endpoint, now) >= m_options.minimumTimelyShare * endpoint.report->slots;
     if (!isLoaded || now - endpoint.timelyLoweredAt < m_options.timelyInterval)
         return;
     endpoint.timelyLoweredAt = now;
-    endpoint.timelyShare = std::max(m_options.leastTimelyShare, endpoint.timelyShare - step);
+    endpoint.timelyShare = std::max(m_options.minimumTimelyShare, endpoint.timelyShare - step);
 }
 
 int EndpointRegistry::inFlight(const Base::ServiceId &service) const
@@ -278,7 +278,7 @@
     const double named = all * endpoint.timelyShare;
     const bool isWaiting = endpoint.report
         && endpoint.report->waiting > m_options.waitingShare * all
-        && now - endpoint.reportedAt < m_options.waitingLife;
+        && now - endpoint.reportedAt < m_options.waitingReportLifetime;
     return isWaiting && endpoint.report->running > 0
         ? std::min<double>(named, endpoint.report->running)
         : named;
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -129,13 +129,13 @@
                                               .trialsToTrust = 1,
                                               .trialTimeout = std::chrono::seconds(2)};
         /// Age at which a report of load says no more than what this router has in flight.
-        Base::Duration reportLife = std::chrono::seconds(3);
+        Base::Duration reportLifetime = std::chrono::seconds(3);
         /// In which half of what an endpoint has beyond the usual load is taken to have ended,
         /// where peers have told of it: all of them have heard it, and send elsewhere.
         Base::Duration peerReportHalfLife = std::chrono::seconds(4);
         /// Age to which requests that wait at an endpoint show that it has no place; they last some
         /// seconds.
-        Base::Duration waitingLife = std::chrono::milliseconds(600);
+        Base::Duration waitingReportLifetime = std::chrono::milliseconds(600);
         /// So many have to wait for that, as a part of its places; some wait for a moment whenever
         /// prompts are read that it has not in its cache. With 0 and 0.15 a start with cold caches
         /// refused callers that would have been served in time.
@@ -151,7 +151,7 @@
         Base::Duration timelyInterval = std::chrono::milliseconds(150);
         /// Never less than this part of its places; with fewer taken other things than load make it
         /// late, such as prompts that it has not read yet.
-        double leastTimelyShare = 0.6;
+        double minimumTimelyShare = 0.6;
         WarmupQuota::Options warmupQuota;
     };
 
@@ -212,7 +212,7 @@
     /// Whether its own report tells its load.
     bool hasFreshReport(const EndpointRecord &endpoint, Base::MonoTime now) const
     {
-        return endpoint.report && now - endpoint.reportedAt < m_options.reportLife;
+        return endpoint.report && now - endpoint.reportedAt < m_options.reportLifetime;
     }
     /// Requests that the endpoint has, for comparing endpoints: its last report and what this
     /// router has sent and got back since. Where nothing is known, what this router has sent.
