--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -38,7 +38,7 @@
 class RequestRun;
 
 /// How long a gateway waits for what.
-struct GatewayPatience
+struct GatewayTimeouts
 {
     /// For a connection to an endpoint. A live one accepts within 5 ms; one that is cut off does
     /// not answer at all, and the request has to be tried elsewhere within its 150 to 600 ms.
@@ -117,7 +117,7 @@
         BacklogControl::Options backlog;
         ConcurrencyLimit::Options concurrencyLimit;
         RequestQuarantine::Options quarantine;
-        GatewayPatience patience;
+        GatewayTimeouts patience;
         Logging::DecisionLog *log = nullptr;
         GatewayMetrics *metrics = nullptr;
     };
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -274,7 +274,7 @@
 
 Base::MonoTime RequestRun::callerGivesUpAt() const
 {
-    const GatewayPatience &patience = m_gateway.m_options.patience;
+    const GatewayTimeouts &patience = m_gateway.m_options.patience;
     return m_passedOnAt
         + std::max({patience.callersGap, patience.callersGapTargets * m_route->targetLatency,
                     patience.callersGapPauses * m_route->maxEventGap});
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -293,7 +293,7 @@
 /// waits as long as its caller does.
 Base::Duration RequestRun::longestRoomWait() const
 {
-    const GatewayPatience &patience = m_gateway.m_options.patience;
+    const GatewayTimeouts &patience = m_gateway.m_options.patience;
     const auto share =
         std::chrono::duration_cast<Base::Duration>(m_route->targetLatency * patience.roomShare);
     return std::min(patience.longestRoomWait, share);
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -25,7 +25,7 @@
 /// How long the endpoint may say nothing; \a isBusy if others have heard from it.
 Base::Duration RequestRun::silenceLimit(bool isBusy) const
 {
-    const GatewayPatience &patience = m_gateway.m_options.patience;
+    const GatewayTimeouts &patience = m_gateway.m_options.patience;
     const bool isFirst = !m_attempt->lastEventAt;
     const Base::Duration whole = isFirst ? m_route->targetLatency : m_route->maxEventGap;
     const double share =
