--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -35,13 +35,13 @@
 void LoadShedder::asked(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
     Service &service = m_services[admissionRequest.service];
-    forgetOldKinds(service, now);
+    removeIdleKinds(service, now);
     ++service.changes;
     service.all.asked.add(1, now, m_options.halfLife);
     service.kinds[{admissionRequest.route, admissionRequest.urgency}].asked.add(1, now,
                                                                                 m_options.halfLife);
     service.workspaces[admissionRequest.workspace].asked.add(1, now, m_options.workspaceHalfLife);
-    service.askedOfWorkspaces.add(1, now, m_options.workspaceHalfLife);
+    service.workspaceArrivals.add(1, now, m_options.workspaceHalfLife);
     Route &route = service.routes[admissionRequest.route];
     const auto kept =
         std::chrono::duration_cast<Base::Duration>(route.patience * m_options.patienceDecay);
@@ -75,7 +75,7 @@
     if (servedShare(service.all, now, m_options.halfLife) >= allServed)
         return 1;
     double share = isWithinShare(service, admissionRequest, now) ? 1 : 1 - m_options.reservedShare;
-    if (isLate(service, admissionRequest))
+    if (isLateRetry(service, admissionRequest))
         share -= m_options.fairnessReserve;
     const auto workspace = service.workspaces.find(admissionRequest.workspace);
     if (workspace == service.workspaces.end())
@@ -91,21 +91,21 @@
     const auto own = service.kinds.find({admissionRequest.route, admissionRequest.urgency});
     if (own == service.kinds.end() || own->second.asked.value(now, m_options.halfLife) < 1)
         return true;
-    if (isDivisionOld(service, now))
-        divide(service, now);
+    if (areSharesStale(service, now))
+        computeShares(service, now);
     return servedShare(own->second, now, m_options.halfLife) < own->second.share;
 }
 
-bool LoadShedder::isDivisionOld(const Service &service, Base::MonoTime now) const
+bool LoadShedder::areSharesStale(const Service &service, Base::MonoTime now) const
 {
-    return !service.dividedAt || now - *service.dividedAt >= m_options.maxShareAge
+    return !service.sharesComputedAt || now - *service.sharesComputedAt >= m_options.maxShareAge
         || service.changes
         > m_options.maxShareChange * service.all.asked.value(now, m_options.halfLife);
 }
 
-void LoadShedder::divide(Service &service, Base::MonoTime now) const
+void LoadShedder::computeShares(Service &service, Base::MonoTime now) const
 {
-    service.dividedAt = now;
+    service.sharesComputedAt = now;
     service.changes = 0;
     std::vector<Demand> demands;
     demands.reserve(service.kinds.size());
@@ -136,7 +136,7 @@
         std::chrono::duration<double>(seconds * spread(m_random)));
 }
 
-bool LoadShedder::isLate(const Service &service, const AdmissionRequest &admissionRequest)
+bool LoadShedder::isLateRetry(const Service &service, const AdmissionRequest &admissionRequest)
 {
     const auto route = service.routes.find(admissionRequest.route);
     return admissionRequest.patience && route != service.routes.end()
@@ -164,12 +164,12 @@
     const double asked = workspace.asked.value(now, m_options.workspaceHalfLife);
     if (asked < m_options.minRequests)
         return false;
-    const double all = service.askedOfWorkspaces.value(now, m_options.workspaceHalfLife);
+    const double all = service.workspaceArrivals.value(now, m_options.workspaceHalfLife);
     const double equal = all / static_cast<double>(service.workspaces.size());
     return asked > m_options.greedyFactor * equal;
 }
 
-void LoadShedder::forgetOldKinds(Service &service, Base::MonoTime now) const
+void LoadShedder::removeIdleKinds(Service &service, Base::MonoTime now) const
 {
     if (service.kinds.size() < mostKinds)
         return;
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -122,26 +122,26 @@
         Tally all;
         absl::flat_hash_map<std::string, Route> routes;
         std::map<Kind, KindTally> kinds;
-        std::optional<Base::MonoTime> dividedAt; ///< When their shares were worked out.
+        std::optional<Base::MonoTime> sharesComputedAt; ///< When their shares were worked out.
         int changes = 0; ///< Requests counted since.
         absl::flat_hash_map<Base::WorkspaceId, Tally> workspaces;
-        DecayingSum askedOfWorkspaces; ///< Of all of them, with their half-life.
+        DecayingSum workspaceArrivals; ///< Of all of them, with their half-life.
     };
 
     /// Whether its kind has been served less than the share that it may have.
     bool isWithinShare(Service &service, const AdmissionRequest &admissionRequest,
                        Base::MonoTime now) const;
-    bool isDivisionOld(const Service &service, Base::MonoTime now) const;
+    bool areSharesStale(const Service &service, Base::MonoTime now) const;
     /// Works out the shares of all kinds.
-    void divide(Service &service, Base::MonoTime now) const;
+    void computeShares(Service &service, Base::MonoTime now) const;
     /// Whether the caller has waited past the target latency already, in a try before: it has less
     /// patience left than others have at first.
-    static bool isLate(const Service &service, const AdmissionRequest &admissionRequest);
+    static bool isLateRetry(const Service &service, const AdmissionRequest &admissionRequest);
     static double servedShare(const Tally &tally, Base::MonoTime now, Base::Duration halfLife);
     bool isStarved(const Service &service, const Tally &workspace, Base::MonoTime now) const;
     bool isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const;
     /// Forgets kinds that nobody asks for any more, as the configuration changes.
-    void forgetOldKinds(Service &service, Base::MonoTime now) const;
+    void removeIdleKinds(Service &service, Base::MonoTime now) const;
 
     Options m_options;
     std::minstd_rand m_random;
