--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -50,13 +50,13 @@
     m_startedAt = now();
     m_freshness.arrivalTime();
     m_readingSince = m_startedAt;
-    m_startTimer = m_options.timers->start(m_options.startPatience, [this] { checkDuty(); });
+    m_startTimer = m_options.timers->start(m_options.startPatience, [this] { updateRole(); });
     tick();
 }
 
 void FleetSync::routersKnown()
 {
-    checkDuty();
+    updateRole();
 }
 
 void FleetSync::leave()
@@ -100,7 +100,7 @@
         m_options.directory->storeReturned();
     m_isDoubting = m_isDoubting && isBehind();
     m_hasFollowed = false;
-    checkDuty();
+    updateRole();
     if (m_isAnnouncing)
         sendBeacons();
     else if (m_isLeader)
@@ -145,7 +145,7 @@
         return;
     m_configuration = std::move(configuration);
     m_behindSince.reset();
-    checkDuty();
+    updateRole();
     tellHearers(
         [this](const Peer &peer) { return peer.configuration < m_configuration.revision.value(); });
 }
@@ -241,7 +241,7 @@
 void FleetSync::tick()
 {
     m_freshness.arrivalTime();
-    checkDuty();
+    updateRole();
     sendBeacons();
     m_timer = m_options.timers->start(m_peers.beaconInterval(), [this] { tick(); });
 }
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -167,7 +167,7 @@
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
     std::vector<const Peer *> stayingPeers() const;
     void tick();
-    void checkDuty();
+    void updateRole();
     bool goesBefore(const Peer &peer) const;
     bool hasLeader() const;
     bool expectsLeader() const;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -189,7 +189,7 @@
 {
     m_failedPulls = 0;
     m_isDoubting = true;
-    checkDuty();
+    updateRole();
 }
 
 void FleetSync::learn(const SharedEndpoint &shared)
--- a/src/libs/fleetsync/fleetsyncduty.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -16,7 +16,7 @@
 /// The strongest living router of a data centre leads; where it knows nothing fresh, the next one
 /// leads too. Whoever starts reads first, so that stronger ones make themselves known. A leader
 /// reads the store unless it hears one of another data centre that goes before it.
-void FleetSync::checkDuty()
+void FleetSync::updateRole()
 {
     // Until it knows anything a router reads, whoever else does; so it does while it waits for
     // entries to come back, or doubts some, as peers that do not would not tell.
@@ -140,7 +140,7 @@
         m_options.timers->cancel(m_silenceTimer);
         m_silenceTimer = m_options.timers->start(m_options.followedAgeLimit
                                                      - (now() - *m_freshness.at()) + readMargin,
-                                                 [this] { checkDuty(); });
+                                                 [this] { updateRole(); });
         return;
     }
     if (!peer.isReading || !m_peers.isLocal(peer))
@@ -149,7 +149,7 @@
     Base::Duration limit = m_peers.silenceLimit(peer);
     if (m_peers.isDeputyOf(peer))
         limit = std::min(limit, m_options.readerAgeLimit - (now() - peer.knownAt) + readMargin);
-    m_silenceTimer = m_options.timers->start(limit, [this] { checkDuty(); });
+    m_silenceTimer = m_options.timers->start(limit, [this] { updateRole(); });
 }
 
 } // namespace Lagoonbank::FleetSync
