--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -63,7 +63,7 @@
     bool isUnreachable = false; ///< No connection can be opened; see Reachability.
     EndpointNotice notice;
     WarmupRecord warmup;
-    bool hasEnded = false; ///< It took no connection after requests broke; cold when it is back.
+    bool hasCrashed = false; ///< It took no connection after requests broke; cold when it is back.
     Base::MonoTime fullUntil{}; ///< It refused as full.
     bool isGone = false; ///< Its entry is gone; requests may still be in flight.
     Base::MonoTime knownSince;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -84,7 +84,7 @@
         endpointEnded(endpoint, requests);
     };
     m_reachability.changed = [this](EndpointRecord &endpoint) {
-        if (!endpoint.isUnreachable && std::exchange(endpoint.hasEnded, false))
+        if (!endpoint.isUnreachable && std::exchange(endpoint.hasCrashed, false))
             EndpointRegistry::becameCold(endpoint, m_options.loop->clock().now());
         m_options.log->event(part,
                              endpoint.isUnreachable ? "An endpoint cannot be reached."
@@ -228,7 +228,7 @@
 {
     // It may start again under its id, and its entry may tell of that only later.
     if (const EndpointPtr record = m_endpoints.findByStart(endpoint.startHash)) {
-        record->hasEnded = true;
+        record->hasCrashed = true;
         if (m_options.policy.reachability)
             m_reachability.foundUnreachable(record);
     }
--- a/tests/auto/gateway/tst_crashingrequest.cpp
+++ b/tests/auto/gateway/tst_crashingrequest.cpp
@@ -177,7 +177,7 @@
     f.attemptThatEnds("/x");
     Gateway::EndpointPtr ended;
     for (const auto &record : f.gateway.endpoints().endpoints(Base::ServiceId("service"))) {
-        if (record->hasEnded)
+        if (record->hasCrashed)
             ended = record;
     }
     BOOST_REQUIRE(ended);
