--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -45,7 +45,7 @@
     if (!policy.toldPrompts)
         options.promptPlaced = nullptr;
     if (!policy.awaitedReading)
-        options.patience.readingShare = 0;
+        options.patience.prefillWaitShare = 0;
     if (!policy.settling)
         options.patience.settle = Base::Duration::zero();
     return options;
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -59,28 +59,28 @@
     /// Callers leave a stream that pauses for longer than this, than so many target latencies and
     /// than so many of its longest pauses; until then a stream that has begun waits for an
     /// endpoint.
-    Base::Duration callersGap = std::chrono::seconds(2);
-    int callersGapTargets = 4;
-    int callersGapPauses = 8;
+    Base::Duration callerTimeout = std::chrono::seconds(2);
+    int callerTimeoutTargets = 4;
+    int callerTimeoutPauses = 8;
     /// Between two looks for an endpoint that can be reached: connections are checked each 300 ms.
-    Base::Duration reachInterval = std::chrono::milliseconds(50);
+    Base::Duration reachabilityRetryInterval = std::chrono::milliseconds(50);
     /// For reading a prompt, on top: engines read 80 to 160 tokens in a millisecond.
     Base::Duration perPromptToken = std::chrono::microseconds(10);
     /// Beyond a route's timeout, for the endpoint's own answer that it gave up.
-    Base::Duration afterTimeout = std::chrono::milliseconds(60);
+    Base::Duration timeoutGrace = std::chrono::milliseconds(60);
     /// What a caller is told when no endpoint could take its request.
     Base::Duration comeBack = std::chrono::milliseconds(150);
     /// Part of the target latency for which a request waits for room before it is refused; the rest
     /// is left for its answer, or for another try of the caller.
-    double roomShare = 0.12;
+    double queueWaitShare = 0.12;
     /// And no longer than this, so that those with time to spare do not get more looks than those
     /// who are in a hurry.
     Base::Duration longestRoomWait = std::chrono::milliseconds(40);
     /// Prompts of so many shared tokens are awaited while their endpoint reads them for another
     /// request: that takes 20 ms and more.
-    Base::Tokens leastAwaited{1500};
+    Base::Tokens minAwaitedTokens{1500};
     /// For so much of the target latency at most; a third of it reads 20,000 tokens.
-    double readingShare = 0.33;
+    double prefillWaitShare = 0.33;
 };
 
 /// Runs callers' requests: checks them, chooses an endpoint, sends them, passes the answer on, and
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -276,8 +276,8 @@
 {
     const GatewayTimeouts &patience = m_gateway.m_options.patience;
     return m_passedOnAt
-        + std::max({patience.callersGap, patience.callersGapTargets * m_route->targetLatency,
-                    patience.callersGapPauses * m_route->maxEventGap});
+        + std::max({patience.callerTimeout, patience.callerTimeoutTargets * m_route->targetLatency,
+                    patience.callerTimeoutPauses * m_route->maxEventGap});
 }
 
 void RequestRun::goOn(const Failure &failure)
@@ -360,10 +360,10 @@
         return;
     const bool isInFlight = m_attempt && m_attempt->hasLeft;
     const bool isLate =
-        m_timers.clock().now() >= m_deadline + m_gateway.m_options.patience.afterTimeout;
+        m_timers.clock().now() >= m_deadline + m_gateway.m_options.patience.timeoutGrace;
     if (isInFlight && !isLate) {
         // The endpoint was told the same time and is about to say so itself.
-        m_deadlineTimer = m_timers.start(m_gateway.m_options.patience.afterTimeout, [this] {
+        m_deadlineTimer = m_timers.start(m_gateway.m_options.patience.timeoutGrace, [this] {
             m_deadlineTimer.reset();
             deadlinePassed();
         });
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -224,7 +224,7 @@
 {
     if (!m_hasBegun || hasCallerGivenUp())
         return false;
-    placeLater(m_gateway.m_options.patience.reachInterval);
+    placeLater(m_gateway.m_options.patience.reachabilityRetryInterval);
     return true;
 }
 
@@ -294,8 +294,8 @@
 Base::Duration RequestRun::longestRoomWait() const
 {
     const GatewayTimeouts &patience = m_gateway.m_options.patience;
-    const auto share =
-        std::chrono::duration_cast<Base::Duration>(m_route->targetLatency * patience.roomShare);
+    const auto share = std::chrono::duration_cast<Base::Duration>(m_route->targetLatency
+                                                                  * patience.queueWaitShare);
     return std::min(patience.longestRoomWait, share);
 }
 
@@ -320,7 +320,7 @@
 /// Two requests that read a prompt at once read it twice, each at half the speed.
 bool RequestRun::awaitReading(const PlacementResult &place)
 {
-    if (m_hasAwaitedReading || sharedTokens() < m_gateway.m_options.patience.leastAwaited)
+    if (m_hasAwaitedReading || sharedTokens() < m_gateway.m_options.patience.minAwaitedTokens)
         return false;
     const PromptDirectory::Holder *holder =
         m_gateway.m_prompts.find(m_prefixes.back().hash, place.endpoint->startHash);
@@ -330,7 +330,7 @@
     if (left <= Base::Duration::zero())
         return false;
     const auto longest = std::chrono::duration_cast<Base::Duration>(
-        m_route->targetLatency * m_gateway.m_options.patience.readingShare);
+        m_route->targetLatency * m_gateway.m_options.patience.prefillWaitShare);
     const Base::Duration wait = std::min(left, longest);
     m_hasAwaitedReading = true;
     m_gateway.m_options.log->request(part, "Waiting for the endpoint to read the prompt.",
