--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -32,15 +32,16 @@
     m_at = now;
 }
 
-void LoadShedder::asked(const AdmissionRequest &admissionRequest, Base::MonoTime now)
+void LoadShedder::requestArrived(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
     Service &service = m_services[admissionRequest.service];
     removeIdleKinds(service, now);
     ++service.changes;
-    service.all.asked.add(1, now, m_options.halfLife);
-    service.kinds[{admissionRequest.route, admissionRequest.urgency}].asked.add(1, now,
-                                                                                m_options.halfLife);
-    service.workspaces[admissionRequest.workspace].asked.add(1, now, m_options.workspaceHalfLife);
+    service.all.requestArrived.add(1, now, m_options.halfLife);
+    service.kinds[{admissionRequest.route, admissionRequest.urgency}].requestArrived.add(
+        1, now, m_options.halfLife);
+    service.workspaces[admissionRequest.workspace].requestArrived.add(1, now,
+                                                                      m_options.workspaceHalfLife);
     service.workspaceArrivals.add(1, now, m_options.workspaceHalfLife);
     Route &route = service.routes[admissionRequest.route];
     const auto kept =
@@ -48,18 +49,18 @@
     route.patience = std::max(admissionRequest.patience.value_or(Base::Duration::zero()), kept);
 }
 
-void LoadShedder::admitted(const AdmissionRequest &admissionRequest, Base::MonoTime now)
+void LoadShedder::requestAdmitted(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
     Service &service = m_services[admissionRequest.service];
     ++service.changes;
-    service.all.admitted.add(1, now, m_options.halfLife);
-    service.kinds[{admissionRequest.route, admissionRequest.urgency}].admitted.add(
+    service.all.requestAdmitted.add(1, now, m_options.halfLife);
+    service.kinds[{admissionRequest.route, admissionRequest.urgency}].requestAdmitted.add(
         1, now, m_options.halfLife);
-    service.workspaces[admissionRequest.workspace].admitted.add(1, now,
-                                                                m_options.workspaceHalfLife);
+    service.workspaces[admissionRequest.workspace].requestAdmitted.add(1, now,
+                                                                       m_options.workspaceHalfLife);
 }
 
-void LoadShedder::ended(const AdmissionRequest &admissionRequest, Base::Duration held)
+void LoadShedder::requestEnded(const AdmissionRequest &admissionRequest, Base::Duration held)
 {
     Route &route = m_services[admissionRequest.service].routes[admissionRequest.route];
     const double seconds = Base::toSeconds(held);
@@ -89,7 +90,7 @@
                                 Base::MonoTime now) const
 {
     const auto own = service.kinds.find({admissionRequest.route, admissionRequest.urgency});
-    if (own == service.kinds.end() || own->second.asked.value(now, m_options.halfLife) < 1)
+    if (own == service.kinds.end() || own->second.requestArrived.value(now, m_options.halfLife) < 1)
         return true;
     if (areSharesStale(service, now))
         computeShares(service, now);
@@ -100,7 +101,7 @@
 {
     return !service.sharesComputedAt || now - *service.sharesComputedAt >= m_options.maxShareAge
         || service.changes
-        > m_options.maxShareChange * service.all.asked.value(now, m_options.halfLife);
+        > m_options.maxShareChange * service.all.requestArrived.value(now, m_options.halfLife);
 }
 
 void LoadShedder::computeShares(Service &service, Base::MonoTime now) const
@@ -115,9 +116,9 @@
         const bool isKnown = route != service.routes.end() && route->second.cost;
         const double cost = isKnown ? *route->second.cost : unknownCost;
         demands.push_back({.urgency = kind.second,
-                           .requests = tally.asked.value(now, m_options.halfLife),
+                           .requests = tally.requestArrived.value(now, m_options.halfLife),
                            .cost = cost});
-        supply += cost * tally.admitted.value(now, m_options.halfLife);
+        supply += cost * tally.requestAdmitted.value(now, m_options.halfLife);
     }
     const double served = servedShare(service.all, now, m_options.halfLife);
     const std::vector<double> shares = servedShares(demands, supply * m_options.headroom,
@@ -146,14 +147,14 @@
 /// Of the requests that came lately; 1 where none did.
 double LoadShedder::servedShare(const Tally &tally, Base::MonoTime now, Base::Duration halfLife)
 {
-    const double asked = tally.asked.value(now, halfLife);
-    return asked <= 0 ? 1 : tally.admitted.value(now, halfLife) / asked;
+    const double requestArrived = tally.requestArrived.value(now, halfLife);
+    return requestArrived <= 0 ? 1 : tally.requestAdmitted.value(now, halfLife) / requestArrived;
 }
 
 bool LoadShedder::isStarved(const Service &service, const Tally &workspace,
                             Base::MonoTime now) const
 {
-    return workspace.asked.value(now, m_options.workspaceHalfLife) >= m_options.minRequests
+    return workspace.requestArrived.value(now, m_options.workspaceHalfLife) >= m_options.minRequests
         && servedShare(workspace, now, m_options.workspaceHalfLife)
         < m_options.starvedShare * servedShare(service.all, now, m_options.halfLife);
 }
@@ -161,12 +162,12 @@
 /// Equal parts are of those that ask at all; one that is alone is never greedy.
 bool LoadShedder::isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const
 {
-    const double asked = workspace.asked.value(now, m_options.workspaceHalfLife);
-    if (asked < m_options.minRequests)
+    const double requestArrived = workspace.requestArrived.value(now, m_options.workspaceHalfLife);
+    if (requestArrived < m_options.minRequests)
         return false;
     const double all = service.workspaceArrivals.value(now, m_options.workspaceHalfLife);
     const double equal = all / static_cast<double>(service.workspaces.size());
-    return asked > m_options.greedyFactor * equal;
+    return requestArrived > m_options.greedyFactor * equal;
 }
 
 void LoadShedder::removeIdleKinds(Service &service, Base::MonoTime now) const
@@ -175,7 +176,7 @@
         return;
     constexpr double nobody = 0.01;
     std::erase_if(service.kinds, [&](const auto &entry) {
-        return entry.second.asked.value(now, m_options.halfLife) < nobody;
+        return entry.second.requestArrived.value(now, m_options.halfLife) < nobody;
     });
 }
 
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -90,11 +90,11 @@
     { }
 
     /// A request has come.
-    void asked(const AdmissionRequest &admissionRequest, Base::MonoTime now);
+    void requestArrived(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     /// A request has been sent to an endpoint for the first time.
-    void admitted(const AdmissionRequest &admissionRequest, Base::MonoTime now);
+    void requestAdmitted(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     /// A request that was sent has given its place back after \a held.
-    void ended(const AdmissionRequest &admissionRequest, Base::Duration held);
+    void requestEnded(const AdmissionRequest &admissionRequest, Base::Duration held);
     /// Part of an endpoint's places that may be taken when this request is sent there.
     double usableShare(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     /// For a request that is refused as there is no room; spread, so that callers do not return
@@ -104,8 +104,8 @@
 private:
     struct Tally
     {
-        DecayingSum asked;
-        DecayingSum admitted;
+        DecayingSum requestArrived;
+        DecayingSum requestAdmitted;
     };
     struct KindTally : Tally
     {
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -58,22 +58,28 @@
     };
     struct Tally
     {
-        int asked = 0;
+        int requestArrived = 0;
         int inTime = 0;
         int late = 0;
         int refused = 0;
         int abandoned = 0;
         Tally &operator+=(const Tally &other)
         {
-            asked += other.asked;
+            requestArrived += other.requestArrived;
             inTime += other.inTime;
             late += other.late;
             refused += other.refused;
             abandoned += other.abandoned;
             return *this;
         }
-        double served() const { return asked > 0 ? static_cast<double>(inTime + late) / asked : 1; }
-        double timely() const { return asked > 0 ? static_cast<double>(inTime) / asked : 1; }
+        double served() const
+        {
+            return requestArrived > 0 ? static_cast<double>(inTime + late) / requestArrived : 1;
+        }
+        double timely() const
+        {
+            return requestArrived > 0 ? static_cast<double>(inTime) / requestArrived : 1;
+        }
     };
 
     explicit OverloadModel(Options options)
@@ -257,7 +263,7 @@
                 job->prompt = Lagoonbank::Routing::mixHashes(
                     kind + 1, std::uniform_int_distribution<std::uint64_t>(1, prompts)(m_random));
             }
-            count(*job, &Tally::asked);
+            count(*job, &Tally::requestArrived);
             come(job);
             scheduleNext(kind);
         });
@@ -277,7 +283,7 @@
     void come(const JobPtr &job)
     {
         job->router = std::uniform_int_distribution<std::size_t>(0, m_routers.size() - 1)(m_random);
-        m_routers[job->router]->shedder.asked(admissionRequest(*job), at(m_now));
+        m_routers[job->router]->shedder.requestArrived(admissionRequest(*job), at(m_now));
         place(job, m_now);
     }
     void place(const JobPtr &job, double since)
@@ -297,7 +303,7 @@
                                              router.registry, at(m_now));
         }
         if (chosen.endpoint) {
-            router.shedder.admitted(admissionRequest(*job), at(m_now));
+            router.shedder.requestAdmitted(admissionRequest(*job), at(m_now));
             send(job, chosen.endpoint);
         } else if (m_now - since < 0.03) {
             after(0.01, [this, job, since] { place(job, since); });
@@ -396,8 +402,8 @@
         --m_engines[job->engine].running;
         if (!job->hasLeft) {
             endAtRouter(*job);
-            m_routers[job->router]->shedder.ended(admissionRequest(*job),
-                                                  duration(m_now - job->sentAt));
+            m_routers[job->router]->shedder.requestEnded(admissionRequest(*job),
+                                                         duration(m_now - job->sentAt));
         }
         serve(job->engine);
     }
