--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -107,7 +107,7 @@
                        const Schema::FleetStateRequest &request)>
         pull;
     /// This router has to read the store, or need not any more. The strongest leader reads.
-    std::function<void(bool reads)> dutyChanged;
+    std::function<void(bool reads)> roleChanged;
     /// A peer has a newer configuration.
     std::function<void(const StoredConfiguration &configuration)> configurationLearnt;
     /// Other data centres than before are drained, as the store or a peer tells.
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -34,8 +34,8 @@
     if (!reads)
         m_freshness.clearFailure();
     m_readingSince = now();
-    if (dutyChanged)
-        dutyChanged(reads);
+    if (roleChanged)
+        roleChanged(reads);
 }
 
 bool FleetSync::hasLeader() const
--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -155,7 +155,7 @@
             if (router.sync)
                 router.sync->endpointChanged(entry, true);
         };
-        router.sync->dutyChanged = [&router](bool reads) {
+        router.sync->roleChanged = [&router](bool reads) {
             router.isReading = reads;
             router.isReadDue = reads;
         };
--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -76,7 +76,7 @@
     m_world.events.removed = [this](Place at, const Fleet::Endpoint &endpoint) {
         removed(at, endpoint);
     };
-    m_world.events.dutyChanged = [this](Place at, bool reads) {
+    m_world.events.roleChanged = [this](Place at, bool reads) {
         tell(at, reads ? "reads" : "leaves reading to a peer");
     };
     m_world.events.pulled = [this](Place at, Place from, std::size_t underWay) {
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -205,7 +205,7 @@
 void SimulatedRouter::wireSync()
 {
     FleetSync::FleetSync &sync = *m_run->sync;
-    sync.dutyChanged = [this](bool reads) { setReading(reads); };
+    sync.roleChanged = [this](bool reads) { setReading(reads); };
     sync.configurationLearnt = [this](const FleetSync::StoredConfiguration &told) {
         putInForce(told.packed, told.offset);
     };
@@ -262,7 +262,7 @@
 
 void SimulatedRouter::setReading(bool reads)
 {
-    m_options.events->dutyChanged(m_options.place, reads);
+    m_options.events->roleChanged(m_options.place, reads);
     if (!reads) {
         m_run->configurationView->stop();
         m_run->endpointView->stop();
--- a/tests/auto/simulation/simulatedrouter.h
+++ b/tests/auto/simulation/simulatedrouter.h
@@ -23,7 +23,7 @@
     std::function<void(Place at, const Lagoonbank::Fleet::Endpoint &endpoint)> changed;
     std::function<void(Place at, const Lagoonbank::Fleet::Endpoint &endpoint)> removed;
     std::function<void(Place at, Place from, std::size_t underWay)> pulled;
-    std::function<void(Place at, bool reads)> dutyChanged;
+    std::function<void(Place at, bool reads)> roleChanged;
 };
 
 /// A VM with a router: the product's FleetSync, views, directory and registry, wired as
