--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -80,7 +80,7 @@
     FadingMean pause; ///< Seconds between two events of a stream.
     FadingMean failures{0.0}; ///< 1 for an answer that failed, 0 for a good one.
     std::optional<Base::MonoTime> failedAt; ///< When a failure was counted last.
-    Base::MonoTime heardAt; ///< When anything came from it last.
+    Base::MonoTime lastContactAt; ///< When anything came from it last.
 
     /// It is there for new requests, as far as this router knows, or will be when it has rested.
     bool isInService() const
@@ -189,13 +189,13 @@
     bool bearsRequest(EndpointRecord &endpoint, Base::MonoTime now) const;
 
     /// Something has come from it.
-    void heard(EndpointRecord &endpoint, Base::MonoTime now)
+    void recordContact(EndpointRecord &endpoint, Base::MonoTime now)
     {
-        endpoint.heardAt = now;
-        m_heardAt = now;
+        endpoint.lastContactAt = now;
+        m_lastContactAt = now;
     }
     /// When anything came from any endpoint last.
-    Base::MonoTime heardAt() const { return m_heardAt; }
+    Base::MonoTime lastContactAt() const { return m_lastContactAt; }
     void requestSent(EndpointRecord &endpoint, Base::MonoTime now) const;
     void requestEnded(EndpointRecord &endpoint) const { --endpoint.inFlight; }
     /// It has told this router its load.
@@ -264,7 +264,7 @@
     std::vector<Routing::EndpointIndex> m_freeIndices;
     Routing::EndpointIndex m_nextIndex = 0;
     double m_routerCount = 1;
-    Base::MonoTime m_heardAt;
+    Base::MonoTime m_lastContactAt;
 };
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -242,7 +242,7 @@
          {"events", m_events},
          {"goes_on", goesOn},
          {"quiet_ms", m_timers.clock().now() - m_quietSince},
-         {"all_quiet_ms", m_timers.clock().now() - m_gateway.m_endpoints.heardAt()},
+         {"all_quiet_ms", m_timers.clock().now() - m_gateway.m_endpoints.lastContactAt()},
          {"repeats_left", m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now())},
          {"left_ms", timeLeft()}});
     if (goesOn)
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -50,7 +50,7 @@
 void RequestRun::headReceived(int status, const Http::Headers &headers)
 {
     Attempt &attempt = *m_attempt;
-    m_gateway.m_endpoints.heard(*attempt.endpoint, m_timers.clock().now());
+    m_gateway.m_endpoints.recordContact(*attempt.endpoint, m_timers.clock().now());
     attempt.status = status;
     attempt.headers = headers;
     attempt.facts = m_gateway.m_options.protocol.readHead(m_request, status, headers);
@@ -102,7 +102,7 @@
         m_gateway.m_options.metrics->firstEvent.observe(Base::toSeconds(now - m_cameAt));
         m_responder->begin(attempt.status, attempt.headers);
     }
-    m_gateway.m_endpoints.heard(*attempt.endpoint, now);
+    m_gateway.m_endpoints.recordContact(*attempt.endpoint, now);
     if (!attempt.lastEventAt) {
         for (const PromptPrefix &prefix : m_prefixes)
             m_gateway.m_prompts.read(prefix.hash, attempt.endpoint->startHash, now);
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -66,7 +66,7 @@
         return;
     }
     const Base::MonoTime busyUntil = m_quietSince + silenceLimit(true);
-    if (m_attempt->endpoint->heardAt > m_quietSince && m_timers.clock().now() < busyUntil) {
+    if (m_attempt->endpoint->lastContactAt > m_quietSince && m_timers.clock().now() < busyUntil) {
         armSilence(busyUntil - m_timers.clock().now());
         return;
     }
