--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -75,7 +75,7 @@
     double queueWaitShare = 0.12;
     /// And no longer than this, so that those with time to spare do not get more looks than those
     /// who are in a hurry.
-    Base::Duration longestRoomWait = std::chrono::milliseconds(40);
+    Base::Duration maxQueueWait = std::chrono::milliseconds(40);
     /// Prompts of so many shared tokens are awaited while their endpoint reads them for another
     /// request: that takes 20 ms and more.
     Base::Tokens minAwaitedTokens{1500};
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -97,7 +97,7 @@
     void waitInQueue(const QueuePriority &rank);
     void leaveQueue();
     void queueWaitFailed();
-    Base::Duration longestRoomWait() const;
+    Base::Duration maxQueueWait() const;
     void placeLater(Base::Duration delay);
     /// Where parts of the prompt are copied from.
     struct CacheSource
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -238,7 +238,7 @@
         queueId(),
         {.rank = rank,
          .mayRepeat = m_route->mayRepeat(),
-         .deadline = m_hasBegun ? callerGivesUpAt() : *m_queuedAt + longestRoomWait(),
+         .deadline = m_hasBegun ? callerGivesUpAt() : *m_queuedAt + maxQueueWait(),
          .tryPlace =
              [weak] {
                  const auto self = weak.lock();
@@ -291,12 +291,12 @@
 
 /// Of a request that can still be refused. A stream that has begun is lost without room, so that it
 /// waits as long as its caller does.
-Base::Duration RequestRun::longestRoomWait() const
+Base::Duration RequestRun::maxQueueWait() const
 {
     const GatewayTimeouts &patience = m_gateway.m_options.patience;
     const auto share = std::chrono::duration_cast<Base::Duration>(m_route->targetLatency
                                                                   * patience.queueWaitShare);
-    return std::min(patience.longestRoomWait, share);
+    return std::min(patience.maxQueueWait, share);
 }
 
 RequestRun::CacheSource RequestRun::cacheSource(const PlacementResult &place) const
