--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -65,7 +65,7 @@
         deadlinePassed();
     });
     const Base::MonoTime now = m_timers.clock().now();
-    m_gateway.m_loadShedder.asked(admissionRequest(), now);
+    m_gateway.m_loadShedder.requestArrived(admissionRequest(), now);
     if (now - m_cameAt >= leastTime && timeLeft() < leastTime) {
         // It lay unread for as long as its caller waits.
         fail({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = false});
