--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -29,13 +29,13 @@
 
 } // namespace
 
-void FadingMean::add(double value, Base::MonoTime now, double weight)
+void MovingAverage::add(double value, Base::MonoTime now, double weight)
 {
     m_mean = m_at || m_hasPrior ? m_mean + weight * (value - m_mean) : value;
     m_at = now;
 }
 
-double FadingMean::value(double usual, Base::MonoTime now, Base::Duration halfLife) const
+double MovingAverage::value(double usual, Base::MonoTime now, Base::Duration halfLife) const
 {
     if (!m_at)
         return usual;
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -19,12 +19,12 @@
 namespace Lagoonbank::Gateway {
 
 /// A mean over the last observations that forgets what is old.
-class FadingMean
+class MovingAverage
 {
 public:
-    FadingMean() = default;
+    MovingAverage() = default;
     /// Begins with \a prior, so that the first observation alone says little.
-    explicit FadingMean(double prior)
+    explicit MovingAverage(double prior)
         : m_mean(prior)
         , m_hasPrior(true)
     { }
@@ -76,9 +76,9 @@
     /// Part of its places at which it still answers within the target latency.
     double timelyShare = 1;
     Base::MonoTime timelyLoweredAt{};
-    FadingMean latency; ///< Seconds to the answer, or to the first event of a stream.
-    FadingMean pause; ///< Seconds between two events of a stream.
-    FadingMean failures{0.0}; ///< 1 for an answer that failed, 0 for a good one.
+    MovingAverage latency; ///< Seconds to the answer, or to the first event of a stream.
+    MovingAverage pause; ///< Seconds between two events of a stream.
+    MovingAverage failures{0.0}; ///< 1 for an answer that failed, 0 for a good one.
     std::optional<Base::MonoTime> failedAt; ///< When a failure was counted last.
     Base::MonoTime lastContactAt; ///< When anything came from it last.
 
--- a/tests/auto/gateway/tst_endpointregistry.cpp
+++ b/tests/auto/gateway/tst_endpointregistry.cpp
@@ -156,13 +156,13 @@
 
 BOOST_AUTO_TEST_CASE(whatWasLearntFades)
 {
-    FadingMean mean;
+    MovingAverage mean;
     const Base::Duration halfLife = std::chrono::seconds(4);
     BOOST_TEST(mean.value(3, start, halfLife) == 3);
     mean.add(11, start);
     BOOST_TEST(mean.value(3, start, halfLife) == 11);
     BOOST_TEST(mean.value(3, start + halfLife, halfLife) == 7);
-    FadingMean failures(0);
+    MovingAverage failures(0);
     failures.add(1, start);
     BOOST_TEST(failures.value(0, start, halfLife) < 0.4);
 }
