--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -50,7 +50,7 @@
     /// Part of the target latency after which a request that may be repeated is sent elsewhere
     /// when nothing has come from its endpoint, on any connection, so that the other one still has
     /// time.
-    double firstShare = 0.75;
+    double firstEventShare = 0.75;
     /// The same for a pause within a stream.
     double pauseShare = 0.6;
     /// Target latencies, or longest pauses, after which a request is sent elsewhere although its
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -29,7 +29,7 @@
     const bool isFirst = !m_attempt->lastEventAt;
     const Base::Duration whole = isFirst ? m_route->targetLatency : m_route->maxEventGap;
     const double share =
-        isBusy ? patience.busyFactor : (isFirst ? patience.firstShare : patience.pauseShare);
+        isBusy ? patience.busyFactor : (isFirst ? patience.firstEventShare : patience.pauseShare);
     auto limit = std::chrono::duration_cast<Base::Duration>(whole * share);
     if (isFirst && m_request.prompt)
         limit += patience.perPromptToken * m_request.prompt->promptTokens.value();
