--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -135,7 +135,7 @@
     if (awaitReading(place))
         return true;
     if (m_tried.empty())
-        m_gateway.m_loadShedder.admitted(admissionRequest(), now);
+        m_gateway.m_loadShedder.requestAdmitted(admissionRequest(), now);
     sendTo(place);
     return true;
 }
