--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -58,7 +58,7 @@
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(), [this](const auto &item) {
         const Peer &peer = item.second;
-        const bool mayLive = !peer.heardAt || (m_peers.isAlive(peer) && !peer.isLeaving);
+        const bool mayLive = !peer.lastBeaconAt || (m_peers.isAlive(peer) && !peer.isLeaving);
         return m_peers.isLocal(peer) && m_peers.isStronger(peer) && mayLive;
     });
 }
@@ -104,10 +104,10 @@
 
 bool FleetSync::isFailing(const Peer &peer) const
 {
-    if (!peer.isReading || !peer.heardAt)
+    if (!peer.isReading || !peer.lastBeaconAt)
         return false;
     // Its deputies hear it often; others could not tell its silence from failed reads.
-    const Base::MonoTime at = m_peers.isDeputyOf(peer) ? now() : *peer.heardAt;
+    const Base::MonoTime at = m_peers.isDeputyOf(peer) ? now() : *peer.lastBeaconAt;
     return at - peer.knownAt > m_options.readerAgeLimit;
 }
 
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -17,7 +17,7 @@
     if (id == m_options.id)
         return nullptr;
     Peer &peer = m_peers[id];
-    if (peer.heardAt)
+    if (peer.lastBeaconAt)
         return nullptr; // What it says itself is newer.
     const bool isNew = peer.id.empty();
     peer.id = id;
@@ -34,11 +34,11 @@
 {
     Peer &peer = m_peers[beacon.router];
     const bool isUnknown = peer.id.empty();
-    isNew = !peer.heardAt;
+    isNew = !peer.lastBeaconAt;
     peer.id = beacon.router;
     peer.dataCentre = beacon.dataCentre;
     peer.address = {fromIp, static_cast<std::uint16_t>(beacon.port)};
-    peer.heardAt = at;
+    peer.lastBeaconAt = at;
     peer.strength = beacon.strength;
     peer.isLeading = beacon.isLeading;
     peer.isReading = beacon.isReading;
@@ -57,7 +57,7 @@
 
 bool PeerTable::isAlive(const Peer &peer) const
 {
-    return peer.heardAt && m_options.clock->now() - *peer.heardAt < silenceLimit(peer);
+    return peer.lastBeaconAt && m_options.clock->now() - *peer.lastBeaconAt < silenceLimit(peer);
 }
 
 Base::Duration PeerTable::silenceLimit(const Peer &peer) const
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -21,7 +21,7 @@
     std::string id;
     std::string dataCentre;
     Runtime::SocketAddress address; ///< Of its datagrams and of its answers to pulls.
-    std::optional<Base::MonoTime> heardAt;
+    std::optional<Base::MonoTime> lastBeaconAt;
     std::uint32_t strength = 0;
     bool isLeading = false; ///< See FleetBeacon.
     bool isReading = false;
