--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -73,7 +73,7 @@
     }
     const Base::MonoTime now = m_options.clock->now();
     if (facts.isWarmingUp && !m_options.registry->isWarmingUp(endpoint, now))
-        EndpointRegistry::becameCold(endpoint, now);
+        EndpointRegistry::markCold(endpoint, now);
     if (!facts.restTime)
         return;
     notice.backOffUntil = std::max(notice.backOffUntil, now + *facts.restTime);
--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -48,7 +48,7 @@
     const auto known = m_records.find(endpoint.id);
     if (known != m_records.end() && !Fleet::isRestart(known->second->info, endpoint)) {
         if (endpoint.isWarmingUp && !known->second->info.isWarmingUp)
-            becameCold(*known->second, now);
+            markCold(*known->second, now);
         known->second->info = endpoint;
         return;
     }
@@ -61,7 +61,7 @@
     record->notice = keptNotice(*record);
     record->isDrained = m_drained.contains(endpoint.dataCentre);
     if (endpoint.isWarmingUp)
-        becameCold(*record, now);
+        markCold(*record, now);
     if (m_freeIndices.empty()) {
         record->index = m_nextIndex++;
     } else {
@@ -101,7 +101,7 @@
     for (const auto &[id, record] : m_records) {
         const bool isDrained = m_drained.contains(record->info.dataCentre);
         if (std::exchange(record->isDrained, isDrained) && !isDrained)
-            becameCold(*record, now);
+            markCold(*record, now);
     }
 }
 
@@ -122,7 +122,7 @@
     return warmup != m_warmups.end() && now - *endpoint.warmup.since < warmup->second.time;
 }
 
-bool EndpointRegistry::bearsRequest(EndpointRecord &endpoint, Base::MonoTime now) const
+bool EndpointRegistry::admitsRequest(EndpointRecord &endpoint, Base::MonoTime now) const
 {
     if (!isWarmingUp(endpoint, now))
         return true;
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -180,13 +180,13 @@
     void setServices(const std::vector<Fleet::Service> &services);
     void setFleet(WarmupQuota::Fleet fleet) { m_warmupQuota.setFleet(std::move(fleet)); }
     /// Found to be cold, now or again.
-    static void becameCold(EndpointRecord &endpoint, Base::MonoTime now)
+    static void markCold(EndpointRecord &endpoint, Base::MonoTime now)
     {
         endpoint.warmup.since = now;
     }
     bool isWarmingUp(const EndpointRecord &endpoint, Base::MonoTime now) const;
     /// Whether this router may send the endpoint a request now, as far as that is cold.
-    bool bearsRequest(EndpointRecord &endpoint, Base::MonoTime now) const;
+    bool admitsRequest(EndpointRecord &endpoint, Base::MonoTime now) const;
 
     /// Something has come from it.
     void recordContact(EndpointRecord &endpoint, Base::MonoTime now)
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -85,7 +85,7 @@
     };
     m_reachability.changed = [this](EndpointRecord &endpoint) {
         if (!endpoint.isUnreachable && std::exchange(endpoint.hasCrashed, false))
-            EndpointRegistry::becameCold(endpoint, m_options.loop->clock().now());
+            EndpointRegistry::markCold(endpoint, m_options.loop->clock().now());
         m_options.log->event(part,
                              endpoint.isUnreachable ? "An endpoint cannot be reached."
                                                     : "An endpoint can be reached again.",
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -131,7 +131,7 @@
     if (!isTrusted && !mayProveItself)
         return Eligibility::Excluded;
     const bool hasPlace = !request.checkCapacity || hasRoom(request, registry, *endpoint, now);
-    if (!hasConnection(request, *endpoint) || !hasPlace || !registry.bearsRequest(*endpoint, now))
+    if (!hasConnection(request, *endpoint) || !hasPlace || !registry.admitsRequest(*endpoint, now))
         return Eligibility::Full;
     return isTrusted ? Eligibility::Candidate : Eligibility::Trial;
 }
@@ -226,7 +226,7 @@
     }
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         const bool isSpared = endpoint->isDrained
-            || (registry.isWarmingUp(*endpoint, now) && !registry.bearsRequest(*endpoint, now));
+            || (registry.isWarmingUp(*endpoint, now) && !registry.admitsRequest(*endpoint, now));
         if (!isSpared)
             continue;
         sum += registry.load(*endpoint, now);
@@ -365,7 +365,7 @@
             place.backOffUntil = std::min(place.backOffUntil.value_or(until), until);
             continue;
         }
-        if (!registry.bearsRequest(*endpoint, now))
+        if (!registry.admitsRequest(*endpoint, now))
             continue;
         const bool isBetter = !place.endpoint
             || registry.suspicion().suspectedSince(endpoint->index)
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -131,7 +131,7 @@
     }
     const Base::MonoTime now = m_timers.clock().now();
     const bool isTaken = other.endpoint->takesRequests(now)
-        && m_gateway.m_endpoints.bearsRequest(*other.endpoint, now);
+        && m_gateway.m_endpoints.admitsRequest(*other.endpoint, now);
     if (!isTaken) {
         leaveIfPossible();
         return;
