--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -69,7 +69,7 @@
     /// Beyond a route's timeout, for the endpoint's own answer that it gave up.
     Base::Duration timeoutGrace = std::chrono::milliseconds(60);
     /// What a caller is told when no endpoint could take its request.
-    Base::Duration comeBack = std::chrono::milliseconds(150);
+    Base::Duration retryAfter = std::chrono::milliseconds(150);
     /// Part of the target latency for which a request waits for room before it is refused; the rest
     /// is left for its answer, or for another try of the caller.
     double queueWaitShare = 0.12;
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -98,7 +98,7 @@
 bool RequestRun::isAdmitted()
 {
     if (!m_configuration) {
-        refuse(ErrorKind::NotReady, Ran::No, m_gateway.m_options.patience.comeBack);
+        refuse(ErrorKind::NotReady, Ran::No, m_gateway.m_options.patience.retryAfter);
         return false;
     }
     m_route = m_configuration->findRoute(m_request.host, m_request.path);
@@ -160,7 +160,7 @@
     fail({.kind = ErrorKind::RequestCrashes,
           .hasReached = false,
           .hasRun = false,
-          .comeBack = remaining});
+          .retryAfter = remaining});
     return true;
 }
 
@@ -322,7 +322,7 @@
         refuse(failure.kind, Ran::No, m_gateway.m_loadShedder.retryAfter(m_route->targetLatency));
     else
         refuse(failure.kind, Ran::No,
-               failure.comeBack.value_or(m_gateway.m_options.patience.comeBack));
+               failure.retryAfter.value_or(m_gateway.m_options.patience.retryAfter));
 }
 
 void RequestRun::refuse(ErrorKind kind, Ran ran, std::optional<Base::Duration> retryAfter)
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -53,7 +53,7 @@
         bool isOwnLack = false; ///< The router's own, which says nothing of the endpoint.
         /// The endpoint has closed the connection within the answer: it may have ended.
         bool hasBroken = false;
-        std::optional<Base::Duration> comeBack; ///< When the caller may; else the usual time.
+        std::optional<Base::Duration> retryAfter; ///< When the caller may; else the usual time.
     };
 
     bool isAdmitted();
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -123,13 +123,13 @@
     if (!place.endpoint && awaitEndpoint())
         return true;
     if (!place.endpoint) {
-        const auto comeBack = place.backOffUntil
+        const auto retryAfter = place.backOffUntil
             ? std::optional<Base::Duration>(*place.backOffUntil - now)
             : std::nullopt;
         fail({.kind = ErrorKind::NoEndpoint,
               .hasReached = false,
               .hasRun = !m_ranAt.empty(),
-              .comeBack = comeBack});
+              .retryAfter = retryAfter});
         return true;
     }
     if (awaitReading(place))
