--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -174,7 +174,7 @@
     Attempt &attempt = *m_attempt;
     const Base::MonoTime now = m_timers.clock().now();
     const int status = attempt.status;
-    m_gateway.m_loadShedder.ended(admissionRequest(), now - attempt.startedAt);
+    m_gateway.m_loadShedder.requestEnded(admissionRequest(), now - attempt.startedAt);
     if (attempt.isStreaming) {
         if (!m_hasBegun)
             m_responder->begin(status, attempt.headers);
