--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -198,7 +198,7 @@
     for (const auto &[id, peer] : m_peers.peers()) {
         // A leader of another data centre that reads the store hears it from there, unless that
         // turns it away.
-        const bool isStale = now() - peer.knownAt > m_options.readerAgeLimit;
+        const bool isStale = now() - peer.stateAsOf > m_options.readerAgeLimit;
         const bool isFollower = m_isReading && peer.isReading && !goesBefore(peer);
         if (m_peers.isLocal(peer) || ((isStale || isFollower) && m_peers.isAlive(peer)))
             sendTo(peer, news);
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -27,7 +27,7 @@
 /// Whether a pull of endpoints from this peer would tell anything new.
 bool FleetSync::wantsEndpoints(const Peer &peer) const
 {
-    if (m_freshness.at() && peer.knownAt <= *m_freshness.at())
+    if (m_freshness.at() && peer.stateAsOf <= *m_freshness.at())
         return false;
     // Bytes between data centres are dear, and the own reader tells the same a moment later.
     const bool isStale = now() - m_freshness.at().value_or(m_startedAt) > m_options.readerAgeLimit;
@@ -57,12 +57,12 @@
 /// together hold up all answers on a link of 10 Mbit/s for 1.4 s.
 void FleetSync::compare(const Peer &peer)
 {
-    if (!peer.isKnowing)
+    if (!peer.hasState)
         return;
     const bool isBehind = peer.configuration > m_configuration.revision.value();
     const bool isSame = peer.endpoints == m_options.directory->hash();
     if (isSame && !isBehind) {
-        noteKnown(peer.knownAt);
+        noteKnown(peer.stateAsOf);
         return;
     }
     if (isOvertaken(peer)) {
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -74,7 +74,7 @@
 {
     return leader.isLeading && !m_peers.isDeputyOf(leader)
         && m_peers.local().size() >= m_options.manyHearers
-        && now() - leader.knownAt <= m_options.hearerAgeLimit;
+        && now() - leader.stateAsOf <= m_options.hearerAgeLimit;
 }
 
 /// Whether the peer goes before this router in leading and reading. What has missed nothing goes
@@ -90,7 +90,7 @@
 bool FleetSync::isFollowed(const Peer &peer) const
 {
     return !m_peers.isLocal(peer) && peer.isReading && !peer.isLeaving && goesBefore(peer)
-        && now() - peer.knownAt <= m_options.followedAgeLimit;
+        && now() - peer.stateAsOf <= m_options.followedAgeLimit;
 }
 
 bool FleetSync::canFollow() const
@@ -108,7 +108,7 @@
         return false;
     // Its deputies hear it often; others could not tell its silence from failed reads.
     const Base::MonoTime at = m_peers.isDeputyOf(peer) ? now() : *peer.lastBeaconAt;
-    return at - peer.knownAt > m_options.readerAgeLimit;
+    return at - peer.stateAsOf > m_options.readerAgeLimit;
 }
 
 /// Whoever takes a reader's place for a moment while the store is silent may hear of the store's
@@ -148,7 +148,7 @@
     m_options.timers->cancel(m_silenceTimer);
     Base::Duration limit = m_peers.silenceLimit(peer);
     if (m_peers.isDeputyOf(peer))
-        limit = std::min(limit, m_options.readerAgeLimit - (now() - peer.knownAt) + readMargin);
+        limit = std::min(limit, m_options.readerAgeLimit - (now() - peer.stateAsOf) + readMargin);
     m_silenceTimer = m_options.timers->start(limit, [this] { updateRole(); });
 }
 
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -44,9 +44,9 @@
     peer.isReading = beacon.isReading;
     peer.isLeaving = beacon.isLeaving;
     peer.isWaiting = beacon.isWaiting;
-    peer.isKnowing = beacon.knowledgeAgeMs != std::numeric_limits<std::uint32_t>::max();
-    peer.knownAt = at - (isLocal(peer) ? m_options.localTransit : m_options.farTransit)
-        - std::chrono::milliseconds(peer.isKnowing ? beacon.knowledgeAgeMs : 0);
+    peer.hasState = beacon.knowledgeAgeMs != std::numeric_limits<std::uint32_t>::max();
+    peer.stateAsOf = at - (isLocal(peer) ? m_options.localTransit : m_options.farTransit)
+        - std::chrono::milliseconds(peer.hasState ? beacon.knowledgeAgeMs : 0);
     peer.configuration = beacon.configuration;
     peer.endpoints = beacon.endpoints;
     peer.deputies = beacon.deputies;
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -27,8 +27,8 @@
     bool isReading = false;
     bool isLeaving = false;
     bool isWaiting = false; ///< See FleetBeacon.
-    Base::MonoTime knownAt{}; ///< Time to which what it knew was true, as of its last beacon.
-    bool isKnowing = false; ///< It knew something.
+    Base::MonoTime stateAsOf{}; ///< Time to which what it knew was true, as of its last beacon.
+    bool hasState = false; ///< It knew something.
     std::uint64_t configuration = 0;
     std::uint64_t endpoints = 0;
     bool isTold = false; ///< Has been sent a beacon.
