--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -58,7 +58,7 @@
     record->knownSince = now;
     record->hash = Routing::stableHash(endpoint.id.value());
     record->startHash = startHash(endpoint);
-    record->notice = keptNotice(*record);
+    record->notice = retainedNotice(*record);
     record->isDrained = m_drained.contains(endpoint.dataCentre);
     if (endpoint.isWarmingUp)
         markCold(*record, now);
@@ -86,7 +86,7 @@
         return;
     const EndpointPtr record = known->second;
     record->isGone = true;
-    keepNotice(*record);
+    retainNotice(*record);
     m_records.erase(known);
     m_byStart.erase(record->startHash);
     std::erase(m_services[record->info.service], record);
@@ -137,7 +137,7 @@
         m_warmupQuota.sent(endpoint.warmup, now);
 }
 
-void EndpointRegistry::keepNotice(const EndpointRecord &endpoint)
+void EndpointRegistry::retainNotice(const EndpointRecord &endpoint)
 {
     if (endpoint.notice == EndpointNotice())
         return;
@@ -146,7 +146,7 @@
     m_notices[endpoint.startHash] = {endpoint.info.address, endpoint.notice};
 }
 
-EndpointNotice EndpointRegistry::keptNotice(const EndpointRecord &endpoint) const
+EndpointNotice EndpointRegistry::retainedNotice(const EndpointRecord &endpoint) const
 {
     const auto kept = m_notices.find(endpoint.startHash);
     const bool isSame = kept != m_notices.end() && kept->second.address == endpoint.info.address;
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -242,20 +242,20 @@
 
 private:
     /// What an endpoint whose entry is gone said, for when that comes back.
-    struct KeptNotice
+    struct RetainedNotice
     {
         Runtime::SocketAddress address;
         EndpointNotice notice;
     };
 
-    void keepNotice(const EndpointRecord &endpoint);
-    EndpointNotice keptNotice(const EndpointRecord &endpoint) const;
+    void retainNotice(const EndpointRecord &endpoint);
+    EndpointNotice retainedNotice(const EndpointRecord &endpoint) const;
 
     Options m_options;
     Routing::Suspicion m_suspicion;
     absl::flat_hash_map<Base::EndpointId, EndpointPtr> m_records;
     absl::flat_hash_map<std::uint64_t, EndpointPtr> m_byStart;
-    absl::flat_hash_map<std::uint64_t, KeptNotice> m_notices; ///< By EndpointRecord::startHash.
+    absl::flat_hash_map<std::uint64_t, RetainedNotice> m_notices; ///< By EndpointRecord::startHash.
     std::set<Base::DataCentreId> m_drained;
     Services m_services;
     absl::flat_hash_map<Base::ServiceId, UsualLoad> m_usualLoads;
