--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -74,13 +74,13 @@
     const Base::MonoTime now = m_options.clock->now();
     if (facts.isWarmingUp && !m_options.registry->isWarmingUp(endpoint, now))
         EndpointRegistry::markCold(endpoint, now);
-    if (!facts.restTime)
+    if (!facts.backOffTime)
         return;
-    notice.backOffUntil = std::max(notice.backOffUntil, now + *facts.restTime);
+    notice.backOffUntil = std::max(notice.backOffUntil, now + *facts.backOffTime);
     m_options.log->request(part, "An endpoint wants rest.",
                            {{"endpoint", endpoint.info.id.value()},
                             {"request", request.value()},
-                            {"for_ms", *facts.restTime}});
+                            {"for_ms", *facts.backOffTime}});
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/endpointprotocol.h
+++ b/src/libs/gateway/endpointprotocol.h
@@ -41,7 +41,7 @@
     std::optional<LoadReport> load;
     bool isLeaving = false; ///< The endpoint says that it takes no new requests any more.
     bool isWarmingUp = false; ///< The endpoint says that it bears few requests yet.
-    std::optional<Base::Duration> restTime; ///< For which it wants nothing from this router.
+    std::optional<Base::Duration> backOffTime; ///< For which it wants nothing from this router.
 };
 
 /// How endpoints are spoken to; an adapter provides it.
--- a/tests/auto/adapter/tst_enginecodec.cpp
+++ b/tests/auto/adapter/tst_enginecodec.cpp
@@ -123,7 +123,7 @@
     BOOST_TEST(!f.read(421, {leaving}).isLeaving);
     BOOST_TEST(!f.read(200, {leaving, {"lagoonbank-attempt-id", "another"}}).isLeaving);
     const auto rest = [&](int status, std::string_view text) {
-        const auto time = f.read(status, {{"retry-after", std::string(text)}}).restTime;
+        const auto time = f.read(status, {{"retry-after", std::string(text)}}).backOffTime;
         return time ? Base::toMilliseconds(*time) : -1;
     };
     BOOST_TEST(rest(503, "3") == 3000);
