--- a/src/libs/gateway/backlogcontrol.cpp
+++ b/src/libs/gateway/backlogcontrol.cpp
@@ -6,8 +6,8 @@
 
 namespace Lagoonbank::Gateway {
 
-bool BacklogControl::takes(const AdmissionRequest &admissionRequest, Base::Duration delay,
-                           Base::MonoTime now)
+bool BacklogControl::admits(const AdmissionRequest &admissionRequest, Base::Duration delay,
+                            Base::MonoTime now)
 {
     count(admissionRequest, now);
     adapt(delay, now);
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -56,12 +56,12 @@
     { }
 
     /// A request has come while the router's oldest work was \a delay old; whether it is taken.
-    bool takes(const AdmissionRequest &admissionRequest, Base::Duration delay, Base::MonoTime now);
+    bool admits(const AdmissionRequest &admissionRequest, Base::Duration delay, Base::MonoTime now);
     /// For one that is not: when the work that waits is done, later the fewer are taken, so that as
     /// many come as there is time for; spread, so that callers do not return together.
     Base::Duration retryAfter(Base::Duration delay);
     /// Part of the requests that is taken while the delay is above the target.
-    double takenPart() const { return m_taken; }
+    double admittedShare() const { return m_taken; }
 
 private:
     struct Kind
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -129,7 +129,7 @@
     const Base::MonoTime now = m_timers.clock().now();
     m_gateway.m_retryBudget.requestArrived(m_service, now);
     const Base::Duration delay = m_gateway.ownDelay();
-    if (m_gateway.m_backlog.takes(admissionRequest(), delay, now))
+    if (m_gateway.m_backlog.admits(admissionRequest(), delay, now))
         return true;
     refuse(ErrorKind::Overloaded, Ran::No, m_gateway.m_backlog.retryAfter(delay));
     return false;
--- a/tests/auto/gateway/slowroutermodel.h
+++ b/tests/auto/gateway/slowroutermodel.h
@@ -259,7 +259,7 @@
         const double leftAt = request.caller->cameAt + kind.patience;
         const bool isTooOld = m_options.isControlled && m_options.isAgeKnown && m_now >= leftAt;
         const bool isTaken = !m_options.isControlled
-            || (m_control.takes(admissionRequest, duration(delay), timeOf(m_now)) && !isTooOld);
+            || (m_control.admits(admissionRequest, duration(delay), timeOf(m_now)) && !isTooOld);
         if (!isTaken) {
             ++m_refusals;
             const double wait = Lagoonbank::Base::toSeconds(m_control.retryAfter(duration(delay)));
--- a/tests/auto/gateway/tst_backlogcontrol.cpp
+++ b/tests/auto/gateway/tst_backlogcontrol.cpp
@@ -131,11 +131,11 @@
     Base::MonoTime now(std::chrono::hours(1));
     const AdmissionRequest admissionRequest{.workspace = Base::WorkspaceId("w")};
     for (int i = 0; i < 100; ++i) {
-        BOOST_TEST(control.takes(admissionRequest, milliseconds(1), now));
+        BOOST_TEST(control.admits(admissionRequest, milliseconds(1), now));
         now += milliseconds(5);
     }
     for (int i = 0; i < 18; ++i) {
-        BOOST_TEST(control.takes(admissionRequest, milliseconds(100 - 5 * i), now));
+        BOOST_TEST(control.admits(admissionRequest, milliseconds(100 - 5 * i), now));
         now += milliseconds(5);
     }
 }
@@ -147,16 +147,16 @@
     const AdmissionRequest admissionRequest{.workspace = Base::WorkspaceId("w")};
     int taken = 0;
     for (int i = 0; i < 400; ++i) {
-        taken += control.takes(admissionRequest, milliseconds(300), now) ? 1 : 0;
+        taken += control.admits(admissionRequest, milliseconds(300), now) ? 1 : 0;
         now += milliseconds(5);
     }
     BOOST_TEST(taken > 20);
     BOOST_TEST(taken < 200);
-    BOOST_TEST(control.takenPart() < 0.1);
-    BOOST_TEST(control.takes(admissionRequest, milliseconds(10), now));
+    BOOST_TEST(control.admittedShare() < 0.1);
+    BOOST_TEST(control.admits(admissionRequest, milliseconds(10), now));
     now += std::chrono::seconds(3);
-    control.takes(admissionRequest, milliseconds(10), now);
-    BOOST_TEST(control.takenPart() == 1);
+    control.admits(admissionRequest, milliseconds(10), now);
+    BOOST_TEST(control.admittedShare() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(refusedCallersComeBackLaterTheFewerAreTaken)
@@ -171,7 +171,7 @@
     const Base::Duration early = mean(milliseconds(30));
     Base::MonoTime now(std::chrono::hours(1));
     for (int i = 0; i < 100; ++i) {
-        control.takes({.workspace = Base::WorkspaceId("w")}, milliseconds(300), now);
+        control.admits({.workspace = Base::WorkspaceId("w")}, milliseconds(300), now);
         now += milliseconds(10);
     }
     const Base::Duration later = mean(milliseconds(300));
