--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -90,7 +90,7 @@
     const bool isNews = knownBefore && *m_freshness.at() - *knownBefore > leastAdvance;
     if (isFollowing() && isNews)
         pushKnowledge();
-    if (isNew && !peer.isTold)
+    if (isNew && !peer.isBeaconSent)
         sendTo(peer);
 }
 
@@ -328,7 +328,7 @@
     // Each is told of itself alone: two names are a third of a beacon.
     if (m_isLeader && isDeputy(peer))
         message.deputies = {peer.id};
-    m_peers.setTold(peer);
+    m_peers.setBeaconSent(peer);
     send(peer.address, message);
 }
 
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -31,7 +31,7 @@
     bool hasState = false; ///< It knew something.
     std::uint64_t configuration = 0;
     std::uint64_t endpoints = 0;
-    bool isTold = false; ///< Has been sent a beacon.
+    bool isBeaconSent = false; ///< Has been sent a beacon.
     std::vector<std::string> deputies; ///< Of a leader; see FleetBeacon.
     /// A pull that told nothing new: when it ended, and the hashes of both sides then.
     struct Fruitless
@@ -92,7 +92,7 @@
                      Base::MonoTime at, bool &isNew);
 
     /// This router has sent \a peer a beacon.
-    void setTold(const Peer &peer) { m_peers[peer.id].isTold = true; }
+    void setBeaconSent(const Peer &peer) { m_peers[peer.id].isBeaconSent = true; }
     void setFruitless(const Peer &peer, std::uint64_t own)
     {
         m_peers[peer.id].fruitless = {m_options.clock->now(), own, peer.endpoints};
