--- a/src/libs/gateway/warmupquota.cpp
+++ b/src/libs/gateway/warmupquota.cpp
@@ -37,22 +37,23 @@
                                double bearable) const
 {
     if (record.generation != m_generation) {
-        record.routersBefore = routersBefore(endpointHash);
+        record.routerRank = routerRank(endpointHash);
         record.generation = m_generation;
     }
     const std::size_t all = std::max<std::size_t>(1, static_cast<std::size_t>(bearable));
-    const std::size_t routers = isFleetKnown() ? m_fleet.others.size() + 1 : m_options.unknownFleet;
-    return all / routers + (record.routersBefore < all % routers ? 1 : 0);
+    const std::size_t routers =
+        isFleetKnown() ? m_fleet.others.size() + 1 : m_options.assumedFleetSize;
+    return all / routers + (record.routerRank < all % routers ? 1 : 0);
 }
 
 /// Of a fleet that is not known, as many as would be expected.
-std::size_t WarmupQuota::routersBefore(std::uint64_t endpointHash) const
+std::size_t WarmupQuota::routerRank(std::uint64_t endpointHash) const
 {
     const std::uint64_t own = Routing::mixHashes(endpointHash, m_self);
     if (!isFleetKnown()) {
         const double part = static_cast<double>(own)
             / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-        return static_cast<std::size_t>(part * static_cast<double>(m_options.unknownFleet));
+        return static_cast<std::size_t>(part * static_cast<double>(m_options.assumedFleetSize));
     }
     return static_cast<std::size_t>(
         std::count_if(m_others.begin(), m_others.end(), [&](std::uint64_t other) {
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -16,7 +16,7 @@
     std::optional<Base::MonoTime> since; ///< When it was found to be cold last.
     std::vector<Base::MonoTime> sends; ///< Of this router, within a window.
     /// Routers that go before this one at the endpoint, as of this generation of the fleet.
-    std::size_t routersBefore = 0;
+    std::size_t routerRank = 0;
     std::uint64_t generation = 0;
 };
 
@@ -35,7 +35,7 @@
         /// In which the requests of one router are counted: a second, and what they may be held up.
         Base::Duration window = std::chrono::milliseconds(1050);
         /// Routers that a fleet is taken to have while it is not known: as many as the largest.
-        std::size_t unknownFleet = 330;
+        std::size_t assumedFleetSize = 330;
     };
     struct Fleet
     {
@@ -59,10 +59,10 @@
 
 private:
     std::size_t share(WarmupRecord &record, std::uint64_t endpointHash, double bearable) const;
-    std::size_t routersBefore(std::uint64_t endpointHash) const;
+    std::size_t routerRank(std::uint64_t endpointHash) const;
     bool isFleetKnown() const
     {
-        return m_fleet.isWhole || m_fleet.others.size() >= m_options.unknownFleet;
+        return m_fleet.isWhole || m_fleet.others.size() >= m_options.assumedFleetSize;
     }
 
     Options m_options;
