--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -229,7 +229,7 @@
     if (!failure.hasReached && std::exchange(m_isPaidRepeat, false))
         m_gateway.m_retryBudget.refund(m_service, m_timers.clock().now());
     cancelAttempt();
-    const bool goesOn = mayGoOn();
+    const bool isRetried = mayRetry();
     m_gateway.m_options.log->request(
         part, "The send failed.",
         {{"request", m_request.id.value()},
@@ -240,18 +240,18 @@
          {"may_have_run", failure.hasRun},
          {"own_lack", failure.isOwnLack},
          {"events", m_events},
-         {"goes_on", goesOn},
+         {"goes_on", isRetried},
          {"quiet_ms", m_timers.clock().now() - m_quietSince},
          {"all_quiet_ms", m_timers.clock().now() - m_gateway.m_endpoints.lastContactAt()},
          {"repeats_left", m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now())},
          {"left_ms", timeLeft()}});
-    if (goesOn)
-        goOn(failure);
+    if (isRetried)
+        retry(failure);
     else
         fail(failure);
 }
 
-bool RequestRun::mayGoOn()
+bool RequestRun::mayRetry()
 {
     const bool isTriedEnough = m_tried.size() >= mostTries && (!m_hasBegun || hasCallerGivenUp());
     if (isTriedEnough || m_mayBeLastEnd || timeLeft() < leastTime)
@@ -280,12 +280,12 @@
                     patience.callerTimeoutPauses * m_route->maxEventGap});
 }
 
-void RequestRun::goOn(const Failure &failure)
+void RequestRun::retry(const Failure &failure)
 {
     m_isPaidRepeat =
         m_sends > 0 && m_gateway.m_retryBudget.spend(m_service, m_timers.clock().now());
     m_gateway.m_options.metrics->repeats(failure.kind).increment();
-    const std::optional<PlacementResult> next = std::exchange(m_next, std::nullopt);
+    const std::optional<PlacementResult> next = std::exchange(m_nextPlace, std::nullopt);
     if (!next)
         place();
     else if (!findsCallerGone())
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -76,7 +76,7 @@
     bool awaitReading(const PlacementResult &place);
     std::optional<std::uint64_t> resumeAfter() const;
     /// Sends the request to another endpoint; one that was reached before makes it a repeat.
-    void goOn(const Failure &failure);
+    void retry(const Failure &failure);
     AdmissionRequest admissionRequest() const;
     double usableShare() const;
     PlacementRequest placementRequest() const;
@@ -124,7 +124,7 @@
     bool hasCallerGivenUp() const;
     Base::MonoTime callerGivesUpAt() const;
     /// Whether the request may be sent to another endpoint now.
-    bool mayGoOn();
+    bool mayRetry();
     void noteFailure(const Failure &failure);
     void fail(const Failure &failure);
     void refuse(Errors::ErrorKind kind, Errors::Ran ran,
@@ -181,7 +181,7 @@
     std::optional<AdmissionQueue::Ticket> m_queueTicket; ///< While it waits in line for room.
     PlacementResult m_lastFullPlace; ///< When it looked for room last and found none.
     std::optional<PlacementResult>
-        m_next; ///< Where it goes on; chosen when it is sent if there is none.
+        m_nextPlace; ///< Where it goes on; chosen when it is sent if there is none.
     Base::MonoTime m_passedOnAt; ///< When its caller got something last.
     Base::MonoTime m_silenceTimerDue;
     Base::MonoTime m_silentAt;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -159,7 +159,7 @@
     const bool isFailure = attempt.status >= 500;
     // A failure after the head of a stream has been passed on cannot be passed on itself.
     const bool isUnusable = m_hasBegun && !attempt.isStreaming;
-    if (isUnusable || (isFailure && mayGoOn())) {
+    if (isUnusable || (isFailure && mayRetry())) {
         attemptFailed({.kind = ErrorKind::EndpointBroke});
         return;
     }
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -136,11 +136,11 @@
         leaveIfPossible();
         return;
     }
-    if (!mayGoOn()) {
+    if (!mayRetry()) {
         stay(noRepeatLeft);
         return;
     }
-    m_next = other;
+    m_nextPlace = other;
     attemptFailed({.kind = ErrorKind::EndpointTimeout});
 }
 
@@ -152,7 +152,7 @@
         placementRequest(), m_gateway.m_endpoints, m_timers.clock().now());
     if (!hasAlternative)
         return "no_other_endpoint";
-    return mayGoOn() ? std::string_view() : noRepeatLeft;
+    return mayRetry() ? std::string_view() : noRepeatLeft;
 }
 
 } // namespace Lagoonbank::Gateway
