--- a/src/libs/gateway/backlogcontrol.cpp
+++ b/src/libs/gateway/backlogcontrol.cpp
@@ -11,10 +11,11 @@
 {
     count(admissionRequest, now);
     adapt(delay, now);
-    if (m_taken >= 1)
+    if (m_admittedShare >= 1)
         return true;
-    const double ofKind = delay > m_options.target ? m_kinds[admissionRequest.urgency].share : 1;
-    const double share = ofKind * workspacePart(admissionRequest.workspace, now);
+    const double ofKind =
+        delay > m_options.target ? m_urgencyLevels[admissionRequest.urgency].share : 1;
+    const double share = ofKind * workspaceShare(admissionRequest.workspace, now);
     return std::uniform_real_distribution<double>(0, 1)(m_random) < share;
 }
 
@@ -22,69 +23,71 @@
 {
     // From half to one and a half of it.
     std::uniform_real_distribution<double> spread(0.5, 1.5);
-    const double seconds = Base::toSeconds(delay) + Base::toSeconds(m_options.interval) / m_taken;
-    const double latest = Base::toSeconds(m_options.latestReturn);
+    const double seconds =
+        Base::toSeconds(delay) + Base::toSeconds(m_options.interval) / m_admittedShare;
+    const double latest = Base::toSeconds(m_options.maxRetryAfter);
     return std::chrono::duration_cast<Base::Duration>(
         std::chrono::duration<double>(std::min(seconds * spread(m_random), latest)));
 }
 
 void BacklogControl::count(const AdmissionRequest &admissionRequest, Base::MonoTime now)
 {
-    m_asked.add(1, now, m_options.halfLife);
-    m_kinds[admissionRequest.urgency].asked.add(1, now, m_options.halfLife);
+    m_arrivals.add(1, now, m_options.halfLife);
+    m_urgencyLevels[admissionRequest.urgency].arrivals.add(1, now, m_options.halfLife);
     m_workspaces[admissionRequest.workspace].add(1, now, m_options.halfLife);
 }
 
 void BacklogControl::adapt(Base::Duration delay, Base::MonoTime now)
 {
-    m_leastDelay = std::min(m_leastDelay, delay);
-    if (now - m_intervalBegan < m_options.interval)
+    m_minDelay = std::min(m_minDelay, delay);
+    if (now - m_intervalStart < m_options.interval)
         return;
-    const bool isBehind = m_leastDelay > m_options.target;
+    const bool isBehind = m_minDelay > m_options.target;
     // Intervals in which nobody came count as well.
     const double intervals =
-        std::floor(Base::toSeconds(now - m_intervalBegan) / Base::toSeconds(m_options.interval));
-    m_taken = isBehind ? std::max(m_options.leastTaken, m_taken * m_options.cut)
-                       : std::min(1.0, m_taken + m_options.raise * intervals);
-    m_intervalBegan = now;
-    m_leastDelay = Base::Duration::max();
-    if (m_taken < 1)
-        divide(now);
+        std::floor(Base::toSeconds(now - m_intervalStart) / Base::toSeconds(m_options.interval));
+    m_admittedShare = isBehind
+        ? std::max(m_options.minAdmittedShare, m_admittedShare * m_options.decreaseFactor)
+        : std::min(1.0, m_admittedShare + m_options.raise * intervals);
+    m_intervalStart = now;
+    m_minDelay = Base::Duration::max();
+    if (m_admittedShare < 1)
+        computeShares(now);
 }
 
 /// By urgency, as places are divided; each request costs the router the same.
-void BacklogControl::divide(Base::MonoTime now)
+void BacklogControl::computeShares(Base::MonoTime now)
 {
     constexpr double nobody = 0.1;
     absl::erase_if(m_workspaces, [&](const auto &entry) {
         return entry.second.value(now, m_options.halfLife) < nobody;
     });
     std::vector<Demand> demands;
-    demands.reserve(m_kinds.size());
-    double asked = 0;
-    for (const auto &[urgency, kind] : m_kinds) {
-        const double requests = kind.asked.value(now, m_options.halfLife);
+    demands.reserve(m_urgencyLevels.size());
+    double arrivals = 0;
+    for (const auto &[urgency, kind] : m_urgencyLevels) {
+        const double requests = kind.arrivals.value(now, m_options.halfLife);
         demands.push_back({.urgency = urgency, .requests = requests, .cost = 1});
-        asked += requests;
+        arrivals += requests;
     }
     const std::vector<double> shares =
-        servedShares(demands, m_taken * asked, m_options.minShare * m_taken);
+        servedShares(demands, m_admittedShare * arrivals, m_options.minShare * m_admittedShare);
     auto share = shares.begin();
-    for (auto &[urgency, kind] : m_kinds)
+    for (auto &[urgency, kind] : m_urgencyLevels)
         kind.share = *share++;
 }
 
-double BacklogControl::workspacePart(const Base::WorkspaceId &workspace, Base::MonoTime now) const
+double BacklogControl::workspaceShare(const Base::WorkspaceId &workspace, Base::MonoTime now) const
 {
     const auto found = m_workspaces.find(workspace);
     if (found == m_workspaces.end() || m_workspaces.size() < 2)
         return 1;
-    const double asked = found->second.value(now, m_options.halfLife);
-    const double others = m_asked.value(now, m_options.halfLife) - asked;
+    const double arrivals = found->second.value(now, m_options.halfLife);
+    const double others = m_arrivals.value(now, m_options.halfLife) - arrivals;
     const double usual =
         others / static_cast<double>(std::max<std::size_t>(1, m_workspaces.size() - 1));
     const double most = std::max(m_options.minRequests, m_options.greedyFactor * usual);
-    return asked > most ? most / asked : 1;
+    return arrivals > most ? most / arrivals : 1;
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -31,11 +31,11 @@
         Base::Duration interval = std::chrono::milliseconds(100);
         /// What is taken after an interval that was above the target throughout, as a part of what
         /// was taken before.
-        double cut = 0.5;
+        double decreaseFactor = 0.5;
         /// Added to the part that is taken after an interval in which the delay was under it.
         double raise = 0.1;
         /// Taken at least, to learn whether there is time again.
-        double leastTaken = 0.05;
+        double minAdmittedShare = 0.05;
         /// Part of what all get that each urgency gets at least; see LoadShedder.
         double minShare = 0.35;
         /// A workspace that asks for more than so many times what the others do on average gets no
@@ -46,7 +46,7 @@
         /// Fewer requests of a workspace than this say nothing.
         double minRequests = 6;
         /// The latest time to come back; callers wait some seconds at most.
-        Base::Duration latestReturn = std::chrono::seconds(1);
+        Base::Duration maxRetryAfter = std::chrono::seconds(1);
         std::uint64_t randomSeed = 1;
     };
 
@@ -61,28 +61,28 @@
     /// many come as there is time for; spread, so that callers do not return together.
     Base::Duration retryAfter(Base::Duration delay);
     /// Part of the requests that is taken while the delay is above the target.
-    double admittedShare() const { return m_taken; }
+    double admittedShare() const { return m_admittedShare; }
 
 private:
-    struct Kind
+    struct UrgencyLevel
     {
-        DecayingSum asked;
+        DecayingSum arrivals;
         double share = 1; ///< Of its requests, that are taken.
     };
 
     void count(const AdmissionRequest &admissionRequest, Base::MonoTime now);
     void adapt(Base::Duration delay, Base::MonoTime now);
-    void divide(Base::MonoTime now);
-    double workspacePart(const Base::WorkspaceId &workspace, Base::MonoTime now) const;
+    void computeShares(Base::MonoTime now);
+    double workspaceShare(const Base::WorkspaceId &workspace, Base::MonoTime now) const;
 
     Options m_options;
     std::minstd_rand m_random;
-    std::map<Urgency, Kind> m_kinds;
+    std::map<Urgency, UrgencyLevel> m_urgencyLevels;
     absl::flat_hash_map<Base::WorkspaceId, DecayingSum> m_workspaces;
-    DecayingSum m_asked;
-    double m_taken = 1;
-    Base::MonoTime m_intervalBegan;
-    Base::Duration m_leastDelay = Base::Duration::max(); ///< In this interval.
+    DecayingSum m_arrivals;
+    double m_admittedShare = 1;
+    Base::MonoTime m_intervalStart;
+    Base::Duration m_minDelay = Base::Duration::max(); ///< In this interval.
 };
 
 } // namespace Lagoonbank::Gateway
