--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -92,7 +92,7 @@
         /// From a pull that told nothing new to the next one of the same peer while neither it nor
         /// this router changes; others are asked meanwhile. Endpoints write their entries again in
         /// it.
-        Base::Duration fruitlessInterval = std::chrono::milliseconds(1500);
+        Base::Duration emptyPullInterval = std::chrono::milliseconds(1500);
     };
 
     explicit FleetSync(Options options);
@@ -198,8 +198,8 @@
     bool isSource(const Peer &peer) const;
     void pullTakesLong();
     void learn(const Schema::SharedEndpoint &shared);
-    bool isFruitless(const Peer &peer) const;
-    void noteFruitless();
+    bool hadEmptyPull(const Peer &peer) const;
+    void handleEmptyPull();
     void doubt();
     void noteKnown(Base::MonoTime at);
     Schema::FleetBeacon beacon() const;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -69,7 +69,7 @@
         doubt();
         return;
     }
-    const bool wantsMore = !isSame && !isFruitless(peer) && wantsEndpoints(peer);
+    const bool wantsMore = !isSame && !hadEmptyPull(peer) && wantsEndpoints(peer);
     if ((!wantsConfiguration(peer, isBehind) && !wantsMore) || m_isPulling
         || now() - m_pulledAt < m_options.pullInterval)
         return;
@@ -148,9 +148,9 @@
     const std::uint64_t before = m_options.directory->hash();
     for (const SharedEndpoint &endpoint : state.endpoints)
         learn(endpoint);
-    const bool isFruitless = m_options.directory->hash() == before;
-    if (isFruitless)
-        noteFruitless();
+    const bool hadEmptyPull = m_options.directory->hash() == before;
+    if (hadEmptyPull)
+        handleEmptyPull();
     // The store may have dropped some of them while it was away.
     if (!m_freshness.at())
         m_options.directory->storeReturned();
@@ -162,16 +162,16 @@
     }
 }
 
-bool FleetSync::isFruitless(const Peer &peer) const
+bool FleetSync::hadEmptyPull(const Peer &peer) const
 {
-    return peer.fruitless && peer.fruitless->own == m_options.directory->hash()
-        && peer.fruitless->peer == peer.endpoints
-        && now() - peer.fruitless->at < m_options.fruitlessInterval;
+    return peer.lastEmptyPull && peer.lastEmptyPull->own == m_options.directory->hash()
+        && peer.lastEmptyPull->peer == peer.endpoints
+        && now() - peer.lastEmptyPull->at < m_options.emptyPullInterval;
 }
 
 /// The answer has told nothing new though the two differ: the peer lacks what this router has, and
 /// does not know that it has gone, as a reader that has just started. Only the store can tell.
-void FleetSync::noteFruitless()
+void FleetSync::handleEmptyPull()
 {
     const auto found = m_peers.peers().find(m_pulledFrom);
     if (found == m_peers.peers().end())
@@ -179,7 +179,7 @@
     const Peer &peer = found->second;
     if (peer.endpoints == m_options.directory->hash())
         return;
-    m_peers.setFruitless(peer, m_options.directory->hash());
+    m_peers.setEmptyPull(peer, m_options.directory->hash());
     if (!peer.isReading || (!m_peers.isLocal(peer) && !isFollowing()))
         return;
     doubt();
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -34,13 +34,13 @@
     bool isBeaconSent = false; ///< Has been sent a beacon.
     std::vector<std::string> deputies; ///< Of a leader; see FleetBeacon.
     /// A pull that told nothing new: when it ended, and the hashes of both sides then.
-    struct Fruitless
+    struct EmptyPull
     {
         Base::MonoTime at;
         std::uint64_t own = 0;
         std::uint64_t peer = 0;
     };
-    std::optional<Fruitless> fruitless;
+    std::optional<EmptyPull> lastEmptyPull;
 };
 
 /// The routers that this one has heard of, and which of them can be counted on.
@@ -93,9 +93,9 @@
 
     /// This router has sent \a peer a beacon.
     void setBeaconSent(const Peer &peer) { m_peers[peer.id].isBeaconSent = true; }
-    void setFruitless(const Peer &peer, std::uint64_t own)
+    void setEmptyPull(const Peer &peer, std::uint64_t own)
     {
-        m_peers[peer.id].fruitless = {m_options.clock->now(), own, peer.endpoints};
+        m_peers[peer.id].lastEmptyPull = {m_options.clock->now(), own, peer.endpoints};
     }
     bool isAlive(const Peer &peer) const;
     /// Without a beacon for so long a peer is not counted on.
