--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -126,8 +126,8 @@
 {
     if (!isWarmingUp(endpoint, now))
         return true;
-    const double bearable = m_warmups.at(endpoint.info.service).requestsPerSecond;
-    return m_warmupQuota.admits(endpoint.warmup, endpoint.startHash, bearable, now);
+    const double sustainableRate = m_warmups.at(endpoint.info.service).requestsPerSecond;
+    return m_warmupQuota.admits(endpoint.warmup, endpoint.startHash, sustainableRate, now);
 }
 
 void EndpointRegistry::requestSent(EndpointRecord &endpoint, Base::MonoTime now) const
--- a/src/libs/gateway/warmupquota.cpp
+++ b/src/libs/gateway/warmupquota.cpp
@@ -20,11 +20,11 @@
     ++m_generation;
 }
 
-bool WarmupQuota::admits(WarmupRecord &record, std::uint64_t endpointHash, double bearable,
+bool WarmupQuota::admits(WarmupRecord &record, std::uint64_t endpointHash, double sustainableRate,
                          Base::MonoTime now) const
 {
     std::erase_if(record.sends, [&](Base::MonoTime at) { return now - at >= m_options.window; });
-    return record.sends.size() < share(record, endpointHash, bearable);
+    return record.sends.size() < share(record, endpointHash, sustainableRate);
 }
 
 void WarmupQuota::sent(WarmupRecord &record, Base::MonoTime now) const
@@ -34,13 +34,13 @@
 
 /// All shares together are what the endpoint bears, and at least one request.
 std::size_t WarmupQuota::share(WarmupRecord &record, std::uint64_t endpointHash,
-                               double bearable) const
+                               double sustainableRate) const
 {
     if (record.generation != m_generation) {
         record.routerRank = routerRank(endpointHash);
         record.generation = m_generation;
     }
-    const std::size_t all = std::max<std::size_t>(1, static_cast<std::size_t>(bearable));
+    const std::size_t all = std::max<std::size_t>(1, static_cast<std::size_t>(sustainableRate));
     const std::size_t routers =
         isFleetKnown() ? m_fleet.others.size() + 1 : m_options.assumedFleetSize;
     return all / routers + (record.routerRank < all % routers ? 1 : 0);
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -53,12 +53,13 @@
     void setFleet(Fleet fleet);
     /// Whether this router may send a request to the cold endpoint now; \a bearable requests a
     /// second are what that can do.
-    bool admits(WarmupRecord &record, std::uint64_t endpointHash, double bearable,
+    bool admits(WarmupRecord &record, std::uint64_t endpointHash, double sustainableRate,
                 Base::MonoTime now) const;
     void sent(WarmupRecord &record, Base::MonoTime now) const;
 
 private:
-    std::size_t share(WarmupRecord &record, std::uint64_t endpointHash, double bearable) const;
+    std::size_t share(WarmupRecord &record, std::uint64_t endpointHash,
+                      double sustainableRate) const;
     std::size_t routerRank(std::uint64_t endpointHash) const;
     bool isFleetKnown() const
     {
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -23,11 +23,11 @@
 const Base::MonoTime start{std::chrono::hours(1)};
 
 /// As the users' engines: cold for 3 s, 18 requests a second.
-constexpr double bearable = 18;
+constexpr double sustainableRate = 18;
 /// What the users allow in any second: so many times that, and so many more.
 constexpr double excess = 1.5;
 constexpr double slack = 5;
-constexpr double most = excess * bearable + slack;
+constexpr double most = excess * sustainableRate + slack;
 
 std::string routerName(int number)
 {
@@ -63,7 +63,8 @@
         for (Base::MonoTime now = start; now < start + duration; now += milliseconds(1)) {
             // Each looks when one of its callers asks, some hundred times a second.
             for (std::size_t i = 0; i < quotas.size(); ++i) {
-                if (random() % 4 != 0 || !quotas[i].admits(records[i], endpoint, bearable, now))
+                if (random() % 4 != 0
+                    || !quotas[i].admits(records[i], endpoint, sustainableRate, now))
                     continue;
                 quotas[i].sent(records[i], now);
                 sends.push_back(now);
@@ -86,7 +87,8 @@
         for (int i = 0; i < endpoints; ++i)
             registry.put(endpoint(i, false), now);
         registry.setServices(
-            {{.name = service, .warmup = {.time = seconds(3), .requestsPerSecond = bearable}}});
+            {{.name = service,
+              .warmup = {.time = seconds(3), .requestsPerSecond = sustainableRate}}});
         registry.setFleet({.self = routerName(0), .isWhole = true});
     }
     static Lagoonbank::Fleet::Endpoint endpoint(int i, bool isWarmingUp)
@@ -138,8 +140,8 @@
             const std::size_t worst = fleet.worstSecond(endpoint * 7919);
             BOOST_TEST_CONTEXT(routers << " routers")
             {
-                BOOST_TEST(worst <= bearable);
-                BOOST_TEST(worst >= bearable * 0.9);
+                BOOST_TEST(worst <= sustainableRate);
+                BOOST_TEST(worst >= sustainableRate * 0.9);
             }
             fleet.records.assign(fleet.records.size(), {});
         }
@@ -197,8 +199,9 @@
         int admitted = 0;
         for (std::uint64_t endpoint = 1; endpoint <= endpoints; ++endpoint) {
             WarmupRecord record;
-            admitted +=
-                fleet.quotas[router].admits(record, endpoint * 7919, bearable, start) ? 1 : 0;
+            admitted += fleet.quotas[router].admits(record, endpoint * 7919, sustainableRate, start)
+                ? 1
+                : 0;
         }
         BOOST_TEST(admitted >= 4);
     }
