--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -68,7 +68,7 @@
     m_gateway.m_loadShedder.requestArrived(admissionRequest(), now);
     if (now - m_cameAt >= leastTime && timeLeft() < leastTime) {
         // It lay unread for as long as its caller waits.
-        fail({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = false});
+        fail({.kind = ErrorKind::Overloaded, .mayHaveReached = false, .mayHaveRun = false});
         return;
     }
     m_prefixes = sharedPrefixes();
@@ -158,8 +158,8 @@
     if (!remaining)
         return false;
     fail({.kind = ErrorKind::RequestCrashes,
-          .hasReached = false,
-          .hasRun = false,
+          .mayHaveReached = false,
+          .mayHaveRun = false,
           .retryAfter = remaining});
     return true;
 }
@@ -170,10 +170,10 @@
     if (!isWaiting || fingerprint() != request)
         return;
     cancelAttempt();
-    fail({.kind = ErrorKind::RequestCrashes, .hasRun = !m_ranAt.empty()});
+    fail({.kind = ErrorKind::RequestCrashes, .mayHaveRun = !m_mayHaveRunAt.empty()});
 }
 
-void RequestRun::noteBroken()
+void RequestRun::noteBrokenConnection()
 {
     m_gateway.m_crashWatch.answerBroke(m_attempt->endpoint, fingerprint());
     m_mayBeLastEnd = m_gateway.m_quarantine.wouldQuarantine(
@@ -226,7 +226,7 @@
 {
     if (m_attempt)
         noteFailure(failure);
-    if (!failure.hasReached && std::exchange(m_isPaidRepeat, false))
+    if (!failure.mayHaveReached && std::exchange(m_isPaidRepeat, false))
         m_gateway.m_retryBudget.refund(m_service, m_timers.clock().now());
     cancelAttempt();
     const bool isRetried = mayRetry();
@@ -236,8 +236,8 @@
          {"asks", toString(fingerprint())},
          {"endpoint", m_tried.back()->info.id.value()},
          {"kind", Errors::toString(failure.kind)},
-         {"reached", failure.hasReached},
-         {"may_have_run", failure.hasRun},
+         {"reached", failure.mayHaveReached},
+         {"may_have_run", failure.mayHaveRun},
          {"own_lack", failure.isOwnLack},
          {"events", m_events},
          {"goes_on", isRetried},
@@ -256,7 +256,7 @@
     const bool isTriedEnough = m_tried.size() >= mostTries && (!m_hasBegun || hasCallerGivenUp());
     if (isTriedEnough || m_mayBeLastEnd || timeLeft() < leastTime)
         return false;
-    if (!m_ranAt.empty() && (!m_route->mayRepeat() || areEndpointsUsed()))
+    if (!m_mayHaveRunAt.empty() && (!m_route->mayRepeat() || areEndpointsUsed()))
         return false;
     const bool isRepeat = m_sends > 0;
     return !isRepeat || m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now()) >= 1;
@@ -264,7 +264,7 @@
 
 bool RequestRun::areEndpointsUsed() const
 {
-    return static_cast<int>(m_ranAt.size()) >= m_route->maxEndpoints;
+    return static_cast<int>(m_mayHaveRunAt.size()) >= m_route->maxEndpoints;
 }
 
 bool RequestRun::hasCallerGivenUp() const
@@ -296,11 +296,11 @@
 {
     if (failure.isOwnLack)
         return;
-    if (failure.hasBroken)
-        noteBroken();
-    if (!failure.hasReached && m_gateway.m_options.policy.reachability)
+    if (failure.isConnectionBroken)
+        noteBrokenConnection();
+    if (!failure.mayHaveReached && m_gateway.m_options.policy.reachability)
         m_gateway.m_reachability.foundUnreachable(m_attempt->endpoint);
-    else if (failure.hasRun)
+    else if (failure.mayHaveRun)
         m_gateway.m_health.answered(*m_attempt->endpoint, false, m_request.id);
 }
 
@@ -311,8 +311,8 @@
         end("cut", 0);
         return;
     }
-    const bool hasRun = failure.hasRun || !m_ranAt.empty();
-    if (hasRun) {
+    const bool mayHaveRun = failure.mayHaveRun || !m_mayHaveRunAt.empty();
+    if (mayHaveRun) {
         refuse(failure.kind, Ran::Unknown);
         return;
     }
@@ -372,9 +372,9 @@
     if (m_attempt)
         m_gateway.m_health.answered(*m_attempt->endpoint, false, m_request.id);
     cancelAttempt();
-    const bool mayHaveRun = !m_ranAt.empty();
+    const bool mayHaveRun = !m_mayHaveRunAt.empty();
     fail({.kind = mayHaveRun ? ErrorKind::EndpointTimeout : ErrorKind::EndpointUnreachable,
-          .hasRun = mayHaveRun});
+          .mayHaveRun = mayHaveRun});
 }
 
 void RequestRun::cancelAttempt()
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -48,11 +48,11 @@
     struct Failure
     {
         Errors::ErrorKind kind = Errors::ErrorKind::Internal;
-        bool hasReached = true; ///< The endpoint may have got it: a repeat counts as one.
-        bool hasRun = true; ///< It may have run.
+        bool mayHaveReached = true; ///< The endpoint may have got it: a repeat counts as one.
+        bool mayHaveRun = true; ///< It may have run.
         bool isOwnLack = false; ///< The router's own, which says nothing of the endpoint.
         /// The endpoint has closed the connection within the answer: it may have ended.
-        bool hasBroken = false;
+        bool isConnectionBroken = false;
         std::optional<Base::Duration> retryAfter; ///< When the caller may; else the usual time.
     };
 
@@ -66,7 +66,7 @@
     /// Whether the request is known to end the endpoints that run it; given up if so.
     bool isQuarantined();
     /// The endpoint of the send under way may have ended under the request.
-    void noteBroken();
+    void noteBrokenConnection();
     /// The parts that the request shares with others, from the first one to all of them; empty
     /// where endpoints cache nothing.
     std::vector<PromptPrefix> sharedPrefixes() const;
@@ -166,7 +166,7 @@
     bool m_mayBeLastEnd = false;
     std::vector<EndpointPtr> m_tried;
     bool m_isPaidRepeat = false; ///< The send under way has taken a repeat out of the budget.
-    std::vector<EndpointPtr> m_ranAt; ///< Where it may have run.
+    std::vector<EndpointPtr> m_mayHaveRunAt; ///< Where it may have run.
     int m_sends = 0; ///< That reached an endpoint.
     /// Requests that the last endpoint had when its answer began; -1 if it did not say so.
     int m_foundLoad = -1;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -27,7 +27,7 @@
                     if (hasWaited && self->findsCallerGone())
                         return;
                     self->m_attempt->hasLeft = true;
-                    self->m_ranAt.push_back(self->m_attempt->endpoint);
+                    self->m_mayHaveRunAt.push_back(self->m_attempt->endpoint);
                     ++self->m_sends;
                 },
             .headReceived =
@@ -132,16 +132,16 @@
     }
     if (result.end == Http::CallEnd::TurnedAway) {
         m_gateway.m_health.refused(*m_attempt->endpoint, false, m_request.id);
-        attemptFailed({.kind = ErrorKind::EndpointRefused, .hasRun = false});
+        attemptFailed({.kind = ErrorKind::EndpointRefused, .mayHaveRun = false});
         return;
     }
     const bool isNotConnected = result.end == Http::CallEnd::NotConnected;
     attemptFailed(
         {.kind = isNotConnected ? ErrorKind::EndpointUnreachable : ErrorKind::EndpointBroke,
-         .hasReached = !isNotConnected,
-         .hasRun = !isNotConnected,
+         .mayHaveReached = !isNotConnected,
+         .mayHaveRun = !isNotConnected,
          .isOwnLack = result.isOwnLack,
-         .hasBroken = !isNotConnected});
+         .isConnectionBroken = !isNotConnected});
 }
 
 void RequestRun::answerWhole()
@@ -149,11 +149,11 @@
     const Attempt &attempt = *m_attempt;
     const HeadFacts &facts = attempt.facts;
     if (facts.isNotRun || facts.isOtherEndpoint) {
-        m_ranAt.pop_back();
+        m_mayHaveRunAt.pop_back();
         m_gateway.m_health.refused(*m_attempt->endpoint, facts.isOtherEndpoint, m_request.id);
         if (!facts.isOtherEndpoint)
             m_gateway.concurrencyLimit(m_service).rejected(m_timers.clock().now());
-        attemptFailed({.kind = ErrorKind::EndpointRefused, .hasRun = false});
+        attemptFailed({.kind = ErrorKind::EndpointRefused, .mayHaveRun = false});
         return;
     }
     const bool isFailure = attempt.status >= 500;
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -68,7 +68,7 @@
 {
     if (!m_hasBegun)
         return m_tried;
-    std::vector<EndpointPtr> endpoints = m_ranAt;
+    std::vector<EndpointPtr> endpoints = m_mayHaveRunAt;
     if (m_attempt)
         endpoints.push_back(m_attempt->endpoint);
     return endpoints;
@@ -127,8 +127,8 @@
             ? std::optional<Base::Duration>(*place.backOffUntil - now)
             : std::nullopt;
         fail({.kind = ErrorKind::NoEndpoint,
-              .hasReached = false,
-              .hasRun = !m_ranAt.empty(),
+              .mayHaveReached = false,
+              .mayHaveRun = !m_mayHaveRunAt.empty(),
               .retryAfter = retryAfter});
         return true;
     }
@@ -278,7 +278,9 @@
              {"waited_ms", m_timers.clock().now() - *m_queuedAt},
              {"left_ms", timeLeft()}});
     }
-    fail({.kind = ErrorKind::Overloaded, .hasReached = false, .hasRun = !m_ranAt.empty()});
+    fail({.kind = ErrorKind::Overloaded,
+          .mayHaveReached = false,
+          .mayHaveRun = !m_mayHaveRunAt.empty()});
 }
 
 void RequestRun::placeLater(Base::Duration delay)
