--- a/src/libs/gateway/concurrencylimit.cpp
+++ b/src/libs/gateway/concurrencylimit.cpp
@@ -6,17 +6,17 @@
 
 void ConcurrencyLimit::setPlaces(double places, double routers)
 {
-    m_isHeeded = places > 0 && routers >= m_options.manyRouters;
-    m_evenPart = places / std::max(1.0, routers);
+    m_isEnforced = places > 0 && routers >= m_options.minRouters;
+    m_fairShare = places / std::max(1.0, routers);
     if (m_limit <= 0)
-        m_limit = m_options.mostShare * m_evenPart;
+        m_limit = m_options.maxShare * m_fairShare;
     clamp();
 }
 
 void ConcurrencyLimit::reported(const LoadReport &report, double inFlight, Base::MonoTime now)
 {
-    if (report.waiting > m_options.waitingShare * report.slots) {
-        lower(now);
+    if (report.waiting > m_options.maxWaitingShare * report.slots) {
+        decrease(now);
         return;
     }
     // A limit that nobody reaches says nothing of what endpoints can take.
@@ -28,22 +28,22 @@
 
 bool ConcurrencyLimit::admits(double inFlight, double usableShare) const
 {
-    return !m_isHeeded || inFlight + 1 <= std::max(1.0, m_limit * usableShare);
+    return !m_isEnforced || inFlight + 1 <= std::max(1.0, m_limit * usableShare);
 }
 
-void ConcurrencyLimit::lower(Base::MonoTime now)
+void ConcurrencyLimit::decrease(Base::MonoTime now)
 {
-    if (now - m_loweredAt < m_options.cutInterval)
+    if (now - m_decreasedAt < m_options.decreaseInterval)
         return;
-    m_loweredAt = now;
-    m_limit *= m_options.cut;
+    m_decreasedAt = now;
+    m_limit *= m_options.decreaseFactor;
     clamp();
 }
 
 void ConcurrencyLimit::clamp()
 {
     m_limit =
-        std::clamp(m_limit, m_options.minShare * m_evenPart, m_options.mostShare * m_evenPart);
+        std::clamp(m_limit, m_options.minShare * m_fairShare, m_options.maxShare * m_fairShare);
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/concurrencylimit.h
+++ b/src/libs/gateway/concurrencylimit.h
@@ -18,17 +18,17 @@
     struct Options
     {
         /// With fewer routers each hears of every endpoint's load soon enough; see Placement.
-        double manyRouters = 10;
+        double minRouters = 10;
         /// Requests that wait at an endpoint for it to be short of places, as a part of those.
-        double waitingShare = 0.1;
-        double cut = 0.7; ///< What is left of the limit then.
+        double maxWaitingShare = 0.1;
+        double decreaseFactor = 0.7; ///< What is left of the limit then.
         /// Between two cuts: what was sent before the last one still shows its load.
-        Base::Duration cutInterval = std::chrono::milliseconds(300);
+        Base::Duration decreaseInterval = std::chrono::milliseconds(300);
         double raise = 1; ///< For each limit's worth of answers.
         /// Never less than this part of the router's even part of all places.
         double minShare = 0.5;
         /// Nor more than so many times that, so that it is cut soon when load comes.
-        double mostShare = 4;
+        double maxShare = 4;
     };
 
     explicit ConcurrencyLimit(const Options &options)
@@ -40,20 +40,20 @@
     /// An endpoint has told its load with an answer.
     void reported(const LoadReport &report, double inFlight, Base::MonoTime now);
     /// An endpoint has rejected a request as it was full.
-    void rejected(Base::MonoTime now) { lower(now); }
+    void rejected(Base::MonoTime now) { decrease(now); }
     /// Whether one request more may be sent; \a usableShare as for an endpoint's places.
     bool admits(double inFlight, double usableShare) const;
     double value() const { return m_limit; }
 
 private:
-    void lower(Base::MonoTime now);
+    void decrease(Base::MonoTime now);
     void clamp();
 
     Options m_options;
-    double m_evenPart = 0;
+    double m_fairShare = 0;
     double m_limit = 0; ///< 0 until the places are known.
-    bool m_isHeeded = false;
-    Base::MonoTime m_loweredAt{};
+    bool m_isEnforced = false;
+    Base::MonoTime m_decreasedAt{};
 };
 
 } // namespace Lagoonbank::Gateway
