--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -29,8 +29,8 @@
     return &peer;
 }
 
-const Peer &PeerTable::note(const std::string &fromIp, const Schema::FleetBeacon &beacon,
-                            Base::MonoTime at, bool &isNew)
+const Peer &PeerTable::receive(const std::string &fromIp, const Schema::FleetBeacon &beacon,
+                               Base::MonoTime at, bool &isNew)
 {
     Peer &peer = m_peers[beacon.router];
     const bool isUnknown = peer.id.empty();
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -88,8 +88,8 @@
     const Peer *add(const std::string &id, const std::string &dataCentre,
                     const Runtime::SocketAddress &address, std::uint32_t strength);
     /// A beacon has come, \a at this time or later; \a isNew says whether it is the peer's first.
-    const Peer &note(const std::string &fromIp, const Schema::FleetBeacon &beacon,
-                     Base::MonoTime at, bool &isNew);
+    const Peer &receive(const std::string &fromIp, const Schema::FleetBeacon &beacon,
+                        Base::MonoTime at, bool &isNew);
 
     /// This router has sent \a peer a beacon.
     void setBeaconSent(const Peer &peer) { m_peers[peer.id].isBeaconSent = true; }
