--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -41,7 +41,7 @@
     {
         std::string self; ///< This router's name.
         std::vector<std::string> others;
-        bool isWhole = false; ///< All that were registered are among them.
+        bool isComplete = false; ///< All that were registered are among them.
 
         bool operator==(const Fleet &) const = default;
     };
@@ -63,7 +63,7 @@
     std::size_t routerRank(std::uint64_t endpointHash) const;
     bool isFleetKnown() const
     {
-        return m_fleet.isWhole || m_fleet.others.size() >= m_options.assumedFleetSize;
+        return m_fleet.isComplete || m_fleet.others.size() >= m_options.assumedFleetSize;
     }
 
     Options m_options;
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -176,7 +176,7 @@
     }
     Lagoonbank::Gateway::WarmupQuota::Fleet fleetOf(int router) const
     {
-        Lagoonbank::Gateway::WarmupQuota::Fleet fleet{.isWhole = true};
+        Lagoonbank::Gateway::WarmupQuota::Fleet fleet{.isComplete = true};
         for (int i = 0; i < m_options.routers; ++i) {
             const std::string name = "router-" + std::to_string(i);
             if (i == router)
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -45,9 +45,9 @@
             know(i, routers, true);
     }
     /// The router knows the first \a known ones and itself.
-    void know(int router, int known, bool isWhole)
+    void know(int router, int known, bool isComplete)
     {
-        WarmupQuota::Fleet fleet{.self = routerName(router), .isWhole = isWhole};
+        WarmupQuota::Fleet fleet{.self = routerName(router), .isComplete = isComplete};
         for (int i = 0; i < known; ++i) {
             if (i != router)
                 fleet.others.push_back(routerName(i));
@@ -89,7 +89,7 @@
         registry.setServices(
             {{.name = service,
               .warmup = {.time = seconds(3), .requestsPerSecond = sustainableRate}}});
-        registry.setFleet({.self = routerName(0), .isWhole = true});
+        registry.setFleet({.self = routerName(0), .isComplete = true});
     }
     static Lagoonbank::Fleet::Endpoint endpoint(int i, bool isWarmingUp)
     {
