--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -195,7 +195,7 @@
     attempt.startedAt = m_timers.clock().now();
     m_attempt = std::move(attempt);
     m_gateway.m_endpoints.requestSent(*endpoint, m_attempt->startedAt);
-    m_attempt->bringsPrompt = m_gateway.notePrompt(m_prefixes, *endpoint, cacheSource.isCertain);
+    m_attempt->isPromptNew = m_gateway.notePrompt(m_prefixes, *endpoint, cacheSource.isCertain);
     m_eventSplitter.clear();
     Http::Call call = m_gateway.m_options.protocol.makeCall(
         {.request = &m_request,
@@ -226,7 +226,7 @@
 {
     if (m_attempt)
         noteFailure(failure);
-    if (!failure.mayHaveReached && std::exchange(m_isPaidRepeat, false))
+    if (!failure.mayHaveReached && std::exchange(m_isBudgetedRetry, false))
         m_gateway.m_retryBudget.refund(m_service, m_timers.clock().now());
     cancelAttempt();
     const bool isRetried = mayRetry();
@@ -253,7 +253,8 @@
 
 bool RequestRun::mayRetry()
 {
-    const bool isTriedEnough = m_tried.size() >= mostTries && (!m_hasBegun || hasCallerGivenUp());
+    const bool isTriedEnough =
+        m_tried.size() >= mostTries && (!m_hasStreamBegun || hasCallerGivenUp());
     if (isTriedEnough || m_mayBeLastEnd || timeLeft() < leastTime)
         return false;
     if (!m_mayHaveRunAt.empty() && (!m_route->mayRepeat() || areEndpointsUsed()))
@@ -282,7 +283,7 @@
 
 void RequestRun::retry(const Failure &failure)
 {
-    m_isPaidRepeat =
+    m_isBudgetedRetry =
         m_sends > 0 && m_gateway.m_retryBudget.spend(m_service, m_timers.clock().now());
     m_gateway.m_options.metrics->repeats(failure.kind).increment();
     const std::optional<PlacementResult> next = std::exchange(m_nextPlace, std::nullopt);
@@ -306,7 +307,7 @@
 
 void RequestRun::fail(const Failure &failure)
 {
-    if (m_hasBegun) {
+    if (m_hasStreamBegun) {
         m_responder->abort();
         end("cut", 0);
         return;
@@ -358,7 +359,7 @@
 {
     if (m_isEnded)
         return;
-    const bool isInFlight = m_attempt && m_attempt->hasLeft;
+    const bool isInFlight = m_attempt && m_attempt->isSending;
     const bool isLate =
         m_timers.clock().now() >= m_deadline + m_gateway.m_options.patience.timeoutGrace;
     if (isInFlight && !isLate) {
@@ -382,7 +383,7 @@
     if (!m_attempt)
         return;
     // An endpoint stops reading a prompt when its request is gone.
-    if (m_attempt->bringsPrompt && !m_attempt->lastEventAt)
+    if (m_attempt->isPromptNew && !m_attempt->lastEventAt)
         m_gateway.m_prompts.drop(m_prefixes.back().hash, m_attempt->endpoint->startHash);
     m_gateway.m_options.client->cancel(m_attempt->call);
     releaseEndpoint();
@@ -427,7 +428,7 @@
          {"endpoint", m_tried.empty() ? std::string_view() : m_tried.back()->info.id.value()},
          {"sends", m_sends},
          {"events", m_events},
-         {"found_load", m_foundLoad},
+         {"found_load", m_reportedLoad},
          // Of an answer that was not whole: for how long the endpoint had said nothing, and why the
          // request was not sent elsewhere.
          {"quiet_ms", isLost ? now - m_quietSince : Base::Duration::zero()},
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -35,8 +35,8 @@
         EndpointPtr endpoint;
         Http::CallId call;
         Base::MonoTime startedAt;
-        bool hasLeft = false; ///< A byte may have left, so that the request may run.
-        bool bringsPrompt = false; ///< Its endpoint did not hold the prompt before.
+        bool isSending = false; ///< A byte may have left, so that the request may run.
+        bool isPromptNew = false; ///< Its endpoint did not hold the prompt before.
         int status = 0;
         Http::Headers headers;
         HeadFacts facts;
@@ -165,12 +165,12 @@
     /// One endpoint more may have ended than a request may end; whether it has shows later.
     bool m_mayBeLastEnd = false;
     std::vector<EndpointPtr> m_tried;
-    bool m_isPaidRepeat = false; ///< The send under way has taken a repeat out of the budget.
+    bool m_isBudgetedRetry = false; ///< The send under way has taken a repeat out of the budget.
     std::vector<EndpointPtr> m_mayHaveRunAt; ///< Where it may have run.
     int m_sends = 0; ///< That reached an endpoint.
     /// Requests that the last endpoint had when its answer began; -1 if it did not say so.
-    int m_foundLoad = -1;
-    bool m_hasBegun = false; ///< The head of a stream has been passed on.
+    int m_reportedLoad = -1;
+    bool m_hasStreamBegun = false; ///< The head of a stream has been passed on.
     std::optional<std::uint64_t> m_lastEvent;
     std::int64_t m_events = 0;
     EventSplitter m_eventSplitter;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -26,7 +26,7 @@
                     const bool hasWaited = self->m_attempt->call != Http::CallId();
                     if (hasWaited && self->findsCallerGone())
                         return;
-                    self->m_attempt->hasLeft = true;
+                    self->m_attempt->isSending = true;
                     self->m_mayHaveRunAt.push_back(self->m_attempt->endpoint);
                     ++self->m_sends;
                 },
@@ -56,7 +56,7 @@
     attempt.facts = m_gateway.m_options.protocol.readHead(m_request, status, headers);
     m_gateway.m_health.noticed(*attempt.endpoint, attempt.facts, m_request.id);
     if (attempt.facts.load) {
-        m_foundLoad = attempt.facts.load->running + attempt.facts.load->waiting;
+        m_reportedLoad = attempt.facts.load->running + attempt.facts.load->waiting;
         m_gateway.loadReported(*attempt.endpoint, *attempt.facts.load);
     }
     const bool isGood = status >= 200 && status < 300 && attempt.facts.isOwn;
@@ -97,8 +97,8 @@
     }
     if (event.id)
         m_lastEvent = event.id;
-    if (!m_hasBegun) {
-        m_hasBegun = true;
+    if (!m_hasStreamBegun) {
+        m_hasStreamBegun = true;
         m_gateway.m_options.metrics->firstEvent.observe(Base::toSeconds(now - m_cameAt));
         m_responder->begin(attempt.status, attempt.headers);
     }
@@ -158,7 +158,7 @@
     }
     const bool isFailure = attempt.status >= 500;
     // A failure after the head of a stream has been passed on cannot be passed on itself.
-    const bool isUnusable = m_hasBegun && !attempt.isStreaming;
+    const bool isUnusable = m_hasStreamBegun && !attempt.isStreaming;
     if (isUnusable || (isFailure && mayRetry())) {
         attemptFailed({.kind = ErrorKind::EndpointBroke});
         return;
@@ -176,7 +176,7 @@
     const int status = attempt.status;
     m_gateway.m_loadShedder.requestEnded(admissionRequest(), now - attempt.startedAt);
     if (attempt.isStreaming) {
-        if (!m_hasBegun)
+        if (!m_hasStreamBegun)
             m_responder->begin(status, attempt.headers);
         m_responder->write(m_eventSplitter.remainder());
         m_responder->end();
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -66,7 +66,7 @@
 /// What turned away a stream that has begun, or could not be reached, may take it a moment later.
 std::vector<EndpointPtr> RequestRun::endpointsToAvoid() const
 {
-    if (!m_hasBegun)
+    if (!m_hasStreamBegun)
         return m_tried;
     std::vector<EndpointPtr> endpoints = m_mayHaveRunAt;
     if (m_attempt)
@@ -222,7 +222,7 @@
 
 bool RequestRun::awaitEndpoint()
 {
-    if (!m_hasBegun || hasCallerGivenUp())
+    if (!m_hasStreamBegun || hasCallerGivenUp())
         return false;
     placeLater(m_gateway.m_options.patience.reachabilityRetryInterval);
     return true;
@@ -238,7 +238,7 @@
         queueId(),
         {.rank = rank,
          .mayRepeat = m_route->mayRepeat(),
-         .deadline = m_hasBegun ? callerGivesUpAt() : *m_queuedAt + maxQueueWait(),
+         .deadline = m_hasStreamBegun ? callerGivesUpAt() : *m_queuedAt + maxQueueWait(),
          .tryPlace =
              [weak] {
                  const auto self = weak.lock();
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -146,7 +146,7 @@
 
 std::string_view RequestRun::reasonToStay()
 {
-    if (m_attempt->hasLeft && areEndpointsUsed())
+    if (m_attempt->isSending && areEndpointsUsed())
         return endpointsUsed;
     const bool hasAlternative = m_gateway.m_placement.canPlace(
         placementRequest(), m_gateway.m_endpoints, m_timers.clock().now());
