--- a/src/libs/gateway/concurrencylimit.cpp
+++ b/src/libs/gateway/concurrencylimit.cpp
@@ -4,7 +4,7 @@
 
 namespace Lagoonbank::Gateway {
 
-void ConcurrencyLimit::setPlaces(double places, double routers)
+void ConcurrencyLimit::setCapacity(double places, double routers)
 {
     m_isEnforced = places > 0 && routers >= m_options.minRouters;
     m_fairShare = places / std::max(1.0, routers);
@@ -13,7 +13,7 @@
     clamp();
 }
 
-void ConcurrencyLimit::reported(const LoadReport &report, double inFlight, Base::MonoTime now)
+void ConcurrencyLimit::loadReported(const LoadReport &report, double inFlight, Base::MonoTime now)
 {
     if (report.waiting > m_options.maxWaitingShare * report.slots) {
         decrease(now);
--- a/src/libs/gateway/concurrencylimit.h
+++ b/src/libs/gateway/concurrencylimit.h
@@ -36,9 +36,9 @@
     { }
 
     /// Places of all endpoints in service, and routers that share them.
-    void setPlaces(double places, double routers);
+    void setCapacity(double places, double routers);
     /// An endpoint has told its load with an answer.
-    void reported(const LoadReport &report, double inFlight, Base::MonoTime now);
+    void loadReported(const LoadReport &report, double inFlight, Base::MonoTime now);
     /// An endpoint has rejected a request as it was full.
     void rejected(Base::MonoTime now) { decrease(now); }
     /// Whether one request more may be sent; \a usableShare as for an endpoint's places.
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -125,7 +125,7 @@
     const Base::MonoTime now = m_options.loop->clock().now();
     for (const auto &[service, endpoints] : m_endpoints.services()) {
         const double places = m_endpoints.totalSlots(service, now);
-        concurrencyLimit(service).setPlaces(places, static_cast<double>(m_routerCount));
+        concurrencyLimit(service).setCapacity(places, static_cast<double>(m_routerCount));
     }
 }
 
@@ -303,7 +303,7 @@
     const double before = m_endpoints.freeSlots(endpoint, now);
     m_endpoints.loadReported(endpoint, report, now);
     const Base::ServiceId &service = endpoint.info.service;
-    concurrencyLimit(service).reported(report, m_endpoints.inFlight(service), now);
+    concurrencyLimit(service).loadReported(report, m_endpoints.inFlight(service), now);
     if (m_endpoints.freeSlots(endpoint, now) > before)
         m_admissionQueue.slotMayBeFree(service);
 }
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -211,13 +211,13 @@
         endpoint.startedAt = Base::WallTime(std::chrono::seconds(static_cast<int>(m_now) + 1));
         for (const auto &router : m_routers)
             router->registry.put(endpoint, at(m_now));
-        setPlaces();
+        setCapacity();
     }
-    void setPlaces()
+    void setCapacity()
     {
         for (const auto &router : m_routers) {
             const double effectiveSlots = router->registry.totalSlots(m_service, at(m_now));
-            router->limit.setPlaces(effectiveSlots, m_options.routers);
+            router->limit.setCapacity(effectiveSlots, m_options.routers);
         }
     }
     void loseEngines()
@@ -228,7 +228,7 @@
             for (const auto &router : m_routers)
                 router->registry.remove(idOf(static_cast<std::size_t>(e)));
         }
-        setPlaces();
+        setCapacity();
     }
     void returnEngines()
     {
@@ -393,7 +393,7 @@
                                                          static_cast<int>(engine.waiting.size()),
                                                      .slots = m_options.slots};
         router.registry.loadReported(*endpoint, report, at(m_now));
-        router.limit.reported(report, router.registry.inFlight(m_service), at(m_now));
+        router.limit.loadReported(report, router.registry.inFlight(m_service), at(m_now));
         router.registry.answerTimed(*endpoint, duration(m_now - job->sentAt), duration(kind.target),
                                     at(m_now));
     }
--- a/tests/auto/gateway/tst_concurrencylimit.cpp
+++ b/tests/auto/gateway/tst_concurrencylimit.cpp
@@ -69,12 +69,12 @@
 /// A router whose even part of the places is ten.
 struct Fixture
 {
-    Fixture() { limit.setPlaces(850, 85); }
+    Fixture() { limit.setCapacity(850, 85); }
     void cut(int times)
     {
         for (int i = 0; i < times; ++i) {
             now += milliseconds(400);
-            limit.reported(report(20), limit.value(), now);
+            limit.loadReported(report(20), limit.value(), now);
         }
     }
 
@@ -153,10 +153,10 @@
     f.cut(1);
     BOOST_TEST(f.limit.value() < most);
     const double lowered = f.limit.value();
-    f.limit.reported(report(20), lowered, f.now); // Of what was sent before.
+    f.limit.loadReported(report(20), lowered, f.now); // Of what was sent before.
     BOOST_TEST(f.limit.value() == lowered);
     for (int i = 0; i < 100; ++i)
-        f.limit.reported(report(0), f.limit.value(), f.now);
+        f.limit.loadReported(report(0), f.limit.value(), f.now);
     BOOST_TEST(f.limit.value() > lowered + 2);
 }
 
@@ -165,7 +165,7 @@
     Fixture f;
     f.cut(3);
     const double lowered = f.limit.value();
-    f.limit.reported(report(0), 1, f.now);
+    f.limit.loadReported(report(0), 1, f.now);
     BOOST_TEST(f.limit.value() == lowered);
 }
 
@@ -182,6 +182,6 @@
 BOOST_AUTO_TEST_CASE(fewRoutersKnowTheLoadsThemselves)
 {
     ConcurrencyLimit limit{{}};
-    limit.setPlaces(60, 6);
+    limit.setCapacity(60, 6);
     BOOST_TEST(limit.admits(1000, 1));
 }
