--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -40,7 +40,7 @@
     m_options.timers->cancel(m_startTimer);
     m_options.timers->cancel(m_pullTimer);
     m_options.timers->cancel(m_timer);
-    m_options.timers->cancel(m_silenceTimer);
+    m_options.timers->cancel(m_leaderTimer);
     if (m_newsTimer)
         m_options.timers->cancel(*m_newsTimer);
 }
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -232,7 +232,7 @@
     Runtime::TimerId m_startTimer;
     Runtime::TimerId m_pullTimer; ///< Of the last pull of a leader that follows another one.
     Runtime::TimerId m_timer;
-    Runtime::TimerId m_silenceTimer; ///< Runs while a leader is alive that this router goes by.
+    Runtime::TimerId m_leaderTimer; ///< Runs while a leader is alive that this router goes by.
 };
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -137,19 +137,19 @@
 void FleetSync::watch(const Peer &peer)
 {
     if (isFollowing() && isFollowed(peer)) {
-        m_options.timers->cancel(m_silenceTimer);
-        m_silenceTimer = m_options.timers->start(m_options.followedAgeLimit
-                                                     - (now() - *m_freshness.at()) + readMargin,
-                                                 [this] { updateRole(); });
+        m_options.timers->cancel(m_leaderTimer);
+        m_leaderTimer = m_options.timers->start(m_options.followedAgeLimit
+                                                    - (now() - *m_freshness.at()) + readMargin,
+                                                [this] { updateRole(); });
         return;
     }
     if (!peer.isReading || !m_peers.isLocal(peer))
         return;
-    m_options.timers->cancel(m_silenceTimer);
-    Base::Duration limit = m_peers.silenceLimit(peer);
+    m_options.timers->cancel(m_leaderTimer);
+    Base::Duration limit = m_peers.beaconTimeout(peer);
     if (m_peers.isDeputyOf(peer))
         limit = std::min(limit, m_options.readerAgeLimit - (now() - peer.stateAsOf) + readMargin);
-    m_silenceTimer = m_options.timers->start(limit, [this] { updateRole(); });
+    m_leaderTimer = m_options.timers->start(limit, [this] { updateRole(); });
 }
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -57,10 +57,10 @@
 
 bool PeerTable::isAlive(const Peer &peer) const
 {
-    return peer.lastBeaconAt && m_options.clock->now() - *peer.lastBeaconAt < silenceLimit(peer);
+    return peer.lastBeaconAt && m_options.clock->now() - *peer.lastBeaconAt < beaconTimeout(peer);
 }
 
-Base::Duration PeerTable::silenceLimit(const Peer &peer) const
+Base::Duration PeerTable::beaconTimeout(const Peer &peer) const
 {
     Base::Duration interval = m_options.beaconInterval;
     if (!isLocal(peer)) {
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -99,7 +99,7 @@
     }
     bool isAlive(const Peer &peer) const;
     /// Without a beacon for so long a peer is not counted on.
-    Base::Duration silenceLimit(const Peer &peer) const;
+    Base::Duration beaconTimeout(const Peer &peer) const;
     bool isLocal(const Peer &peer) const { return peer.dataCentre == m_options.dataCentre; }
     /// Goes before this router in leading its data centre.
     bool isStronger(const Peer &peer) const;
