--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -134,7 +134,7 @@
 {
     ++endpoint.inFlight;
     if (isWarmingUp(endpoint, now))
-        m_warmupQuota.sent(endpoint.warmup, now);
+        m_warmupQuota.recordSend(endpoint.warmup, now);
 }
 
 void EndpointRegistry::retainNotice(const EndpointRecord &endpoint)
--- a/src/libs/gateway/warmupquota.cpp
+++ b/src/libs/gateway/warmupquota.cpp
@@ -27,7 +27,7 @@
     return record.sends.size() < share(record, endpointHash, sustainableRate);
 }
 
-void WarmupQuota::sent(WarmupRecord &record, Base::MonoTime now) const
+void WarmupQuota::recordSend(WarmupRecord &record, Base::MonoTime now) const
 {
     record.sends.push_back(now);
 }
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -55,7 +55,7 @@
     /// second are what that can do.
     bool admits(WarmupRecord &record, std::uint64_t endpointHash, double sustainableRate,
                 Base::MonoTime now) const;
-    void sent(WarmupRecord &record, Base::MonoTime now) const;
+    void recordSend(WarmupRecord &record, Base::MonoTime now) const;
 
 private:
     std::size_t share(WarmupRecord &record, std::uint64_t endpointHash,
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -66,7 +66,7 @@
                 if (random() % 4 != 0
                     || !quotas[i].admits(records[i], endpoint, sustainableRate, now))
                     continue;
-                quotas[i].sent(records[i], now);
+                quotas[i].recordSend(records[i], now);
                 sends.push_back(now);
             }
             while (!sends.empty() && now - sends.front() >= seconds(1))
