--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -254,7 +254,7 @@
 bool RequestRun::mayRetry()
 {
     const bool isTriedEnough =
-        m_tried.size() >= mostTries && (!m_hasStreamBegun || hasCallerGivenUp());
+        m_tried.size() >= mostTries && (!m_hasStreamBegun || hasCallerTimedOut());
     if (isTriedEnough || m_mayBeLastEnd || timeLeft() < leastTime)
         return false;
     if (!m_mayHaveRunAt.empty() && (!m_route->mayRepeat() || areEndpointsUsed()))
@@ -268,15 +268,15 @@
     return static_cast<int>(m_mayHaveRunAt.size()) >= m_route->maxEndpoints;
 }
 
-bool RequestRun::hasCallerGivenUp() const
+bool RequestRun::hasCallerTimedOut() const
 {
-    return m_timers.clock().now() >= callerGivesUpAt();
+    return m_timers.clock().now() >= callerTimeoutAt();
 }
 
-Base::MonoTime RequestRun::callerGivesUpAt() const
+Base::MonoTime RequestRun::callerTimeoutAt() const
 {
     const GatewayTimeouts &patience = m_gateway.m_options.patience;
-    return m_passedOnAt
+    return m_lastForwardedAt
         + std::max({patience.callerTimeout, patience.callerTimeoutTargets * m_route->targetLatency,
                     patience.callerTimeoutPauses * m_route->maxEventGap});
 }
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -115,14 +115,14 @@
     Http::Hooks hooks();
     void headReceived(int status, const Http::Headers &headers);
     void bodyReceived(std::string_view piece);
-    bool passEvent(const EventSplitter::Event &event);
+    bool forwardEvent(const EventSplitter::Event &event);
     void callFinished(const Http::CallResult &result);
-    void answerWhole();
-    void passWhole();
+    void answerCompleted();
+    void forwardAnswer();
     void attemptFailed(const Failure &failure);
     /// Of a stream that has begun: its caller has got nothing for longer than callers wait.
-    bool hasCallerGivenUp() const;
-    Base::MonoTime callerGivesUpAt() const;
+    bool hasCallerTimedOut() const;
+    Base::MonoTime callerTimeoutAt() const;
     /// Whether the request may be sent to another endpoint now.
     bool mayRetry();
     void noteFailure(const Failure &failure);
@@ -182,7 +182,7 @@
     PlacementResult m_lastFullPlace; ///< When it looked for room last and found none.
     std::optional<PlacementResult>
         m_nextPlace; ///< Where it goes on; chosen when it is sent if there is none.
-    Base::MonoTime m_passedOnAt; ///< When its caller got something last.
+    Base::MonoTime m_lastForwardedAt; ///< When its caller got something last.
     Base::MonoTime m_silenceTimerDue;
     Base::MonoTime m_silentAt;
     Base::MonoTime m_quietSince; ///< Of the last send: its start or its last event.
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -78,14 +78,14 @@
     }
     bool isInOrder = true;
     const bool isRead = m_eventSplitter.read(piece, [&](const EventSplitter::Event &event) {
-        isInOrder = isInOrder && passEvent(event);
+        isInOrder = isInOrder && forwardEvent(event);
     });
     if (!isRead || !isInOrder)
         attemptFailed({.kind = ErrorKind::EndpointBroke});
 }
 
 /// Passes a whole event on; false if events before it are missing.
-bool RequestRun::passEvent(const EventSplitter::Event &event)
+bool RequestRun::forwardEvent(const EventSplitter::Event &event)
 {
     Attempt &attempt = *m_attempt;
     const Base::MonoTime now = m_timers.clock().now();
@@ -114,7 +114,7 @@
                                           m_route->targetLatency, now);
     attempt.lastEventAt = now;
     m_quietSince = now;
-    m_passedOnAt = now;
+    m_lastForwardedAt = now;
     ++m_events;
     m_responder->write(event.bytes);
     if (watchesSilence() && m_route->maxEventGap > Base::Duration::zero())
@@ -127,7 +127,7 @@
     if (!m_attempt || m_isEnded)
         return;
     if (result.end == Http::CallEnd::Whole) {
-        answerWhole();
+        answerCompleted();
         return;
     }
     if (result.end == Http::CallEnd::TurnedAway) {
@@ -144,7 +144,7 @@
          .isConnectionBroken = !isNotConnected});
 }
 
-void RequestRun::answerWhole()
+void RequestRun::answerCompleted()
 {
     const Attempt &attempt = *m_attempt;
     const HeadFacts &facts = attempt.facts;
@@ -166,10 +166,10 @@
     m_gateway.m_health.answered(*m_attempt->endpoint, !isFailure, m_request.id);
     if (!isFailure && !m_gateway.m_quarantine.isEmpty())
         m_gateway.m_quarantine.answered(fingerprint());
-    passWhole();
+    forwardAnswer();
 }
 
-void RequestRun::passWhole()
+void RequestRun::forwardAnswer()
 {
     Attempt &attempt = *m_attempt;
     const Base::MonoTime now = m_timers.clock().now();
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -222,7 +222,7 @@
 
 bool RequestRun::awaitEndpoint()
 {
-    if (!m_hasStreamBegun || hasCallerGivenUp())
+    if (!m_hasStreamBegun || hasCallerTimedOut())
         return false;
     placeLater(m_gateway.m_options.patience.reachabilityRetryInterval);
     return true;
@@ -238,7 +238,7 @@
         queueId(),
         {.rank = rank,
          .mayRepeat = m_route->mayRepeat(),
-         .deadline = m_hasStreamBegun ? callerGivesUpAt() : *m_queuedAt + maxQueueWait(),
+         .deadline = m_hasStreamBegun ? callerTimeoutAt() : *m_queuedAt + maxQueueWait(),
          .tryPlace =
              [weak] {
                  const auto self = weak.lock();
