--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -62,8 +62,8 @@
                           {"request", request.value()}});
 }
 
-void EndpointHealth::noticed(EndpointRecord &endpoint, const HeadFacts &facts,
-                             const Base::RequestId &request) const
+void EndpointHealth::headReceived(EndpointRecord &endpoint, const HeadFacts &facts,
+                                  const Base::RequestId &request) const
 {
     EndpointNotice &notice = endpoint.notice;
     if (facts.isLeaving && !std::exchange(notice.isLeaving, true)) {
--- a/src/libs/gateway/endpointhealth.h
+++ b/src/libs/gateway/endpointhealth.h
@@ -43,8 +43,8 @@
                  const Base::RequestId &request) const;
 
     /// What the head of its answer says of the endpoint itself.
-    void noticed(EndpointRecord &endpoint, const HeadFacts &facts,
-                 const Base::RequestId &request) const;
+    void headReceived(EndpointRecord &endpoint, const HeadFacts &facts,
+                      const Base::RequestId &request) const;
 
 private:
     /// Whether another failure has been counted a moment ago.
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -54,7 +54,7 @@
     attempt.status = status;
     attempt.headers = headers;
     attempt.facts = m_gateway.m_options.protocol.readHead(m_request, status, headers);
-    m_gateway.m_health.noticed(*attempt.endpoint, attempt.facts, m_request.id);
+    m_gateway.m_health.headReceived(*attempt.endpoint, attempt.facts, m_request.id);
     if (attempt.facts.load) {
         m_reportedLoad = attempt.facts.load->running + attempt.facts.load->waiting;
         m_gateway.loadReported(*attempt.endpoint, *attempt.facts.load);
