--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -278,7 +278,7 @@
         return std::find(deputies.begin(), deputies.end(), peer.id) != deputies.end();
     };
     std::vector<const Peer *> chosen;
-    for (const Peer *peer : m_peers.local()) {
+    for (const Peer *peer : m_peers.localPeers()) {
         // Each that started may have led for a moment, and most have not been heard since.
         if (m_isLeader ? isDeputy(*peer) : peer->isLeading && m_peers.isAlive(*peer))
             chosen.push_back(peer);
@@ -295,14 +295,14 @@
 {
     if (m_isAnnouncing && readsWell()) {
         m_isAnnouncing = false;
-        return m_peers.local();
+        return m_peers.localPeers();
     }
     const bool isLocalDue = m_isLeaving || now() - m_localBeaconsAt >= m_peers.localInterval();
     std::vector<const Peer *> chosen;
     if (m_isLeaving || now() - m_pushedAt >= m_peers.beaconInterval())
         chosen = often();
     std::vector<const Peer *> silent;
-    for (const Peer *peer : m_peers.local()) {
+    for (const Peer *peer : m_peers.localPeers()) {
         const bool isChosen = std::find(chosen.begin(), chosen.end(), peer) != chosen.end();
         const bool isHearer = m_isLeader || m_isLeaving || peer->isLeading;
         if (!isChosen && isLocalDue && isHearer && m_peers.isAlive(*peer))
@@ -313,7 +313,7 @@
     if (isLocalDue) {
         m_localBeaconsAt = now();
         // One that is silent is asked now and then whether it is back.
-        if (const Peer *peer = m_peers.anyOf(silent))
+        if (const Peer *peer = m_peers.randomPeer(silent))
             chosen.push_back(peer);
     }
     return chosen;
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -73,7 +73,7 @@
 bool FleetSync::isTriedBy(const Peer &leader) const
 {
     return leader.isLeading && !m_peers.isDeputyOf(leader)
-        && m_peers.local().size() >= m_options.manyHearers
+        && m_peers.localPeers().size() >= m_options.manyHearers
         && now() - leader.stateAsOf <= m_options.hearerAgeLimit;
 }
 
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -45,7 +45,7 @@
     peer.isLeaving = beacon.isLeaving;
     peer.isWaiting = beacon.isWaiting;
     peer.hasState = beacon.knowledgeAgeMs != std::numeric_limits<std::uint32_t>::max();
-    peer.stateAsOf = at - (isLocal(peer) ? m_options.localTransit : m_options.farTransit)
+    peer.stateAsOf = at - (isLocal(peer) ? m_options.localTransit : m_options.remoteTransit)
         - std::chrono::milliseconds(peer.hasState ? beacon.knowledgeAgeMs : 0);
     peer.configuration = beacon.configuration;
     peer.endpoints = beacon.endpoints;
@@ -83,7 +83,7 @@
 std::vector<std::string> PeerTable::deputies() const
 {
     std::vector<const Peer *> living;
-    for (const Peer *peer : local()) {
+    for (const Peer *peer : localPeers()) {
         if (isAlive(*peer) && !peer->isLeaving)
             living.push_back(peer);
     }
@@ -119,7 +119,7 @@
     return std::max(m_options.beaconInterval, needed);
 }
 
-std::vector<const Peer *> PeerTable::local() const
+std::vector<const Peer *> PeerTable::localPeers() const
 {
     std::vector<const Peer *> found;
     for (const auto &[id, peer] : m_peers) {
@@ -147,7 +147,7 @@
     return found;
 }
 
-const Peer *PeerTable::anyOf(const std::vector<const Peer *> &peers)
+const Peer *PeerTable::randomPeer(const std::vector<const Peer *> &peers)
 {
     return peers.empty() ? nullptr : peers[m_random() % peers.size()];
 }
@@ -171,9 +171,9 @@
         (isLeader ? leaders : others).push_back(&peer);
     }
     if (!leaders.empty())
-        return anyOf(leaders);
+        return randomPeer(leaders);
     constexpr std::uint64_t tries = 2;
-    return m_random() % tries == 0 ? anyOf(others) : strongestOf(others);
+    return m_random() % tries == 0 ? randomPeer(others) : strongestOf(others);
 }
 
 const Peer *PeerTable::strongestOf(const std::vector<const Peer *> &peers)
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -75,7 +75,7 @@
         /// that are passed back and forth would else shrink by that each time, so that nobody saw
         /// how long the store has been away.
         Base::Duration localTransit = std::chrono::milliseconds(5);
-        Base::Duration farTransit = std::chrono::milliseconds(50);
+        Base::Duration remoteTransit = std::chrono::milliseconds(50);
         /// Other data centres that a leader talks to in an interval; news spread on from there.
         std::size_t contacts = 2;
         /// The same of the reader, whom their leaders follow.
@@ -114,11 +114,11 @@
     /// Time between two beacons of a leader and those that are not its deputies.
     Base::Duration localInterval() const;
 
-    std::vector<const Peer *> local() const;
+    std::vector<const Peer *> localPeers() const;
     /// Whom a leader tells of itself in other data centres: their leaders where they are known.
     std::vector<const Peer *> contacts(bool isReading);
     /// One of \a peers; null if there is none.
-    const Peer *anyOf(const std::vector<const Peer *> &peers);
+    const Peer *randomPeer(const std::vector<const Peer *> &peers);
     const std::map<std::string, Peer> &peers() const { return m_peers; }
 
 private:
