--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -200,10 +200,10 @@
                               .endpoint = endpoint.startHash,
                               .memory = memory,
                               .reading = setup + perToken * prefix.tokens.value()};
-        const PromptDirectory::News news = m_prompts.used(holding, now);
-        isBrought = news == PromptDirectory::News::New;
+        const PromptDirectory::Announcement news = m_prompts.used(holding, now);
+        isBrought = news == PromptDirectory::Announcement::New;
         const bool isTold = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
-        if (!isTold || news == PromptDirectory::News::None)
+        if (!isTold || news == PromptDirectory::Announcement::None)
             continue;
         holding.isNew = isBrought;
         if (!holding.isNew)
--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -32,7 +32,8 @@
             .reading = std::chrono::milliseconds(shared.readingMs)};
 }
 
-PromptDirectory::News PromptDirectory::used(const PromptHolding &holding, Base::MonoTime now)
+PromptDirectory::Announcement PromptDirectory::used(const PromptHolding &holding,
+                                                    Base::MonoTime now)
 {
     const bool isNew = !find(holding.prompt.hash, holding.endpoint);
     Holder &one = holder(holding, now);
@@ -42,8 +43,8 @@
         one.toldAt = now;
     sweep(now);
     if (!isToBeTold)
-        return News::None;
-    return isNew ? News::New : News::InUse;
+        return Announcement::None;
+    return isNew ? Announcement::New : Announcement::InUse;
 }
 
 void PromptDirectory::learnt(const PromptHolding &holding, Base::MonoTime now)
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -69,9 +69,9 @@
         : m_options(options)
     { }
 
-    enum class News : std::uint8_t { None, InUse, New };
+    enum class Announcement : std::uint8_t { None, InUse, New };
     /// A request with the prompt has gone to the endpoint. Says what peers ought to be told.
-    News used(const PromptHolding &holding, Base::MonoTime now);
+    Announcement used(const PromptHolding &holding, Base::MonoTime now);
     /// A peer has told of it.
     void learnt(const PromptHolding &holding, Base::MonoTime now);
     /// The endpoint has read the prompt.
--- a/tests/auto/gateway/tst_promptdirectory.cpp
+++ b/tests/auto/gateway/tst_promptdirectory.cpp
@@ -41,17 +41,17 @@
 BOOST_AUTO_TEST_CASE(peersAreToldOfWhatIsNewAndNowAndThenOfWhatIsInUse)
 {
     Fixture f;
-    using News = PromptDirectory::News;
-    BOOST_TEST((f.directory.used(holding(1), f.now) == News::New));
-    BOOST_TEST((f.directory.used(holding(1), f.now) == News::None));
-    BOOST_TEST((f.directory.used(holding(1, other), f.now) == News::New));
+    using Announcement = PromptDirectory::Announcement;
+    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::New));
+    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::None));
+    BOOST_TEST((f.directory.used(holding(1, other), f.now) == Announcement::New));
     f.now += seconds(6);
     // Another router has told of it since.
     f.directory.learnt(holding(1), f.now);
     f.now += seconds(6);
-    BOOST_TEST((f.directory.used(holding(1), f.now) == News::None));
+    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::None));
     f.now += seconds(6);
-    BOOST_TEST((f.directory.used(holding(1), f.now) == News::InUse));
+    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::InUse));
 }
 
 BOOST_AUTO_TEST_CASE(whatNobodyUsesIsForgotten)
--- a/tests/auto/gateway/tst_scarcememory.cpp
+++ b/tests/auto/gateway/tst_scarcememory.cpp
@@ -121,7 +121,7 @@
         const PromptHolding holding{.prompt = prompt,
                                     .endpoint = place.endpoint->startHash,
                                     .memory = Base::Tokens(engineMemory)};
-        if (router.prompts.used(holding, m_now) != PromptDirectory::News::None) {
+        if (router.prompts.used(holding, m_now) != PromptDirectory::Announcement::None) {
             for (const auto &other : m_routers) {
                 if (other.get() != &router)
                     other->prompts.learnt(holding, m_now);
