--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -215,9 +215,9 @@
     call.headTimeout = longestRequest;
     call.progressTimeout = longestRequest;
     call.totalTimeout = longestRequest;
-    m_quietSince = m_attempt->startedAt;
-    if (watchesSilence() && m_route->targetLatency > Base::Duration::zero())
-        armSilence(silenceLimit(false));
+    m_lastActivityAt = m_attempt->startedAt;
+    if (monitorsSilence() && m_route->targetLatency > Base::Duration::zero())
+        armSilenceTimer(silenceLimit(false));
     m_attempt->call = m_gateway.m_options.client->start(std::move(call), hooks());
 }
 
@@ -241,7 +241,7 @@
          {"own_lack", failure.isOwnLack},
          {"events", m_events},
          {"goes_on", isRetried},
-         {"quiet_ms", m_timers.clock().now() - m_quietSince},
+         {"quiet_ms", m_timers.clock().now() - m_lastActivityAt},
          {"all_quiet_ms", m_timers.clock().now() - m_gateway.m_endpoints.lastContactAt()},
          {"repeats_left", m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now())},
          {"left_ms", timeLeft()}});
@@ -417,7 +417,7 @@
 void RequestRun::logEnd(std::string_view outcome, int status, Base::MonoTime now) const
 {
     const bool isLost = m_attempt && outcome != "answered";
-    const bool isUnwatched = isLost && m_route && !watchesSilence();
+    const bool isUnwatched = isLost && m_route && !monitorsSilence();
     m_gateway.m_options.log->request(
         part, "Ended.",
         {{"request", m_request.id.value()},
@@ -431,8 +431,8 @@
          {"found_load", m_reportedLoad},
          // Of an answer that was not whole: for how long the endpoint had said nothing, and why the
          // request was not sent elsewhere.
-         {"quiet_ms", isLost ? now - m_quietSince : Base::Duration::zero()},
-         {"stayed", isUnwatched ? std::string_view("not_repeatable") : m_stayed},
+         {"quiet_ms", isLost ? now - m_lastActivityAt : Base::Duration::zero()},
+         {"stayed", isUnwatched ? std::string_view("not_repeatable") : m_stayReason},
          {"took_ms", now - m_cameAt}});
 }
 
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -131,17 +131,17 @@
                 std::optional<Base::Duration> retryAfter = std::nullopt);
     void callerLeft();
     void deadlinePassed();
-    bool watchesSilence() const;
+    bool monitorsSilence() const;
     Base::Duration silenceLimit(bool isBusy) const;
-    void armSilence(Base::Duration limit);
-    void silent();
+    void armSilenceTimer(Base::Duration limit);
+    void silenceTimerExpired();
     /// Why a request whose endpoint is silent stays there; empty if it may go on elsewhere.
     std::string_view reasonToStay();
-    void stay(std::string_view reason);
-    void leaveIfPossible();
+    void keepWaiting(std::string_view reason);
+    void moveIfPossible();
     /// Goes on at another endpoint once that has taken a connection.
-    void seekOther();
-    void otherChecked(const PlacementResult &other, bool isReachable);
+    void probeOtherEndpoint();
+    void otherEndpointProbed(const PlacementResult &other, bool isReachable);
     void cancelAttempt();
     void releaseEndpoint();
     void end(std::string_view outcome, int status);
@@ -184,9 +184,9 @@
         m_nextPlace; ///< Where it goes on; chosen when it is sent if there is none.
     Base::MonoTime m_lastForwardedAt; ///< When its caller got something last.
     Base::MonoTime m_silenceTimerDue;
-    Base::MonoTime m_silentAt;
-    Base::MonoTime m_quietSince; ///< Of the last send: its start or its last event.
-    std::string_view m_stayed; ///< Why it has stayed at an endpoint that fell silent.
+    Base::MonoTime m_silenceDeadline;
+    Base::MonoTime m_lastActivityAt; ///< Of the last send: its start or its last event.
+    std::string_view m_stayReason; ///< Why it has stayed at an endpoint that fell silent.
     bool m_isEnded = false;
 };
 
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -113,12 +113,12 @@
         m_gateway.m_endpoints.answerTimed(*attempt.endpoint, now - attempt.startedAt,
                                           m_route->targetLatency, now);
     attempt.lastEventAt = now;
-    m_quietSince = now;
+    m_lastActivityAt = now;
     m_lastForwardedAt = now;
     ++m_events;
     m_responder->write(event.bytes);
-    if (watchesSilence() && m_route->maxEventGap > Base::Duration::zero())
-        armSilence(silenceLimit(false));
+    if (monitorsSilence() && m_route->maxEventGap > Base::Duration::zero())
+        armSilenceTimer(silenceLimit(false));
     return true;
 }
 
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-bool RequestRun::watchesSilence() const
+bool RequestRun::monitorsSilence() const
 {
     return m_route->mayRepeat() && m_gateway.m_options.policy.silence;
 }
@@ -36,12 +36,12 @@
     return limit;
 }
 
-void RequestRun::armSilence(Base::Duration limit)
+void RequestRun::armSilenceTimer(Base::Duration limit)
 {
     const Base::MonoTime silentAt = m_timers.clock().now() + limit;
     // A timer that is due too early arms itself again.
     const bool isArmed = m_silenceTimer && m_silenceTimerDue <= silentAt;
-    m_silentAt = silentAt;
+    m_silenceDeadline = silentAt;
     if (isArmed)
         return;
     if (m_silenceTimer)
@@ -49,44 +49,45 @@
     m_silenceTimerDue = silentAt;
     m_silenceTimer = m_timers.start(limit, [this] {
         m_silenceTimer.reset();
-        silent();
+        silenceTimerExpired();
     });
 }
 
 /// The endpoint of a request that may be repeated says nothing for too long.
-void RequestRun::silent()
+void RequestRun::silenceTimerExpired()
 {
     if (m_isEnded || !m_attempt)
         return;
     if (silenceLimit(false) <= Base::Duration::zero())
         return; // A stream that has begun, on a route that sets no limit to its pauses.
-    const Base::Duration left = m_silentAt - m_timers.clock().now();
+    const Base::Duration left = m_silenceDeadline - m_timers.clock().now();
     if (left > Base::Duration::zero()) {
-        armSilence(left);
+        armSilenceTimer(left);
         return;
     }
-    const Base::MonoTime busyUntil = m_quietSince + silenceLimit(true);
-    if (m_attempt->endpoint->lastContactAt > m_quietSince && m_timers.clock().now() < busyUntil) {
-        armSilence(busyUntil - m_timers.clock().now());
+    const Base::MonoTime busyUntil = m_lastActivityAt + silenceLimit(true);
+    if (m_attempt->endpoint->lastContactAt > m_lastActivityAt
+        && m_timers.clock().now() < busyUntil) {
+        armSilenceTimer(busyUntil - m_timers.clock().now());
         return;
     }
-    leaveIfPossible();
+    moveIfPossible();
 }
 
-void RequestRun::leaveIfPossible()
+void RequestRun::moveIfPossible()
 {
     const std::string_view reason = reasonToStay();
     if (reason.empty())
-        seekOther();
+        probeOtherEndpoint();
     else
-        stay(reason);
+        keepWaiting(reason);
 }
 
-void RequestRun::stay(std::string_view reason)
+void RequestRun::keepWaiting(std::string_view reason)
 {
-    m_stayed = reason;
-    if (m_stayed != endpointsUsed)
-        armSilence(silenceLimit(false));
+    m_stayReason = reason;
+    if (m_stayReason != endpointsUsed)
+        armSilenceTimer(silenceLimit(false));
 }
 
 /// Where the router's own link is full or cut, all endpoints look silent and none can be reached;
@@ -94,13 +95,13 @@
 /// another one first, such a router keeps the answers that it has: of 39,000 requests beside three
 /// configurations that each filled the links, 10 answers were cut without it and none with it. It
 /// costs a round trip, 1 ms.
-void RequestRun::seekOther()
+void RequestRun::probeOtherEndpoint()
 {
     const Base::MonoTime now = m_timers.clock().now();
     const PlacementResult other =
         m_gateway.m_placement.choose(placementRequest(), m_gateway.m_endpoints, now);
     if (!other.endpoint) {
-        stay("no_other_endpoint");
+        keepWaiting("no_other_endpoint");
         return;
     }
     // Streams of one endpoint fall silent together, and each counts for where the next one goes.
@@ -108,36 +109,36 @@
     m_gateway.m_options.client->check(
         other.endpoint->info.address, m_gateway.m_options.patience.connect,
         [weak = weak_from_this(), other, held = std::move(held),
-         quietSince = m_quietSince](bool isReachable) mutable {
+         quietSince = m_lastActivityAt](bool isReachable) mutable {
             held.reset();
             const auto self = weak.lock();
-            const bool isStillSilent = self && self->m_quietSince == quietSince;
+            const bool isStillSilent = self && self->m_lastActivityAt == quietSince;
             if (isStillSilent && !self->m_isEnded && self->m_attempt)
-                self->otherChecked(other, isReachable);
+                self->otherEndpointProbed(other, isReachable);
         });
 }
 
-void RequestRun::otherChecked(const PlacementResult &other, bool isReachable)
+void RequestRun::otherEndpointProbed(const PlacementResult &other, bool isReachable)
 {
     if (!isReachable && m_gateway.m_options.policy.reachability) {
         m_gateway.m_reachability.foundUnreachable(other.endpoint);
-        m_stayed = otherUnreachable;
-        leaveIfPossible();
+        m_stayReason = otherUnreachable;
+        moveIfPossible();
         return;
     }
     if (!isReachable) {
-        stay(otherUnreachable);
+        keepWaiting(otherUnreachable);
         return;
     }
     const Base::MonoTime now = m_timers.clock().now();
     const bool isTaken = other.endpoint->takesRequests(now)
         && m_gateway.m_endpoints.admitsRequest(*other.endpoint, now);
     if (!isTaken) {
-        leaveIfPossible();
+        moveIfPossible();
         return;
     }
     if (!mayRetry()) {
-        stay(noRepeatLeft);
+        keepWaiting(noRepeatLeft);
         return;
     }
     m_nextPlace = other;
