--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -20,7 +20,7 @@
     const Base::MonoTime now = m_options.clock->now();
     Routing::Suspicion &suspicion = m_options.registry->suspicion();
     const State before = suspicion.state(endpoint.index);
-    if (!isGood && before == State::Trusted && isAtOnce(endpoint, now))
+    if (!isGood && before == State::Trusted && isInFailureBurst(endpoint, now))
         return;
     if (!isGood)
         endpoint.failedAt = now;
@@ -42,16 +42,16 @@
                           {"in_flight", endpoint.inFlight}});
 }
 
-bool EndpointHealth::isAtOnce(const EndpointRecord &endpoint, Base::MonoTime now) const
+bool EndpointHealth::isInFailureBurst(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
-    return endpoint.failedAt && now - *endpoint.failedAt < m_options.atOnce;
+    return endpoint.failedAt && now - *endpoint.failedAt < m_options.failureBurst;
 }
 
 void EndpointHealth::refused(EndpointRecord &endpoint, bool isOtherEndpoint,
                              const Base::RequestId &request) const
 {
     if (!isOtherEndpoint) {
-        endpoint.fullUntil = m_options.clock->now() + m_options.fullTime;
+        endpoint.fullUntil = m_options.clock->now() + m_options.fullBackOff;
         return;
     }
     if (std::exchange(endpoint.notice.isReplaced, true))
--- a/src/libs/gateway/endpointhealth.h
+++ b/src/libs/gateway/endpointhealth.h
@@ -25,10 +25,10 @@
         /// Failures of a trusted endpoint within this time count as one: what resets connections in
         /// bulk breaks all answers at once, and tells no more of the endpoint than one of them.
         /// They come within a round trip; an engine that fails by itself does so each tens of ms.
-        Base::Duration atOnce = std::chrono::milliseconds(5);
+        Base::Duration failureBurst = std::chrono::milliseconds(5);
         /// For which an endpoint that refused as full gets nothing new: a few of its requests end
         /// meanwhile.
-        Base::Duration fullTime = std::chrono::milliseconds(150);
+        Base::Duration fullBackOff = std::chrono::milliseconds(150);
     };
 
     explicit EndpointHealth(Options options)
@@ -48,7 +48,7 @@
 
 private:
     /// Whether another failure has been counted a moment ago.
-    bool isAtOnce(const EndpointRecord &endpoint, Base::MonoTime now) const;
+    bool isInFailureBurst(const EndpointRecord &endpoint, Base::MonoTime now) const;
 
     Options m_options;
 };
