--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -199,7 +199,7 @@
         // A leader of another data centre that reads the store hears it from there, unless that
         // turns it away.
         const bool isStale = now() - peer.stateAsOf > m_options.readerAgeLimit;
-        const bool isFollower = m_isReading && peer.isReading && !goesBefore(peer);
+        const bool isFollower = m_isReading && peer.isReading && !outranks(peer);
         if (m_peers.isLocal(peer) || ((isStale || isFollower) && m_peers.isAlive(peer)))
             sendTo(peer, news);
     }
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -168,7 +168,7 @@
     std::vector<const Peer *> stayingPeers() const;
     void tick();
     void updateRole();
-    bool goesBefore(const Peer &peer) const;
+    bool outranks(const Peer &peer) const;
     bool hasLeader() const;
     bool expectsLeader() const;
     bool tellsWell(const Peer &peer) const;
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -43,7 +43,7 @@
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(), [this](const auto &item) {
         const Peer &peer = item.second;
-        return m_peers.isLocal(peer) && m_peers.isAlive(peer) && !peer.isLeaving && goesBefore(peer)
+        return m_peers.isLocal(peer) && m_peers.isAlive(peer) && !peer.isLeaving && outranks(peer)
             && (tellsWell(peer) || isTriedBy(peer));
     });
 }
@@ -80,7 +80,7 @@
 /// Whether the peer goes before this router in leading and reading. What has missed nothing goes
 /// before what has: a reader that waits for entries to come back tells late that an endpoint has
 /// gone.
-bool FleetSync::goesBefore(const Peer &peer) const
+bool FleetSync::outranks(const Peer &peer) const
 {
     const bool isWaiting = m_options.directory->isWaiting();
     return peer.isWaiting != isWaiting ? isWaiting : m_peers.isStronger(peer);
@@ -89,7 +89,7 @@
 /// Such as go before itself only, so that no two leaders follow each other.
 bool FleetSync::isFollowed(const Peer &peer) const
 {
-    return !m_peers.isLocal(peer) && peer.isReading && !peer.isLeaving && goesBefore(peer)
+    return !m_peers.isLocal(peer) && peer.isReading && !peer.isLeaving && outranks(peer)
         && now() - peer.stateAsOf <= m_options.followedAgeLimit;
 }
 
