--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -200,7 +200,7 @@
                               .endpoint = endpoint.startHash,
                               .memory = memory,
                               .reading = setup + perToken * prefix.tokens.value()};
-        const PromptDirectory::Announcement news = m_prompts.used(holding, now);
+        const PromptDirectory::Announcement news = m_prompts.recordUse(holding, now);
         isBrought = news == PromptDirectory::Announcement::New;
         const bool isTold = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
         if (!isTold || news == PromptDirectory::Announcement::None)
@@ -220,7 +220,7 @@
         return; // Gone, or not known yet; a later request tells again.
     PromptHolding known = holding;
     known.memory = memoryOf(endpoint->info.service);
-    m_prompts.learnt(known, m_options.loop->clock().now());
+    m_prompts.mergeHolding(known, m_options.loop->clock().now());
 }
 
 void Gateway::endpointEnded(const EndpointRecord &endpoint,
--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -32,8 +32,8 @@
             .reading = std::chrono::milliseconds(shared.readingMs)};
 }
 
-PromptDirectory::Announcement PromptDirectory::used(const PromptHolding &holding,
-                                                    Base::MonoTime now)
+PromptDirectory::Announcement PromptDirectory::recordUse(const PromptHolding &holding,
+                                                         Base::MonoTime now)
 {
     const bool isNew = !find(holding.prompt.hash, holding.endpoint);
     Holder &one = holder(holding, now);
@@ -47,7 +47,7 @@
     return isNew ? Announcement::New : Announcement::InUse;
 }
 
-void PromptDirectory::learnt(const PromptHolding &holding, Base::MonoTime now)
+void PromptDirectory::mergeHolding(const PromptHolding &holding, Base::MonoTime now)
 {
     Holder &one = holder(holding, now);
     one.usedAt = now;
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -71,9 +71,9 @@
 
     enum class Announcement : std::uint8_t { None, InUse, New };
     /// A request with the prompt has gone to the endpoint. Says what peers ought to be told.
-    Announcement used(const PromptHolding &holding, Base::MonoTime now);
+    Announcement recordUse(const PromptHolding &holding, Base::MonoTime now);
     /// A peer has told of it.
-    void learnt(const PromptHolding &holding, Base::MonoTime now);
+    void mergeHolding(const PromptHolding &holding, Base::MonoTime now);
     /// The endpoint has read the prompt.
     void read(std::uint64_t prompt, std::uint64_t endpoint, Base::MonoTime now);
     /// It turned out that the endpoint does not hold it.
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -59,14 +59,14 @@
 {
     Fixture one(9);
     Fixture other(9);
-    std::set<std::string> used;
+    std::set<std::string> recordUse;
     for (std::uint64_t prompt = 1; prompt <= 200; ++prompt) {
         const PlacementResult place = one.choose(prompt * 7919);
         BOOST_TEST(place.endpoint->info.id == other.choose(prompt * 7919).endpoint->info.id);
         BOOST_TEST((place.reason == PlacementReason::Home));
-        used.insert(place.endpoint->info.id.value());
+        recordUse.insert(place.endpoint->info.id.value());
     }
-    BOOST_TEST(used.size() == 9U);
+    BOOST_TEST(recordUse.size() == 9U);
 }
 
 BOOST_AUTO_TEST_CASE(anEndpointThatGoesMovesOnlyItsOwnPrompts)
@@ -356,10 +356,10 @@
     }
     void hold(const EndpointRecord &endpoint, std::uint64_t prompt = 42, int tokens = 10000)
     {
-        prompts.learnt({.prompt = {.hash = prompt, .tokens = Base::Tokens(tokens)},
-                        .endpoint = endpoint.startHash,
-                        .memory = Base::Tokens(40000)},
-                       now);
+        prompts.mergeHolding({.prompt = {.hash = prompt, .tokens = Base::Tokens(tokens)},
+                              .endpoint = endpoint.startHash,
+                              .memory = Base::Tokens(40000)},
+                             now);
     }
     EndpointRecord &notHome() { return other(*choose().endpoint); }
     EndpointRecord &other(const EndpointRecord &one)
--- a/tests/auto/gateway/tst_promptdirectory.cpp
+++ b/tests/auto/gateway/tst_promptdirectory.cpp
@@ -42,27 +42,27 @@
 {
     Fixture f;
     using Announcement = PromptDirectory::Announcement;
-    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::New));
-    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::None));
-    BOOST_TEST((f.directory.used(holding(1, other), f.now) == Announcement::New));
+    BOOST_TEST((f.directory.recordUse(holding(1), f.now) == Announcement::New));
+    BOOST_TEST((f.directory.recordUse(holding(1), f.now) == Announcement::None));
+    BOOST_TEST((f.directory.recordUse(holding(1, other), f.now) == Announcement::New));
     f.now += seconds(6);
     // Another router has told of it since.
-    f.directory.learnt(holding(1), f.now);
+    f.directory.mergeHolding(holding(1), f.now);
     f.now += seconds(6);
-    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::None));
+    BOOST_TEST((f.directory.recordUse(holding(1), f.now) == Announcement::None));
     f.now += seconds(6);
-    BOOST_TEST((f.directory.used(holding(1), f.now) == Announcement::InUse));
+    BOOST_TEST((f.directory.recordUse(holding(1), f.now) == Announcement::InUse));
 }
 
 BOOST_AUTO_TEST_CASE(whatNobodyUsesIsForgotten)
 {
     Fixture f;
-    f.directory.used(holding(1), f.now);
-    f.directory.used(holding(2), f.now);
+    f.directory.recordUse(holding(1), f.now);
+    f.directory.recordUse(holding(2), f.now);
     f.now += seconds(20);
-    f.directory.used(holding(2), f.now);
+    f.directory.recordUse(holding(2), f.now);
     f.now += seconds(10);
-    f.directory.used(holding(3), f.now);
+    f.directory.recordUse(holding(3), f.now);
     BOOST_TEST(!f.holds(1));
     BOOST_TEST(f.holds(2));
     BOOST_TEST(f.hasMemory(10000));
@@ -73,15 +73,15 @@
 {
     Fixture f;
     for (const std::uint64_t prompt : {1, 2, 3, 4}) {
-        f.directory.used(holding(prompt), f.now);
+        f.directory.recordUse(holding(prompt), f.now);
         f.now += milliseconds(1);
     }
-    f.directory.used(holding(1), f.now); // In use again, so that 2 is the longest unused.
+    f.directory.recordUse(holding(1), f.now); // In use again, so that 2 is the longest unused.
     f.now += seconds(1);
-    f.directory.used(holding(5, other), f.now); // Another endpoint's is left alone.
-    f.directory.used(holding(6), f.now);
+    f.directory.recordUse(holding(5, other), f.now); // Another endpoint's is left alone.
+    f.directory.recordUse(holding(6), f.now);
     f.now += seconds(1);
-    f.directory.used(holding(6), f.now);
+    f.directory.recordUse(holding(6), f.now);
     BOOST_TEST(f.holds(1));
     BOOST_TEST(!f.holds(2));
     BOOST_TEST(f.holds(3));
@@ -92,7 +92,7 @@
 BOOST_AUTO_TEST_CASE(anEndpointOfUnknownMemoryHasRoom)
 {
     Fixture f;
-    f.directory.used(holding(1), f.now);
+    f.directory.recordUse(holding(1), f.now);
     BOOST_TEST(f.directory.hasMemory(engine, Base::Tokens(1'000'000), Base::Tokens()));
     BOOST_TEST(f.hasMemory(20000));
     BOOST_TEST(!f.hasMemory(20001));
@@ -101,7 +101,7 @@
 BOOST_AUTO_TEST_CASE(whatWasNotReadIsNotHeld)
 {
     Fixture f;
-    f.directory.used(holding(1), f.now);
+    f.directory.recordUse(holding(1), f.now);
     f.directory.drop(1, engine);
     BOOST_TEST(!f.holds(1));
     BOOST_TEST(f.hasMemory(30000));
@@ -113,11 +113,11 @@
 BOOST_AUTO_TEST_CASE(aPeerKnowsThatAnEndpointReadsAgainWhatItShouldHold)
 {
     Fixture f;
-    f.directory.used(holding(1), f.now);
+    f.directory.recordUse(holding(1), f.now);
     f.directory.read(1, engine, f.now + milliseconds(90));
     f.now += seconds(1);
     BOOST_TEST((f.directory.find(1, engine)->readUntil < f.now));
-    f.directory.learnt(holding(1), f.now);
+    f.directory.mergeHolding(holding(1), f.now);
     BOOST_TEST((f.directory.find(1, engine)->readUntil == f.now + milliseconds(150)));
 }
 
@@ -126,7 +126,7 @@
     PromptDirectory directory({.mostPrompts = 100});
     const Base::MonoTime now{std::chrono::hours(1)};
     for (std::uint64_t prompt = 1; prompt < 1000; ++prompt) {
-        directory.used(holding(prompt), now);
+        directory.recordUse(holding(prompt), now);
         BOOST_TEST(directory.size() <= 101U);
     }
 }
--- a/tests/auto/gateway/tst_scarcememory.cpp
+++ b/tests/auto/gateway/tst_scarcememory.cpp
@@ -121,10 +121,10 @@
         const PromptHolding holding{.prompt = prompt,
                                     .endpoint = place.endpoint->startHash,
                                     .memory = Base::Tokens(engineMemory)};
-        if (router.prompts.used(holding, m_now) != PromptDirectory::Announcement::None) {
+        if (router.prompts.recordUse(holding, m_now) != PromptDirectory::Announcement::None) {
             for (const auto &other : m_routers) {
                 if (other.get() != &router)
-                    other->prompts.learnt(holding, m_now);
+                    other->prompts.mergeHolding(holding, m_now);
             }
         }
         return static_cast<std::size_t>(std::stoi(place.endpoint->info.id.value().substr(1)));
