--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -58,7 +58,7 @@
         if (const auto self = weak.lock())
             self->callerLeft();
     });
-    if (m_isEnded || !isAdmitted() || isQuarantined() || !hasTimeOfRouter())
+    if (m_isEnded || !isAdmitted() || isQuarantined() || !passesBacklogControl())
         return;
     m_deadlineTimer = m_timers.start(m_deadline - m_timers.clock().now(), [this] {
         m_deadlineTimer.reset();
@@ -75,7 +75,7 @@
     place();
 }
 
-bool RequestRun::findsCallerGone()
+bool RequestRun::endIfCallerLeft()
 {
     const Base::Duration age = m_timers.clock().now() - m_cameAt;
     if (age < lookAfter && m_gateway.m_options.loop->lag().behind() < lookAfter)
@@ -124,7 +124,7 @@
 
 /// As early as its urgency is known: before its prompt is hashed, a place is chosen or a timer is
 /// started.
-bool RequestRun::hasTimeOfRouter()
+bool RequestRun::passesBacklogControl()
 {
     const Base::MonoTime now = m_timers.clock().now();
     m_gateway.m_retryBudget.requestArrived(m_service, now);
@@ -257,13 +257,13 @@
         m_tried.size() >= mostTries && (!m_hasStreamBegun || hasCallerTimedOut());
     if (isTriedEnough || m_mayBeLastEnd || timeLeft() < leastTime)
         return false;
-    if (!m_mayHaveRunAt.empty() && (!m_route->mayRepeat() || areEndpointsUsed()))
+    if (!m_mayHaveRunAt.empty() && (!m_route->mayRepeat() || isEndpointLimitReached()))
         return false;
     const bool isRepeat = m_sends > 0;
     return !isRepeat || m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now()) >= 1;
 }
 
-bool RequestRun::areEndpointsUsed() const
+bool RequestRun::isEndpointLimitReached() const
 {
     return static_cast<int>(m_mayHaveRunAt.size()) >= m_route->maxEndpoints;
 }
@@ -289,7 +289,7 @@
     const std::optional<PlacementResult> next = std::exchange(m_nextPlace, std::nullopt);
     if (!next)
         place();
-    else if (!findsCallerGone())
+    else if (!endIfCallerLeft())
         sendTo(*next);
 }
 
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -58,9 +58,9 @@
 
     bool isAdmitted();
     /// Whether the caller has left, also if its close lies unread; the run has ended then.
-    bool findsCallerGone();
+    bool endIfCallerLeft();
     /// Whether the router can take it beside its own work; refused if not.
-    bool hasTimeOfRouter();
+    bool passesBacklogControl();
     Base::Duration timeLeft() const;
     RequestFingerprint fingerprint();
     /// Whether the request is known to end the endpoints that run it; given up if so.
@@ -83,7 +83,7 @@
     /// Endpoints that are not to get it again.
     std::vector<EndpointPtr> endpointsToAvoid() const;
     /// It may not run at one more endpoint.
-    bool areEndpointsUsed() const;
+    bool isEndpointLimitReached() const;
     void place();
     void sendTo(const PlacementResult &place);
     /// A stream that has begun waits for an endpoint that can be reached; false if it may not.
@@ -106,7 +106,7 @@
         bool isCertain = false; ///< It holds the prompt, as far as is known.
     };
     CacheSource cacheSource(const PlacementResult &place) const;
-    bool isOverLimit() const;
+    bool exceedsConcurrencyLimit() const;
     /// At an endpoint of the service; nothing if it is not known.
     std::optional<double> usualLoad() const;
     double coldFor(const EndpointRecord &endpoint) const;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -24,7 +24,7 @@
                     // The connection took turns of the loop to come about, in which the caller may
                     // have left; without one no time has passed since the last look.
                     const bool hasWaited = self->m_attempt->call != Http::CallId();
-                    if (hasWaited && self->findsCallerGone())
+                    if (hasWaited && self->endIfCallerLeft())
                         return;
                     self->m_attempt->isSending = true;
                     self->m_mayHaveRunAt.push_back(self->m_attempt->endpoint);
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -107,10 +107,10 @@
 
 bool RequestRun::tryPlace()
 {
-    if (findsCallerGone())
+    if (endIfCallerLeft())
         return true;
     const Base::MonoTime now = m_timers.clock().now();
-    if (isOverLimit()) {
+    if (exceedsConcurrencyLimit()) {
         m_lastFullPlace = {};
         return false;
     }
@@ -141,7 +141,7 @@
 }
 
 /// Of plain services some requests always wait; what has been sent before does not count again.
-bool RequestRun::isOverLimit() const
+bool RequestRun::exceedsConcurrencyLimit() const
 {
     const bool isLimited = m_gateway.m_options.policy.concurrencyLimit && m_tried.empty()
         && m_route->kind == Fleet::RouteKind::Stream;
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -292,10 +292,10 @@
         const double share = m_options.isShedding
             ? router.shedder.usableShare(admissionRequest(*job), at(m_now))
             : 1e9;
-        const bool isOverLimit = m_options.isLimiting
+        const bool exceedsConcurrencyLimit = m_options.isLimiting
             && !router.limit.admits(router.registry.inFlight(m_service), share);
         Lagoonbank::Gateway::PlacementResult chosen;
-        if (!isOverLimit) {
+        if (!exceedsConcurrencyLimit) {
             chosen = router.placement.choose({.service = m_service,
                                               .affinity = job->prompt,
                                               .requestHash = m_random(),
