--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -86,7 +86,7 @@
     for (const SharedEndpoint &news : beacon.news)
         learn(news);
     compare(peer);
-    watch(peer);
+    watchLeader(peer);
     const bool isNews = knownBefore && *m_freshness.at() - *knownBefore > leastAdvance;
     if (isFollowing() && isNews)
         pushKnowledge();
@@ -293,7 +293,7 @@
 /// A leader talks to the rest of its data centre seldom; the others talk to their leader.
 std::vector<const Peer *> FleetSync::beaconPeers()
 {
-    if (m_isAnnouncing && readsWell()) {
+    if (m_isAnnouncing && leadsWithFreshState()) {
         m_isAnnouncing = false;
         return m_peers.localPeers();
     }
@@ -342,7 +342,7 @@
             .port = m_options.port,
             .strength = m_options.strength,
             .isLeading = m_isLeader,
-            .isReading = readsWell(),
+            .isReading = leadsWithFreshState(),
             .isWaiting = m_options.directory->isWaiting(),
             .knowledgeAgeMs = ageNumber(knowledgeAge()),
             .configuration = m_configuration.revision.value(),
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -171,14 +171,14 @@
     bool outranks(const Peer &peer) const;
     bool hasLeader() const;
     bool expectsLeader() const;
-    bool tellsWell(const Peer &peer) const;
-    bool isTriedBy(const Peer &leader) const;
+    bool isHealthyLeader(const Peer &peer) const;
+    bool defersTo(const Peer &leader) const;
     bool canFollow() const;
-    bool isFollowed(const Peer &peer) const;
+    bool isFollowable(const Peer &peer) const;
     bool isFollowing() const { return m_isLeader && !m_isReading; }
-    void watch(const Peer &peer);
+    void watchLeader(const Peer &peer);
     bool isFailing(const Peer &peer) const;
-    bool readsWell() const;
+    bool leadsWithFreshState() const;
     bool isReadOverdue() const;
     /// A peer has a newer configuration.
     bool isBehind() const;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -21,7 +21,7 @@
 /// Whether this router goes by what the peer tells.
 bool FleetSync::isSource(const Peer &peer) const
 {
-    return m_peers.isLocal(peer) || (isFollowing() && isFollowed(peer));
+    return m_peers.isLocal(peer) || (isFollowing() && isFollowable(peer));
 }
 
 /// Whether a pull of endpoints from this peer would tell anything new.
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -44,7 +44,7 @@
     return std::any_of(peers.begin(), peers.end(), [this](const auto &item) {
         const Peer &peer = item.second;
         return m_peers.isLocal(peer) && m_peers.isAlive(peer) && !peer.isLeaving && outranks(peer)
-            && (tellsWell(peer) || isTriedBy(peer));
+            && (isHealthyLeader(peer) || defersTo(peer));
     });
 }
 
@@ -63,14 +63,14 @@
     });
 }
 
-bool FleetSync::tellsWell(const Peer &peer) const
+bool FleetSync::isHealthyLeader(const Peer &peer) const
 {
     return peer.isReading && !isFailing(peer);
 }
 
 /// While the store answers neither a leader nor its deputies, nor those of other data centres, the
 /// rest of a large data centre would only ask in vain.
-bool FleetSync::isTriedBy(const Peer &leader) const
+bool FleetSync::defersTo(const Peer &leader) const
 {
     return leader.isLeading && !m_peers.isDeputyOf(leader)
         && m_peers.localPeers().size() >= m_options.manyHearers
@@ -87,7 +87,7 @@
 }
 
 /// Such as go before itself only, so that no two leaders follow each other.
-bool FleetSync::isFollowed(const Peer &peer) const
+bool FleetSync::isFollowable(const Peer &peer) const
 {
     return !m_peers.isLocal(peer) && peer.isReading && !peer.isLeaving && outranks(peer)
         && now() - peer.stateAsOf <= m_options.followedAgeLimit;
@@ -99,7 +99,7 @@
         return false;
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(),
-                       [this](const auto &item) { return isFollowed(item.second); });
+                       [this](const auto &item) { return isFollowable(item.second); });
 }
 
 bool FleetSync::isFailing(const Peer &peer) const
@@ -121,7 +121,7 @@
 
 /// Peers count on a leader by this, so one that reads has to have read since it began. What it
 /// learns from them says nothing of its own reads.
-bool FleetSync::readsWell() const
+bool FleetSync::leadsWithFreshState() const
 {
     if (!m_isLeader || !m_freshness.at())
         return false;
@@ -134,9 +134,9 @@
 
 /// A leaving endpoint has to be known in 2 s, of which 1.6 s go by until a leader counts as
 /// failing. That leaves no time to wait for the next tick.
-void FleetSync::watch(const Peer &peer)
+void FleetSync::watchLeader(const Peer &peer)
 {
-    if (isFollowing() && isFollowed(peer)) {
+    if (isFollowing() && isFollowable(peer)) {
         m_options.timers->cancel(m_leaderTimer);
         m_leaderTimer = m_options.timers->start(m_options.followedAgeLimit
                                                     - (now() - *m_freshness.at()) + readMargin,
