--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -38,9 +38,9 @@
     const bool isNew = !find(holding.prompt.hash, holding.endpoint);
     Holder &one = holder(holding, now);
     one.usedAt = now;
-    const bool isToBeTold = isNew || now - one.toldAt >= m_options.tellInterval;
+    const bool isToBeTold = isNew || now - one.announcedAt >= m_options.announceInterval;
     if (isToBeTold)
-        one.toldAt = now;
+        one.announcedAt = now;
     sweep(now);
     if (!isToBeTold)
         return Announcement::None;
@@ -51,7 +51,7 @@
 {
     Holder &one = holder(holding, now);
     one.usedAt = now;
-    one.toldAt = now;
+    one.announcedAt = now;
     // The peer knows better than this router that the endpoint did not hold it.
     one.readUntil = std::max(one.readUntil, now + holding.reading);
     sweep(now);
@@ -76,7 +76,7 @@
     const auto one = findIn(holders, endpoint);
     if (one == holders.end())
         return;
-    m_ledgers[endpoint].tokens -= one->tokens;
+    m_memoryUses[endpoint].tokens -= one->tokens;
     holders.erase(one);
     if (holders.empty())
         m_prompts.erase(found);
@@ -102,8 +102,8 @@
 {
     if (memory.value() <= 0)
         return true;
-    const auto ledger = m_ledgers.find(endpoint);
-    const std::int64_t held = ledger == m_ledgers.end() ? 0 : ledger->second.tokens;
+    const auto ledger = m_memoryUses.find(endpoint);
+    const std::int64_t held = ledger == m_memoryUses.end() ? 0 : ledger->second.tokens;
     const double usable = m_options.memoryShare * static_cast<double>(memory.value());
     return static_cast<double>(held + tokens.value()) <= usable;
 }
@@ -112,7 +112,7 @@
 PromptDirectory::Holder &PromptDirectory::holder(const PromptHolding &holding, Base::MonoTime now)
 {
     Holders &holders = m_prompts[holding.prompt.hash];
-    Ledger &ledger = m_ledgers[holding.endpoint];
+    MemoryUse &ledger = m_memoryUses[holding.endpoint];
     if (holding.memory.value() > 0)
         ledger.memory = holding.memory.value();
     const auto known = findIn(holders, holding.endpoint);
@@ -128,17 +128,17 @@
 
 void PromptDirectory::sweep(Base::MonoTime now)
 {
-    const bool isFull = m_prompts.size() > m_options.mostPrompts;
+    const bool isFull = m_prompts.size() > m_options.maximumPrompts;
     if (now - m_sweptAt < m_options.sweepInterval && !isFull)
         return;
     m_sweptAt = now;
     forgetUnused(now - m_options.life);
     // Far more prompts than are remembered: the last second of them is better than none.
-    if (m_prompts.size() > m_options.mostPrompts)
+    if (m_prompts.size() > m_options.maximumPrompts)
         forgetUnused(now - std::chrono::seconds(1));
-    if (m_prompts.size() > m_options.mostPrompts)
+    if (m_prompts.size() > m_options.maximumPrompts)
         forgetUnused(now + std::chrono::seconds(1));
-    for (const auto &[endpoint, ledger] : m_ledgers) {
+    for (const auto &[endpoint, ledger] : m_memoryUses) {
         if (ledger.memory > 0 && ledger.tokens > ledger.memory)
             forgetOverflow(endpoint, ledger);
     }
@@ -151,17 +151,17 @@
         const auto isUnused = [&](const Holder &one) {
             if (one.usedAt >= usedBefore)
                 return false;
-            m_ledgers[one.endpoint].tokens -= one.tokens;
+            m_memoryUses[one.endpoint].tokens -= one.tokens;
             return true;
         };
         holders.erase(std::remove_if(holders.begin(), holders.end(), isUnused), holders.end());
         return holders.empty();
     });
-    absl::erase_if(m_ledgers, [](const auto &entry) { return entry.second.tokens <= 0; });
+    absl::erase_if(m_memoryUses, [](const auto &entry) { return entry.second.tokens <= 0; });
 }
 
 /// What the endpoint has had to forget: the longest unused, until the rest fits.
-void PromptDirectory::forgetOverflow(std::uint64_t endpoint, const Ledger &ledger)
+void PromptDirectory::forgetOverflow(std::uint64_t endpoint, const MemoryUse &ledger)
 {
     std::vector<std::pair<Base::MonoTime, std::uint64_t>> byUse;
     for (const auto &[prompt, holders] : m_prompts) {
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -48,11 +48,11 @@
         /// to 128 places, requests of 1,700 tokens of their own take 0.13 to 0.22 of it.
         double memoryShare = 0.75;
         /// Prompts that are remembered, at some 80 bytes each.
-        std::size_t mostPrompts = 8192;
+        std::size_t maximumPrompts = 8192;
         /// Between two looks for what is to be forgotten.
         Base::Duration sweepInterval = std::chrono::milliseconds(500);
         /// A holding in use is told again after this time, by whoever uses it first then.
-        Base::Duration tellInterval = std::chrono::seconds(10);
+        Base::Duration announceInterval = std::chrono::seconds(10);
     };
     struct Holder
     {
@@ -60,7 +60,7 @@
         std::uint32_t tokens = 0;
         Base::MonoTime usedAt;
         Base::MonoTime readUntil; ///< It is read by then.
-        Base::MonoTime toldAt; ///< To peers, or by one.
+        Base::MonoTime announcedAt; ///< To peers, or by one.
     };
     /// Most prompts are held by one or two endpoints.
     using Holders = absl::InlinedVector<Holder, 2>;
@@ -88,7 +88,7 @@
     std::size_t size() const { return m_prompts.size(); }
 
 private:
-    struct Ledger
+    struct MemoryUse
     {
         std::int64_t tokens = 0; ///< Of all prompts that it holds.
         std::int64_t memory = 0; ///< 0 if it is not known.
@@ -97,11 +97,11 @@
     Holder &holder(const PromptHolding &holding, Base::MonoTime now);
     void sweep(Base::MonoTime now);
     void forgetUnused(Base::MonoTime usedBefore);
-    void forgetOverflow(std::uint64_t endpoint, const Ledger &ledger);
+    void forgetOverflow(std::uint64_t endpoint, const MemoryUse &ledger);
 
     Options m_options;
     absl::flat_hash_map<std::uint64_t, Holders> m_prompts;
-    absl::flat_hash_map<std::uint64_t, Ledger> m_ledgers; ///< By endpoint.
+    absl::flat_hash_map<std::uint64_t, MemoryUse> m_memoryUses; ///< By endpoint.
     Base::MonoTime m_sweptAt;
 };
 
--- a/tests/auto/gateway/tst_promptdirectory.cpp
+++ b/tests/auto/gateway/tst_promptdirectory.cpp
@@ -123,7 +123,7 @@
 
 BOOST_AUTO_TEST_CASE(memoryOfTheDirectoryIsBounded)
 {
-    PromptDirectory directory({.mostPrompts = 100});
+    PromptDirectory directory({.maximumPrompts = 100});
     const Base::MonoTime now{std::chrono::hours(1)};
     for (std::uint64_t prompt = 1; prompt < 1000; ++prompt) {
         directory.recordUse(holding(prompt), now);
