--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -37,8 +37,8 @@
     , m_request(std::move(request))
     , m_responder(std::move(responder))
     , m_configuration(gateway.m_configuration)
-    , m_cameAt(m_request.cameAt.value_or(m_timers.clock().now()))
-    , m_deadline(m_cameAt + longestRequest)
+    , m_arrivedAt(m_request.cameAt.value_or(m_timers.clock().now()))
+    , m_deadline(m_arrivedAt + longestRequest)
 { }
 
 RequestRun::~RequestRun()
@@ -47,8 +47,8 @@
         m_timers.cancel(*m_deadlineTimer);
     if (m_silenceTimer)
         m_timers.cancel(*m_silenceTimer);
-    if (m_placeTimer)
-        m_timers.cancel(*m_placeTimer);
+    if (m_placementTimer)
+        m_timers.cancel(*m_placementTimer);
     leaveQueue();
 }
 
@@ -66,7 +66,7 @@
     });
     const Base::MonoTime now = m_timers.clock().now();
     m_gateway.m_loadShedder.requestArrived(admissionRequest(), now);
-    if (now - m_cameAt >= leastTime && timeLeft() < leastTime) {
+    if (now - m_arrivedAt >= leastTime && timeLeft() < leastTime) {
         // It lay unread for as long as its caller waits.
         fail({.kind = ErrorKind::Overloaded, .mayHaveReached = false, .mayHaveRun = false});
         return;
@@ -77,7 +77,7 @@
 
 bool RequestRun::endIfCallerLeft()
 {
-    const Base::Duration age = m_timers.clock().now() - m_cameAt;
+    const Base::Duration age = m_timers.clock().now() - m_arrivedAt;
     if (age < lookAfter && m_gateway.m_options.loop->lag().behind() < lookAfter)
         return false;
     const std::shared_ptr<RequestRun> self = shared_from_this();
@@ -116,9 +116,9 @@
     m_priority = m_workspace && m_workspace->priority ? *m_workspace->priority : m_route->priority;
     m_service = Fleet::serviceFor(*m_route, Routing::stableHash(m_request.id.value()));
     if (m_request.patience)
-        m_deadline = std::min(m_deadline, m_cameAt + *m_request.patience);
+        m_deadline = std::min(m_deadline, m_arrivedAt + *m_request.patience);
     if (m_route->timeout > Base::Duration::zero())
-        m_deadline = std::min(m_deadline, m_cameAt + m_route->timeout);
+        m_deadline = std::min(m_deadline, m_arrivedAt + m_route->timeout);
     return true;
 }
 
@@ -195,7 +195,7 @@
     attempt.startedAt = m_timers.clock().now();
     m_attempt = std::move(attempt);
     m_gateway.m_endpoints.requestSent(*endpoint, m_attempt->startedAt);
-    m_attempt->isPromptNew = m_gateway.notePrompt(m_prefixes, *endpoint, cacheSource.isCertain);
+    m_attempt->isPromptNew = m_gateway.notePrompt(m_prefixes, *endpoint, cacheSource.isConfirmed);
     m_eventSplitter.clear();
     Http::Call call = m_gateway.m_options.protocol.makeCall(
         {.request = &m_request,
@@ -405,7 +405,7 @@
     const std::shared_ptr<RequestRun> self = shared_from_this();
     m_isEnded = true;
     const Base::MonoTime now = m_timers.clock().now();
-    m_gateway.m_options.metrics->requestTime.observe(Base::toSeconds(now - m_cameAt));
+    m_gateway.m_options.metrics->requestTime.observe(Base::toSeconds(now - m_arrivedAt));
     if (m_gateway.m_options.log->wants())
         logEnd(outcome, status, now);
     cancelAttempt();
@@ -433,7 +433,7 @@
          // request was not sent elsewhere.
          {"quiet_ms", isLost ? now - m_lastActivityAt : Base::Duration::zero()},
          {"stayed", isUnwatched ? std::string_view("not_repeatable") : m_stayReason},
-         {"took_ms", now - m_cameAt}});
+         {"took_ms", now - m_arrivedAt}});
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -73,7 +73,7 @@
     std::optional<std::uint64_t> affinity() const;
     Base::Tokens sharedTokens() const;
     /// The endpoint is reading the prompt for another request; waits until it holds it.
-    bool awaitReading(const PlacementResult &place);
+    bool waitForPrefill(const PlacementResult &place);
     std::optional<std::uint64_t> resumeAfter() const;
     /// Sends the request to another endpoint; one that was reached before makes it a repeat.
     void retry(const Failure &failure);
@@ -87,7 +87,7 @@
     void place();
     void sendTo(const PlacementResult &place);
     /// A stream that has begun waits for an endpoint that can be reached; false if it may not.
-    bool awaitEndpoint();
+    bool waitForReachableEndpoint();
     AdmissionQueue::QueueId queueId() const;
     QueuePriority queuePriority() const;
     /// Chooses an endpoint and sends the request there, or waits or gives up for another reason
@@ -98,18 +98,18 @@
     void leaveQueue();
     void queueWaitFailed();
     Base::Duration maxQueueWait() const;
-    void placeLater(Base::Duration delay);
+    void schedulePlacement(Base::Duration delay);
     /// Where parts of the prompt are copied from.
     struct CacheSource
     {
         EndpointPtr endpoint; ///< Null if all is read.
-        bool isCertain = false; ///< It holds the prompt, as far as is known.
+        bool isConfirmed = false; ///< It holds the prompt, as far as is known.
     };
     CacheSource cacheSource(const PlacementResult &place) const;
     bool exceedsConcurrencyLimit() const;
     /// At an endpoint of the service; nothing if it is not known.
     std::optional<double> usualLoad() const;
-    double coldFor(const EndpointRecord &endpoint) const;
+    double coldMilliseconds(const EndpointRecord &endpoint) const;
     void logSend(const PlacementResult &place, const CacheSource &source) const;
     void send(const EndpointPtr &endpoint, const CacheSource &cacheSource);
     Http::Hooks hooks();
@@ -157,8 +157,8 @@
     Base::ServiceId m_service;
     int m_priority = 0;
     std::vector<PromptPrefix> m_prefixes; ///< See sharedPrefixes().
-    bool m_hasAwaitedReading = false;
-    Base::MonoTime m_cameAt;
+    bool m_hasAwaitedPrefill = false;
+    Base::MonoTime m_arrivedAt;
     Base::MonoTime m_deadline;
     std::optional<Attempt> m_attempt;
     std::optional<RequestFingerprint> m_fingerprint; ///< Once it was asked for.
@@ -176,7 +176,7 @@
     EventSplitter m_eventSplitter;
     std::optional<Runtime::TimerId> m_deadlineTimer;
     std::optional<Runtime::TimerId> m_silenceTimer;
-    std::optional<Runtime::TimerId> m_placeTimer; ///< Until it looks for a place again.
+    std::optional<Runtime::TimerId> m_placementTimer; ///< Until it looks for a place again.
     std::optional<Base::MonoTime> m_queuedAt; ///< Since its last send.
     std::optional<AdmissionQueue::Ticket> m_queueTicket; ///< While it waits in line for room.
     PlacementResult m_lastFullPlace; ///< When it looked for room last and found none.
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -99,7 +99,7 @@
         m_lastEvent = event.id;
     if (!m_hasStreamBegun) {
         m_hasStreamBegun = true;
-        m_gateway.m_options.metrics->firstEvent.observe(Base::toSeconds(now - m_cameAt));
+        m_gateway.m_options.metrics->firstEvent.observe(Base::toSeconds(now - m_arrivedAt));
         m_responder->begin(attempt.status, attempt.headers);
     }
     m_gateway.m_endpoints.recordContact(*attempt.endpoint, now);
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -120,7 +120,7 @@
         m_lastFullPlace = place;
         return false;
     }
-    if (!place.endpoint && awaitEndpoint())
+    if (!place.endpoint && waitForReachableEndpoint())
         return true;
     if (!place.endpoint) {
         const auto retryAfter = place.backOffUntil
@@ -132,7 +132,7 @@
               .retryAfter = retryAfter});
         return true;
     }
-    if (awaitReading(place))
+    if (waitForPrefill(place))
         return true;
     if (m_tried.empty())
         m_gateway.m_loadShedder.requestAdmitted(admissionRequest(), now);
@@ -195,7 +195,7 @@
          {"candidates", place.candidates},
          {"load_age_ms", m_timers.clock().now() - place.endpoint->reportedAt},
          {"load_told", place.endpoint->isReportFromPeer},
-         {"cold_ms", coldFor(*place.endpoint)},
+         {"cold_ms", coldMilliseconds(*place.endpoint)},
          {"usual_load", usualLoad().value_or(notKnown)},
          {"prompt", static_cast<std::int64_t>(affinity().value_or(0))},
          {"shared_tokens", sharedTokens().value()},
@@ -207,7 +207,7 @@
 }
 
 /// For how long the endpoint is known to be cold, in milliseconds.
-double RequestRun::coldFor(const EndpointRecord &endpoint) const
+double RequestRun::coldMilliseconds(const EndpointRecord &endpoint) const
 {
     const Base::MonoTime now = m_timers.clock().now();
     if (!m_gateway.m_endpoints.isWarmingUp(endpoint, now))
@@ -220,11 +220,11 @@
     return m_gateway.m_endpoints.usualLoad(m_service, m_timers.clock().now());
 }
 
-bool RequestRun::awaitEndpoint()
+bool RequestRun::waitForReachableEndpoint()
 {
     if (!m_hasStreamBegun || hasCallerTimedOut())
         return false;
-    placeLater(m_gateway.m_options.patience.reachabilityRetryInterval);
+    schedulePlacement(m_gateway.m_options.patience.reachabilityRetryInterval);
     return true;
 }
 
@@ -283,10 +283,10 @@
           .mayHaveRun = !m_mayHaveRunAt.empty()});
 }
 
-void RequestRun::placeLater(Base::Duration delay)
+void RequestRun::schedulePlacement(Base::Duration delay)
 {
-    m_placeTimer = m_timers.start(delay, [this] {
-        m_placeTimer.reset();
+    m_placementTimer = m_timers.start(delay, [this] {
+        m_placementTimer.reset();
         place();
     });
 }
@@ -308,7 +308,7 @@
         return {};
     const PromptPrefix &whole = m_prefixes.back();
     if (EndpointPtr holder = m_gateway.cacheSource(whole, *place.endpoint))
-        return {.endpoint = std::move(holder), .isCertain = true};
+        return {.endpoint = std::move(holder), .isConfirmed = true};
     const bool isGuessed = sharedTokens() >= m_gateway.minCopiedTokens && place.cacheSource;
     if (isGuessed && !m_gateway.isAnnouncedToPeers(whole))
         return {.endpoint = place.cacheSource};
@@ -320,9 +320,9 @@
 }
 
 /// Two requests that read a prompt at once read it twice, each at half the speed.
-bool RequestRun::awaitReading(const PlacementResult &place)
+bool RequestRun::waitForPrefill(const PlacementResult &place)
 {
-    if (m_hasAwaitedReading || sharedTokens() < m_gateway.m_options.patience.minAwaitedTokens)
+    if (m_hasAwaitedPrefill || sharedTokens() < m_gateway.m_options.patience.minAwaitedTokens)
         return false;
     const PromptDirectory::Holder *holder =
         m_gateway.m_prompts.find(m_prefixes.back().hash, place.endpoint->startHash);
@@ -334,14 +334,14 @@
     const auto longest = std::chrono::duration_cast<Base::Duration>(
         m_route->targetLatency * m_gateway.m_options.patience.prefillWaitShare);
     const Base::Duration wait = std::min(left, longest);
-    m_hasAwaitedReading = true;
+    m_hasAwaitedPrefill = true;
     m_gateway.m_options.log->request(part, "Waiting for the endpoint to read the prompt.",
                                      {{"request", m_request.id.value()},
                                       {"endpoint", place.endpoint->info.id.value()},
                                       {"prompt", static_cast<std::int64_t>(*affinity())},
                                       {"shared_tokens", sharedTokens().value()},
                                       {"wait_ms", wait}});
-    placeLater(wait);
+    schedulePlacement(wait);
     return true;
 }
 
