--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -179,7 +179,7 @@
 void FleetSync::endpointChanged(const Fleet::EndpointDirectory::Entry &entry, bool isGone)
 {
     const auto age = knowledgeAge();
-    if (!m_isLeader || !age || *age > m_options.readerAgeLimit)
+    if (!m_isLeader || !age || *age > m_options.maxLeaderAge)
         return;
     if (m_news.size() <= mostNews) {
         m_news.push_back(isGone ? sharedGone(entry.endpoint.id, entry.version) : toShared(entry));
@@ -198,7 +198,7 @@
     for (const auto &[id, peer] : m_peers.peers()) {
         // A leader of another data centre that reads the store hears it from there, unless that
         // turns it away.
-        const bool isStale = now() - peer.stateAsOf > m_options.readerAgeLimit;
+        const bool isStale = now() - peer.stateAsOf > m_options.maxLeaderAge;
         const bool isFollower = m_isReading && peer.isReading && !outranks(peer);
         if (m_peers.isLocal(peer) || ((isStale || isFollower) && m_peers.isAlive(peer)))
             sendTo(peer, news);
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -51,20 +51,20 @@
         std::uint64_t randomSeed = 1;
         /// Of what a reader knows, as it says itself; older than that it is taken for turned away
         /// by the store.
-        Base::Duration readerAgeLimit = std::chrono::milliseconds(1600);
+        Base::Duration maxLeaderAge = std::chrono::milliseconds(1600);
         /// The same for those that are no deputies, which ask the store only if all of these fail.
         /// On a day on which it was down for 8 s, 295 routers that all asked made 10,357 calls.
-        Base::Duration hearerAgeLimit = std::chrono::seconds(5);
+        Base::Duration maxDeferAge = std::chrono::seconds(5);
         /// A reader that has read the store within this time asks no peer for endpoints: it does so
         /// each 700 ms.
-        Base::Duration storeFreshness = std::chrono::milliseconds(1000);
+        Base::Duration recentReadAge = std::chrono::milliseconds(1000);
         /// In a data centre with fewer others all ask: one that its leader does not hear is no
         /// deputy, and finds out by itself sooner.
-        std::size_t manyHearers = 8;
+        std::size_t minPeersToDefer = 8;
         /// Of what a leader knows from another one, before it reads the store itself: that one
         /// reads each 700 ms, and of two messages in that time one may be lost. It leaves time to
         /// read before the own deputies count this leader as failing.
-        Base::Duration followedAgeLimit = std::chrono::milliseconds(1250);
+        Base::Duration maxFollowedAge = std::chrono::milliseconds(1250);
         /// A leader that follows another one reads the store if a pull from that takes longer:
         /// what it waits for, its data centre still has to pull from it.
         Base::Duration followedPull = std::chrono::milliseconds(300);
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -30,13 +30,13 @@
     if (m_freshness.at() && peer.stateAsOf <= *m_freshness.at())
         return false;
     // Bytes between data centres are dear, and the own reader tells the same a moment later.
-    const bool isStale = now() - m_freshness.at().value_or(m_startedAt) > m_options.readerAgeLimit;
+    const bool isStale = now() - m_freshness.at().value_or(m_startedAt) > m_options.maxLeaderAge;
     if (!isSource(peer) && !isStale && !m_freshness.hasFailed())
         return false;
     if (!m_isReading)
         return true;
     if (m_freshness.readAt())
-        return now() - *m_freshness.readAt() > m_options.storeFreshness;
+        return now() - *m_freshness.readAt() > m_options.recentReadAge;
     return m_freshness.hasFailed() || now() - m_readingSince > m_options.firstReadTime;
 }
 
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -73,8 +73,8 @@
 bool FleetSync::defersTo(const Peer &leader) const
 {
     return leader.isLeading && !m_peers.isDeputyOf(leader)
-        && m_peers.localPeers().size() >= m_options.manyHearers
-        && now() - leader.stateAsOf <= m_options.hearerAgeLimit;
+        && m_peers.localPeers().size() >= m_options.minPeersToDefer
+        && now() - leader.stateAsOf <= m_options.maxDeferAge;
 }
 
 /// Whether the peer goes before this router in leading and reading. What has missed nothing goes
@@ -90,12 +90,12 @@
 bool FleetSync::isFollowable(const Peer &peer) const
 {
     return !m_peers.isLocal(peer) && peer.isReading && !peer.isLeaving && outranks(peer)
-        && now() - peer.stateAsOf <= m_options.followedAgeLimit;
+        && now() - peer.stateAsOf <= m_options.maxFollowedAge;
 }
 
 bool FleetSync::canFollow() const
 {
-    if (now() - *m_freshness.at() > m_options.followedAgeLimit)
+    if (now() - *m_freshness.at() > m_options.maxFollowedAge)
         return false;
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(),
@@ -108,7 +108,7 @@
         return false;
     // Its deputies hear it often; others could not tell its silence from failed reads.
     const Base::MonoTime at = m_peers.isDeputyOf(peer) ? now() : *peer.lastBeaconAt;
-    return at - peer.stateAsOf > m_options.readerAgeLimit;
+    return at - peer.stateAsOf > m_options.maxLeaderAge;
 }
 
 /// Whoever takes a reader's place for a moment while the store is silent may hear of the store's
@@ -126,10 +126,10 @@
     if (!m_isLeader || !m_freshness.at())
         return false;
     if (isFollowing() || m_hasFollowed)
-        return now() - *m_freshness.at() <= m_options.readerAgeLimit;
+        return now() - *m_freshness.at() <= m_options.maxLeaderAge;
     // Its followers read beyond that limit, and what it knows then may have come from them.
     return m_freshness.readAt() && *m_freshness.readAt() >= m_readingSince
-        && now() - *m_freshness.readAt() <= m_options.followedAgeLimit;
+        && now() - *m_freshness.readAt() <= m_options.maxFollowedAge;
 }
 
 /// A leaving endpoint has to be known in 2 s, of which 1.6 s go by until a leader counts as
@@ -138,7 +138,7 @@
 {
     if (isFollowing() && isFollowable(peer)) {
         m_options.timers->cancel(m_leaderTimer);
-        m_leaderTimer = m_options.timers->start(m_options.followedAgeLimit
+        m_leaderTimer = m_options.timers->start(m_options.maxFollowedAge
                                                     - (now() - *m_freshness.at()) + readMargin,
                                                 [this] { updateRole(); });
         return;
@@ -148,7 +148,7 @@
     m_options.timers->cancel(m_leaderTimer);
     Base::Duration limit = m_peers.beaconTimeout(peer);
     if (m_peers.isDeputyOf(peer))
-        limit = std::min(limit, m_options.readerAgeLimit - (now() - peer.stateAsOf) + readMargin);
+        limit = std::min(limit, m_options.maxLeaderAge - (now() - peer.stateAsOf) + readMargin);
     m_leaderTimer = m_options.timers->start(limit, [this] { updateRole(); });
 }
 
