--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -132,7 +132,7 @@
     if (now - m_sweptAt < m_options.sweepInterval && !isFull)
         return;
     m_sweptAt = now;
-    forgetUnused(now - m_options.life);
+    forgetUnused(now - m_options.lifetime);
     // Far more prompts than are remembered: the last second of them is better than none.
     if (m_prompts.size() > m_options.maximumPrompts)
         forgetUnused(now - std::chrono::seconds(1));
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -43,7 +43,7 @@
     {
         /// Prompts that nobody uses for so long make room for others on endpoints; sessions return
         /// within some seconds or seldom.
-        Base::Duration life = std::chrono::seconds(25);
+        Base::Duration lifetime = std::chrono::seconds(25);
         /// Part of an endpoint's memory that prompts may take; the rest is for what runs. With 24
         /// to 128 places, requests of 1,700 tokens of their own take 0.13 to 0.22 of it.
         double memoryShare = 0.75;
--- a/src/libs/gateway/usualload.cpp
+++ b/src/libs/gateway/usualload.cpp
@@ -32,7 +32,7 @@
 
 std::optional<double> UsualLoad::value(Base::MonoTime now) const
 {
-    if (!m_at || now - *m_at > m_options.life)
+    if (!m_at || now - *m_at > m_options.lifetime)
         return std::nullopt;
     return 1 / m_inverse;
 }
--- a/src/libs/gateway/usualload.h
+++ b/src/libs/gateway/usualload.h
@@ -24,7 +24,7 @@
         /// Weight of what a peer thinks: routers that take the middle of both agree soon.
         double peerWeight = 0.5;
         /// After so long without any news nothing is known.
-        Base::Duration life = std::chrono::seconds(5);
+        Base::Duration lifetime = std::chrono::seconds(5);
     };
 
     UsualLoad() = default;
