--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -50,7 +50,7 @@
     m_startedAt = now();
     m_freshness.arrivalTime();
     m_readingSince = m_startedAt;
-    m_startTimer = m_options.timers->start(m_options.startPatience, [this] { updateRole(); });
+    m_startTimer = m_options.timers->start(m_options.leaderDiscoveryTime, [this] { updateRole(); });
     tick();
 }
 
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -67,28 +67,28 @@
         Base::Duration maxFollowedAge = std::chrono::milliseconds(1250);
         /// A leader that follows another one reads the store if a pull from that takes longer:
         /// what it waits for, its data centre still has to pull from it.
-        Base::Duration followedPull = std::chrono::milliseconds(300);
+        Base::Duration followedPullTimeout = std::chrono::milliseconds(300);
         /// A router that starts reads all once, so that it is ready as soon as may be. If it finds
         /// a stronger one of its data centre registered, it then leaves the store alone for so long
         /// after its start, until it hears that one lead or knows that it does not.
-        Base::Duration startPatience = std::chrono::milliseconds(1200);
+        Base::Duration leaderDiscoveryTime = std::chrono::milliseconds(1200);
         /// A router that has begun to read leaves its peers alone for so long unless the store
         /// fails it; that answers within 25 ms, and within a second when hundreds of routers ask at
         /// once.
-        Base::Duration firstReadTime = std::chrono::milliseconds(500);
+        Base::Duration firstReadTimeout = std::chrono::milliseconds(500);
         /// The store answers a first read within 25 ms; one that waits longer shows that it is slow
         /// or away.
-        Base::Duration answerTime = std::chrono::milliseconds(100);
+        Base::Duration storeAnswerTimeout = std::chrono::milliseconds(100);
         /// In which a configuration that another data centre has comes from the store, or from the
         /// own data centre's reader, too.
-        Base::Duration ownReaderTime = std::chrono::milliseconds(200);
+        Base::Duration localSourceTimeout = std::chrono::milliseconds(200);
         /// Between two pulls from whomever, while a difference lasts and none is on its way.
         Base::Duration pullInterval = std::chrono::milliseconds(400);
         /// A pull that has taken longer, while its peer has got a still newer configuration, is not
         /// waited for alone. A pull of 64 KB takes 0.06 s on a link of 10 Mbit/s; two of them one
         /// after the other have to leave time for a read of the store within the 2 s in which a
         /// change has to be in force.
-        Base::Duration longPull = std::chrono::milliseconds(700);
+        Base::Duration supersededPullTimeout = std::chrono::milliseconds(700);
         /// From a pull that told nothing new to the next one of the same peer while neither it nor
         /// this router changes; others are asked meanwhile. Endpoints write their entries again in
         /// it.
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -37,7 +37,7 @@
         return true;
     if (m_freshness.readAt())
         return now() - *m_freshness.readAt() > m_options.recentReadAge;
-    return m_freshness.hasFailed() || now() - m_readingSince > m_options.firstReadTime;
+    return m_freshness.hasFailed() || now() - m_readingSince > m_options.firstReadTimeout;
 }
 
 /// A newer configuration of another data centre is pulled only if the own one stays behind.
@@ -49,7 +49,7 @@
         return true;
     if (!m_behindSince)
         m_behindSince = now();
-    return now() - *m_behindSince > m_options.ownReaderTime;
+    return now() - *m_behindSince > m_options.localSourceTimeout;
 }
 
 /// What a peer knows beyond this router is pulled from it; where both know the same, this router
@@ -83,7 +83,8 @@
     m_pulledFrom = peer.id;
     m_pulledConfiguration = peer.configuration;
     if (isFollowing())
-        m_pullTimer = m_options.timers->start(m_options.followedPull, [this] { pullTakesLong(); });
+        m_pullTimer =
+            m_options.timers->start(m_options.followedPullTimeout, [this] { pullTakesLong(); });
     const Fleet::EndpointDigest &digest = m_options.directory->digest();
     pull(peer.address,
          {.configuration = m_configuration.revision.value(),
@@ -95,7 +96,8 @@
 bool FleetSync::isOvertaken(const Peer &peer) const
 {
     return m_isPulling && !m_isReading && peer.id == m_pulledFrom
-        && peer.configuration > m_pulledConfiguration && now() - m_pulledAt > m_options.longPull;
+        && peer.configuration > m_pulledConfiguration
+        && now() - m_pulledAt > m_options.supersededPullTimeout;
 }
 
 void FleetSync::pullTakesLong()
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -53,7 +53,7 @@
 bool FleetSync::expectsLeader() const
 {
     const bool knowsAll = m_freshness.readAt() && m_configuration.revision > Base::Revision();
-    if (!knowsAll || now() - m_startedAt >= m_options.startPatience)
+    if (!knowsAll || now() - m_startedAt >= m_options.leaderDiscoveryTime)
         return false;
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(), [this](const auto &item) {
@@ -116,7 +116,7 @@
 bool FleetSync::isReadOverdue() const
 {
     const bool isFirst = !m_freshness.readAt() || *m_freshness.readAt() < m_readingSince;
-    return m_isReading && isFirst && now() - m_readingSince > m_options.answerTime;
+    return m_isReading && isFirst && now() - m_readingSince > m_options.storeAnswerTimeout;
 }
 
 /// Peers count on a leader by this, so one that reads has to have read since it began. What it
