--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -199,7 +199,7 @@
         PromptHolding holding{.prompt = prefix,
                               .endpoint = endpoint.startHash,
                               .memory = memory,
-                              .reading = setup + perToken * prefix.tokens.value()};
+                              .remainingReadTime = setup + perToken * prefix.tokens.value()};
         const PromptDirectory::Announcement news = m_prompts.recordUse(holding, now);
         isBrought = news == PromptDirectory::Announcement::New;
         const bool isTold = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
@@ -207,7 +207,7 @@
             continue;
         holding.isNew = isBrought;
         if (!holding.isNew)
-            holding.reading = Base::Duration::zero();
+            holding.remainingReadTime = Base::Duration::zero();
         m_options.promptPlaced(holding);
     }
     return isBrought;
--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -22,14 +22,14 @@
             .endpoint = holding.endpoint,
             .tokens = static_cast<std::uint32_t>(holding.prompt.tokens.value()),
             .readingMs = static_cast<std::uint32_t>(
-                std::max<std::int64_t>(0, Base::toMilliseconds(holding.reading)))};
+                std::max<std::int64_t>(0, Base::toMilliseconds(holding.remainingReadTime)))};
 }
 
 PromptHolding fromShared(const Schema::SharedPrompt &shared)
 {
     return {.prompt = {.hash = shared.prompt, .tokens = Base::Tokens(shared.tokens)},
             .endpoint = shared.endpoint,
-            .reading = std::chrono::milliseconds(shared.readingMs)};
+            .remainingReadTime = std::chrono::milliseconds(shared.readingMs)};
 }
 
 PromptDirectory::Announcement PromptDirectory::recordUse(const PromptHolding &holding,
@@ -53,7 +53,7 @@
     one.usedAt = now;
     one.announcedAt = now;
     // The peer knows better than this router that the endpoint did not hold it.
-    one.readUntil = std::max(one.readUntil, now + holding.reading);
+    one.readUntil = std::max(one.readUntil, now + holding.remainingReadTime);
     sweep(now);
 }
 
@@ -123,7 +123,7 @@
         Holder{.endpoint = holding.endpoint,
                .tokens = static_cast<std::uint32_t>(holding.prompt.tokens.value()),
                .usedAt = now,
-               .readUntil = now + holding.reading});
+               .readUntil = now + holding.remainingReadTime});
 }
 
 void PromptDirectory::sweep(Base::MonoTime now)
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -24,7 +24,7 @@
     PromptPrefix prompt;
     std::uint64_t endpoint = 0; ///< EndpointRecord::startHash.
     Base::Tokens memory; ///< Of the endpoint; 0 if it is not known.
-    Base::Duration reading{}; ///< What is left of its reading the prompt.
+    Base::Duration remainingReadTime{}; ///< What is left of its reading the prompt.
     bool isNew = true; ///< Not known to be held there before; else in use again.
 };
 
--- a/tests/auto/gateway/tst_promptdirectory.cpp
+++ b/tests/auto/gateway/tst_promptdirectory.cpp
@@ -18,7 +18,7 @@
     return {.prompt = {.hash = prompt, .tokens = Base::Tokens(tokens)},
             .endpoint = endpoint,
             .memory = Base::Tokens(40000),
-            .reading = milliseconds(150)};
+            .remainingReadTime = milliseconds(150)};
 }
 
 struct Fixture
@@ -137,5 +137,5 @@
     BOOST_TEST(there.prompt.hash == 7U);
     BOOST_TEST(there.prompt.tokens.value() == 1234);
     BOOST_TEST(there.endpoint == other);
-    BOOST_TEST((there.reading == milliseconds(150)));
+    BOOST_TEST((there.remainingReadTime == milliseconds(150)));
 }
