--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -194,9 +194,9 @@
     bool wantsEndpoints(const Peer &peer) const;
     bool wantsConfiguration(const Peer &peer, bool isBehind);
     void compare(const Peer &peer);
-    bool isOvertaken(const Peer &peer) const;
+    bool isSuperseded(const Peer &peer) const;
     bool isSource(const Peer &peer) const;
-    void pullTakesLong();
+    void pullTimedOut();
     void learn(const Schema::SharedEndpoint &shared);
     bool hadEmptyPull(const Peer &peer) const;
     void handleEmptyPull();
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -65,7 +65,7 @@
         noteKnown(peer.stateAsOf);
         return;
     }
-    if (isOvertaken(peer)) {
+    if (isSuperseded(peer)) {
         doubt();
         return;
     }
@@ -84,7 +84,7 @@
     m_pulledConfiguration = peer.configuration;
     if (isFollowing())
         m_pullTimer =
-            m_options.timers->start(m_options.followedPullTimeout, [this] { pullTakesLong(); });
+            m_options.timers->start(m_options.followedPullTimeout, [this] { pullTimedOut(); });
     const Fleet::EndpointDigest &digest = m_options.directory->digest();
     pull(peer.address,
          {.configuration = m_configuration.revision.value(),
@@ -93,14 +93,14 @@
 
 /// What the pull under way brings is old already, and the link that brings it is slow: a second
 /// pull behind it would come too late.
-bool FleetSync::isOvertaken(const Peer &peer) const
+bool FleetSync::isSuperseded(const Peer &peer) const
 {
     return m_isPulling && !m_isReading && peer.id == m_pulledFrom
         && peer.configuration > m_pulledConfiguration
         && now() - m_pulledAt > m_options.supersededPullTimeout;
 }
 
-void FleetSync::pullTakesLong()
+void FleetSync::pullTimedOut()
 {
     if (m_isPulling && isFollowing())
         doubt();
