--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -200,10 +200,10 @@
                               .endpoint = endpoint.startHash,
                               .memory = memory,
                               .remainingReadTime = setup + perToken * prefix.tokens.value()};
-        const PromptDirectory::Announcement news = m_prompts.recordUse(holding, now);
-        isBrought = news == PromptDirectory::Announcement::New;
+        const PromptDirectory::Announcement announcement = m_prompts.recordUse(holding, now);
+        isBrought = announcement == PromptDirectory::Announcement::New;
         const bool isTold = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
-        if (!isTold || news == PromptDirectory::Announcement::None)
+        if (!isTold || announcement == PromptDirectory::Announcement::None)
             continue;
         holding.isNew = isBrought;
         if (!holding.isNew)
@@ -312,13 +312,13 @@
 {
     if (!m_options.policy.sharedLoads)
         return {};
-    return m_loadSharing.news(m_options.loop->clock().now());
+    return m_loadSharing.announcement(m_options.loop->clock().now());
 }
 
-void Gateway::peerLoadsReceived(const Schema::LoadNews &news, Base::Duration delay)
+void Gateway::peerLoadsReceived(const Schema::LoadNews &announcement, Base::Duration delay)
 {
     if (m_options.policy.sharedLoads)
-        m_loadSharing.learn(news, delay, m_options.loop->clock().now());
+        m_loadSharing.learn(announcement, delay, m_options.loop->clock().now());
 }
 
 Base::Tokens Gateway::memoryOf(const Base::ServiceId &service) const
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -146,7 +146,7 @@
     /// What a peer ought to know of endpoints' loads.
     Schema::LoadNews loadsForPeers();
     /// A peer has told this; it came \a delay ago.
-    void peerLoadsReceived(const Schema::LoadNews &news, Base::Duration delay);
+    void peerLoadsReceived(const Schema::LoadNews &announcement, Base::Duration delay);
     /// A peer's request with this prompt went to this endpoint.
     void promptReceived(const PromptHolding &holding);
     /// An endpoint has ended while it had a request of this router or of a peer.
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -30,25 +30,26 @@
 
 } // namespace
 
-Schema::LoadNews LoadSharing::news(Base::MonoTime now)
+Schema::LoadNews LoadSharing::announcement(Base::MonoTime now)
 {
-    Schema::LoadNews news;
+    Schema::LoadNews announcement;
     for (const auto &[service, endpoints] : m_options.registry->services()) {
         const auto usual = m_options.registry->usualLoad(service, now);
-        if (!usual || news.usual.size() >= mostServices)
+        if (!usual || announcement.usual.size() >= mostServices)
             continue;
-        news.usual.push_back({.service = Routing::stableHash(service.value()),
-                              .requestsMilli = static_cast<std::uint32_t>(*usual * thousandths)});
+        announcement.usual.push_back(
+            {.service = Routing::stableHash(service.value()),
+             .requestsMilli = static_cast<std::uint32_t>(*usual * thousandths)});
         for (const EndpointPtr &endpoint : endpoints) {
             if (!endpoint->report || now - endpoint->reportedAt > m_options.tellLife)
                 continue;
             noteHot(*endpoint, *usual, now);
             if (endpoint->hotAt && now - *endpoint->hotAt <= m_options.hotLife)
-                news.loads.push_back(toShared(*endpoint, now));
+                announcement.loads.push_back(toShared(*endpoint, now));
         }
     }
-    keepNewest(news.loads);
-    return news;
+    keepNewest(announcement.loads);
+    return announcement;
 }
 
 /// Old news would crowd out what has just been heard: an engine goes from the usual load to the
@@ -65,16 +66,17 @@
     loads.erase(end, loads.end());
 }
 
-void LoadSharing::learn(const Schema::LoadNews &news, Base::Duration delay, Base::MonoTime now)
+void LoadSharing::learn(const Schema::LoadNews &announcement, Base::Duration delay,
+                        Base::MonoTime now)
 {
     for (const auto &[service, endpoints] : m_options.registry->services()) {
         const std::uint64_t hash = Routing::stableHash(service.value());
-        for (const Schema::SharedUsualLoad &usual : news.usual) {
+        for (const Schema::SharedUsualLoad &usual : announcement.usual) {
             if (usual.service == hash)
                 m_options.registry->usualLoadTold(service, usual.requestsMilli / thousandths, now);
         }
     }
-    for (const Schema::SharedLoad &load : news.loads) {
+    for (const Schema::SharedLoad &load : announcement.loads) {
         const EndpointPtr endpoint = m_options.registry->findByStart(load.endpoint);
         if (!endpoint)
             continue; // Gone, or started again since.
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -43,9 +43,9 @@
     { }
 
     /// What a peer ought to know.
-    Schema::LoadNews news(Base::MonoTime now);
+    Schema::LoadNews announcement(Base::MonoTime now);
     /// A peer has told this; it came \a delay ago.
-    void learn(const Schema::LoadNews &news, Base::Duration delay, Base::MonoTime now);
+    void learn(const Schema::LoadNews &announcement, Base::Duration delay, Base::MonoTime now);
 
 private:
     void keepNewest(std::vector<Schema::SharedLoad> &loads);
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -308,11 +308,11 @@
         const std::size_t to = m_random() % m_routers.size();
         if (to == from)
             return;
-        const auto news = m_routers[from]->sharing.news(mono());
+        const auto announcement = m_routers[from]->sharing.announcement(mono());
         if (m_now > m_options.warmUp)
-            m_bytes += headerBytes + Lagoonbank::Schema::encodeMessage(news).value().size();
-        at(m_now + way, [this, to, news] {
-            m_routers[to]->sharing.learn(news, Lagoonbank::Base::fromSeconds(way), mono());
+            m_bytes += headerBytes + Lagoonbank::Schema::encodeMessage(announcement).value().size();
+        at(m_now + way, [this, to, announcement] {
+            m_routers[to]->sharing.learn(announcement, Lagoonbank::Base::fromSeconds(way), mono());
         });
     }
 
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -240,10 +240,11 @@
     {
         if (m_now > m_options.seconds)
             return;
-        const auto news = m_routers[router]->sharing.news(at(m_now));
+        const auto announcement = m_routers[router]->sharing.announcement(at(m_now));
         std::uniform_int_distribution<std::size_t> any(0, m_routers.size() - 1);
         Router &peer = *m_routers[any(m_random)];
-        after(0.002, [this, &peer, news] { peer.sharing.learn(news, {}, at(m_now)); });
+        after(0.002,
+              [this, &peer, announcement] { peer.sharing.learn(announcement, {}, at(m_now)); });
         after(0.1, [this, router] { tellLoads(router); });
     }
 
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -177,7 +177,7 @@
         }
     }
     EndpointRecord &endpoint(const char *id) { return *registry.find(Base::EndpointId(id)); }
-    Schema::LoadNews news(const char *id, int running, std::uint16_t ageMs)
+    Schema::LoadNews announcement(const char *id, int running, std::uint16_t ageMs)
     {
         return {.loads = {{.endpoint = endpoint(id).startHash,
                            .running = static_cast<std::uint16_t>(running),
@@ -202,20 +202,20 @@
         f.registry.loadReported(f.endpoint("b"), {.running = 3, .slots = 12}, f.now);
     }
     f.registry.loadReported(f.endpoint("c"), {.running = 9, .waiting = 2, .slots = 12}, f.now);
-    const Schema::LoadNews news = f.sharing.news(f.now + milliseconds(40));
-    BOOST_REQUIRE(news.loads.size() == 1U);
-    BOOST_TEST(news.loads[0].endpoint == f.endpoint("c").startHash);
-    BOOST_TEST(news.loads[0].running == 9);
-    BOOST_TEST(news.loads[0].waiting == 2);
-    BOOST_TEST(news.loads[0].ageMs == 40);
-    BOOST_REQUIRE(news.usual.size() == 1U);
-    BOOST_TEST(news.usual[0].requestsMilli > 2900U);
-    BOOST_TEST(news.usual[0].requestsMilli < 4000U);
+    const Schema::LoadNews announcement = f.sharing.announcement(f.now + milliseconds(40));
+    BOOST_REQUIRE(announcement.loads.size() == 1U);
+    BOOST_TEST(announcement.loads[0].endpoint == f.endpoint("c").startHash);
+    BOOST_TEST(announcement.loads[0].running == 9);
+    BOOST_TEST(announcement.loads[0].waiting == 2);
+    BOOST_TEST(announcement.loads[0].ageMs == 40);
+    BOOST_REQUIRE(announcement.usual.size() == 1U);
+    BOOST_TEST(announcement.usual[0].requestsMilli > 2900U);
+    BOOST_TEST(announcement.usual[0].requestsMilli < 4000U);
     // That it has less again is told as well, and nothing old.
     f.registry.loadReported(f.endpoint("c"), {.running = 2, .slots = 12},
                             f.now + milliseconds(200));
-    BOOST_TEST(f.sharing.news(f.now + milliseconds(200)).loads.at(0).running == 2);
-    BOOST_TEST(f.sharing.news(f.now + seconds(3)).loads.empty());
+    BOOST_TEST(f.sharing.announcement(f.now + milliseconds(200)).loads.at(0).running == 2);
+    BOOST_TEST(f.sharing.announcement(f.now + seconds(3)).loads.empty());
 }
 
 /// Old news would crowd out what has just been heard.
@@ -234,9 +234,9 @@
         registry.loadReported(*registry.find(id), {.running = 9, .slots = 12}, now);
         now += milliseconds(10);
     }
-    const Schema::LoadNews news = sharing.news(now);
-    BOOST_TEST(news.loads.size() == LoadSharing::Options().mostLoads);
-    for (const Schema::SharedLoad &load : news.loads)
+    const Schema::LoadNews announcement = sharing.announcement(now);
+    BOOST_TEST(announcement.loads.size() == LoadSharing::Options().mostLoads);
+    for (const Schema::SharedLoad &load : announcement.loads)
         BOOST_TEST(load.ageMs <= 10 * LoadSharing::Options().mostLoads);
 }
 
@@ -244,29 +244,29 @@
 {
     Fixture f;
     EndpointRecord &a = f.endpoint("a");
-    f.sharing.learn(f.news("a", 8, 100), {}, f.now);
+    f.sharing.learn(f.announcement("a", 8, 100), {}, f.now);
     BOOST_TEST((f.now - a.reportedAt == milliseconds(100)));
     BOOST_TEST(f.registry.load(a, f.now) > 7);
-    f.sharing.learn(f.news("a", 2, 500), {}, f.now); // Out of order.
-    f.sharing.learn(f.news("a", 8, 100), {}, f.now); // Twice.
+    f.sharing.learn(f.announcement("a", 2, 500), {}, f.now); // Out of order.
+    f.sharing.learn(f.announcement("a", 8, 100), {}, f.now); // Twice.
     BOOST_TEST(a.report->running == 8);
     // What waited in the socket of a router that stood still.
-    f.sharing.learn(f.news("a", 1, 0), seconds(4), f.now);
+    f.sharing.learn(f.announcement("a", 1, 0), seconds(4), f.now);
     BOOST_TEST(a.report->running == 8);
     // The endpoint itself goes before what it told somebody else earlier.
     f.registry.loadReported(a, {.running = 5, .slots = 12}, f.now);
-    f.sharing.learn(f.news("a", 9, 10), {}, f.now);
+    f.sharing.learn(f.announcement("a", 9, 10), {}, f.now);
     BOOST_TEST(f.registry.load(a, f.now) == 5);
 }
 
 BOOST_AUTO_TEST_CASE(newsOfAnEarlierStartSayNothing)
 {
     Fixture f;
-    const Schema::LoadNews news = f.news("a", 11, 0);
+    const Schema::LoadNews announcement = f.announcement("a", 11, 0);
     Fleet::Endpoint again = f.endpoint("a").info;
     again.startedAt = Base::WallTime(seconds(9));
     f.registry.put(again, f.now);
-    f.sharing.learn(news, {}, f.now);
+    f.sharing.learn(announcement, {}, f.now);
     BOOST_TEST(!f.endpoint("a").report);
 }
 
@@ -274,7 +274,7 @@
 BOOST_AUTO_TEST_CASE(aLoadThatPeersToldIsForgotten)
 {
     Fixture f;
-    f.sharing.learn(f.news("a", 10, 0), {}, f.now);
+    f.sharing.learn(f.announcement("a", 10, 0), {}, f.now);
     const double early = f.registry.load(f.endpoint("a"), f.now + milliseconds(500));
     const double late = f.registry.load(f.endpoint("a"), f.now + milliseconds(2500));
     BOOST_TEST(late < early);
