--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -98,7 +98,7 @@
 {
     if (m_freshness.read(isReadOverdue()))
         m_options.directory->storeReturned();
-    m_isDoubting = m_isDoubting && isBehind();
+    m_requiresStoreRead = m_requiresStoreRead && isBehind();
     m_hasFollowed = false;
     updateRole();
     if (m_isAnnouncing)
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -200,7 +200,7 @@
     void learn(const Schema::SharedEndpoint &shared);
     bool hadEmptyPull(const Peer &peer) const;
     void handleEmptyPull();
-    void doubt();
+    void requireStoreRead();
     void noteKnown(Base::MonoTime at);
     Schema::FleetBeacon beacon() const;
 
@@ -217,7 +217,7 @@
     std::uint64_t m_pulledConfiguration = 0; ///< What the peer had when the pull began.
     int m_failedPulls = 0; ///< In a row, the one that is under way included.
     /// Pulls have not settled a difference, so this router reads the store itself.
-    bool m_isDoubting = false;
+    bool m_requiresStoreRead = false;
     /// Since when another data centre has a newer configuration than this router.
     std::optional<Base::MonoTime> m_behindSince;
     Base::MonoTime m_localBeaconsAt{}; ///< Those to peers that are not told often.
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -66,7 +66,7 @@
         return;
     }
     if (isSuperseded(peer)) {
-        doubt();
+        requireStoreRead();
         return;
     }
     const bool wantsMore = !isSame && !hadEmptyPull(peer) && wantsEndpoints(peer);
@@ -74,7 +74,7 @@
         || now() - m_pulledAt < m_options.pullInterval)
         return;
     if (m_failedPulls >= mostFailedPulls && !m_isReading) {
-        doubt();
+        requireStoreRead();
         return;
     }
     m_pulledAt = now();
@@ -103,7 +103,7 @@
 void FleetSync::pullTimedOut()
 {
     if (m_isPulling && isFollowing())
-        doubt();
+        requireStoreRead();
 }
 
 /// The last one that is tried before the store is read decides at once; the peer's next beacon
@@ -117,7 +117,7 @@
     const Peer &peer = found->second;
     const bool isBehind = peer.configuration > m_configuration.revision.value();
     if (isBehind || peer.endpoints != m_options.directory->hash())
-        doubt();
+        requireStoreRead();
 }
 
 Schema::FleetStateAnswer FleetSync::answer(const Schema::FleetStateRequest &request) const
@@ -156,7 +156,7 @@
     // The store may have dropped some of them while it was away.
     if (!m_freshness.at())
         m_options.directory->storeReturned();
-    if (state.knowledgeAgeMs != unknownAge && !m_isDoubting)
+    if (state.knowledgeAgeMs != unknownAge && !m_requiresStoreRead)
         noteKnown(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
     if (!state.configuration.empty() && configurationLearnt) {
         configurationLearnt(
@@ -184,13 +184,13 @@
     m_peers.setEmptyPull(peer, m_options.directory->hash());
     if (!peer.isReading || (!m_peers.isLocal(peer) && !isFollowing()))
         return;
-    doubt();
+    requireStoreRead();
 }
 
-void FleetSync::doubt()
+void FleetSync::requireStoreRead()
 {
     m_failedPulls = 0;
-    m_isDoubting = true;
+    m_requiresStoreRead = true;
     updateRole();
 }
 
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -21,7 +21,7 @@
     // Until it knows anything a router reads, whoever else does; so it does while it waits for
     // entries to come back, or doubts some, as peers that do not would not tell.
     const bool mustRead =
-        !m_freshness.at() || m_isDoubting || m_options.directory->hasUnconfirmedEntries();
+        !m_freshness.at() || m_requiresStoreRead || m_options.directory->hasUnconfirmedEntries();
     const bool leads = mustRead || !(hasLeader() || expectsLeader());
     const bool reads = mustRead || (leads && !canFollow());
     m_isAnnouncing = m_isAnnouncing || (leads && !m_isLeader);
