--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -318,7 +318,7 @@
 void Gateway::peerLoadsReceived(const Schema::LoadNews &announcement, Base::Duration delay)
 {
     if (m_options.policy.sharedLoads)
-        m_loadSharing.learn(announcement, delay, m_options.loop->clock().now());
+        m_loadSharing.merge(announcement, delay, m_options.loop->clock().now());
 }
 
 Base::Tokens Gateway::memoryOf(const Base::ServiceId &service) const
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -66,7 +66,7 @@
     loads.erase(end, loads.end());
 }
 
-void LoadSharing::learn(const Schema::LoadNews &announcement, Base::Duration delay,
+void LoadSharing::merge(const Schema::LoadNews &announcement, Base::Duration delay,
                         Base::MonoTime now)
 {
     for (const auto &[service, endpoints] : m_options.registry->services()) {
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -45,7 +45,7 @@
     /// What a peer ought to know.
     Schema::LoadNews announcement(Base::MonoTime now);
     /// A peer has told this; it came \a delay ago.
-    void learn(const Schema::LoadNews &announcement, Base::Duration delay, Base::MonoTime now);
+    void merge(const Schema::LoadNews &announcement, Base::Duration delay, Base::MonoTime now);
 
 private:
     void keepNewest(std::vector<Schema::SharedLoad> &loads);
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -312,7 +312,7 @@
         if (m_now > m_options.warmUp)
             m_bytes += headerBytes + Lagoonbank::Schema::encodeMessage(announcement).value().size();
         at(m_now + way, [this, to, announcement] {
-            m_routers[to]->sharing.learn(announcement, Lagoonbank::Base::fromSeconds(way), mono());
+            m_routers[to]->sharing.merge(announcement, Lagoonbank::Base::fromSeconds(way), mono());
         });
     }
 
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -244,7 +244,7 @@
         std::uniform_int_distribution<std::size_t> any(0, m_routers.size() - 1);
         Router &peer = *m_routers[any(m_random)];
         after(0.002,
-              [this, &peer, announcement] { peer.sharing.learn(announcement, {}, at(m_now)); });
+              [this, &peer, announcement] { peer.sharing.merge(announcement, {}, at(m_now)); });
         after(0.1, [this, router] { tellLoads(router); });
     }
 
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -244,18 +244,18 @@
 {
     Fixture f;
     EndpointRecord &a = f.endpoint("a");
-    f.sharing.learn(f.announcement("a", 8, 100), {}, f.now);
+    f.sharing.merge(f.announcement("a", 8, 100), {}, f.now);
     BOOST_TEST((f.now - a.reportedAt == milliseconds(100)));
     BOOST_TEST(f.registry.load(a, f.now) > 7);
-    f.sharing.learn(f.announcement("a", 2, 500), {}, f.now); // Out of order.
-    f.sharing.learn(f.announcement("a", 8, 100), {}, f.now); // Twice.
+    f.sharing.merge(f.announcement("a", 2, 500), {}, f.now); // Out of order.
+    f.sharing.merge(f.announcement("a", 8, 100), {}, f.now); // Twice.
     BOOST_TEST(a.report->running == 8);
     // What waited in the socket of a router that stood still.
-    f.sharing.learn(f.announcement("a", 1, 0), seconds(4), f.now);
+    f.sharing.merge(f.announcement("a", 1, 0), seconds(4), f.now);
     BOOST_TEST(a.report->running == 8);
     // The endpoint itself goes before what it told somebody else earlier.
     f.registry.loadReported(a, {.running = 5, .slots = 12}, f.now);
-    f.sharing.learn(f.announcement("a", 9, 10), {}, f.now);
+    f.sharing.merge(f.announcement("a", 9, 10), {}, f.now);
     BOOST_TEST(f.registry.load(a, f.now) == 5);
 }
 
@@ -266,7 +266,7 @@
     Fleet::Endpoint again = f.endpoint("a").info;
     again.startedAt = Base::WallTime(seconds(9));
     f.registry.put(again, f.now);
-    f.sharing.learn(announcement, {}, f.now);
+    f.sharing.merge(announcement, {}, f.now);
     BOOST_TEST(!f.endpoint("a").report);
 }
 
@@ -274,7 +274,7 @@
 BOOST_AUTO_TEST_CASE(aLoadThatPeersToldIsForgotten)
 {
     Fixture f;
-    f.sharing.learn(f.announcement("a", 10, 0), {}, f.now);
+    f.sharing.merge(f.announcement("a", 10, 0), {}, f.now);
     const double early = f.registry.load(f.endpoint("a"), f.now + milliseconds(500));
     const double late = f.registry.load(f.endpoint("a"), f.now + milliseconds(2500));
     BOOST_TEST(late < early);
