--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -85,7 +85,7 @@
     learnDrains(beacon);
     for (const SharedEndpoint &news : beacon.news)
         learn(news);
-    compare(peer);
+    pullDifferences(peer);
     watchLeader(peer);
     const bool isNews = knownBefore && *m_freshness.at() - *knownBefore > leastAdvance;
     if (isFollowing() && isNews)
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -191,9 +191,9 @@
     void sendTo(const Peer &peer, const std::vector<Schema::SharedEndpoint> &news = {});
     std::vector<const Peer *> beaconPeers();
     void sendNews();
-    bool wantsEndpoints(const Peer &peer) const;
-    bool wantsConfiguration(const Peer &peer, bool isBehind);
-    void compare(const Peer &peer);
+    bool shouldPullEndpoints(const Peer &peer) const;
+    bool shouldPullConfiguration(const Peer &peer, bool isBehind);
+    void pullDifferences(const Peer &peer);
     bool isSuperseded(const Peer &peer) const;
     bool isSource(const Peer &peer) const;
     void pullTimedOut();
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -25,7 +25,7 @@
 }
 
 /// Whether a pull of endpoints from this peer would tell anything new.
-bool FleetSync::wantsEndpoints(const Peer &peer) const
+bool FleetSync::shouldPullEndpoints(const Peer &peer) const
 {
     if (m_freshness.at() && peer.stateAsOf <= *m_freshness.at())
         return false;
@@ -41,7 +41,7 @@
 }
 
 /// A newer configuration of another data centre is pulled only if the own one stays behind.
-bool FleetSync::wantsConfiguration(const Peer &peer, bool isBehind)
+bool FleetSync::shouldPullConfiguration(const Peer &peer, bool isBehind)
 {
     if (!isBehind)
         return false;
@@ -55,7 +55,7 @@
 /// What a peer knows beyond this router is pulled from it; where both know the same, this router
 /// knows it as of the peer's time. One pull at a time: two copies of a configuration of 880 KB
 /// together hold up all answers on a link of 10 Mbit/s for 1.4 s.
-void FleetSync::compare(const Peer &peer)
+void FleetSync::pullDifferences(const Peer &peer)
 {
     if (!peer.hasState)
         return;
@@ -69,8 +69,8 @@
         requireStoreRead();
         return;
     }
-    const bool wantsMore = !isSame && !hadEmptyPull(peer) && wantsEndpoints(peer);
-    if ((!wantsConfiguration(peer, isBehind) && !wantsMore) || m_isPulling
+    const bool wantsMore = !isSame && !hadEmptyPull(peer) && shouldPullEndpoints(peer);
+    if ((!shouldPullConfiguration(peer, isBehind) && !wantsMore) || m_isPulling
         || now() - m_pulledAt < m_options.pullInterval)
         return;
     if (m_failedPulls >= mostFailedPulls && !m_isReading) {
