--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -41,10 +41,10 @@
             {.service = Routing::stableHash(service.value()),
              .requestsMilli = static_cast<std::uint32_t>(*usual * thousandths)});
         for (const EndpointPtr &endpoint : endpoints) {
-            if (!endpoint->report || now - endpoint->reportedAt > m_options.tellLife)
+            if (!endpoint->report || now - endpoint->reportedAt > m_options.maximumReportAge)
                 continue;
             noteHot(*endpoint, *usual, now);
-            if (endpoint->hotAt && now - *endpoint->hotAt <= m_options.hotLife)
+            if (endpoint->hotAt && now - *endpoint->hotAt <= m_options.hotLifetime)
                 announcement.loads.push_back(toShared(*endpoint, now));
         }
     }
@@ -56,10 +56,10 @@
 /// fleet's bound within a second. Of equals any are told.
 void LoadSharing::keepNewest(std::vector<Schema::SharedLoad> &loads)
 {
-    if (loads.size() <= m_options.mostLoads)
+    if (loads.size() <= m_options.maximumLoads)
         return;
     std::shuffle(loads.begin(), loads.end(), m_random);
-    const auto end = loads.begin() + static_cast<std::ptrdiff_t>(m_options.mostLoads);
+    const auto end = loads.begin() + static_cast<std::ptrdiff_t>(m_options.maximumLoads);
     std::partial_sort(
         loads.begin(), end, loads.end(),
         [](const Schema::SharedLoad &a, const Schema::SharedLoad &b) { return a.ageMs < b.ageMs; });
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -29,12 +29,12 @@
         double hotFactor = 1.2;
         double hotSlack = 1;
         /// For so long after it was last seen with so much: until all have heard that it has less.
-        Base::Duration hotLife = std::chrono::milliseconds(2500);
+        Base::Duration hotLifetime = std::chrono::milliseconds(2500);
         /// Reports that are older are told no more: an engine that is asked for much goes from the
         /// usual load to the fleet's bound in half of this time.
-        Base::Duration tellLife = std::chrono::milliseconds(800);
+        Base::Duration maximumReportAge = std::chrono::milliseconds(800);
         /// In one datagram, 16 bytes each; of more the newest are told.
-        std::size_t mostLoads = 5;
+        std::size_t maximumLoads = 5;
     };
 
     explicit LoadSharing(Options options)
--- a/tests/auto/fleetsync/tst_loadgossip.cpp
+++ b/tests/auto/fleetsync/tst_loadgossip.cpp
@@ -55,7 +55,7 @@
 {
     Fixture f;
     f.known.usual.resize(2);
-    f.known.loads.resize(Gateway::LoadSharing::Options().mostLoads);
+    f.known.loads.resize(Gateway::LoadSharing::Options().maximumLoads);
     f.gossip.start();
     f.pass(seconds(10));
     BOOST_TEST(f.bytes / 10 < 1500U);
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -235,9 +235,9 @@
         now += milliseconds(10);
     }
     const Schema::LoadNews announcement = sharing.announcement(now);
-    BOOST_TEST(announcement.loads.size() == LoadSharing::Options().mostLoads);
+    BOOST_TEST(announcement.loads.size() == LoadSharing::Options().maximumLoads);
     for (const Schema::SharedLoad &load : announcement.loads)
-        BOOST_TEST(load.ageMs <= 10 * LoadSharing::Options().mostLoads);
+        BOOST_TEST(load.ageMs <= 10 * LoadSharing::Options().maximumLoads);
 }
 
 BOOST_AUTO_TEST_CASE(whatAPeerTellsCountsAsItsAgeSays)
