--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -82,9 +82,9 @@
     bool isNew = false;
     const Peer &peer = m_peers.note(fromIp, beacon, m_freshness.arrivalTime(), isNew);
     const auto knownBefore = m_freshness.at();
-    learnDrains(beacon);
+    applyDrains(beacon);
     for (const SharedEndpoint &news : beacon.news)
-        learn(news);
+        apply(news);
     pullDifferences(peer);
     watchLeader(peer);
     const bool isNews = knownBefore && *m_freshness.at() - *knownBefore > leastAdvance;
@@ -124,9 +124,9 @@
 
 /// What is known was true at \a at. A peer that the store has answered first tells of its return
 /// before the own read does.
-void FleetSync::noteKnown(Base::MonoTime at)
+void FleetSync::advanceState(Base::MonoTime at)
 {
-    if (m_freshness.learn(at, isReadOverdue()))
+    if (m_freshness.apply(at, isReadOverdue()))
         m_options.directory->storeReturned();
 }
 
@@ -166,7 +166,7 @@
     m_isAnnouncing = true;
 }
 
-void FleetSync::learnDrains(const Schema::FleetBeacon &beacon)
+void FleetSync::applyDrains(const Schema::FleetBeacon &beacon)
 {
     Fleet::DataCentreDrains::Set drained;
     for (const std::string &dataCentre : beacon.drained)
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -184,7 +184,7 @@
     bool isBehind() const;
     void sendBeacons();
     void pushKnowledge();
-    void learnDrains(const Schema::FleetBeacon &beacon);
+    void applyDrains(const Schema::FleetBeacon &beacon);
     void tellHearers(const std::function<bool(const Peer &)> &isBehind);
     bool isDeputy(const Peer &peer) const;
     std::vector<const Peer *> often();
@@ -197,11 +197,11 @@
     bool isSuperseded(const Peer &peer) const;
     bool isSource(const Peer &peer) const;
     void pullTimedOut();
-    void learn(const Schema::SharedEndpoint &shared);
+    void apply(const Schema::SharedEndpoint &shared);
     bool hadEmptyPull(const Peer &peer) const;
     void handleEmptyPull();
     void requireStoreRead();
-    void noteKnown(Base::MonoTime at);
+    void advanceState(Base::MonoTime at);
     Schema::FleetBeacon beacon() const;
 
     Options m_options;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -62,7 +62,7 @@
     const bool isBehind = peer.configuration > m_configuration.revision.value();
     const bool isSame = peer.endpoints == m_options.directory->hash();
     if (isSame && !isBehind) {
-        noteKnown(peer.stateAsOf);
+        advanceState(peer.stateAsOf);
         return;
     }
     if (isSuperseded(peer)) {
@@ -149,7 +149,7 @@
     m_failedPulls = 0;
     const std::uint64_t before = m_options.directory->hash();
     for (const SharedEndpoint &endpoint : state.endpoints)
-        learn(endpoint);
+        apply(endpoint);
     const bool hadEmptyPull = m_options.directory->hash() == before;
     if (hadEmptyPull)
         handleEmptyPull();
@@ -157,7 +157,7 @@
     if (!m_freshness.at())
         m_options.directory->storeReturned();
     if (state.knowledgeAgeMs != unknownAge && !m_requiresStoreRead)
-        noteKnown(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
+        advanceState(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
     if (!state.configuration.empty() && configurationLearnt) {
         configurationLearnt(
             {.offset = Base::LogOffset(state.configurationOffset), .packed = state.configuration});
@@ -194,7 +194,7 @@
     updateRole();
 }
 
-void FleetSync::learn(const SharedEndpoint &shared)
+void FleetSync::apply(const SharedEndpoint &shared)
 {
     const Base::EndpointId id(shared.id);
     const Base::LogOffset version(shared.version);
