--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -230,7 +230,7 @@
     if (const EndpointPtr record = m_endpoints.findByStart(endpoint.startHash)) {
         record->hasCrashed = true;
         if (m_options.policy.reachability)
-            m_reachability.foundUnreachable(record);
+            m_reachability.reportUnreachable(record);
     }
     std::vector<RequestCrash> ends;
     for (const RequestFingerprint request : requests) {
--- a/src/libs/gateway/reachability.cpp
+++ b/src/libs/gateway/reachability.cpp
@@ -17,7 +17,7 @@
         m_options.timers->cancel(timer);
 }
 
-void Reachability::foundUnreachable(const EndpointPtr &endpoint)
+void Reachability::reportUnreachable(const EndpointPtr &endpoint)
 {
     if (endpoint->isGone || endpoint->isUnreachable)
         return;
--- a/src/libs/gateway/reachability.h
+++ b/src/libs/gateway/reachability.h
@@ -47,7 +47,7 @@
     Reachability &operator=(const Reachability &) = delete;
 
     /// A request found no connection to it.
-    void foundUnreachable(const EndpointPtr &endpoint);
+    void reportUnreachable(const EndpointPtr &endpoint);
 
     /// An endpoint cannot be reached, or can be again.
     std::function<void(EndpointRecord &endpoint)> changed;
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -300,7 +300,7 @@
     if (failure.isConnectionBroken)
         noteBrokenConnection();
     if (!failure.mayHaveReached && m_gateway.m_options.policy.reachability)
-        m_gateway.m_reachability.foundUnreachable(m_attempt->endpoint);
+        m_gateway.m_reachability.reportUnreachable(m_attempt->endpoint);
     else if (failure.mayHaveRun)
         m_gateway.m_health.answered(*m_attempt->endpoint, false, m_request.id);
 }
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -121,7 +121,7 @@
 void RequestRun::otherEndpointProbed(const PlacementResult &other, bool isReachable)
 {
     if (!isReachable && m_gateway.m_options.policy.reachability) {
-        m_gateway.m_reachability.foundUnreachable(other.endpoint);
+        m_gateway.m_reachability.reportUnreachable(other.endpoint);
         m_stayReason = otherUnreachable;
         moveIfPossible();
         return;
--- a/tests/auto/gateway/tst_reachability.cpp
+++ b/tests/auto/gateway/tst_reachability.cpp
@@ -86,7 +86,7 @@
 {
     Fixture f;
     f.cut = {"10.0.0.1", "10.0.0.4", "10.0.0.7"};
-    f.reachability.foundUnreachable(f.endpoint(1));
+    f.reachability.reportUnreachable(f.endpoint(1));
     f.pass(std::chrono::milliseconds(110));
     BOOST_TEST(f.unreachable() == 3);
     Placement placement({});
@@ -104,7 +104,7 @@
 {
     Fixture f;
     f.cut = {"10.0.0.1"};
-    f.reachability.foundUnreachable(f.endpoint(1));
+    f.reachability.reportUnreachable(f.endpoint(1));
     f.pass(std::chrono::milliseconds(400));
     BOOST_TEST(f.unreachable() == 1);
     const int before = f.count;
@@ -115,7 +115,7 @@
 BOOST_AUTO_TEST_CASE(aLostPacketCostsAnEndpointMilliseconds)
 {
     Fixture f;
-    f.reachability.foundUnreachable(f.endpoint(1));
+    f.reachability.reportUnreachable(f.endpoint(1));
     BOOST_TEST(f.unreachable() == 1);
     f.pass(std::chrono::milliseconds(6));
     BOOST_TEST(f.unreachable() == 0);
@@ -125,7 +125,7 @@
 {
     Fixture f;
     f.cut = {"10.0.0.1"};
-    f.reachability.foundUnreachable(f.endpoint(1));
+    f.reachability.reportUnreachable(f.endpoint(1));
     f.pass(std::chrono::milliseconds(200));
     f.registry.remove(Base::EndpointId("e1"));
     f.pass(std::chrono::seconds(1));
@@ -144,13 +144,13 @@
         f.registry.put(endpointAt("big" + number, "10.1.0." + number, "big"), f.clock.now());
     }
     f.cut = {"10.1.0.7"};
-    f.reachability.foundUnreachable(f.registry.find(Base::EndpointId("big7")));
+    f.reachability.reportUnreachable(f.registry.find(Base::EndpointId("big7")));
     f.pass(std::chrono::milliseconds(200));
     BOOST_TEST(f.count <= 10);
     // The whole data centre is cut off.
     for (int i = 0; i < 500; ++i)
         f.cut.insert("10.1.0." + std::to_string(i));
-    f.reachability.foundUnreachable(f.registry.find(Base::EndpointId("big8")));
+    f.reachability.reportUnreachable(f.registry.find(Base::EndpointId("big8")));
     f.pass(std::chrono::milliseconds(420));
     int unreachable = 0;
     for (const EndpointPtr &endpoint : f.registry.inDataCentre(Base::DataCentreId("big")))
