--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -89,7 +89,7 @@
     watchLeader(peer);
     const bool isNews = knownBefore && *m_freshness.at() - *knownBefore > leastAdvance;
     if (isFollowing() && isNews)
-        pushKnowledge();
+        pushState();
     if (isNew && !peer.isBeaconSent)
         sendTo(peer);
 }
@@ -104,7 +104,7 @@
     if (m_isAnnouncing)
         sendBeacons();
     else if (m_isLeader)
-        pushKnowledge();
+        pushState();
 }
 
 /// The endpoints are read before a large configuration is.
@@ -178,7 +178,7 @@
 /// gone on after a standstill is no news: entries that it has waited for may have come back.
 void FleetSync::endpointChanged(const Fleet::EndpointDirectory::Entry &entry, bool isGone)
 {
-    const auto age = knowledgeAge();
+    const auto age = stateAge();
     if (!m_isLeader || !age || *age > m_options.maxLeaderAge)
         return;
     if (m_news.size() <= mostNews) {
@@ -205,7 +205,7 @@
     }
 }
 
-std::optional<Base::Duration> FleetSync::knowledgeAge() const
+std::optional<Base::Duration> FleetSync::stateAge() const
 {
     if (!m_freshness.at())
         return std::nullopt;
@@ -254,7 +254,7 @@
 
 /// What a leader knows is passed on at once, so that ages do not add up on the way from the reader
 /// to the deputies of other leaders.
-void FleetSync::pushKnowledge()
+void FleetSync::pushState()
 {
     m_pushedAt = now();
     for (const Peer *peer : often())
@@ -344,7 +344,7 @@
             .isLeading = m_isLeader,
             .isReading = leadsWithFreshState(),
             .isWaiting = m_options.directory->isWaiting(),
-            .knowledgeAgeMs = ageNumber(knowledgeAge()),
+            .knowledgeAgeMs = ageNumber(stateAge()),
             .configuration = m_configuration.revision.value(),
             .endpoints = m_options.directory->hash(),
             .isLeaving = m_isLeaving,
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -152,7 +152,7 @@
     /// Whether it tells its data centre what it knows.
     bool isLeader() const { return m_isLeader; }
     /// Age of what this router knows; nothing if it knows nothing.
-    std::optional<Base::Duration> knowledgeAge() const;
+    std::optional<Base::Duration> stateAge() const;
     /// Whether the endpoints are known, from the store or from a peer.
     bool knowsEndpoints() const { return m_freshness.at().has_value(); }
     /// Routers that were registered or heard of, this one included.
@@ -183,7 +183,7 @@
     /// A peer has a newer configuration.
     bool isBehind() const;
     void sendBeacons();
-    void pushKnowledge();
+    void pushState();
     void applyDrains(const Schema::FleetBeacon &beacon);
     void tellHearers(const std::function<bool(const Peer &)> &isBehind);
     bool isDeputy(const Peer &peer) const;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -122,7 +122,7 @@
 
 Schema::FleetStateAnswer FleetSync::answer(const Schema::FleetStateRequest &request) const
 {
-    Schema::FleetStateAnswer state{.knowledgeAgeMs = ageNumber(knowledgeAge())};
+    Schema::FleetStateAnswer state{.knowledgeAgeMs = ageNumber(stateAge())};
     const Fleet::EndpointDigest &digest = m_options.directory->digest();
     const auto differs = [&](const Base::EndpointId &id) {
         const std::size_t bucket = Fleet::digestBucket(id);
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -162,7 +162,7 @@
 
 std::int64_t Gateway::knowledgeAgeMs() const
 {
-    const auto age = m_options.knowledgeAge ? m_options.knowledgeAge() : std::nullopt;
+    const auto age = m_options.stateAge ? m_options.stateAge() : std::nullopt;
     return age ? Base::toMilliseconds(*age) : -1;
 }
 
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -96,7 +96,7 @@
         /// Tells a caller that its request is not answered by an endpoint.
         std::function<void(Http::Responder &responder, const Refusal &refusal)> refuse;
         /// How old what this router knows of endpoints and configuration is; for the log.
-        std::function<std::optional<Base::Duration>()> knowledgeAge;
+        std::function<std::optional<Base::Duration>()> stateAge;
         /// How far behind its own work this router is. Null where that is not known: never behind.
         std::function<Base::Duration()> ownDelay;
         /// A prompt has come to an endpoint, or is still in use there: peers ought to know. Null
--- a/tests/auto/fleetsync/tst_fleetreader.cpp
+++ b/tests/auto/fleetsync/tst_fleetreader.cpp
@@ -31,7 +31,7 @@
         fleet.pass(milliseconds(100));
         for (const auto &router : fleet.routers) {
             if (router->sync->isLeader())
-                oldest = std::max(oldest, router->sync->knowledgeAge().value());
+                oldest = std::max(oldest, router->sync->stateAge().value());
         }
     }
     BOOST_TEST(reads() - before <= 21);
--- a/tests/auto/fleetsync/tst_fleetsync.cpp
+++ b/tests/auto/fleetsync/tst_fleetsync.cpp
@@ -28,7 +28,7 @@
     BOOST_TEST(fleet.readers() == 1);
     BOOST_TEST(fleet.allKnow([](const Router &router) {
         return router.configuration == 1 && router.directory->find(Base::EndpointId("a"))
-            && router.sync->knowledgeAge() < seconds(2);
+            && router.sync->stateAge() < seconds(2);
     }));
 }
 
@@ -308,7 +308,7 @@
     for (int i = 0; i < 100; ++i) {
         fleet.pass(milliseconds(100));
         BOOST_TEST(other.isReading);
-        oldest = std::max(oldest, turnedAway.sync->knowledgeAge().value());
+        oldest = std::max(oldest, turnedAway.sync->stateAge().value());
     }
     BOOST_TEST((oldest < milliseconds(1200)));
     turnedAway.reachesStore = true;
@@ -392,7 +392,7 @@
                   .port = 7000,
                   .knowledgeAgeMs = toldMs,
                   .endpoints = directory.hash()});
-    BOOST_TEST((sync.knowledgeAge().value() >= milliseconds(toldMs) + longestWay));
+    BOOST_TEST((sync.stateAge().value() >= milliseconds(toldMs) + longestWay));
 }
 
 /// Found by the simulation: a deputy that the store turned away said for 1.6 s that it read, and
--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -239,7 +239,7 @@
         if (router->directory().hash() != hash.value_or(router->directory().hash()))
             fail("routers disagree for good", name);
         hash = router->directory().hash();
-        const auto age = router->sync().knowledgeAge();
+        const auto age = router->sync().stateAge();
         if (!age || *age > oldestKnowledge) {
             fail("a router's knowledge stays old",
                  name + ": " + std::to_string(Base::toMilliseconds(age.value_or(Duration::max())))
