--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -187,7 +187,7 @@
 {
     noteReport(endpoint, report, now);
     endpoint.isReportFromPeer = false;
-    m_usualLoads[endpoint.info.service].reported(report.running + report.waiting, now);
+    m_usualLoads[endpoint.info.service].addReport(report.running + report.waiting, now);
 }
 
 void EndpointRegistry::mergeLoadReport(EndpointRecord &endpoint, const LoadReport &report,
@@ -227,13 +227,13 @@
     const double own = endpoint.inFlight;
     if (!endpoint.report) // The others probably send as this one does; half of that is the middle.
         return own * std::max(1.0, m_routerCount / 2);
-    const double reported = endpoint.report->running + endpoint.report->waiting;
+    const double addReport = endpoint.report->running + endpoint.report->waiting;
     const double ownThen = endpoint.inFlightAtReport;
     if (ownThen >= fewest)
-        return std::max(own, reported * own / ownThen);
+        return std::max(own, addReport * own / ownThen);
     const double halves =
         Base::toSeconds(now - endpoint.reportedAt) / Base::toSeconds(m_options.othersHalfLife);
-    return own + std::max(0.0, reported - ownThen) * std::exp2(-halves);
+    return own + std::max(0.0, addReport - ownThen) * std::exp2(-halves);
 }
 
 void EndpointRegistry::answerTimed(EndpointRecord &endpoint, Base::Duration latency,
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -207,7 +207,7 @@
     std::optional<double> usualLoad(const Base::ServiceId &service, Base::MonoTime now) const;
     void usualLoadTold(const Base::ServiceId &service, double requests, Base::MonoTime now)
     {
-        m_usualLoads[service].told(requests, now);
+        m_usualLoads[service].addPeerEstimate(requests, now);
     }
     /// Whether its own report tells its load.
     bool hasFreshReport(const EndpointRecord &endpoint, Base::MonoTime now) const
--- a/src/libs/gateway/usualload.cpp
+++ b/src/libs/gateway/usualload.cpp
@@ -17,15 +17,15 @@
 
 } // namespace
 
-void UsualLoad::reported(double requests, Base::MonoTime now)
+void UsualLoad::addReport(double requests, Base::MonoTime now)
 {
     const double memories =
         m_reportedAt ? Base::toSeconds(now - *m_reportedAt) / Base::toSeconds(m_options.memory) : 1;
     m_reportedAt = now;
-    mix(inverseOf(requests), std::min(m_options.mostWeight, 1 - std::exp(-memories)), now);
+    mix(inverseOf(requests), std::min(m_options.maximumWeight, 1 - std::exp(-memories)), now);
 }
 
-void UsualLoad::told(double requests, Base::MonoTime now)
+void UsualLoad::addPeerEstimate(double requests, Base::MonoTime now)
 {
     mix(inverseOf(requests), m_options.peerWeight, now);
 }
--- a/src/libs/gateway/usualload.h
+++ b/src/libs/gateway/usualload.h
@@ -20,7 +20,7 @@
         /// In which reports are forgotten; requests last for a second or two.
         Base::Duration memory = std::chrono::seconds(2);
         /// Weight of one report at most, however long ago the last one was.
-        double mostWeight = 0.3;
+        double maximumWeight = 0.3;
         /// Weight of what a peer thinks: routers that take the middle of both agree soon.
         double peerWeight = 0.5;
         /// After so long without any news nothing is known.
@@ -33,9 +33,9 @@
     { }
 
     /// An endpoint has told this router that it has so many requests.
-    void reported(double requests, Base::MonoTime now);
+    void addReport(double requests, Base::MonoTime now);
     /// A peer thinks so.
-    void told(double requests, Base::MonoTime now);
+    void addPeerEstimate(double requests, Base::MonoTime now);
     std::optional<double> value(Base::MonoTime now) const;
 
 private:
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -292,7 +292,7 @@
     constexpr int count = 20000;
     for (int i = 0; i < count; ++i) {
         now += milliseconds(20);
-        usual.reported(heard(random) == 0 ? 1 : 9, now);
+        usual.addReport(heard(random) == 0 ? 1 : 9, now);
         sum += usual.value(now).value();
     }
     BOOST_TEST(sum / count > 4.5);
@@ -305,11 +305,11 @@
     UsualLoad one;
     UsualLoad other;
     const Base::MonoTime now{std::chrono::hours(1)};
-    one.reported(2, now);
-    other.reported(8, now);
+    one.addReport(2, now);
+    other.addReport(8, now);
     for (int i = 0; i < 5; ++i) {
-        one.told(other.value(now).value(), now);
-        other.told(one.value(now).value(), now);
+        one.addPeerEstimate(other.value(now).value(), now);
+        other.addPeerEstimate(one.value(now).value(), now);
     }
     BOOST_TEST(std::abs(one.value(now).value() - other.value(now).value()) < 0.2);
 }
