--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -154,7 +154,7 @@
     /// Age of what this router knows; nothing if it knows nothing.
     std::optional<Base::Duration> stateAge() const;
     /// Whether the endpoints are known, from the store or from a peer.
-    bool knowsEndpoints() const { return m_freshness.at().has_value(); }
+    bool hasEndpoints() const { return m_freshness.at().has_value(); }
     /// Routers that were registered or heard of, this one included.
     std::size_t routerCount() const { return m_peers.peers().size() + 1; }
     const std::map<std::string, Peer> &peers() const { return m_peers.peers(); }
--- a/tests/auto/fleetsync/tst_fleetsync.cpp
+++ b/tests/auto/fleetsync/tst_fleetsync.cpp
@@ -217,7 +217,7 @@
     fleet.pass(milliseconds(50));
     // Callers are there, and nobody else is: none waits for another one.
     BOOST_TEST(fleet.allKnow([](const Router &router) {
-        return router.sync->knowsEndpoints() && router.configuration == 1;
+        return router.sync->hasEndpoints() && router.configuration == 1;
     }));
     fleet.pass(milliseconds(950));
     int reads = 0;
