--- a/src/libs/gateway/usualload.cpp
+++ b/src/libs/gateway/averageload.cpp
@@ -1,4 +1,4 @@
-#include "gateway/usualload.h"
+#include "gateway/averageload.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void UsualLoad::addReport(double requests, Base::MonoTime now)
+void AverageLoad::addReport(double requests, Base::MonoTime now)
 {
     const double memories =
         m_reportedAt ? Base::toSeconds(now - *m_reportedAt) / Base::toSeconds(m_options.memory) : 1;
@@ -25,19 +25,19 @@
     mix(inverseOf(requests), std::min(m_options.maximumWeight, 1 - std::exp(-memories)), now);
 }
 
-void UsualLoad::addPeerEstimate(double requests, Base::MonoTime now)
+void AverageLoad::addPeerEstimate(double requests, Base::MonoTime now)
 {
     mix(inverseOf(requests), m_options.peerWeight, now);
 }
 
-std::optional<double> UsualLoad::value(Base::MonoTime now) const
+std::optional<double> AverageLoad::value(Base::MonoTime now) const
 {
     if (!m_at || now - *m_at > m_options.lifetime)
         return std::nullopt;
     return 1 / m_inverse;
 }
 
-void UsualLoad::mix(double inverse, double weight, Base::MonoTime now)
+void AverageLoad::mix(double inverse, double weight, Base::MonoTime now)
 {
     const bool isKnown = value(now).has_value();
     m_inverse = isKnown ? m_inverse + weight * (inverse - m_inverse) : inverse;
--- a/src/libs/gateway/usualload.h
+++ b/src/libs/gateway/averageload.h
@@ -12,7 +12,7 @@
 /// Reports come with answers, so an endpoint with twice the requests is heard of twice as often,
 /// and the plain mean of the reports is too high: 4.0 where endpoints have 3.0 with the spread of
 /// chance. The mean of their inverses is not.
-class UsualLoad
+class AverageLoad
 {
 public:
     struct Options
@@ -27,8 +27,8 @@
         Base::Duration lifetime = std::chrono::seconds(5);
     };
 
-    UsualLoad() = default;
-    explicit UsualLoad(Options options)
+    AverageLoad() = default;
+    explicit AverageLoad(Options options)
         : m_options(options)
     { }
 
--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -187,7 +187,7 @@
 {
     noteReport(endpoint, report, now);
     endpoint.isReportFromPeer = false;
-    m_usualLoads[endpoint.info.service].addReport(report.running + report.waiting, now);
+    m_averageLoads[endpoint.info.service].addReport(report.running + report.waiting, now);
 }
 
 void EndpointRegistry::mergeLoadReport(EndpointRecord &endpoint, const LoadReport &report,
@@ -202,8 +202,8 @@
 std::optional<double> EndpointRegistry::usualLoad(const Base::ServiceId &service,
                                                   Base::MonoTime now) const
 {
-    const auto found = m_usualLoads.find(service);
-    return found == m_usualLoads.end() ? std::nullopt : found->second.value(now);
+    const auto found = m_averageLoads.find(service);
+    return found == m_averageLoads.end() ? std::nullopt : found->second.value(now);
 }
 
 double EndpointRegistry::load(const EndpointRecord &endpoint, Base::MonoTime now) const
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -2,8 +2,8 @@
 
 #include "fleet/configuration.h"
 #include "fleet/endpoint.h"
+#include "gateway/averageload.h"
 #include "gateway/endpointprotocol.h"
-#include "gateway/usualload.h"
 #include "gateway/warmupquota.h"
 #include "routing/suspicion.h"
 
@@ -205,9 +205,9 @@
                                 Base::MonoTime at);
     /// Requests at an endpoint of the service on average; nothing if no report tells.
     std::optional<double> usualLoad(const Base::ServiceId &service, Base::MonoTime now) const;
-    void usualLoadTold(const Base::ServiceId &service, double requests, Base::MonoTime now)
+    void mergeAverageLoad(const Base::ServiceId &service, double requests, Base::MonoTime now)
     {
-        m_usualLoads[service].addPeerEstimate(requests, now);
+        m_averageLoads[service].addPeerEstimate(requests, now);
     }
     /// Whether its own report tells its load.
     bool hasFreshReport(const EndpointRecord &endpoint, Base::MonoTime now) const
@@ -258,7 +258,7 @@
     absl::flat_hash_map<std::uint64_t, RetainedNotice> m_notices; ///< By EndpointRecord::startHash.
     std::set<Base::DataCentreId> m_drained;
     Services m_services;
-    absl::flat_hash_map<Base::ServiceId, UsualLoad> m_usualLoads;
+    absl::flat_hash_map<Base::ServiceId, AverageLoad> m_averageLoads;
     absl::flat_hash_map<Base::ServiceId, Fleet::Warmup> m_warmups; ///< None of services without.
     WarmupQuota m_warmupQuota;
     std::vector<Routing::EndpointIndex> m_freeIndices;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -33,7 +33,7 @@
     if (!policy.gradualLeaving || !policy.bound)
         options.placement.overflowsGradually = false;
     if (!policy.usualLoad)
-        options.placement.isUsualLoadHeeded = false;
+        options.placement.usesAverageLoad = false;
     if (!policy.slowness)
         options.placement.slowFactor = std::numeric_limits<double>::infinity();
     if (!policy.holders) {
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -73,7 +73,8 @@
         const std::uint64_t hash = Routing::stableHash(service.value());
         for (const Schema::SharedUsualLoad &usual : announcement.usual) {
             if (usual.service == hash)
-                m_options.registry->usualLoadTold(service, usual.requestsMilli / thousandths, now);
+                m_options.registry->mergeAverageLoad(service, usual.requestsMilli / thousandths,
+                                                     now);
         }
     }
     for (const Schema::SharedLoad &load : announcement.loads) {
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -87,7 +87,7 @@
         /// Endpoints whose load is not known count as having the usual one in the mean. Else a
         /// router that knows ten of 200 takes the mean for next to nothing, and prompts leave homes
         /// with three requests.
-        bool isUsualLoadHeeded = true;
+        bool usesAverageLoad = true;
         bool overflowsGradually = true;
         /// In a fleet of many routers a part of the requests leave their home from these loads on,
         /// the more the nearer it is to the bound: all routers hear a second late what it has, and
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -257,7 +257,7 @@
                                        .requestHash = request},
                                       f.registry, f.now);
         };
-        f.registry.usualLoadTold(service, 4, f.now);
+        f.registry.mergeAverageLoad(service, 4, f.now);
         const EndpointPtr home =
             f.placement.choose({.service = service, .affinity = 42}, f.registry, f.now).endpoint;
         f.registry.loadReported(*home, {.running = load, .waiting = 0, .slots = 20}, f.now);
@@ -286,7 +286,7 @@
     Fixture f(60);
     f.registry.setRouterCount(80);
     const auto choose = [&](std::uint64_t request) {
-        f.registry.usualLoadTold(service, 4, f.now);
+        f.registry.mergeAverageLoad(service, 4, f.now);
         return f.placement.choose({.service = service,
                                    .affinity = 42,
                                    .sharedTokens = Base::Tokens(10000),
@@ -323,7 +323,7 @@
     Fixture f(3);
     f.registry.setRouterCount(80);
     const auto choose = [&](std::uint64_t request) {
-        f.registry.usualLoadTold(service, 4, f.now);
+        f.registry.mergeAverageLoad(service, 4, f.now);
         return f.placement.choose({.service = service, .affinity = 42, .requestHash = request},
                                   f.registry, f.now);
     };
@@ -421,14 +421,14 @@
         : HolderFixture(60)
     {
         registry.setRouterCount(22);
-        registry.usualLoadTold(service, 4, now);
+        registry.mergeAverageLoad(service, 4, now);
         home = HolderFixture::choose().endpoint;
         hold(*home);
         registry.loadReported(*home, {.running = load, .slots = 60}, now);
     }
     EndpointPtr choose(std::uint64_t request)
     {
-        registry.usualLoadTold(service, 4, now);
+        registry.mergeAverageLoad(service, 4, now);
         return HolderFixture::choose(42, 10000, request).endpoint;
     }
 
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -22,7 +22,7 @@
 
 Placement::Options alone()
 {
-    return {.isUsualLoadHeeded = false, .overflowsGradually = false};
+    return {.usesAverageLoad = false, .overflowsGradually = false};
 }
 
 constexpr unsigned incidentSeeds = 6;
@@ -230,7 +230,7 @@
         const Base::EndpointId id("e" + std::to_string(i));
         registry.put({.id = id, .service = service, .address = {"127.0.0.1", 80}, .slots = 12},
                      now);
-        registry.usualLoadTold(service, 2, now);
+        registry.mergeAverageLoad(service, 2, now);
         registry.loadReported(*registry.find(id), {.running = 9, .slots = 12}, now);
         now += milliseconds(10);
     }
@@ -284,7 +284,7 @@
 /// An endpoint with twice the requests is heard of twice as often.
 BOOST_AUTO_TEST_CASE(theUsualLoadIsNotThatOfTheBusiest)
 {
-    UsualLoad usual;
+    AverageLoad usual;
     Base::MonoTime now{std::chrono::hours(1)};
     std::mt19937_64 random(5);
     std::discrete_distribution<int> heard{1, 9}; // Loads of 1 and 9, equally many endpoints.
@@ -302,8 +302,8 @@
 
 BOOST_AUTO_TEST_CASE(routersAgreeOnTheUsualLoad)
 {
-    UsualLoad one;
-    UsualLoad other;
+    AverageLoad one;
+    AverageLoad other;
     const Base::MonoTime now{std::chrono::hours(1)};
     one.addReport(2, now);
     other.addReport(8, now);
