--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -359,7 +359,7 @@
 {
     if (m_isEnded)
         return;
-    const bool isInFlight = m_attempt && m_attempt->isSending;
+    const bool isInFlight = m_attempt && m_attempt->mayHaveBeenSent;
     const bool isLate =
         m_timers.clock().now() >= m_deadline + m_gateway.m_options.patience.timeoutGrace;
     if (isInFlight && !isLate) {
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -35,7 +35,7 @@
         EndpointPtr endpoint;
         Http::CallId call;
         Base::MonoTime startedAt;
-        bool isSending = false; ///< A byte may have left, so that the request may run.
+        bool mayHaveBeenSent = false; ///< A byte may have left, so that the request may run.
         bool isPromptNew = false; ///< Its endpoint did not hold the prompt before.
         int status = 0;
         Http::Headers headers;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -26,7 +26,7 @@
                     const bool hasWaited = self->m_attempt->call != Http::CallId();
                     if (hasWaited && self->endIfCallerLeft())
                         return;
-                    self->m_attempt->isSending = true;
+                    self->m_attempt->mayHaveBeenSent = true;
                     self->m_mayHaveRunAt.push_back(self->m_attempt->endpoint);
                     ++self->m_sends;
                 },
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -147,7 +147,7 @@
 
 std::string_view RequestRun::reasonToStay()
 {
-    if (m_attempt->isSending && isEndpointLimitReached())
+    if (m_attempt->mayHaveBeenSent && isEndpointLimitReached())
         return endpointsUsed;
     const bool hasAlternative = m_gateway.m_placement.canPlace(
         placementRequest(), m_gateway.m_endpoints, m_timers.clock().now());
