--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -54,7 +54,7 @@
     tick();
 }
 
-void FleetSync::routersKnown()
+void FleetSync::allRoutersAdded()
 {
     updateRole();
 }
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -124,7 +124,7 @@
     void addRouter(const std::string &id, const std::string &dataCentre,
                    const Runtime::SocketAddress &address, std::uint32_t strength);
     /// All that are registered have been added.
-    void routersKnown();
+    void allRoutersAdded();
     void receive(const std::string &fromIp, const Schema::FleetBeacon &beacon);
     Schema::FleetStateAnswer answer(const Schema::FleetStateRequest &request) const;
     /// The peer has turned the last pull away.
--- a/src/libs/fleetsync/routerregistry.cpp
+++ b/src/libs/fleetsync/routerregistry.cpp
@@ -71,7 +71,7 @@
 void RouterRegistry::readEnded()
 {
     m_isDone = true;
-    m_options.sync->routersKnown();
+    m_options.sync->allRoutersAdded();
 }
 
 void RouterRegistry::take(const KeyedLog::KeyedRecord &record)
--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -78,7 +78,7 @@
         for (const auto &other : routers)
             router.sync->addRouter(other->id, other->dataCentre, {other->ip, 7000}, 0);
         router.sync->start();
-        router.sync->routersKnown();
+        router.sync->allRoutersAdded();
     }
     void kill(Router &router)
     {
--- a/tests/auto/fleetsync/tst_fleetsync.cpp
+++ b/tests/auto/fleetsync/tst_fleetsync.cpp
@@ -409,7 +409,7 @@
         saysItReads = beacon.isReading;
     };
     sync.start();
-    sync.routersKnown();
+    sync.allRoutersAdded();
     sync.addRouter("peer", "dc0", {"10.0.0.1", 7000}, 0);
     BOOST_TEST(!saysItReads);
     sync.storeRead();
