--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -72,7 +72,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(roomGoesToTheFirstInOrder)
+BOOST_AUTO_TEST_CASE(freeSlotsGoToWaitersByPriority)
 {
     Fixture f;
     f.queue.remove(*f.wait("left", urgent));
@@ -87,7 +87,7 @@
     BOOST_TEST(f.queue.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(equalsGoInTheOrderInWhichTheyCame)
+BOOST_AUTO_TEST_CASE(equalPrioritiesAreServedInOrderOfArrival)
 {
     Fixture f;
     f.wait("first", usual);
@@ -96,7 +96,7 @@
     BOOST_TEST((f.got == Names{"first"}));
 }
 
-BOOST_AUTO_TEST_CASE(whoFindsNothingTellsTheOthersThatThereIsNothing)
+BOOST_AUTO_TEST_CASE(failedAttemptsEndTheRound)
 {
     Fixture f;
     for (const char *name : {"a", "b", "c"})
@@ -110,7 +110,7 @@
     BOOST_TEST(f.looks == 4);
 }
 
-BOOST_AUTO_TEST_CASE(oneThatMayNotGoThereDoesNotHoldUpTheOthers)
+BOOST_AUTO_TEST_CASE(waiterThatCannotUseTheSlotDoesNotBlockOthers)
 {
     Fixture f;
     f.wait("barred", repeat);
@@ -120,7 +120,7 @@
     BOOST_TEST((f.got == Names{"next"}));
 }
 
-BOOST_AUTO_TEST_CASE(whoWaitsForTooLongIsRefused)
+BOOST_AUTO_TEST_CASE(waiterPastItsDeadlineIsRefused)
 {
     Fixture f;
     f.wait("a", usual);
@@ -131,7 +131,7 @@
     BOOST_TEST(f.queue.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(roomThatNothingTellsOfIsFoundSoon)
+BOOST_AUTO_TEST_CASE(unannouncedFreeSlotIsFoundByPeriodicRetry)
 {
     Fixture f;
     f.wait("a", usual);
@@ -140,7 +140,7 @@
     BOOST_TEST((f.got == Names{"a"}));
 }
 
-BOOST_AUTO_TEST_CASE(aFullLineTakesOnlyWhoGoesBeforeTheLast)
+BOOST_AUTO_TEST_CASE(fullQueueAcceptsOnlyHigherPriorityThanItsLast)
 {
     Fixture f;
     for (const char *name : {"a", "b", "c"})
@@ -151,7 +151,7 @@
     BOOST_TEST((f.refused == Names{"c"}));
 }
 
-BOOST_AUTO_TEST_CASE(newcomersLookOnlyIfTheyGoBeforeAllWhoWait)
+BOOST_AUTO_TEST_CASE(newRequestMustWaitBehindHigherPriorities)
 {
     Fixture f;
     const AdmissionQueue::QueueId line{.service = service, .isStream = true};
