--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -31,7 +31,7 @@
     m_drains.changed = [this](const auto &before, const auto &current) {
         if (drainsChanged)
             drainsChanged(before, current);
-        tellHearers([](const Peer &) { return true; });
+        notifyPeers([](const Peer &) { return true; });
     };
 }
 
@@ -41,8 +41,8 @@
     m_options.timers->cancel(m_pullTimer);
     m_options.timers->cancel(m_timer);
     m_options.timers->cancel(m_leaderTimer);
-    if (m_newsTimer)
-        m_options.timers->cancel(*m_newsTimer);
+    if (m_changesTimer)
+        m_options.timers->cancel(*m_changesTimer);
 }
 
 void FleetSync::start()
@@ -146,13 +146,13 @@
     m_configuration = std::move(configuration);
     m_behindSince.reset();
     updateRole();
-    tellHearers(
+    notifyPeers(
         [this](const Peer &peer) { return peer.configuration < m_configuration.revision.value(); });
 }
 
 /// What the operators have changed has to be in force within seconds, so that a leader does not
 /// wait for its next beacon.
-void FleetSync::tellHearers(const std::function<bool(const Peer &)> &isBehind)
+void FleetSync::notifyPeers(const std::function<bool(const Peer &)> &isBehind)
 {
     if (!m_isLeader)
         return;
@@ -181,18 +181,19 @@
     const auto age = stateAge();
     if (!m_isLeader || !age || *age > m_options.maxLeaderAge)
         return;
-    if (m_news.size() <= mostNews) {
-        m_news.push_back(isGone ? sharedGone(entry.endpoint.id, entry.version) : toShared(entry));
+    if (m_changes.size() <= mostNews) {
+        m_changes.push_back(isGone ? sharedGone(entry.endpoint.id, entry.version)
+                                   : toShared(entry));
     }
-    if (!m_newsTimer)
-        m_newsTimer = m_options.timers->start(Base::Duration::zero(), [this] { sendNews(); });
+    if (!m_changesTimer)
+        m_changesTimer = m_options.timers->start(Base::Duration::zero(), [this] { sendChanges(); });
 }
 
 /// Of more changes than a datagram carries the peers hear by the hash alone, and pull them.
-void FleetSync::sendNews()
+void FleetSync::sendChanges()
 {
-    m_newsTimer.reset();
-    std::vector<SharedEndpoint> news = std::exchange(m_news, {});
+    m_changesTimer.reset();
+    std::vector<SharedEndpoint> news = std::exchange(m_changes, {});
     if (news.size() > mostNews)
         news.clear();
     for (const auto &[id, peer] : m_peers.peers()) {
@@ -257,7 +258,7 @@
 void FleetSync::pushState()
 {
     m_pushedAt = now();
-    for (const Peer *peer : often())
+    for (const Peer *peer : frequentPeers())
         sendTo(*peer);
 }
 
@@ -269,7 +270,7 @@
 
 /// Those that a router talks to each time: a leader to its deputies and to leaders elsewhere, the
 /// reader to all of these; deputies to their leader.
-std::vector<const Peer *> FleetSync::often()
+std::vector<const Peer *> FleetSync::frequentPeers()
 {
     if (!m_isLeader && !m_peers.isDeputy())
         return {};
@@ -300,7 +301,7 @@
     const bool isLocalDue = m_isLeaving || now() - m_localBeaconsAt >= m_peers.localInterval();
     std::vector<const Peer *> chosen;
     if (m_isLeaving || now() - m_pushedAt >= m_peers.beaconInterval())
-        chosen = often();
+        chosen = frequentPeers();
     std::vector<const Peer *> silent;
     for (const Peer *peer : m_peers.localPeers()) {
         const bool isChosen = std::find(chosen.begin(), chosen.end(), peer) != chosen.end();
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -185,12 +185,12 @@
     void sendBeacons();
     void pushState();
     void applyDrains(const Schema::FleetBeacon &beacon);
-    void tellHearers(const std::function<bool(const Peer &)> &isBehind);
+    void notifyPeers(const std::function<bool(const Peer &)> &isBehind);
     bool isDeputy(const Peer &peer) const;
-    std::vector<const Peer *> often();
+    std::vector<const Peer *> frequentPeers();
     void sendTo(const Peer &peer, const std::vector<Schema::SharedEndpoint> &news = {});
     std::vector<const Peer *> beaconPeers();
-    void sendNews();
+    void sendChanges();
     bool shouldPullEndpoints(const Peer &peer) const;
     bool shouldPullConfiguration(const Peer &peer, bool isBehind);
     void pullDifferences(const Peer &peer);
@@ -221,8 +221,8 @@
     /// Since when another data centre has a newer configuration than this router.
     std::optional<Base::MonoTime> m_behindSince;
     Base::MonoTime m_localBeaconsAt{}; ///< Those to peers that are not told often.
-    std::vector<Schema::SharedEndpoint> m_news; ///< Changes that the peers are not told yet.
-    std::optional<Runtime::TimerId> m_newsTimer;
+    std::vector<Schema::SharedEndpoint> m_changes; ///< Changes that the peers are not told yet.
+    std::optional<Runtime::TimerId> m_changesTimer;
     bool m_isLeader = true;
     bool m_isReading = true;
     bool m_hasFollowed = false; ///< Until it reads: it went by another leader up to now.
