--- a/tests/auto/gateway/tst_eventsplitter.cpp
+++ b/tests/auto/gateway/tst_eventsplitter.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(eventsAreWholeHoweverTheyCome)
+BOOST_AUTO_TEST_CASE(eventsAreSplitIndependentlyOfChunking)
 {
     const std::string stream = "id: 1\ndata: a\n\nid:2\ndata: b\ndata: c\n\n: comment\n\nid: 17\r\n"
                                "data: d\r\n\r\ndata: no id\n\n";
@@ -48,7 +48,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aTornEventStaysBehind)
+BOOST_AUTO_TEST_CASE(incompleteEventIsKeptAsRemainder)
 {
     EventSplitter cutter;
     Seen seen;
@@ -60,7 +60,7 @@
     BOOST_TEST(seen.events.back() == "id: 2\ndata: b\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(anEndlessEventIsRefused)
+BOOST_AUTO_TEST_CASE(oversizedEventIsRefused)
 {
     EventSplitter cutter;
     Seen seen;
