--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -109,7 +109,7 @@
     /// This router has to read the store, or need not any more. The strongest leader reads.
     std::function<void(bool reads)> roleChanged;
     /// A peer has a newer configuration.
-    std::function<void(const StoredConfiguration &configuration)> configurationLearnt;
+    std::function<void(const StoredConfiguration &configuration)> configurationPulled;
     /// Other data centres than before are drained, as the store or a peer tells.
     std::function<void(const Fleet::DataCentreDrains::Set &before,
                        const Fleet::DataCentreDrains::Set &current)>
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -158,8 +158,8 @@
         m_options.directory->storeReturned();
     if (state.knowledgeAgeMs != unknownAge && !m_requiresStoreRead)
         advanceState(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
-    if (!state.configuration.empty() && configurationLearnt) {
-        configurationLearnt(
+    if (!state.configuration.empty() && configurationPulled) {
+        configurationPulled(
             {.offset = Base::LogOffset(state.configurationOffset), .packed = state.configuration});
     }
 }
--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -159,7 +159,7 @@
             router.isReading = reads;
             router.isReadDue = reads;
         };
-        router.sync->configurationLearnt = [&router](const FleetSync::StoredConfiguration &learnt) {
+        router.sync->configurationPulled = [&router](const FleetSync::StoredConfiguration &learnt) {
             takeConfiguration(router, std::stoull(learnt.packed));
         };
         router.sync->send = [this, &router](const auto &to, const Schema::FleetBeacon &beacon) {
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -44,7 +44,7 @@
                                         .failed = [this](const Errors::Error &) { ++failures; }});
         BOOST_REQUIRE(opened);
         link = std::move(opened.value());
-        sync.configurationLearnt = [this](const FleetSync::StoredConfiguration &learnt) {
+        sync.configurationPulled = [this](const FleetSync::StoredConfiguration &learnt) {
             packed = learnt.packed;
         };
     }
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -206,7 +206,7 @@
 {
     FleetSync::FleetSync &sync = *m_run->sync;
     sync.roleChanged = [this](bool reads) { setReading(reads); };
-    sync.configurationLearnt = [this](const FleetSync::StoredConfiguration &told) {
+    sync.configurationPulled = [this](const FleetSync::StoredConfiguration &told) {
         putInForce(told.packed, told.offset);
     };
     sync.send = [this](const Runtime::SocketAddress &to, const Schema::FleetBeacon &beacon) {
