--- a/tests/auto/gateway/tst_callerleft.cpp
+++ b/tests/auto/gateway/tst_callerleft.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(nothingIsSentForWhoLeftDuringAStall)
+BOOST_AUTO_TEST_CASE(requestOfCallerThatLeftDuringAStallIsNotSent)
 {
     struct Row
     {
@@ -82,7 +82,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(whoWaitsThroughAStallIsServed)
+BOOST_AUTO_TEST_CASE(callerThatWaitsThroughAStallIsServed)
 {
     for (const RouteKind kind : kinds) {
         for (const int stallMs : stallsMs) {
@@ -104,7 +104,7 @@
 
 /// The connection to the endpoint comes about in the turn in which the caller's close could be
 /// read.
-BOOST_AUTO_TEST_CASE(nothingIsSentForWhoLeftWhileAConnectionWasMade)
+BOOST_AUTO_TEST_CASE(requestOfCallerThatLeftWhileConnectingIsNotSent)
 {
     for (const int stallMs : stallsMs) {
         GatewayFixture f(1);
@@ -120,7 +120,7 @@
 }
 
 /// The caller's time and the route's run from when the bytes came.
-BOOST_AUTO_TEST_CASE(timeInWhichARequestLayUnreadIsGone)
+BOOST_AUTO_TEST_CASE(unreadTimeCountsAgainstTimeouts)
 {
     GatewayFixture f(1);
     Fleet::Route route = routeOf(RouteKind::NonIdempotent);
@@ -142,7 +142,7 @@
 }
 
 /// A router without descriptors can open no connection, which says nothing of its endpoints.
-BOOST_AUTO_TEST_CASE(theRoutersOwnLackIsNotTheEndpoints)
+BOOST_AUTO_TEST_CASE(descriptorExhaustionIsNotBlamedOnEndpoints)
 {
     GatewayFixture f(2);
     f.setRoute(routeOf(RouteKind::Idempotent));
