--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -115,11 +115,11 @@
 }
 
 template<typename Message, typename Take>
-void FleetLink::read(std::string_view datagram, const Take &take)
+void FleetLink::read(std::string_view datagram, const Take &pullSucceeded)
 {
     const auto message = Schema::decodeMessage<Message>(datagram);
     if (message)
-        take(message.value());
+        pullSucceeded(message.value());
     else
         m_options.failed(message.error());
 }
@@ -181,7 +181,7 @@
     m_options.learnt(
         {.peer = peer, .bytes = result.body.size(), .took = took, .underWay = underWay},
         state.value());
-    m_options.sync->take(state.value());
+    m_options.sync->pullSucceeded(state.value());
 }
 
 void FleetLink::answer(const Http::Request &request, Http::Responder &responder)
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -132,7 +132,7 @@
     /// The last pull has brought no answer.
     void pullFailed();
     /// The answer to the last pull.
-    void take(const Schema::FleetStateAnswer &state);
+    void pullSucceeded(const Schema::FleetStateAnswer &state);
     /// All endpoints that the store had a moment ago have been put into the directory.
     void storeRead();
     /// The store answers this router again; its entries may have lapsed if it answered nobody.
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -143,7 +143,7 @@
     return state;
 }
 
-void FleetSync::take(const Schema::FleetStateAnswer &state)
+void FleetSync::pullSucceeded(const Schema::FleetStateAnswer &state)
 {
     m_isPulling = false;
     m_failedPulls = 0;
--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -187,7 +187,7 @@
                 pulledEndpoints += state.endpoints.size();
                 later(target, router.ip, [state, isAnswered](Router &asker) {
                     *isAnswered = true;
-                    asker.sync->take(state);
+                    asker.sync->pullSucceeded(state);
                 });
             });
         };
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -240,7 +240,7 @@
 {
     --m_run->pullsUnderWay;
     if (answer)
-        m_run->sync->take(*answer);
+        m_run->sync->pullSucceeded(*answer);
     else
         m_run->sync->pullFailed();
 }
