--- a/tests/auto/gateway/tst_brokenstream.cpp
+++ b/tests/auto/gateway/tst_brokenstream.cpp
@@ -53,7 +53,7 @@
 /// Pattern: nothing comes from anywhere for longer than an endpoint may be silent, and no
 /// connection to another endpoint can be opened. What the caller has begun to get is not given up
 /// for that.
-BOOST_AUTO_TEST_CASE(aSilentEndpointIsKeptUntilAnotherOneTakesTheStream)
+BOOST_AUTO_TEST_CASE(silentEndpointIsKeptUntilAnotherIsReachable)
 {
     BegunStream f;
     f.endpoints.erase(f.endpoints.begin()
@@ -67,7 +67,7 @@
 
 /// Pattern: the stream's endpoint is gone, and all others are thought to be out of reach, for less
 /// time than callers wait for an event.
-BOOST_AUTO_TEST_CASE(aBegunStreamWaitsUntilAnEndpointCanBeReached)
+BOOST_AUTO_TEST_CASE(startedStreamWaitsForReachableEndpoint)
 {
     BegunStream f;
     f.otherRecord().isUnreachable = true;
@@ -87,7 +87,7 @@
     BOOST_TEST(f.runUntil([&] { return f.isWhole(); }));
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatPausesNoLongerThanItMayIsNotLeft)
+BOOST_AUTO_TEST_CASE(pauseWithinLimitKeepsEndpoint)
 {
     BegunStream f;
     f.pass(milliseconds(140)); // Of 150.
@@ -101,7 +101,7 @@
 
 /// Pattern: engines crash at the peak, and those that are left are full. New requests are refused
 /// after four endpoints that turned them away; what its caller has begun to get goes on looking.
-BOOST_AUTO_TEST_CASE(aBegunStreamLooksAtMoreEndpointsThanANewRequest)
+BOOST_AUTO_TEST_CASE(startedStreamTriesMoreEndpointsThanNewRequest)
 {
     BegunStream f(8);
     f.first->last().close();
