--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -103,8 +103,8 @@
 
 void CrashGossip::receive(const Schema::CrashNews &news) const
 {
-    if (learnt)
-        learnt(news);
+    if (received)
+        received(news);
 }
 
 void CrashGossip::tick()
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -54,7 +54,7 @@
     std::function<void(const Runtime::SocketAddress &to, const Schema::CrashNews &news)> send;
     /// What is quarantined now.
     std::function<std::vector<Schema::SharedQuarantine>()> quarantined;
-    std::function<void(const Schema::CrashNews &news)> learnt;
+    std::function<void(const Schema::CrashNews &news)> received;
 
     void start();
     /// The first ones go first, for when the budget does not do for all.
--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -178,7 +178,7 @@
         m_options.sync->pullFailed();
         return;
     }
-    m_options.learnt(
+    m_options.received(
         {.peer = peer, .bytes = result.body.size(), .took = took, .underWay = underWay},
         state.value());
     m_options.sync->pullSucceeded(state.value());
--- a/src/libs/fleetsync/fleetlink.h
+++ b/src/libs/fleetsync/fleetlink.h
@@ -43,7 +43,7 @@
         /// answer may be larger than that.
         double stateBytesPerSecond = 1e6;
         /// Told of each state that a peer has sent.
-        std::function<void(const Pull &pull, const Schema::FleetStateAnswer &state)> learnt;
+        std::function<void(const Pull &pull, const Schema::FleetStateAnswer &state)> received;
         /// Told the bytes that leave and why a message could not be read.
         std::function<void(std::size_t bytes)> sent;
         std::function<void(const Errors::Error &error)> failed;
--- a/src/libs/fleetsync/loadgossip.cpp
+++ b/src/libs/fleetsync/loadgossip.cpp
@@ -24,8 +24,8 @@
 
 void LoadGossip::receive(const Schema::LoadNews &news, Base::Duration delay) const
 {
-    if (learnt)
-        learnt(news, delay);
+    if (received)
+        received(news, delay);
 }
 
 void LoadGossip::tick()
--- a/src/libs/fleetsync/loadgossip.h
+++ b/src/libs/fleetsync/loadgossip.h
@@ -39,7 +39,7 @@
     /// What this router knows now.
     std::function<Schema::LoadNews()> news;
     /// A peer has told this; it came \a delay ago.
-    std::function<void(const Schema::LoadNews &news, Base::Duration delay)> learnt;
+    std::function<void(const Schema::LoadNews &news, Base::Duration delay)> received;
 
     void start();
     void receive(const Schema::LoadNews &news, Base::Duration delay) const;
--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -62,10 +62,10 @@
 
 void PromptGossip::receive(const Schema::PromptNews &news) const
 {
-    if (!learnt)
+    if (!received)
         return;
     for (const Schema::SharedPrompt &prompt : news.prompts)
-        learnt(prompt);
+        received(prompt);
 }
 
 void PromptGossip::flush()
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -44,7 +44,7 @@
     PromptGossip &operator=(const PromptGossip &) = delete;
 
     std::function<void(const Runtime::SocketAddress &to, const Schema::PromptNews &news)> send;
-    std::function<void(const Schema::SharedPrompt &prompt)> learnt;
+    std::function<void(const Schema::SharedPrompt &prompt)> received;
 
     /// Tells where a prompt is; if it is only in use there again, then with what others leave of
     /// the budget.
--- a/src/libs/fleetsync/quarantinelog.cpp
+++ b/src/libs/fleetsync/quarantinelog.cpp
@@ -39,8 +39,8 @@
     if (!record.value || !absl::SimpleHexAtoi(record.key, &request))
         return; // Not ours; it says nothing of a request.
     dropLater(record.key);
-    if (learnt)
-        learnt(request);
+    if (received)
+        received(request);
 }
 
 void QuarantineLog::dropLater(const std::string &key)
--- a/src/libs/fleetsync/quarantinelog.h
+++ b/src/libs/fleetsync/quarantinelog.h
@@ -33,7 +33,7 @@
     QuarantineLog &operator=(const QuarantineLog &) = delete;
 
     /// The log has this request.
-    std::function<void(std::uint64_t request)> learnt;
+    std::function<void(std::uint64_t request)> received;
 
     /// Writes it until the log has it, one after the other.
     void save(std::uint64_t request);
--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -159,9 +159,10 @@
             router.isReading = reads;
             router.isReadDue = reads;
         };
-        router.sync->configurationPulled = [&router](const FleetSync::StoredConfiguration &learnt) {
-            takeConfiguration(router, std::stoull(learnt.packed));
-        };
+        router.sync->configurationPulled =
+            [&router](const FleetSync::StoredConfiguration &received) {
+                takeConfiguration(router, std::stoull(received.packed));
+            };
         router.sync->send = [this, &router](const auto &to, const Schema::FleetBeacon &beacon) {
             constexpr std::uint64_t headers = 28;
             ++messages;
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -39,13 +39,13 @@
                                         .crashes = &crashes,
                                         .address = {"127.0.0.1", port},
                                         .stateBytesPerSecond = 100000,
-                                        .learnt = [](const auto &, const auto &) {},
+                                        .received = [](const auto &, const auto &) {},
                                         .sent = [this](std::size_t size) { bytes += size; },
                                         .failed = [this](const Errors::Error &) { ++failures; }});
         BOOST_REQUIRE(opened);
         link = std::move(opened.value());
-        sync.configurationPulled = [this](const FleetSync::StoredConfiguration &learnt) {
-            packed = learnt.packed;
+        sync.configurationPulled = [this](const FleetSync::StoredConfiguration &received) {
+            packed = received.packed;
         };
     }
 
@@ -89,9 +89,9 @@
                                  .packed = std::string(200000, 'c')});
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
     BOOST_TEST(f.runUntil([&] { return f.other.packed.size() == 200000U; }));
-    const Fleet::Endpoint *learnt = f.other.directory.find(Base::EndpointId("a"));
-    BOOST_REQUIRE(learnt);
-    BOOST_TEST((*learnt == *f.one.directory.find(Base::EndpointId("a"))));
+    const Fleet::Endpoint *received = f.other.directory.find(Base::EndpointId("a"));
+    BOOST_REQUIRE(received);
+    BOOST_TEST((*received == *f.one.directory.find(Base::EndpointId("a"))));
     BOOST_TEST(f.other.directory.hash() == f.one.directory.hash());
     BOOST_TEST(f.one.bytes > 200000U);
     BOOST_TEST(f.one.failures + f.other.failures == 0);
@@ -137,7 +137,7 @@
 {
     Fixture f;
     std::uint64_t heard = 0;
-    f.other.prompts.learnt = [&](const Schema::SharedPrompt &prompt) { heard = prompt.prompt; };
+    f.other.prompts.received = [&](const Schema::SharedPrompt &prompt) { heard = prompt.prompt; };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
     f.one.prompts.tell({.prompt = 42, .endpoint = 5, .tokens = 10000, .readingMs = 100}, true);
     BOOST_TEST(f.runUntil([&] {
@@ -151,7 +151,7 @@
 {
     Fixture f;
     std::size_t heard = 0;
-    f.other.loads.learnt = [&](const Schema::LoadNews &news, Base::Duration) {
+    f.other.loads.received = [&](const Schema::LoadNews &news, Base::Duration) {
         heard = news.loads.size();
     };
     f.one.loads.news = [] {
@@ -171,7 +171,7 @@
 {
     Fixture f;
     std::uint64_t heard = 0;
-    f.other.crashes.learnt = [&](const Schema::CrashNews &news) {
+    f.other.crashes.received = [&](const Schema::CrashNews &news) {
         heard = news.ends.empty() ? 0 : news.ends.front().request;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
--- a/tests/auto/fleetsync/tst_loadgossip.cpp
+++ b/tests/auto/fleetsync/tst_loadgossip.cpp
@@ -93,7 +93,7 @@
 {
     Fixture f;
     Base::Duration waited{};
-    f.gossip.learnt = [&](const Schema::LoadNews &, Base::Duration delay) { waited = delay; };
+    f.gossip.received = [&](const Schema::LoadNews &, Base::Duration delay) { waited = delay; };
     f.gossip.receive({}, milliseconds(700));
     BOOST_TEST((waited == milliseconds(700)));
 }
--- a/tests/auto/fleetsync/tst_promptgossip.cpp
+++ b/tests/auto/fleetsync/tst_promptgossip.cpp
@@ -143,7 +143,7 @@
 {
     Fixture f;
     std::vector<std::uint64_t> heard;
-    f.gossip.learnt = [&](const Schema::SharedPrompt &prompt) { heard.push_back(prompt.prompt); };
+    f.gossip.received = [&](const Schema::SharedPrompt &prompt) { heard.push_back(prompt.prompt); };
     f.gossip.receive({.prompts = {{.prompt = 3}, {.prompt = 4}}});
     BOOST_TEST(heard == (std::vector<std::uint64_t>{3, 4}), boost::test_tools::per_element());
 }
--- a/tests/auto/fleetsync/tst_quarantinelog.cpp
+++ b/tests/auto/fleetsync/tst_quarantinelog.cpp
@@ -21,7 +21,7 @@
 {
     Fixture()
     {
-        log.learnt = [this](std::uint64_t request) { learnt.push_back(request); };
+        log.received = [this](std::uint64_t request) { received.push_back(request); };
     }
     void pass(Base::Duration duration)
     {
@@ -49,7 +49,7 @@
     std::map<std::string, std::string> values;
     int writes = 0;
     std::function<void(Errors::Result<void>)> pending;
-    std::vector<std::uint64_t> learnt;
+    std::vector<std::uint64_t> received;
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     QuarantineLog log{{.write =
@@ -72,7 +72,7 @@
     BOOST_REQUIRE(f.pending);
     f.answer(true);
     f.read(key);
-    BOOST_TEST(f.learnt == (std::vector<std::uint64_t>{0xab}), boost::test_tools::per_element());
+    BOOST_TEST(f.received == (std::vector<std::uint64_t>{0xab}), boost::test_tools::per_element());
 }
 
 /// Pattern: the log is out while a request ends endpoints.
@@ -107,7 +107,7 @@
     f.answer(true);
     BOOST_TEST(f.values.at(key).empty());
     f.read(key); // A dropped key says nothing.
-    BOOST_TEST(f.learnt.size() == 1);
+    BOOST_TEST(f.received.size() == 1);
 }
 
 /// The routers that saved it may be gone.
@@ -128,6 +128,6 @@
     f.log.recordRead({.key = std::string("\x01\xff", 2), .value = "1"});
     f.log.recordRead({.key = key});
     f.pass(minutes(60));
-    BOOST_TEST(f.learnt.empty());
+    BOOST_TEST(f.received.empty());
     BOOST_TEST(f.writes == 0);
 }
