--- a/tests/auto/gateway/tst_promptwait.cpp
+++ b/tests/auto/gateway/tst_promptwait.cpp
@@ -32,7 +32,7 @@
 } // namespace
 
 /// Pattern: the home of a prompt that many ask for crashes, and its next home reads it.
-BOOST_AUTO_TEST_CASE(aRequestWaitsWhileItsEndpointReadsItsPromptForAnotherOne)
+BOOST_AUTO_TEST_CASE(requestWaitsWhileItsPromptIsPrefilledForAnother)
 {
     PromptFixture f(10000);
     RawSocket first = f.call();
@@ -46,7 +46,7 @@
     BOOST_TEST((&f.awaitRequest() == &endpoint)); // Read by now.
 }
 
-BOOST_AUTO_TEST_CASE(aShortPromptIsNotWaitedFor)
+BOOST_AUTO_TEST_CASE(shortPromptIsNotAwaited)
 {
     PromptFixture f(1000);
     RawSocket first = f.call();
@@ -56,7 +56,7 @@
     BOOST_TEST(f.requests() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(whatACallerThatLeftDidNotLetBeReadIsNotWaitedFor)
+BOOST_AUTO_TEST_CASE(prefillCancelledByLeavingCallerIsNotAwaited)
 {
     PromptFixture f(10000);
     {
