--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -155,8 +155,8 @@
 void FleetLink::pullFinished(const Runtime::SocketAddress &peer, Base::MonoTime startedAt,
                              const Http::CallResult &result)
 {
-    const Base::Duration took = m_options.loop->clock().now() - startedAt;
-    const std::size_t underWay = m_pulls--;
+    const Base::Duration duration = m_options.loop->clock().now() - startedAt;
+    const std::size_t inFlight = m_pulls--;
     const bool isTooSlow = result.end == Http::CallEnd::TimedOut && result.status == ok;
     m_pullLimit = isTooSlow ? std::min(2 * m_pullLimit, longestPullLimit) : firstPullLimit;
     if (result.end == Http::CallEnd::Whole && result.status == tooBusy) {
@@ -167,7 +167,7 @@
     if (result.end != Http::CallEnd::Whole || result.status != ok) {
         m_options.failed(Errors::makeError(Errors::ErrorKind::EndpointBroke,
                                            "pull from " + Runtime::toString(peer) + " after "
-                                               + std::to_string(Base::toMilliseconds(took))
+                                               + std::to_string(Base::toMilliseconds(duration))
                                                + " ms: " + result.detail));
         m_options.sync->pullFailed();
         return;
@@ -179,7 +179,7 @@
         return;
     }
     m_options.received(
-        {.peer = peer, .bytes = result.body.size(), .took = took, .underWay = underWay},
+        {.peer = peer, .bytes = result.body.size(), .duration = duration, .inFlight = inFlight},
         state.value());
     m_options.sync->pullSucceeded(state.value());
 }
--- a/src/libs/fleetsync/fleetlink.h
+++ b/src/libs/fleetsync/fleetlink.h
@@ -22,8 +22,8 @@
 {
     Runtime::SocketAddress peer;
     std::size_t bytes = 0; ///< Of the answer.
-    Base::Duration took{};
-    std::size_t underWay = 0; ///< Pulls of this router when it ended, this one among them.
+    Base::Duration duration{};
+    std::size_t inFlight = 0; ///< Pulls of this router when it ended, this one among them.
 };
 
 /// Carries a FleetSync over the network: beacons in datagrams, pulls over TCP on the same port.
