--- a/tests/auto/gateway/tst_silentendpoint.cpp
+++ b/tests/auto/gateway/tst_silentendpoint.cpp
@@ -63,7 +63,7 @@
 
 /// Pattern: engines crash together. One that takes no connection is no reason to wait as long again
 /// before the next one is asked: the caller allows a pause of 250 ms.
-BOOST_AUTO_TEST_CASE(whereTheNextEndpointIsDownTheOneAfterItIsAskedAtOnce)
+BOOST_AUTO_TEST_CASE(unreachableAlternativeIsSkippedImmediately)
 {
     SilentFixture f(3);
     f.begin(1);
@@ -75,7 +75,7 @@
 
 /// Pattern: an engine that runs many streams of a router stops; its batch gives all of them their
 /// events at the same time, so that they fall silent at the same time too.
-BOOST_AUTO_TEST_CASE(streamsThatFallSilentTogetherAreSpread)
+BOOST_AUTO_TEST_CASE(streamsSilentTogetherAreSpreadOverEndpoints)
 {
     SilentFixture f(4);
     f.begin(3);
@@ -90,7 +90,7 @@
 
 /// Pattern: the only other endpoint is doubted and due for its trial. The search must not use the
 /// trial up without sending anything.
-BOOST_AUTO_TEST_CASE(aSilentEndpointIsLeftForOneThatIsDueForItsTrial)
+BOOST_AUTO_TEST_CASE(silentEndpointIsLeftForSuspectDueForTrial)
 {
     SilentFixture f(2);
     f.begin(1);
@@ -103,7 +103,7 @@
 /// Pattern: for some seconds nothing comes from anywhere; then the endpoint breaks off while
 /// another one can be reached. The caller has not left: for this route callers wait four times the
 /// target latency.
-BOOST_AUTO_TEST_CASE(aBegunStreamGoesOnAsLongAsItsCallerIsThere)
+BOOST_AUTO_TEST_CASE(startedStreamIsRetriedUntilCallerTimeout)
 {
     SilentFixture f(2);
     Fleet::Route route = streamRoute(true);
@@ -124,7 +124,7 @@
 }
 
 /// A stream without a limit of its pauses is not looked at again at once, and again.
-BOOST_AUTO_TEST_CASE(aStreamWithoutALimitOfItsPausesKeepsTheLoopIdle)
+BOOST_AUTO_TEST_CASE(streamWithoutPauseLimitLeavesLoopIdle)
 {
     SilentFixture f(1);
     Fleet::Route route = streamRoute(true);
@@ -137,7 +137,7 @@
 }
 
 /// Sends that reach no endpoint are no arrivals, and take nothing from the budget of repeats.
-BOOST_AUTO_TEST_CASE(sendsThatReachNothingTakeNothingFromTheBudget)
+BOOST_AUTO_TEST_CASE(unreachableEndpointsDoNotSpendRetryBudget)
 {
     SilentFixture f(5);
     f.gateway.setRetryBudget({.ratio = 0, .slack = 3, .share = 1});
@@ -154,7 +154,7 @@
 
 /// Pattern: engines crash at the peak, and those that are left are full for 0.4 s. A stream waits
 /// for room as long as for an endpoint that can be reached: its caller does not mind which it is.
-BOOST_AUTO_TEST_CASE(aBegunStreamWaitsForRoomAsLongAsForAnEndpoint)
+BOOST_AUTO_TEST_CASE(startedStreamWaitsForSlotUntilCallerTimeout)
 {
     SilentFixture f(2);
     f.begin(1);
@@ -169,7 +169,7 @@
 
 /// Pattern: of two endpoints one crashes and the other one is full for a moment. What turned a
 /// stream away without running it can take it later; nothing else is there to wait for.
-BOOST_AUTO_TEST_CASE(aBegunStreamAsksAgainWhereItWasTurnedAway)
+BOOST_AUTO_TEST_CASE(startedStreamRetriesEndpointThatRefusedIt)
 {
     SilentFixture f(2);
     f.begin(1);
