--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -36,7 +36,7 @@
     , m_stateBytes({.rate = m_options.stateBytesPerSecond,
                     .burst = m_options.stateBytesPerSecond,
                     .debt = largestState})
-    , m_pullLimit(firstPullLimit)
+    , m_pullTimeout(firstPullLimit)
 { }
 
 FleetLink::~FleetLink()
@@ -139,9 +139,9 @@
     call.body = std::move(body.value());
     call.freshConnection = true;
     call.connectTimeout = pullConnectTimeout;
-    call.headTimeout = m_pullLimit;
-    call.progressTimeout = m_pullLimit;
-    call.totalTimeout = m_pullLimit;
+    call.headTimeout = m_pullTimeout;
+    call.progressTimeout = m_pullTimeout;
+    call.totalTimeout = m_pullTimeout;
     const Base::MonoTime startedAt = m_options.loop->clock().now();
     const auto finished = [this, peer, startedAt, isAlive = std::weak_ptr<bool>(m_isAlive)](
                               const Http::CallResult &result) {
@@ -158,7 +158,7 @@
     const Base::Duration duration = m_options.loop->clock().now() - startedAt;
     const std::size_t inFlight = m_pulls--;
     const bool isTooSlow = result.end == Http::CallEnd::TimedOut && result.status == ok;
-    m_pullLimit = isTooSlow ? std::min(2 * m_pullLimit, longestPullLimit) : firstPullLimit;
+    m_pullTimeout = isTooSlow ? std::min(2 * m_pullTimeout, longestPullLimit) : firstPullLimit;
     if (result.end == Http::CallEnd::Whole && result.status == tooBusy) {
         // Its next beacon, or another router's, leads to the next try.
         m_options.sync->pullRefused();
--- a/src/libs/fleetsync/fleetlink.h
+++ b/src/libs/fleetsync/fleetlink.h
@@ -73,7 +73,7 @@
     std::unique_ptr<Runtime::UdpSocket> m_socket;
     std::unique_ptr<Http::Server> m_server;
     std::size_t m_pulls = 0; ///< Under way.
-    Base::Duration m_pullLimit; ///< Of the next pull.
+    Base::Duration m_pullTimeout; ///< Of the next pull.
     /// Pulls that end after this object is gone find it out by this.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
