--- a/tests/auto/gateway/tst_gateway.cpp
+++ b/tests/auto/gateway/tst_gateway.cpp
@@ -30,7 +30,7 @@
 constexpr std::string_view good = "HTTP/1.1 200 OK\r\nx-id: r1\r\ncontent-length: 4\r\n\r\ngood";
 } // namespace
 
-BOOST_AUTO_TEST_CASE(whatCannotBeServedIsRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(unservableRequestsAreRefusedImmediately)
 {
     GatewayFixture f;
     RawSocket early = f.call();
@@ -43,7 +43,7 @@
     BOOST_TEST(f.requests() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(anOlderConfigurationIsNotTaken)
+BOOST_AUTO_TEST_CASE(olderConfigurationIsIgnored)
 {
     GatewayFixture f;
     f.setRoute(plain(RouteKind::Idempotent));
@@ -53,7 +53,7 @@
     BOOST_TEST(f.gateway.configuration()->revision().value() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(theEndpointsAnswerIsPassedOn)
+BOOST_AUTO_TEST_CASE(answerOfEndpointIsForwarded)
 {
     GatewayFixture f;
     f.setRoute(plain(RouteKind::NonIdempotent));
@@ -68,7 +68,7 @@
 }
 
 /// What is known of a send that failed, and what a caller is told.
-BOOST_AUTO_TEST_CASE(whatMayHaveRunIsRepeatedOnlyWhereThatIsAllowed)
+BOOST_AUTO_TEST_CASE(requestsThatMayHaveRunAreRetriedOnlyIfAllowed)
 {
     struct Row
     {
@@ -123,7 +123,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatCannotBeReachedCostsNoRepeat)
+BOOST_AUTO_TEST_CASE(unreachableEndpointDoesNotCountAsRetry)
 {
     GatewayFixture f;
     f.setRoute(plain(RouteKind::NonIdempotent));
@@ -139,7 +139,7 @@
 
 /// Found by the soak: an entry whose address another start of the engine has took a part of the
 /// requests, each of which cost a repeat until none was left.
-BOOST_AUTO_TEST_CASE(anEndpointWhoseAddressIsAnothersIsNotAskedAgain)
+BOOST_AUTO_TEST_CASE(endpointWithReusedAddressIsNotTriedAgain)
 {
     GatewayFixture f;
     f.setRoute(plain(RouteKind::NonIdempotent));
@@ -160,7 +160,7 @@
     BOOST_TEST(asked[f.endpoints.front().get()] <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(whereNobodyCanBeReachedTheCallerIsToldThatItDidNotRun)
+BOOST_AUTO_TEST_CASE(withoutEndpointsRequestIsRefusedAsNotRun)
 {
     GatewayFixture f(0);
     f.setRoute(plain(RouteKind::NonIdempotent));
@@ -168,7 +168,7 @@
     BOOST_TEST(f.runUntil([&] { return caller.has("no_endpoint ran=no"); }));
 }
 
-BOOST_AUTO_TEST_CASE(aSilentEndpointIsLeftInTimeForAnother)
+BOOST_AUTO_TEST_CASE(silentEndpointIsLeftWithinTargetLatency)
 {
     GatewayFixture f;
     f.setRoute(plain(RouteKind::Idempotent));
@@ -183,7 +183,7 @@
     BOOST_TEST(f.runUntil([&] { return caller.has("good"); }));
 }
 
-BOOST_AUTO_TEST_CASE(aSilentEndpointKeepsWhatMustNotRunTwice)
+BOOST_AUTO_TEST_CASE(nonIdempotentRequestStaysAtSilentEndpoint)
 {
     GatewayFixture f;
     f.setRoute(plain(RouteKind::NonIdempotent));
@@ -195,7 +195,7 @@
     BOOST_TEST(f.runUntil([&] { return caller.has("good"); }));
 }
 
-BOOST_AUTO_TEST_CASE(aRequestEndsAtTheTimeoutOfItsRoute)
+BOOST_AUTO_TEST_CASE(requestEndsAtRouteTimeout)
 {
     GatewayFixture f;
     f.setRoute(plain(RouteKind::NonIdempotent));
@@ -209,7 +209,7 @@
     BOOST_TEST(f.gateway.inFlight() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatLeavesEndsTheEndpointsWork)
+BOOST_AUTO_TEST_CASE(leavingCallerCancelsRequestAtEndpoint)
 {
     for (const RouteKind kind : {RouteKind::NonIdempotent, RouteKind::Stream}) {
         GatewayFixture f;
@@ -222,7 +222,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(eventsArePassedOnAsTheyCome)
+BOOST_AUTO_TEST_CASE(eventsAreForwardedAsTheyArrive)
 {
     GatewayFixture f;
     f.setRoute(streamRoute(false));
@@ -236,7 +236,7 @@
     BOOST_TEST(caller.has("id: 2\ndata: e2\n\n"));
 }
 
-BOOST_AUTO_TEST_CASE(aCutStreamGoesOnElsewhereInsideOneAnswer)
+BOOST_AUTO_TEST_CASE(brokenStreamResumesAtAnotherEndpointWithinOneAnswer)
 {
     for (const bool isMute : {false, true}) {
         BOOST_TEST_CONTEXT((isMute ? "falls silent" : "breaks off"))
@@ -266,7 +266,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aStreamWithAGapIsNotJoined)
+BOOST_AUTO_TEST_CASE(resumedStreamWithMissingEventsIsAborted)
 {
     GatewayFixture f;
     f.setRoute(streamRoute(true));
@@ -281,7 +281,7 @@
     BOOST_TEST(!caller.has("\r\n0\r\n\r\n"));
 }
 
-BOOST_AUTO_TEST_CASE(aCutStreamThatMayNotBeResumedIsSeenAsCut)
+BOOST_AUTO_TEST_CASE(brokenStreamWithoutResumeIsAborted)
 {
     GatewayFixture f;
     f.setRoute(streamRoute(false));
@@ -298,7 +298,7 @@
 
 /// Pattern: an endpoint has all the connections it takes and resets new ones. A request that must
 /// not run twice was answered as perhaps run, although it had not left.
-BOOST_AUTO_TEST_CASE(aRequestThatFindsAnEndpointsConnectionsTakenRunsElsewhere)
+BOOST_AUTO_TEST_CASE(requestMovesOnWhenEndpointResetsNewConnections)
 {
     GatewayFixture f(2, milliseconds(2));
     f.setRoute(plain(RouteKind::NonIdempotent, 1));
@@ -327,7 +327,7 @@
 }
 
 /// Pattern: a service of few connections before many routers; each keeps to its part of them.
-BOOST_AUTO_TEST_CASE(aRouterKeepsToItsPartOfAnEndpointsConnections)
+BOOST_AUTO_TEST_CASE(routerStaysWithinItsConnectionShare)
 {
     GatewayFixture f;
     Fleet::Route route = plain(RouteKind::Idempotent);
@@ -351,7 +351,7 @@
 }
 
 /// Pattern: all endpoints are full. Who is refused hears so at once, and that it has not run.
-BOOST_AUTO_TEST_CASE(withoutRoomARequestWaitsAMomentAndIsRefused)
+BOOST_AUTO_TEST_CASE(requestWithoutFreeSlotIsRefusedAfterQueueWait)
 {
     GatewayFixture f(1);
     f.setRoute(streamRoute(false));
@@ -367,7 +367,7 @@
     BOOST_TEST(f.requests() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatWaitsForRoomGetsIt)
+BOOST_AUTO_TEST_CASE(queuedRequestGetsFreedSlot)
 {
     GatewayFixture f(1);
     f.setRoute(streamRoute(false));
@@ -387,7 +387,7 @@
 
 /// Pattern: the router itself is short of processor time. It refuses some of what is new, as not
 /// run and without a word to an endpoint, and passes on what it has taken.
-BOOST_AUTO_TEST_CASE(aRouterThatIsBehindRefusesWhatIsNewAndKeepsWhatItHas)
+BOOST_AUTO_TEST_CASE(overloadedRouterRefusesNewRequestsAndServesAdmittedOnes)
 {
     GatewayFixture f(1);
     f.setRoute(streamRoute(false));
@@ -418,7 +418,7 @@
 
 /// Pattern: engines crash at the peak. A stream that has begun waits for room elsewhere longer than
 /// one that can still be refused.
-BOOST_AUTO_TEST_CASE(aStreamThatHasBegunWaitsForRoomToGoOn)
+BOOST_AUTO_TEST_CASE(startedStreamWaitsForSlotToResume)
 {
     GatewayFixture f(2);
     f.setRoute(streamRoute(true));
