--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -38,24 +38,24 @@
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
-void CrashGossip::tellEnds(const std::vector<Schema::SharedRequestEnd> &ends)
+void CrashGossip::sendEnds(const std::vector<Schema::SharedRequestEnd> &ends)
 {
     std::vector<Router> routers{{Routing::stableHash(Runtime::toString(m_options.self))}};
     for (const Runtime::SocketAddress &peer : m_options.peers())
         routers.push_back({Routing::stableHash(Runtime::toString(peer)), peer});
     for (auto first = ends.begin(); first != ends.end();) {
         const auto count = std::min<std::ptrdiff_t>(ends.end() - first, mostItems);
-        tellPart({first, first + count}, routers);
+        sendBatch({first, first + count}, routers);
         first += count;
     }
 }
 
-void CrashGossip::tellPart(const std::vector<Schema::SharedRequestEnd> &ends,
-                           const std::vector<Router> &routers)
+void CrashGossip::sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
+                            const std::vector<Router> &routers)
 {
     std::map<std::string, std::pair<Runtime::SocketAddress, Schema::CrashNews>> messages;
     for (const Schema::SharedRequestEnd &end : ends) {
-        for (const Runtime::SocketAddress &counter : countersOf(end.request, routers)) {
+        for (const Runtime::SocketAddress &counter : countingRoutersOf(end.request, routers)) {
             auto &[to, news] = messages[Runtime::toString(counter)];
             to = counter;
             news.ends.push_back(end);
@@ -76,24 +76,24 @@
 
 /// Those that come first in an order that is the request's own, this router left out.
 std::vector<Runtime::SocketAddress>
-CrashGossip::countersOf(std::uint64_t request, const std::vector<Router> &routers) const
+CrashGossip::countingRoutersOf(std::uint64_t request, const std::vector<Router> &routers) const
 {
     std::vector<std::pair<std::uint64_t, const Router *>> order;
     order.reserve(routers.size());
     for (const Router &router : routers)
         order.emplace_back(Routing::mixHashes(request, router.hash), &router);
-    const std::size_t count = std::min(order.size(), m_options.counters);
+    const std::size_t count = std::min(order.size(), m_options.countingRouters);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count),
                       order.end());
-    std::vector<Runtime::SocketAddress> counters;
+    std::vector<Runtime::SocketAddress> countingRouters;
     for (std::size_t i = 0; i < count; ++i) {
         if (const auto &address = order[i].second->address)
-            counters.push_back(*address);
+            countingRouters.push_back(*address);
     }
-    return counters;
+    return countingRouters;
 }
 
-void CrashGossip::tellQuarantined(const Schema::SharedQuarantine &quarantine)
+void CrashGossip::sendQuarantine(const Schema::SharedQuarantine &quarantine)
 {
     if (!send)
         return;
@@ -111,10 +111,10 @@
 {
     m_timer = m_options.timers->start(m_options.interval, [this] { tick(); });
     if (send && quarantined)
-        tellAgain();
+        resendQuarantined();
 }
 
-void CrashGossip::tellAgain()
+void CrashGossip::resendQuarantined()
 {
     Schema::CrashNews news{.quarantined = quarantined()};
     if (news.quarantined.empty())
@@ -123,7 +123,7 @@
     news.quarantined.resize(std::min<std::size_t>(news.quarantined.size(), mostItems));
     std::vector<Runtime::SocketAddress> peers = m_options.peers();
     std::shuffle(peers.begin(), peers.end(), m_random);
-    peers.resize(std::min(peers.size(), m_options.toldAgain));
+    peers.resize(std::min(peers.size(), m_options.resendPeers));
     for (const Runtime::SocketAddress &peer : peers)
         send(peer, news);
 }
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -34,7 +34,7 @@
         Runtime::SocketAddress self; ///< Where peers reach this router.
         std::uint64_t randomSeed = 1;
         /// Routers that count the ends under one request: some may be down, cut off or restarting.
-        std::size_t counters = 8;
+        std::size_t countingRouters = 8;
         /// What this router may spend on ends. What is beyond is not told; the next ends are.
         double bytesPerSecond = 1000;
         /// An endpoint with 64 requests of this router ends: 1,100 bytes to eight peers.
@@ -43,7 +43,7 @@
         Base::Duration interval = std::chrono::seconds(1);
         /// Whom a round tells. A router hears it from two of the fleet a second, and so within 3 s
         /// but for one time in 400.
-        std::size_t toldAgain = 2;
+        std::size_t resendPeers = 2;
     };
 
     explicit CrashGossip(Options options);
@@ -58,9 +58,9 @@
 
     void start();
     /// The first ones go first, for when the budget does not do for all.
-    void tellEnds(const std::vector<Schema::SharedRequestEnd> &ends);
+    void sendEnds(const std::vector<Schema::SharedRequestEnd> &ends);
     /// Tells all routers.
-    void tellQuarantined(const Schema::SharedQuarantine &quarantine);
+    void sendQuarantine(const Schema::SharedQuarantine &quarantine);
     void receive(const Schema::CrashNews &news) const;
     /// Ends of which the routers that count them were not told for want of budget.
     std::uint64_t untold() const { return m_untold; }
@@ -74,11 +74,11 @@
 
     void tick();
     /// So many as one datagram holds.
-    void tellPart(const std::vector<Schema::SharedRequestEnd> &ends,
-                  const std::vector<Router> &routers);
-    void tellAgain();
-    std::vector<Runtime::SocketAddress> countersOf(std::uint64_t request,
-                                                   const std::vector<Router> &routers) const;
+    void sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
+                   const std::vector<Router> &routers);
+    void resendQuarantined();
+    std::vector<Runtime::SocketAddress> countingRoutersOf(std::uint64_t request,
+                                                          const std::vector<Router> &routers) const;
 
     Options m_options;
     std::mt19937_64 m_random;
--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -74,7 +74,7 @@
 BOOST_AUTO_TEST_CASE(inASmallFleetAllCountTheEnds)
 {
     Routers f(6);
-    f.routers[2]->tellEnds({{.request = 1, .endpoint = 11}, {.request = 2, .endpoint = 11}});
+    f.routers[2]->sendEnds({{.request = 1, .endpoint = 11}, {.request = 2, .endpoint = 11}});
     BOOST_TEST(f.toldOfEnds.size() == 5);
     BOOST_TEST(f.datagrams == 5);
 }
@@ -87,7 +87,7 @@
     ends.reserve(128);
     for (std::uint64_t request = 0; request < 128; ++request)
         ends.push_back({.request = request, .endpoint = 11});
-    f.routers[2]->tellEnds(ends);
+    f.routers[2]->sendEnds(ends);
     for (const auto &[router, count] : f.toldOfEnds)
         BOOST_TEST(count == 128U);
     BOOST_TEST(f.routers[2]->untold() == 0U);
@@ -98,7 +98,7 @@
 {
     Routers f(300);
     for (const std::size_t teller : {3U, 50U, 299U})
-        f.routers[teller]->tellEnds({{.request = 1, .endpoint = teller}});
+        f.routers[teller]->sendEnds({{.request = 1, .endpoint = teller}});
     BOOST_TEST(f.toldOfEnds.size() <= 8);
     const auto all = std::count_if(f.toldOfEnds.begin(), f.toldOfEnds.end(),
                                    [](const auto &entry) { return entry.second == 3; });
@@ -117,7 +117,7 @@
         for (int i = 0; i < 20; ++i)
             ends.push_back(
                 {.request = ++request, .endpoint = static_cast<std::uint64_t>(endpoint)});
-        f.routers[0]->tellEnds(ends);
+        f.routers[0]->sendEnds(ends);
         f.pass(milliseconds(50));
     }
     BOOST_TEST(f.bytes < 24000U + 10U * 1000U);
@@ -127,7 +127,7 @@
 BOOST_AUTO_TEST_CASE(aQuarantineIsToldToAllAtOnceAndLaterToWhoMissedIt)
 {
     Routers f(300);
-    f.routers[0]->tellQuarantined({.request = 1, .leftMs = 1000});
+    f.routers[0]->sendQuarantine({.request = 1, .leftMs = 1000});
     BOOST_TEST(f.toldOfQuarantine.size() == 299);
     f.toldOfQuarantine.clear();
     for (const auto &router : f.routers) {
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -175,7 +175,7 @@
         heard = news.ends.empty() ? 0 : news.ends.front().request;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
-    f.one.crashes.tellEnds({{.request = 42, .endpoint = 5}});
+    f.one.crashes.sendEnds({{.request = 42, .endpoint = 5}});
     BOOST_TEST(f.runUntil([&] { return heard == 42; }));
     BOOST_TEST(f.other.failures == 0);
 }
