--- a/tests/auto/gateway/tst_backlogcontrol.cpp
+++ b/tests/auto/gateway/tst_backlogcontrol.cpp
@@ -91,7 +91,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(stallsAtLoadsLoseNothingThatWasTaken)
+BOOST_AUTO_TEST_CASE(stallsLoseNoAdmittedRequest)
 {
     for (const double load : {1.0, 2.0, 5.0}) {
         for (const double stall : {0.05, 0.2, 0.6, 2.0}) {
@@ -117,7 +117,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(nobodyIsRefusedWhileTheRouterIsNotBehind)
+BOOST_AUTO_TEST_CASE(noRequestIsRefusedWhileTheRouterIsNotBehind)
 {
     SlowRouterModel model(headOffice(0.8));
     model.run();
@@ -125,7 +125,7 @@
     BOOST_TEST(model.all().timely() > 0.99);
 }
 
-BOOST_AUTO_TEST_CASE(oneLongTurnRefusesNobody)
+BOOST_AUTO_TEST_CASE(oneLongLoopTurnRefusesNoRequest)
 {
     BacklogControl control({});
     Base::MonoTime now(std::chrono::hours(1));
@@ -140,7 +140,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(theLongerItIsBehindTheFewerAreTakenAndAllAgainAfterwards)
+BOOST_AUTO_TEST_CASE(admittedShareFallsWhileBehindAndRecovers)
 {
     BacklogControl control({});
     Base::MonoTime now(std::chrono::hours(1));
@@ -159,7 +159,7 @@
     BOOST_TEST(control.admittedShare() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(refusedCallersComeBackLaterTheFewerAreTaken)
+BOOST_AUTO_TEST_CASE(retryAfterGrowsAsTheAdmittedShareFalls)
 {
     BacklogControl control({});
     const auto mean = [&](Base::Duration delay) {
