--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -66,7 +66,7 @@
         const auto &[to, news] = message;
         const double cost = emptyBytes + endBytes * static_cast<double>(news.ends.size());
         if (!send || m_bytes.waitFor(cost, now) != Base::Duration::zero()) {
-            m_untold += news.ends.size();
+            m_dropped += news.ends.size();
             continue;
         }
         m_bytes.charge(cost, now);
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -63,7 +63,7 @@
     void sendQuarantine(const Schema::SharedQuarantine &quarantine);
     void receive(const Schema::CrashNews &news) const;
     /// Ends of which the routers that count them were not told for want of budget.
-    std::uint64_t untold() const { return m_untold; }
+    std::uint64_t dropped() const { return m_dropped; }
 
 private:
     struct Router
@@ -83,7 +83,7 @@
     Options m_options;
     std::mt19937_64 m_random;
     Admission::Gcra m_bytes;
-    std::uint64_t m_untold = 0;
+    std::uint64_t m_dropped = 0;
     Runtime::TimerId m_timer;
 };
 
--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -41,7 +41,7 @@
 /// In a full datagram; false if there is nothing that yields.
 bool PromptGossip::makeRoom(bool isNew)
 {
-    ++m_untold; // The one that comes, or the one that yields to it.
+    ++m_dropped; // The one that comes, or the one that yields to it.
     if (!isNew || m_newCount >= mostPrompts)
         return false;
     m_news.prompts.pop_back();
@@ -80,7 +80,7 @@
     const double kept = isUrgent ? 0 : m_options.burstBytes / 2;
     const Base::MonoTime now = m_options.timers->clock().now();
     if (!send || m_bytes.waitFor(cost + kept, now) != Base::Duration::zero()) {
-        m_untold += news.prompts.size();
+        m_dropped += news.prompts.size();
         return;
     }
     m_bytes.charge(cost, now);
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -51,7 +51,7 @@
     void tell(const Schema::SharedPrompt &prompt, bool isNew);
     void receive(const Schema::PromptNews &news) const;
     /// Prompts of which the peers were not told for want of budget.
-    std::uint64_t untold() const { return m_untold; }
+    std::uint64_t dropped() const { return m_dropped; }
 
 private:
     bool makeRoom(bool isNew);
@@ -63,7 +63,7 @@
     Schema::PromptNews m_news; ///< That the peers are not told yet.
     std::size_t m_newCount = 0; ///< Of these, the first ones; the rest are only in use again.
     std::optional<Runtime::TimerId> m_timer;
-    std::uint64_t m_untold = 0;
+    std::uint64_t m_dropped = 0;
 };
 
 } // namespace Lagoonbank::FleetSync
--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -90,7 +90,7 @@
     f.routers[2]->sendEnds(ends);
     for (const auto &[router, count] : f.toldOfEnds)
         BOOST_TEST(count == 128U);
-    BOOST_TEST(f.routers[2]->untold() == 0U);
+    BOOST_TEST(f.routers[2]->dropped() == 0U);
 }
 
 /// However many routers see the ends under one request, the same few are told.
@@ -121,7 +121,7 @@
         f.pass(milliseconds(50));
     }
     BOOST_TEST(f.bytes < 24000U + 10U * 1000U);
-    BOOST_TEST(f.routers[0]->untold() > 0U);
+    BOOST_TEST(f.routers[0]->dropped() > 0U);
 }
 
 BOOST_AUTO_TEST_CASE(aQuarantineIsToldToAllAtOnceAndLaterToWhoMissedIt)
--- a/tests/auto/fleetsync/tst_promptgossip.cpp
+++ b/tests/auto/fleetsync/tst_promptgossip.cpp
@@ -104,7 +104,7 @@
                                      << f.prompts / static_cast<std::size_t>(peers) << " of 1200");
             BOOST_TEST(f.bytes < 60 * 1500 + 24000 + 5000U);
             const std::size_t told = f.prompts / static_cast<std::size_t>(peers);
-            BOOST_TEST(told + f.gossip.untold() == 1200U);
+            BOOST_TEST(told + f.gossip.dropped() == 1200U);
             BOOST_TEST(told > 0U);
         }
     }
@@ -136,7 +136,7 @@
     BOOST_TEST(f.datagrams == 7U);
     BOOST_TEST(f.prompts == 7U * 32U);
     BOOST_TEST(f.lastPrompts.count(100) == 1U);
-    BOOST_TEST(f.gossip.untold() == 9U);
+    BOOST_TEST(f.gossip.dropped() == 9U);
 }
 
 BOOST_AUTO_TEST_CASE(aPeersNewsAreHandedOnOneByOne)
