--- a/tests/auto/gateway/tst_concurrencylimit.cpp
+++ b/tests/auto/gateway/tst_concurrencylimit.cpp
@@ -85,7 +85,7 @@
 } // namespace
 
 /// What fits into the engines is the inverse of the load; half of that has to be in time.
-BOOST_AUTO_TEST_CASE(overTheEnginesLoadHalfOfWhatFitsIsInTime)
+BOOST_AUTO_TEST_CASE(overloadServesHalfOfTheCapacityInTime)
 {
     for (const int routers : {24, 85, 300}) {
         for (const double load : {1.3, 2.0}) {
@@ -98,7 +98,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(underTheEnginesLoadNobodyIsRefused)
+BOOST_AUTO_TEST_CASE(noRequestIsRefusedBelowTheEnginesCapacity)
 {
     for (const int routers : {24, 85, 300}) {
         OverloadModel model(bookings(routers, 0.6));
@@ -110,7 +110,7 @@
 
 /// Pattern: seven in ten engines are lost at once, and come back. The rest has places for three
 /// quarters of the requests.
-BOOST_AUTO_TEST_CASE(goodputFollowsWhatIsLeftWithinFiveSeconds)
+BOOST_AUTO_TEST_CASE(goodputFollowsTheCapacityWithinFiveSeconds)
 {
     OverloadModel::Options options = bookings(85, 1.3);
     options.engines = 60;
@@ -131,7 +131,7 @@
 }
 
 /// Whatever was sent before the limit is heeded fills the engines' queues.
-BOOST_AUTO_TEST_CASE(itComesBackFromACollapse)
+BOOST_AUTO_TEST_CASE(recoversFromCongestionCollapse)
 {
     OverloadModel::Options options = bookings(85, 4);
     options.isLimiting = false;
@@ -146,7 +146,7 @@
     BOOST_TEST(model.all().timely() > 0.5 / 4);
 }
 
-BOOST_AUTO_TEST_CASE(waitingRequestsLowerItAndFreePlacesRaiseIt)
+BOOST_AUTO_TEST_CASE(waitingRequestsLowerTheLimitAndFreeSlotsRaiseIt)
 {
     Fixture f;
     const double most = f.limit.value();
@@ -160,7 +160,7 @@
     BOOST_TEST(f.limit.value() > lowered + 2);
 }
 
-BOOST_AUTO_TEST_CASE(aLimitThatNobodyReachesIsNotRaised)
+BOOST_AUTO_TEST_CASE(anUnreachedLimitIsNotRaised)
 {
     Fixture f;
     f.cut(3);
@@ -169,7 +169,7 @@
     BOOST_TEST(f.limit.value() == lowered);
 }
 
-BOOST_AUTO_TEST_CASE(halfOfTheEvenPartIsAlwaysLeft)
+BOOST_AUTO_TEST_CASE(limitIsAtLeastHalfOfTheFairShare)
 {
     Fixture f;
     f.cut(50);
@@ -179,7 +179,7 @@
     BOOST_TEST(!f.limit.admits(4, 0.85)); // For what is less urgent.
 }
 
-BOOST_AUTO_TEST_CASE(fewRoutersKnowTheLoadsThemselves)
+BOOST_AUTO_TEST_CASE(limitIsNotEnforcedForFewRouters)
 {
     ConcurrencyLimit limit{{}};
     limit.setCapacity(60, 6);
