--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -24,7 +24,7 @@
         m_options.timers->cancel(*m_timer);
 }
 
-void PromptGossip::tell(const Schema::SharedPrompt &prompt, bool isNew)
+void PromptGossip::report(const Schema::SharedPrompt &prompt, bool isNew)
 {
     if (m_news.prompts.size() >= mostPrompts && !makeRoom(isNew))
         return;
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -48,7 +48,7 @@
 
     /// Tells where a prompt is; if it is only in use there again, then with what others leave of
     /// the budget.
-    void tell(const Schema::SharedPrompt &prompt, bool isNew);
+    void report(const Schema::SharedPrompt &prompt, bool isNew);
     void receive(const Schema::PromptNews &news) const;
     /// Prompts of which the peers were not told for want of budget.
     std::uint64_t dropped() const { return m_dropped; }
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -139,7 +139,7 @@
     std::uint64_t heard = 0;
     f.other.prompts.received = [&](const Schema::SharedPrompt &prompt) { heard = prompt.prompt; };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
-    f.one.prompts.tell({.prompt = 42, .endpoint = 5, .tokens = 10000, .readingMs = 100}, true);
+    f.one.prompts.report({.prompt = 42, .endpoint = 5, .tokens = 10000, .readingMs = 100}, true);
     BOOST_TEST(f.runUntil([&] {
         f.clock.advance(std::chrono::milliseconds(1));
         return heard == 42;
--- a/tests/auto/fleetsync/tst_promptgossip.cpp
+++ b/tests/auto/fleetsync/tst_promptgossip.cpp
@@ -31,9 +31,9 @@
                 lastPrompts.insert(prompt.prompt);
         };
     }
-    void tell(std::uint64_t prompt, bool isNew = true)
+    void report(std::uint64_t prompt, bool isNew = true)
     {
-        gossip.tell({.prompt = prompt, .endpoint = 5, .tokens = 10000, .readingMs = 100}, isNew);
+        gossip.report({.prompt = prompt, .endpoint = 5, .tokens = 10000, .readingMs = 100}, isNew);
     }
     void pass(Base::Duration duration)
     {
@@ -65,8 +65,8 @@
 BOOST_AUTO_TEST_CASE(whatComesTogetherGoesToEachPeerInOneDatagram)
 {
     Fixture f;
-    f.tell(1);
-    f.tell(2);
+    f.report(1);
+    f.report(2);
     BOOST_TEST(f.datagrams == 0U);
     f.pass(milliseconds(1));
     BOOST_TEST(f.datagrams == 7U);
@@ -76,13 +76,13 @@
 BOOST_AUTO_TEST_CASE(whatIsOnlyInUseWaitsForNews)
 {
     Fixture f;
-    f.tell(1, false);
+    f.report(1, false);
     f.pass(seconds(1));
     BOOST_TEST(f.datagrams == 0U);
-    f.tell(2);
+    f.report(2);
     f.pass(milliseconds(1));
     BOOST_TEST(f.prompts == 14U);
-    f.tell(3, false);
+    f.report(3, false);
     f.pass(milliseconds(1500));
     BOOST_TEST(f.prompts == 21U);
 }
@@ -94,7 +94,7 @@
         Fixture f(peers);
         for (std::uint64_t second = 0; second < 60; ++second) {
             for (std::uint64_t i = 0; i < 20; ++i) {
-                f.tell(second * 20 + i);
+                f.report(second * 20 + i);
                 f.pass(milliseconds(50));
             }
         }
@@ -114,12 +114,12 @@
 {
     Fixture f;
     for (std::uint64_t i = 0; i < 60; ++i) {
-        f.tell(i, false);
+        f.report(i, false);
         f.pass(milliseconds(1500));
     }
     const std::size_t before = f.prompts;
     for (std::uint64_t i = 0; i < 20; ++i) {
-        f.tell(100 + i);
+        f.report(100 + i);
         f.pass(milliseconds(1));
     }
     BOOST_TEST(f.prompts - before == 140U);
@@ -130,8 +130,8 @@
 {
     Fixture f;
     for (std::uint64_t i = 0; i < 40; ++i)
-        f.tell(i, false);
-    f.tell(100);
+        f.report(i, false);
+    f.report(100);
     f.pass(milliseconds(1));
     BOOST_TEST(f.datagrams == 7U);
     BOOST_TEST(f.prompts == 7U * 32U);
