--- a/tests/auto/gateway/tst_crashingrequest.cpp
+++ b/tests/auto/gateway/tst_crashingrequest.cpp
@@ -100,7 +100,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aRequestUnderWhichThreeEndpointsEndedGoesToNoMore)
+BOOST_AUTO_TEST_CASE(requestIsQuarantinedAfterThreeCrashes)
 {
     EndingEndpoints f;
     for (int attempt = 0; attempt < 5; ++attempt)
@@ -112,7 +112,7 @@
 }
 
 /// Pattern: attempts of it wait in the lines of endpoints when it is found out.
-BOOST_AUTO_TEST_CASE(attemptsThatWaitAtEndpointsAreTakenBack)
+BOOST_AUTO_TEST_CASE(attemptsInFlightAreCancelledOnQuarantine)
 {
     EndingEndpoints f(GatewayFixture::RouteKind::NonIdempotent);
     RawSocket waiting = f.call("/x");
@@ -126,7 +126,7 @@
     BOOST_TEST(f.runUntil([&] { return endpoint->last().isEnded(); }));
 }
 
-BOOST_AUTO_TEST_CASE(otherRequestsGoOn)
+BOOST_AUTO_TEST_CASE(otherRequestsAreStillServed)
 {
     EndingEndpoints f;
     for (int attempt = 0; attempt < 5; ++attempt)
@@ -135,7 +135,7 @@
 }
 
 /// Pattern: several such requests come by turns, and each takes endpoints that the others need.
-BOOST_AUTO_TEST_CASE(requestsThatEndEndpointsByTurnsAreKnownApart)
+BOOST_AUTO_TEST_CASE(alternatingCrashingRequestsAreEachQuarantined)
 {
     EndingEndpoints f;
     for (int attempt = 0; attempt < 4; ++attempt) {
@@ -150,7 +150,7 @@
 
 /// Pattern: what many callers ask for in the same words is in flight at many ends, and is answered
 /// in between.
-BOOST_AUTO_TEST_CASE(aRequestThatIsAnsweredInBetweenGoesOn)
+BOOST_AUTO_TEST_CASE(requestAnsweredBetweenCrashesIsNotQuarantined)
 {
     EndingEndpoints f(GatewayFixture::RouteKind::NonIdempotent);
     for (int round = 0; round < mostEnds + 1; ++round) {
@@ -160,7 +160,7 @@
 }
 
 /// Pattern: endpoints that break answers and stay, or a network that resets connections.
-BOOST_AUTO_TEST_CASE(anEndpointThatStaysHasNotEnded)
+BOOST_AUTO_TEST_CASE(brokenAnswersOfALiveEndpointAreNoCrashes)
 {
     EndingEndpoints f(GatewayFixture::RouteKind::NonIdempotent);
     for (int round = 0; round < mostEnds + 1; ++round)
@@ -169,7 +169,7 @@
 }
 
 /// Its entry tells of the new start only later, while the store is away perhaps not at all.
-BOOST_AUTO_TEST_CASE(anEndpointThatHasEndedIsColdWhenItIsBack)
+BOOST_AUTO_TEST_CASE(crashedEndpointStartsCold)
 {
     EndingEndpoints f;
     f.warmup = {.time = seconds(3), .requestsPerSecond = 18};
