--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -26,7 +26,7 @@
 
 void PromptGossip::report(const Schema::SharedPrompt &prompt, bool isNew)
 {
-    if (m_news.prompts.size() >= mostPrompts && !makeRoom(isNew))
+    if (m_pending.prompts.size() >= mostPrompts && !evictForNew(isNew))
         return;
     const bool isFirstNew = isNew && m_newCount == 0;
     add(prompt, isNew);
@@ -34,17 +34,17 @@
         return;
     if (m_timer)
         m_options.timers->cancel(*m_timer);
-    m_timer = m_options.timers->start(isNew ? m_options.newDelay : m_options.useDelay,
+    m_timer = m_options.timers->start(isNew ? m_options.newPromptDelay : m_options.usedPromptDelay,
                                       [this] { flush(); });
 }
 
 /// In a full datagram; false if there is nothing that yields.
-bool PromptGossip::makeRoom(bool isNew)
+bool PromptGossip::evictForNew(bool isNew)
 {
     ++m_dropped; // The one that comes, or the one that yields to it.
     if (!isNew || m_newCount >= mostPrompts)
         return false;
-    m_news.prompts.pop_back();
+    m_pending.prompts.pop_back();
     return true;
 }
 
@@ -52,11 +52,11 @@
 void PromptGossip::add(const Schema::SharedPrompt &prompt, bool isNew)
 {
     if (!isNew) {
-        m_news.prompts.push_back(prompt);
+        m_pending.prompts.push_back(prompt);
         return;
     }
-    const auto behindNew = m_news.prompts.begin() + static_cast<std::ptrdiff_t>(m_newCount);
-    m_news.prompts.insert(behindNew, prompt);
+    const auto behindNew = m_pending.prompts.begin() + static_cast<std::ptrdiff_t>(m_newCount);
+    m_pending.prompts.insert(behindNew, prompt);
     ++m_newCount;
 }
 
@@ -71,7 +71,7 @@
 void PromptGossip::flush()
 {
     m_timer.reset();
-    const Schema::PromptNews news = std::exchange(m_news, {});
+    const Schema::PromptNews news = std::exchange(m_pending, {});
     const bool isUrgent = std::exchange(m_newCount, 0) > 0;
     const std::vector<Runtime::SocketAddress> peers = m_options.peers();
     const auto count = static_cast<double>(news.prompts.size());
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -33,9 +33,9 @@
         double burstBytes = 24000;
         /// For which news are gathered. Requests that an endpoint's crash sets free come to their
         /// next endpoint through many routers within some ms.
-        Base::Duration newDelay = std::chrono::milliseconds(1);
+        Base::Duration newPromptDelay = std::chrono::milliseconds(1);
         /// The same for prompts that are only in use again.
-        Base::Duration useDelay = std::chrono::milliseconds(1500);
+        Base::Duration usedPromptDelay = std::chrono::milliseconds(1500);
     };
 
     explicit PromptGossip(Options options);
@@ -54,13 +54,13 @@
     std::uint64_t dropped() const { return m_dropped; }
 
 private:
-    bool makeRoom(bool isNew);
+    bool evictForNew(bool isNew);
     void add(const Schema::SharedPrompt &prompt, bool isNew);
     void flush();
 
     Options m_options;
     Admission::Gcra m_bytes;
-    Schema::PromptNews m_news; ///< That the peers are not told yet.
+    Schema::PromptNews m_pending; ///< That the peers are not told yet.
     std::size_t m_newCount = 0; ///< Of these, the first ones; the rest are only in use again.
     std::optional<Runtime::TimerId> m_timer;
     std::uint64_t m_dropped = 0;
