--- a/tests/auto/gateway/tst_crashwatch.cpp
+++ b/tests/auto/gateway/tst_crashwatch.cpp
@@ -68,7 +68,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(oneCheckTellsOfAllThatBrokeTogether)
+BOOST_AUTO_TEST_CASE(oneCheckCoversAllAnswersThatBrokeTogether)
 {
     Fixture f;
     f.answerBroke(1);
@@ -80,7 +80,7 @@
     BOOST_TEST(f.checks == 1);
 }
 
-BOOST_AUTO_TEST_CASE(whatBreaksDuringACheckIsCheckedNext)
+BOOST_AUTO_TEST_CASE(answersThatBreakDuringACheckAreCheckedNext)
 {
     Fixture f;
     f.answerBroke(1);
@@ -96,7 +96,7 @@
 
 /// Pattern: a router is cut off from most endpoints, and every connection is reset and refused. A
 /// request that has been at some of them in a row is to blame for none.
-BOOST_AUTO_TEST_CASE(aCutBlamesNoRequest)
+BOOST_AUTO_TEST_CASE(networkCutBlamesNoRequest)
 {
     Fixture f;
     for (std::size_t endpoint = 0; endpoint < 17; ++endpoint) {
@@ -109,7 +109,7 @@
 
 /// Pattern: the same request reaches several endpoints at a time, so that they end together, beside
 /// one that ends by itself.
-BOOST_AUTO_TEST_CASE(endpointsThatEndTogetherUnderOneRequestBlameIt)
+BOOST_AUTO_TEST_CASE(requestSharedByCrashesIsBlamed)
 {
     Fixture f;
     for (std::size_t endpoint = 0; endpoint < 6; ++endpoint) {
@@ -122,7 +122,7 @@
 }
 
 /// Pattern: an endpoint that breaks half of its answers and stays.
-BOOST_AUTO_TEST_CASE(anEndpointThatBreaksManyAnswersCostsFewConnections)
+BOOST_AUTO_TEST_CASE(checksOfABreakingEndpointAreRateLimited)
 {
     Fixture f;
     for (int i = 0; i < 1000; ++i) {
