--- a/src/libs/fleetsync/loadgossip.cpp
+++ b/src/libs/fleetsync/loadgossip.cpp
@@ -31,21 +31,21 @@
 void LoadGossip::tick()
 {
     m_timer = m_options.timers->start(m_options.interval, [this] { tick(); });
-    tell();
+    sendLoads();
 }
 
-void LoadGossip::tell()
+void LoadGossip::sendLoads()
 {
     if (!send || !news)
         return;
     const Schema::LoadNews told = news();
-    const bool isDue = !told.loads.empty() || ++m_sinceTold >= m_options.calmIntervals;
+    const bool isDue = !told.loads.empty() || ++m_intervalsSinceSent >= m_options.idleIntervals;
     if (!isDue || (told.loads.empty() && told.usual.empty()))
         return;
     const std::vector<Runtime::SocketAddress> peers = m_options.peers();
     if (peers.empty())
         return;
-    m_sinceTold = 0;
+    m_intervalsSinceSent = 0;
     send(peers[m_random() % peers.size()], told);
 }
 
--- a/src/libs/fleetsync/loadgossip.h
+++ b/src/libs/fleetsync/loadgossip.h
@@ -27,7 +27,7 @@
         std::uint64_t randomSeed = 1;
         Base::Duration interval = std::chrono::milliseconds(100);
         /// While no endpoint has far more to do than others: only what is usual has to be told.
-        int calmIntervals = 10;
+        int idleIntervals = 10;
     };
 
     explicit LoadGossip(Options options);
@@ -46,11 +46,11 @@
 
 private:
     void tick();
-    void tell();
+    void sendLoads();
 
     Options m_options;
     std::mt19937_64 m_random;
-    int m_sinceTold = 0; ///< Intervals.
+    int m_intervalsSinceSent = 0; ///< Intervals.
     Runtime::TimerId m_timer;
 };
 
