--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -20,7 +20,7 @@
 
 bool AdmissionQueue::Key::operator<(const Key &other) const
 {
-    const int order = rank.compare(other.rank);
+    const int order = priority.compare(other.priority);
     return order != 0 ? order < 0 : number < other.number;
 }
 
@@ -32,42 +32,43 @@
         m_options.timers->cancel(*m_tickTimer);
 }
 
-std::optional<AdmissionQueue::Ticket> AdmissionQueue::add(const QueueId &line, Waiter waiter)
+std::optional<AdmissionQueue::Ticket> AdmissionQueue::add(const QueueId &queueId, Waiter waiter)
 {
-    Waiters &waiters = m_queues[line];
+    Waiters &waiters = m_queues[queueId];
     if (waiters.size() >= m_options.maxWaiters) {
         const Key last = std::prev(waiters.end())->first;
-        if (waiter.rank.compare(last.rank) >= 0)
+        if (waiter.priority.compare(last.priority) >= 0)
             return std::nullopt;
-        fail(line, last);
+        fail(queueId, last);
     }
-    const Key key{.rank = waiter.rank, .number = ++m_lastNumber};
-    m_queues[line].emplace(key, std::move(waiter));
+    const Key key{.priority = waiter.priority, .number = ++m_lastNumber};
+    m_queues[queueId].emplace(key, std::move(waiter));
     startTicking();
-    return Ticket{.line = line, .rank = key.rank, .number = key.number};
+    return Ticket{.queueId = queueId, .priority = key.priority, .number = key.number};
 }
 
 void AdmissionQueue::remove(const Ticket &ticket)
 {
-    const auto waiters = m_queues.find(ticket.line);
+    const auto waiters = m_queues.find(ticket.queueId);
     if (waiters == m_queues.end())
         return;
-    waiters->second.erase({.rank = ticket.rank, .number = ticket.number});
+    waiters->second.erase({.priority = ticket.priority, .number = ticket.number});
     if (waiters->second.empty())
         m_queues.erase(waiters);
 }
 
-bool AdmissionQueue::mustWait(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const
+bool AdmissionQueue::mustWait(const QueueId &queueId, const QueuePriority &priority,
+                              bool mayRepeat) const
 {
-    const auto waiters = m_queues.find(line);
+    const auto waiters = m_queues.find(queueId);
     if (waiters == m_queues.end())
         return false;
     // What was sent before may not go where it was, and tells nothing of others.
     const auto first =
         std::find_if(waiters->second.begin(), waiters->second.end(), [&](const auto &one) {
-            return !one.first.rank.isRepeat && (one.second.mayRepeat || !mayRepeat);
+            return !one.first.priority.isRepeat && (one.second.mayRepeat || !mayRepeat);
         });
-    return first != waiters->second.end() && first->first.rank.compare(rank) <= 0;
+    return first != waiters->second.end() && first->first.priority.compare(priority) <= 0;
 }
 
 void AdmissionQueue::slotMayBeFree(const Base::ServiceId &service)
@@ -87,7 +88,7 @@
 std::size_t AdmissionQueue::size() const
 {
     std::size_t sum = 0;
-    for (const auto &[line, waiters] : m_queues)
+    for (const auto &[queueId, waiters] : m_queues)
         sum += waiters.size();
     return sum;
 }
@@ -101,12 +102,12 @@
 }
 
 /// Calls may add and remove waiters: nothing of the line is kept across one.
-void AdmissionQueue::tryPlace(const QueueId &line, int maxFailedAttempts)
+void AdmissionQueue::tryPlace(const QueueId &queueId, int maxFailedAttempts)
 {
     Key after;
     int inVain = 0;
     for (bool isFirst = true; inVain < maxFailedAttempts; isFirst = false) {
-        const auto waiters = m_queues.find(line);
+        const auto waiters = m_queues.find(queueId);
         if (waiters == m_queues.end())
             return;
         const auto next = isFirst ? waiters->second.begin() : waiters->second.upper_bound(after);
@@ -115,15 +116,15 @@
         after = next->first;
         const auto tryPlace = next->second.tryPlace;
         if (tryPlace())
-            remove({.line = line, .rank = after.rank, .number = after.number});
+            remove({.queueId = queueId, .priority = after.priority, .number = after.number});
         else
             ++inVain;
     }
 }
 
-void AdmissionQueue::fail(const QueueId &line, const Key &key)
+void AdmissionQueue::fail(const QueueId &queueId, const Key &key)
 {
-    const auto waiters = m_queues.find(line);
+    const auto waiters = m_queues.find(queueId);
     if (waiters == m_queues.end())
         return;
     auto node = waiters->second.extract(key);
@@ -138,14 +139,14 @@
     // Another interval would be too long.
     const Base::MonoTime soon = m_options.timers->clock().now() + m_options.retryInterval;
     std::vector<std::pair<QueueId, Key>> late;
-    for (const auto &[line, waiters] : m_queues) {
+    for (const auto &[queueId, waiters] : m_queues) {
         for (const auto &[key, waiter] : waiters) {
             if (waiter.deadline < soon)
-                late.emplace_back(line, key);
+                late.emplace_back(queueId, key);
         }
     }
-    for (const auto &[line, key] : late)
-        fail(line, key);
+    for (const auto &[queueId, key] : late)
+        fail(queueId, key);
 }
 
 void AdmissionQueue::startTicking()
@@ -160,12 +161,12 @@
 
 void AdmissionQueue::tick()
 {
-    std::vector<QueueId> lines;
-    lines.reserve(m_queues.size());
-    for (const auto &[line, waiters] : m_queues)
-        lines.push_back(line);
-    for (const QueueId &line : lines)
-        tryPlace(line, 1);
+    std::vector<QueueId> queueIds;
+    queueIds.reserve(m_queues.size());
+    for (const auto &[queueId, waiters] : m_queues)
+        queueIds.push_back(queueId);
+    for (const QueueId &queueId : queueIds)
+        tryPlace(queueId, 1);
     failExpired();
     if (!m_queues.empty())
         startTicking();
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -56,7 +56,7 @@
     };
     struct Waiter
     {
-        QueuePriority rank;
+        QueuePriority priority;
         bool mayRepeat = false; ///< So that it may find out whether a suspected endpoint is back.
         Base::MonoTime deadline; ///< It is given up then.
         /// Looks for a place; true if it waits no longer.
@@ -66,8 +66,8 @@
     };
     struct Ticket
     {
-        QueueId line;
-        QueuePriority rank;
+        QueueId queueId;
+        QueuePriority priority;
         std::uint64_t number = 0; ///< Equals go in the order in which they came.
     };
 
@@ -79,11 +79,11 @@
     AdmissionQueue &operator=(const AdmissionQueue &) = delete;
 
     /// Nothing if the line is full of others that go before it.
-    std::optional<Ticket> add(const QueueId &line, Waiter waiter);
+    std::optional<Ticket> add(const QueueId &queueId, Waiter waiter);
     void remove(const Ticket &ticket);
     /// Whether one that has not looked yet would find nothing, as one in line goes before it that
     /// may go wherever it may, and found nothing.
-    bool mustWait(const QueueId &line, const QueuePriority &rank, bool mayRepeat) const;
+    bool mustWait(const QueueId &queueId, const QueuePriority &priority, bool mayRepeat) const;
     /// A place of the service may have come free; those in line look soon, but not from this call.
     void slotMayBeFree(const Base::ServiceId &service);
     std::size_t size() const;
@@ -91,7 +91,7 @@
 private:
     struct Key
     {
-        QueuePriority rank;
+        QueuePriority priority;
         std::uint64_t number = 0; ///< See Ticket.
 
         bool operator<(const Key &other) const;
@@ -101,9 +101,9 @@
     void tick();
     void startTicking();
     void retryFreed();
-    void tryPlace(const QueueId &line, int maxFailedAttempts);
+    void tryPlace(const QueueId &queueId, int maxFailedAttempts);
     /// Takes one out and calls its fail.
-    void fail(const QueueId &line, const Key &key);
+    void fail(const QueueId &queueId, const Key &key);
     void failExpired();
 
     Options m_options;
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -94,7 +94,7 @@
     /// than room; false if none has room.
     bool tryPlace();
     /// No endpoint has room; waits in line a moment for it, then refuses.
-    void waitInQueue(const QueuePriority &rank);
+    void waitInQueue(const QueuePriority &priority);
     void leaveQueue();
     void queueWaitFailed();
     Base::Duration maxQueueWait() const;
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -98,11 +98,11 @@
 
 void RequestRun::place()
 {
-    const QueuePriority rank = queuePriority();
+    const QueuePriority priority = queuePriority();
     const bool mustWait =
-        m_gateway.m_admissionQueue.mustWait(queueId(), rank, m_route->mayRepeat());
+        m_gateway.m_admissionQueue.mustWait(queueId(), priority, m_route->mayRepeat());
     if (mustWait || !tryPlace())
-        waitInQueue(rank);
+        waitInQueue(priority);
 }
 
 bool RequestRun::tryPlace()
@@ -228,7 +228,7 @@
     return true;
 }
 
-void RequestRun::waitInQueue(const QueuePriority &rank)
+void RequestRun::waitInQueue(const QueuePriority &priority)
 {
     const Base::MonoTime now = m_timers.clock().now();
     if (!m_queuedAt)
@@ -236,7 +236,7 @@
     const std::weak_ptr<RequestRun> weak = weak_from_this();
     m_queueTicket = m_gateway.m_admissionQueue.add(
         queueId(),
-        {.rank = rank,
+        {.priority = priority,
          .mayRepeat = m_route->mayRepeat(),
          .deadline = m_hasStreamBegun ? callerTimeoutAt() : *m_queuedAt + maxQueueWait(),
          .tryPlace =
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -20,11 +20,12 @@
 struct Fixture
 {
     /// Waits with a name; it takes a place of those that are free.
-    std::optional<AdmissionQueue::Ticket> wait(const std::string &name, const QueuePriority &rank,
-                                               bool isStream = true, bool mayRepeat = true)
+    std::optional<AdmissionQueue::Ticket> wait(const std::string &name,
+                                               const QueuePriority &priority, bool isStream = true,
+                                               bool mayRepeat = true)
     {
         return queue.add({.service = service, .isStream = isStream},
-                         {.rank = rank,
+                         {.priority = priority,
                           .mayRepeat = mayRepeat,
                           .deadline = clock.now() + milliseconds(40),
                           .tryPlace =
@@ -154,16 +155,16 @@
 BOOST_AUTO_TEST_CASE(newRequestMustWaitBehindHigherPriorities)
 {
     Fixture f;
-    const AdmissionQueue::QueueId line{.service = service, .isStream = true};
-    BOOST_TEST(!f.queue.mustWait(line, usual, true));
+    const AdmissionQueue::QueueId queueId{.service = service, .isStream = true};
+    BOOST_TEST(!f.queue.mustWait(queueId, usual, true));
     f.wait("sent before", repeat);
-    BOOST_TEST(!f.queue.mustWait(line, usual, true));
+    BOOST_TEST(!f.queue.mustWait(queueId, usual, true));
     f.wait("once at most", usual, true, false);
-    BOOST_TEST(f.queue.mustWait(line, usual, false));
-    BOOST_TEST(!f.queue.mustWait(line, usual, true)); // It may find out whether one is back.
+    BOOST_TEST(f.queue.mustWait(queueId, usual, false));
+    BOOST_TEST(!f.queue.mustWait(queueId, usual, true)); // It may find out whether one is back.
     f.wait("a", usual);
-    BOOST_TEST(f.queue.mustWait(line, usual, true));
-    BOOST_TEST(f.queue.mustWait(line, beyondItsShare, true));
-    BOOST_TEST(!f.queue.mustWait(line, urgent, true));
+    BOOST_TEST(f.queue.mustWait(queueId, usual, true));
+    BOOST_TEST(f.queue.mustWait(queueId, beyondItsShare, true));
+    BOOST_TEST(!f.queue.mustWait(queueId, urgent, true));
     BOOST_TEST(!f.queue.mustWait({.service = service, .isStream = false}, usual, true));
 }
