--- a/tests/auto/gateway/tst_endpointhealth.cpp
+++ b/tests/auto/gateway/tst_endpointhealth.cpp
@@ -45,14 +45,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(answersThatBreakAtOnceRaiseNoDoubt)
+BOOST_AUTO_TEST_CASE(simultaneousFailuresDoNotMakeAnEndpointSuspect)
 {
     Fixture f;
     f.fail(30, {});
     BOOST_TEST(f.isTrusted());
 }
 
-BOOST_AUTO_TEST_CASE(answersThatFailOneAfterTheOtherRaiseDoubt)
+BOOST_AUTO_TEST_CASE(consecutiveFailuresMakeAnEndpointSuspect)
 {
     Fixture f;
     f.fail(12, milliseconds(10));
@@ -60,7 +60,7 @@
 }
 
 /// As of an endpoint that is reset again and again and answers nothing between.
-BOOST_AUTO_TEST_CASE(bulksOfBrokenAnswersThatGoOnRaiseDoubt)
+BOOST_AUTO_TEST_CASE(repeatedFailureBurstsMakeAnEndpointSuspect)
 {
     Fixture f;
     for (int i = 0; i < 12; ++i) {
@@ -71,7 +71,7 @@
 }
 
 /// A trial that fails beside others has told what it was sent for.
-BOOST_AUTO_TEST_CASE(aTrialThatFailsInABulkKeepsTheEndpointSuspected)
+BOOST_AUTO_TEST_CASE(trialThatFailsInABurstKeepsTheEndpointSuspect)
 {
     Fixture f;
     f.fail(12, milliseconds(10));
@@ -86,7 +86,7 @@
     BOOST_TEST(f.registry.suspicion().admitsTrial(index, f.clock.now()));
 }
 
-BOOST_AUTO_TEST_CASE(goodAnswersBetweenFailuresKeepTrust)
+BOOST_AUTO_TEST_CASE(goodAnswersBetweenFailuresKeepTheEndpointHealthy)
 {
     Fixture f;
     for (int i = 0; i < 12; ++i) {
