--- a/src/libs/fleetsync/quarantinelog.cpp
+++ b/src/libs/fleetsync/quarantinelog.cpp
@@ -22,14 +22,14 @@
 QuarantineLog::~QuarantineLog()
 {
     m_options.timers->cancel(m_timer);
-    for (const auto &[key, timer] : m_drops)
+    for (const auto &[key, timer] : m_dropTimers)
         m_options.timers->cancel(timer);
 }
 
 void QuarantineLog::save(std::uint64_t request)
 {
     const std::string key = absl::StrCat(absl::Hex(request, absl::kZeroPad16));
-    dropLater(key);
+    scheduleDrop(key);
     write(key, present);
 }
 
@@ -38,33 +38,33 @@
     std::uint64_t request = 0;
     if (!record.value || !absl::SimpleHexAtoi(record.key, &request))
         return; // Not ours; it says nothing of a request.
-    dropLater(record.key);
+    scheduleDrop(record.key);
     if (received)
         received(request);
 }
 
-void QuarantineLog::dropLater(const std::string &key)
+void QuarantineLog::scheduleDrop(const std::string &key)
 {
-    if (m_drops.contains(key))
+    if (m_dropTimers.contains(key))
         return;
-    m_drops[key] = m_options.timers->start(m_options.time, [this, key] {
-        m_drops.erase(key);
+    m_dropTimers[key] = m_options.timers->start(m_options.retention, [this, key] {
+        m_dropTimers.erase(key);
         write(key, {});
     });
 }
 
 void QuarantineLog::write(const std::string &key, const std::string &value)
 {
-    m_unwritten[key] = value;
+    m_pendingWrites[key] = value;
     writeNext();
 }
 
 void QuarantineLog::writeNext()
 {
-    if (m_isWriting || m_unwritten.empty())
+    if (m_isWriting || m_pendingWrites.empty())
         return;
     m_isWriting = true;
-    const auto &[key, value] = *m_unwritten.begin();
+    const auto &[key, value] = *m_pendingWrites.begin();
     m_options.write(key, value,
                     [this, key = key,
                      isAlive = std::weak_ptr<bool>(m_isAlive)](const Errors::Result<void> &result) {
@@ -77,7 +77,7 @@
 {
     if (result) {
         m_isWriting = false;
-        m_unwritten.erase(key);
+        m_pendingWrites.erase(key);
         m_backoff.reset();
         writeNext();
         return;
--- a/src/libs/fleetsync/quarantinelog.h
+++ b/src/libs/fleetsync/quarantinelog.h
@@ -23,7 +23,7 @@
     {
         KeyedLog::KeyedWrite write;
         Runtime::TimerQueue *timers = nullptr;
-        Base::Duration time = std::chrono::hours(1); ///< For which a key is kept.
+        Base::Duration retention = std::chrono::hours(1); ///< For which a key is kept.
         PlatformClient::Backoff::Options backoff; ///< Between tries.
     };
 
@@ -41,15 +41,16 @@
     void recordRead(const KeyedLog::KeyedRecord &record);
 
 private:
-    void dropLater(const std::string &key);
+    void scheduleDrop(const std::string &key);
     void write(const std::string &key, const std::string &value);
     void writeNext();
     void written(const std::string &key, const Errors::Result<void> &result);
 
     Options m_options;
     PlatformClient::Backoff m_backoff;
-    std::map<std::string, Runtime::TimerId> m_drops; ///< By keys that are in the log.
-    std::map<std::string, std::string> m_unwritten; ///< Values by keys; an empty one drops the key.
+    std::map<std::string, Runtime::TimerId> m_dropTimers; ///< By keys that are in the log.
+    std::map<std::string, std::string>
+        m_pendingWrites; ///< Values by keys; an empty one drops the key.
     bool m_isWriting = false;
     Runtime::TimerId m_timer;
     /// Answers that come after this object is gone find it out by this.
