--- a/tests/auto/gateway/tst_fleetretrybudget.cpp
+++ b/tests/auto/gateway/tst_fleetretrybudget.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(allRoutersTogetherKeepTheLimitInAnyWindow)
+BOOST_AUTO_TEST_CASE(fleetKeepsTheLimitInAnyWindow)
 {
     for (const int routers : {1, 6, 100}) {
         BOOST_TEST_CONTEXT(routers << " routers")
@@ -72,7 +72,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aQuietServiceStillHasItsSlack)
+BOOST_AUTO_TEST_CASE(idleServiceHasItsSlack)
 {
     FleetRetryBudget budget(usersOptions());
     budget.setRouterCount(6);
@@ -88,7 +88,7 @@
 }
 
 /// Pattern: engines crash together, and repeats find no connection at several of them.
-BOOST_AUTO_TEST_CASE(whatReachedNoEndpointIsGivenBack)
+BOOST_AUTO_TEST_CASE(refundedRetriesAreAvailableAgain)
 {
     Gateway::FleetRetryBudget budget(
         {.ratio = 0, .window = std::chrono::seconds(10), .slack = 3, .share = 1});
