--- a/src/libs/fleetsync/routerregistry.cpp
+++ b/src/libs/fleetsync/routerregistry.cpp
@@ -40,7 +40,7 @@
             if (written)
                 readAll();
             else
-                later(&RouterRegistry::write);
+                retry(&RouterRegistry::write);
         });
 }
 
@@ -57,24 +57,24 @@
 void RouterRegistry::pageRead(const Errors::Result<KeyedLog::NewestPage> &page)
 {
     if (!page) {
-        later(&RouterRegistry::readAll);
+        retry(&RouterRegistry::readAll);
         return;
     }
     for (const KeyedLog::KeyedRecord &record : page.value().records)
-        take(record);
+        addRecord(record);
     if (page.value().hasMore && !page.value().records.empty())
         read(page.value().records.back().key);
     else
-        readEnded();
+        finish();
 }
 
-void RouterRegistry::readEnded()
+void RouterRegistry::finish()
 {
     m_isDone = true;
     m_options.sync->allRoutersAdded();
 }
 
-void RouterRegistry::take(const KeyedLog::KeyedRecord &record)
+void RouterRegistry::addRecord(const KeyedLog::KeyedRecord &record)
 {
     const auto read = readRegistryEntry(record.value.value_or(std::string()));
     if (!read)
@@ -83,7 +83,7 @@
     m_options.sync->addRouter(record.key, router.dataCentre, router.address, router.strength);
 }
 
-void RouterRegistry::later(void (RouterRegistry::*step)())
+void RouterRegistry::retry(void (RouterRegistry::*step)())
 {
     m_timer = m_options.timers->start(m_backoff.next(), [this, step] { (this->*step)(); });
 }
--- a/src/libs/fleetsync/routerregistry.h
+++ b/src/libs/fleetsync/routerregistry.h
@@ -40,9 +40,9 @@
     void write();
     void read(const std::string &after);
     void pageRead(const Errors::Result<KeyedLog::NewestPage> &page);
-    void take(const KeyedLog::KeyedRecord &record);
-    void readEnded();
-    void later(void (RouterRegistry::*step)());
+    void addRecord(const KeyedLog::KeyedRecord &record);
+    void finish();
+    void retry(void (RouterRegistry::*step)());
     void readAll() { read({}); }
 
     Options m_options;
