--- a/tests/auto/gateway/tst_loadshedder.cpp
+++ b/tests/auto/gateway/tst_loadshedder.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(nobodyIsRefusedWhileThereIsRoom)
+BOOST_AUTO_TEST_CASE(noRequestIsRefusedBelowCapacity)
 {
     OverloadModel model(headOffice(0.6));
     model.run();
@@ -49,7 +49,7 @@
     BOOST_TEST(all.timely() > 0.99);
 }
 
-BOOST_AUTO_TEST_CASE(twiceTheLoadIsServedInTimeForAsManyAsThereIsRoom)
+BOOST_AUTO_TEST_CASE(doubleLoadIsServedInTimeUpToCapacity)
 {
     OverloadModel::Options options = headOffice(2);
     options.isShedding = false;
@@ -65,7 +65,7 @@
 }
 
 /// Pattern: what the most urgent ask for fits, what all ask for is several times the places.
-BOOST_AUTO_TEST_CASE(theMostUrgentKindIsServedAsFarAsThereIsRoom)
+BOOST_AUTO_TEST_CASE(mostUrgentKindIsServedUpToCapacity)
 {
     const struct
     {
@@ -86,7 +86,7 @@
 
 /// Pattern: workspaces have priorities of their own, as all of the users' have, so that a request's
 /// priority alone says nothing of its kind.
-BOOST_AUTO_TEST_CASE(amongWorkspacesOfOnePriorityTheUrgentKindGoesFirst)
+BOOST_AUTO_TEST_CASE(urgentKindIsServedFirstAmongWorkspacesOfEqualPriority)
 {
     OverloadModel::Options options = headOffice(2);
     options.urgentWorkspaces = 1;
@@ -102,7 +102,7 @@
     BOOST_TEST(model.kind("counter").served() > model.kind("tag").served() + 0.2);
 }
 
-BOOST_AUTO_TEST_CASE(theUrgentGoFirstAndNoKindIsStarved)
+BOOST_AUTO_TEST_CASE(urgentKindsAreServedFirstAndNoKindIsStarved)
 {
     for (const double load : {1.3, 2.0, 3.0}) {
         BOOST_TEST_CONTEXT("load " << load)
@@ -119,7 +119,7 @@
 }
 
 /// Pattern: one workspace sends eight times its usual. What the others ask for fits.
-BOOST_AUTO_TEST_CASE(aGreedyWorkspacePaysForItself)
+BOOST_AUTO_TEST_CASE(greedyWorkspaceDoesNotDisplaceOthers)
 {
     OverloadModel::Options options = headOffice(1.5);
     options.greedy = 8;
@@ -131,7 +131,7 @@
     BOOST_TEST(model.workspace(0).served() > 0.25 * model.all().served());
 }
 
-BOOST_AUTO_TEST_CASE(refusedCallersReturnSpreadAndWhileTheyCanBeInTime)
+BOOST_AUTO_TEST_CASE(retryAfterIsSpreadWithinTheTargetLatency)
 {
     LoadShedder shedder({});
     const Base::Duration target = std::chrono::milliseconds(300);
