--- a/src/libs/fleetsync/routerregistry.cpp
+++ b/src/libs/fleetsync/routerregistry.cpp
@@ -33,7 +33,8 @@
 void RouterRegistry::write()
 {
     m_options.write(
-        m_options.id, registryEntry({m_options.dataCentre, m_options.address, m_options.strength}),
+        m_options.id,
+        formatRegistryEntry({m_options.dataCentre, m_options.address, m_options.strength}),
         [this, isAlive = std::weak_ptr<bool>(m_isAlive)](const Errors::Result<void> &written) {
             if (isAlive.expired())
                 return;
@@ -76,7 +77,7 @@
 
 void RouterRegistry::addRecord(const KeyedLog::KeyedRecord &record)
 {
-    const auto read = readRegistryEntry(record.value.value_or(std::string()));
+    const auto read = parseRegistryEntry(record.value.value_or(std::string()));
     if (!read)
         return;
     const RegisteredRouter &router = read.value();
@@ -88,13 +89,13 @@
     m_timer = m_options.timers->start(m_backoff.next(), [this, step] { (this->*step)(); });
 }
 
-std::string registryEntry(const RegisteredRouter &router)
+std::string formatRegistryEntry(const RegisteredRouter &router)
 {
     return router.dataCentre + separator + Runtime::toString(router.address) + separator
         + std::to_string(router.strength);
 }
 
-Errors::Result<RegisteredRouter> readRegistryEntry(std::string_view text)
+Errors::Result<RegisteredRouter> parseRegistryEntry(std::string_view text)
 {
     const std::vector<std::string> parts =
         absl::StrSplit(absl::string_view(text.data(), text.size()), separator);
--- a/src/libs/fleetsync/routerregistry.h
+++ b/src/libs/fleetsync/routerregistry.h
@@ -60,9 +60,9 @@
     Runtime::SocketAddress address;
     std::uint32_t strength = 0;
 };
-std::string registryEntry(const RegisteredRouter &router);
+std::string formatRegistryEntry(const RegisteredRouter &router);
 /// An entry without a strength is of a router that is weaker than any other one; an error if it
 /// cannot be read.
-Errors::Result<RegisteredRouter> readRegistryEntry(std::string_view text);
+Errors::Result<RegisteredRouter> parseRegistryEntry(std::string_view text);
 
 } // namespace Lagoonbank::FleetSync
--- a/tests/auto/fleetsync/tst_routerregistry.cpp
+++ b/tests/auto/fleetsync/tst_routerregistry.cpp
@@ -111,14 +111,14 @@
 
 BOOST_AUTO_TEST_CASE(entriesAreReadBackOrRefused)
 {
-    const auto read =
-        FleetSync::readRegistryEntry(FleetSync::registryEntry({"dc0", {"10.0.0.9", 7000}, 20}));
+    const auto read = FleetSync::parseRegistryEntry(
+        FleetSync::formatRegistryEntry({"dc0", {"10.0.0.9", 7000}, 20}));
     BOOST_REQUIRE(read);
     BOOST_TEST(read.value().dataCentre == "dc0");
     BOOST_TEST(Runtime::toString(read.value().address) == "10.0.0.9:7000");
     BOOST_TEST(read.value().strength == 20U);
-    BOOST_TEST(FleetSync::readRegistryEntry("dc0 10.0.0.9:7000").value().strength == 0U);
+    BOOST_TEST(FleetSync::parseRegistryEntry("dc0 10.0.0.9:7000").value().strength == 0U);
     for (const char *text :
          {"", "dc0", "dc0 ", "dc0 10.0.0.9", "dc0 x:1", "dc0 10.0.0.9:7000 x", "a b c d"})
-        BOOST_TEST(!FleetSync::readRegistryEntry(text), text);
+        BOOST_TEST(!FleetSync::parseRegistryEntry(text), text);
 }
