--- a/tests/auto/gateway/tst_requestquarantine.cpp
+++ b/tests/auto/gateway/tst_requestquarantine.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(threeEndpointsMayEndUnderARequest)
+BOOST_AUTO_TEST_CASE(thirdCrashQuarantinesARequest)
 {
     Fixture f;
     BOOST_TEST(f.quarantine.isEmpty());
@@ -51,7 +51,7 @@
 }
 
 /// Each router that had it there tells of the same end.
-BOOST_AUTO_TEST_CASE(anEndCountsOnceWhoeverTells)
+BOOST_AUTO_TEST_CASE(crashReportedByManyRoutersCountsOnce)
 {
     Fixture f;
     for (int i = 0; i < 5; ++i)
@@ -60,7 +60,7 @@
     BOOST_TEST(!f.isQuarantined(one));
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerForgetsTheEndsBefore)
+BOOST_AUTO_TEST_CASE(anAnswerClearsEarlierCrashes)
 {
     Fixture f;
     f.crashed(one, 11);
@@ -70,7 +70,7 @@
     BOOST_TEST(!f.isQuarantined(one));
 }
 
-BOOST_AUTO_TEST_CASE(theLastEndIsKnownBeforeItIsCertain)
+BOOST_AUTO_TEST_CASE(crashThatWouldQuarantineIsPredicted)
 {
     Fixture f;
     f.crashed(one, 11);
@@ -81,7 +81,7 @@
     BOOST_TEST(!f.quarantine.wouldQuarantine({other, 13}, f.now));
 }
 
-BOOST_AUTO_TEST_CASE(endsAndQuarantinesLapse)
+BOOST_AUTO_TEST_CASE(crashesAndQuarantinesExpire)
 {
     Fixture f;
     f.crashed(one, 11);
@@ -100,7 +100,7 @@
     BOOST_TEST(!f.crashed(one, 16));
 }
 
-BOOST_AUTO_TEST_CASE(whatIsToldIsQuarantinedForTheRestOfItsTime)
+BOOST_AUTO_TEST_CASE(receivedQuarantineLastsForItsRemainingTime)
 {
     Fixture f;
     BOOST_TEST(f.quarantine.quarantine({one, seconds(30)}, f.now));
@@ -114,7 +114,7 @@
 
 /// Pattern: endpoints with many requests end in numbers. A request that several ended under stays
 /// known before those of a single end.
-BOOST_AUTO_TEST_CASE(manyRequestsDoNotDriveOutTheOneToBlame)
+BOOST_AUTO_TEST_CASE(requestWithSeveralCrashesIsNotEvicted)
 {
     Fixture f({.maxRequests = 10});
     f.crashed(one, 11);
@@ -124,7 +124,7 @@
     BOOST_TEST(f.crashed(one, 14));
 }
 
-BOOST_AUTO_TEST_CASE(aNewQuarantineTakesThePlaceOfTheOneThatEndsSoonest)
+BOOST_AUTO_TEST_CASE(newQuarantineReplacesTheOneThatEndsFirst)
 {
     Fixture f({.maxQuarantined = 2});
     f.quarantine.quarantine({one, minutes(2)}, f.now);
@@ -136,7 +136,7 @@
     BOOST_TEST(f.isQuarantined(third));
 }
 
-BOOST_AUTO_TEST_CASE(aRequestIsTheSameInEachAttempt)
+BOOST_AUTO_TEST_CASE(fingerprintIsTheSameForEachAttempt)
 {
     const CallerRequest request{.id = Base::RequestId("a"),
                                 .method = "POST",
