--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -182,7 +182,7 @@
     if (!m_isLeader || !age || *age > m_options.maxLeaderAge)
         return;
     if (m_changes.size() <= mostNews) {
-        m_changes.push_back(isGone ? sharedGone(entry.endpoint.id, entry.version)
+        m_changes.push_back(isGone ? toSharedRemoval(entry.endpoint.id, entry.version)
                                    : toShared(entry));
     }
     if (!m_changesTimer)
@@ -345,7 +345,7 @@
             .isLeading = m_isLeader,
             .isReading = leadsWithFreshState(),
             .isWaiting = m_options.directory->isWaiting(),
-            .knowledgeAgeMs = ageNumber(stateAge()),
+            .knowledgeAgeMs = encodeAge(stateAge()),
             .configuration = m_configuration.revision.value(),
             .endpoints = m_options.directory->hash(),
             .isLeaving = m_isLeaving,
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -122,7 +122,7 @@
 
 Schema::FleetStateAnswer FleetSync::answer(const Schema::FleetStateRequest &request) const
 {
-    Schema::FleetStateAnswer state{.knowledgeAgeMs = ageNumber(stateAge())};
+    Schema::FleetStateAnswer state{.knowledgeAgeMs = encodeAge(stateAge())};
     const Fleet::EndpointDigest &digest = m_options.directory->digest();
     const auto differs = [&](const Base::EndpointId &id) {
         const std::size_t bucket = Fleet::digestBucket(id);
@@ -134,7 +134,7 @@
     }
     for (const Fleet::GoneEndpoint &gone : m_options.directory->gone()) {
         if (differs(gone.id))
-            state.endpoints.push_back(sharedGone(gone.id, gone.version));
+            state.endpoints.push_back(toSharedRemoval(gone.id, gone.version));
     }
     if (m_configuration.revision.value() > request.configuration) {
         state.configurationOffset = m_configuration.offset.value();
--- a/src/libs/fleetsync/sharedendpoint.cpp
+++ b/src/libs/fleetsync/sharedendpoint.cpp
@@ -42,7 +42,7 @@
             .isWarmingUp = endpoint.isWarmingUp};
 }
 
-SharedEndpoint sharedGone(const Base::EndpointId &id, Base::LogOffset version)
+SharedEndpoint toSharedRemoval(const Base::EndpointId &id, Base::LogOffset version)
 {
     return {.id = id.value(), .version = version.value(), .isGone = true};
 }
@@ -61,7 +61,7 @@
             .startedAt = startedAt(shared)};
 }
 
-std::uint32_t ageNumber(std::optional<Base::Duration> age)
+std::uint32_t encodeAge(std::optional<Base::Duration> age)
 {
     if (!age)
         return unknownAge;
