--- a/tests/auto/gateway/tst_urgencyshares.cpp
+++ b/tests/auto/gateway/tst_urgencyshares.cpp
@@ -15,13 +15,13 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aWorkspacesPriorityGoesBeforeThatOfTheRoute)
+BOOST_AUTO_TEST_CASE(workspacePriorityIsComparedBeforeRoutePriority)
 {
     BOOST_TEST((first < second));
     BOOST_TEST((second < third));
 }
 
-BOOST_AUTO_TEST_CASE(placesGoToTheMostUrgentAndEachKeepsALeastPart)
+BOOST_AUTO_TEST_CASE(slotsGoToTheMostUrgentAndEachDemandKeepsAMinimum)
 {
     const struct
     {
