--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -123,7 +123,7 @@
             count += router->isUp && is(*router) ? 1 : 0;
         return count;
     }
-    bool allKnow(const std::function<bool(const Router &)> &is) const
+    bool allRouters(const std::function<bool(const Router &)> &is) const
     {
         for (const auto &router : routers) {
             if (router->isUp && !is(*router))
--- a/tests/auto/fleetsync/tst_drains.cpp
+++ b/tests/auto/fleetsync/tst_drains.cpp
@@ -18,9 +18,9 @@
 
 const Drained east{Base::DataCentreId("east")};
 
-bool allKnow(const SyncFleet &fleet, const Drained &drained)
+bool allRouters(const SyncFleet &fleet, const Drained &drained)
 {
-    return fleet.allKnow(
+    return fleet.allRouters(
         [&](const Router &router) { return router.sync->drains().current() == drained; });
 }
 
@@ -32,10 +32,10 @@
     settle(fleet);
     fleet.drain(east);
     fleet.pass(milliseconds(1000));
-    BOOST_TEST(allKnow(fleet, east));
+    BOOST_TEST(allRouters(fleet, east));
     fleet.drain({});
     fleet.pass(milliseconds(1000));
-    BOOST_TEST(allKnow(fleet, {}));
+    BOOST_TEST(allRouters(fleet, {}));
 }
 
 BOOST_AUTO_TEST_CASE(aRouterThatStartsWithoutTheStoreLearnsItFromItsPeers)
@@ -50,7 +50,7 @@
     fleet.pass(seconds(1));
     fleet.start(router);
     fleet.pass(seconds(2));
-    BOOST_TEST(allKnow(fleet, east));
+    BOOST_TEST(allRouters(fleet, east));
 }
 
 BOOST_AUTO_TEST_CASE(itIsTakenBackAlsoWhereTheStoreTurnsAThirdAway)
@@ -63,7 +63,7 @@
         fleet.routers[i]->reachesStore = false;
     fleet.drain({});
     fleet.pass(seconds(3));
-    BOOST_TEST(allKnow(fleet, {}));
+    BOOST_TEST(allRouters(fleet, {}));
 }
 
 BOOST_AUTO_TEST_CASE(aDataCentreThatWasCutOffDoesNotBringADrainBack)
@@ -79,8 +79,8 @@
         router->reachesStore = router->dataCentre == "dc0";
     fleet.drain({});
     fleet.pass(seconds(4));
-    BOOST_TEST(!allKnow(fleet, {}));
+    BOOST_TEST(!allRouters(fleet, {}));
     fleet.passes = [](const Router &, const Router &) { return true; };
     fleet.pass(seconds(3));
-    BOOST_TEST(allKnow(fleet, {}));
+    BOOST_TEST(allRouters(fleet, {}));
 }
--- a/tests/auto/fleetsync/tst_fleetreader.cpp
+++ b/tests/auto/fleetsync/tst_fleetreader.cpp
@@ -57,7 +57,7 @@
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.revision = 2;
     fleet.pass(seconds(2));
-    BOOST_TEST(fleet.allKnow(
+    BOOST_TEST(fleet.allRouters(
         [](const Router &router) { return isDraining(router, "a") && router.configuration == 2; }));
     fleet.pass(seconds(3));
     BOOST_TEST(fleet.leaders("dc1") == 1);
@@ -122,7 +122,7 @@
         router->reachesStore = true;
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.pass(seconds(1));
-    BOOST_TEST(fleet.allKnow([](const Router &router) { return isDraining(router, "a"); }));
+    BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "a"); }));
 }
 
 /// A leader and both of its deputies are turned away: its data centre learns from the others.
@@ -135,7 +135,7 @@
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.revision = 2;
     fleet.pass(seconds(2));
-    BOOST_TEST(fleet.allKnow(
+    BOOST_TEST(fleet.allRouters(
         [](const Router &router) { return isDraining(router, "a") && router.configuration == 2; }));
 }
 
--- a/tests/auto/fleetsync/tst_fleetsync.cpp
+++ b/tests/auto/fleetsync/tst_fleetsync.cpp
@@ -26,7 +26,7 @@
     for (const char *dataCentre : {"dc0", "dc1", "dc2"})
         BOOST_TEST(fleet.leaders(dataCentre) == 1);
     BOOST_TEST(fleet.readers() == 1);
-    BOOST_TEST(fleet.allKnow([](const Router &router) {
+    BOOST_TEST(fleet.allRouters([](const Router &router) {
         return router.configuration == 1 && router.directory->find(Base::EndpointId("a"))
             && router.sync->stateAge() < seconds(2);
     }));
@@ -40,13 +40,13 @@
     fleet.put(endpoint("b"));
     fleet.revision = 2;
     fleet.pass(milliseconds(1000));
-    BOOST_TEST(fleet.allKnow([](const Router &router) {
+    BOOST_TEST(fleet.allRouters([](const Router &router) {
         return router.configuration == 2 && isDraining(router, "a")
             && router.directory->find(Base::EndpointId("b"));
     }));
     fleet.drop("a");
     fleet.pass(milliseconds(1000));
-    BOOST_TEST(fleet.allKnow(
+    BOOST_TEST(fleet.allRouters(
         [](const Router &router) { return !router.directory->find(Base::EndpointId("a")); }));
 }
 
@@ -61,7 +61,7 @@
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.pass(milliseconds(2500));
     BOOST_TEST(fleet.leaders("dc0") == 1);
-    BOOST_TEST(fleet.allKnow([](const Router &router) { return isDraining(router, "a"); }));
+    BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "a"); }));
 }
 
 /// The store turns some routers away at just the moment when endpoints leave and keys are revoked.
@@ -77,7 +77,7 @@
             fleet.put(endpoint("a", Fleet::EndpointState::Draining));
             fleet.revision = 2;
             fleet.pass(milliseconds(2000));
-            BOOST_TEST(fleet.allKnow([](const Router &router) {
+            BOOST_TEST(fleet.allRouters([](const Router &router) {
                 return router.configuration == 2 && isDraining(router, "a");
             }));
         }
@@ -94,7 +94,7 @@
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.revision = 2;
     fleet.pass(milliseconds(2500));
-    BOOST_TEST(fleet.allKnow(
+    BOOST_TEST(fleet.allRouters(
         [](const Router &router) { return router.configuration == 2 && isDraining(router, "a"); }));
 }
 
@@ -107,7 +107,7 @@
     };
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.pass(seconds(2));
-    BOOST_TEST(fleet.allKnow([](const Router &router) { return isDraining(router, "a"); }));
+    BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "a"); }));
     BOOST_TEST(fleet.leaders("dc0") == 1);
     fleet.passes = [](const Router &, const Router &) { return true; };
     fleet.pass(seconds(2));
@@ -131,7 +131,7 @@
     fleet.kill(*fleet.routers[4]);
     fleet.start(*fleet.routers[4]);
     fleet.pass(seconds(3));
-    BOOST_TEST(fleet.allKnow(
+    BOOST_TEST(fleet.allRouters(
         [](const Router &router) { return router.configuration == 2 && isDraining(router, "a"); }));
 }
 
@@ -146,7 +146,7 @@
     fleet.kill(*reader);
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.pass(milliseconds(1100));
-    BOOST_TEST(fleet.allKnow([](const Router &router) { return isDraining(router, "a"); }));
+    BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "a"); }));
 }
 
 BOOST_AUTO_TEST_CASE(routersThatAllStartAtOnceSettle)
@@ -160,7 +160,7 @@
     fleet.pass(seconds(2));
     BOOST_TEST(fleet.leaders("dc0") == 1);
     BOOST_TEST(fleet.leaders("dc1") == 1);
-    BOOST_TEST(fleet.allKnow([](const Router &router) { return router.configuration == 1; }));
+    BOOST_TEST(fleet.allRouters([](const Router &router) { return router.configuration == 1; }));
 }
 
 /// The target: 330 routers in 13 data centres; control may cost a router 5 KB/s.
@@ -216,7 +216,7 @@
     }
     fleet.pass(milliseconds(50));
     // Callers are there, and nobody else is: none waits for another one.
-    BOOST_TEST(fleet.allKnow([](const Router &router) {
+    BOOST_TEST(fleet.allRouters([](const Router &router) {
         return router.sync->hasEndpoints() && router.configuration == 1;
     }));
     fleet.pass(milliseconds(950));
@@ -225,7 +225,7 @@
         reads += router->reads;
     BOOST_TEST(reads <= 150 + 5 * 3);
     fleet.pass(seconds(3));
-    BOOST_TEST(fleet.allKnow([](const Router &router) {
+    BOOST_TEST(fleet.allRouters([](const Router &router) {
         return router.directory->entries().size() == endpoints + 1 && router.configuration == 1;
     }));
     // Each tells its 29 neighbours of itself and answers each of theirs; then readers say once or
@@ -250,7 +250,7 @@
     fleet.pass(milliseconds(600));
     fleet.passes = [](const Router &, const Router &) { return true; };
     fleet.pass(milliseconds(1000));
-    BOOST_TEST(fleet.allKnow([](const Router &router) { return isDraining(router, "e7"); }));
+    BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "e7"); }));
     BOOST_TEST(fleet.pulledEndpoints - before < 40U); // A bucket of 64 has some ten of them.
 }
 
@@ -274,7 +274,7 @@
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.revision = 2;
     fleet.pass(milliseconds(2700));
-    BOOST_TEST(fleet.allKnow(
+    BOOST_TEST(fleet.allRouters(
         [](const Router &router) { return router.configuration == 2 && isDraining(router, "a"); }));
     BOOST_TEST(fleet.leaders("dc0") <= 2);
 }
@@ -287,7 +287,7 @@
     for (int i = 0; i < 100; ++i)
         fleet.put(endpoint("e" + std::to_string(i)));
     fleet.pass(seconds(1));
-    BOOST_TEST(fleet.allKnow(
+    BOOST_TEST(fleet.allRouters(
         [](const Router &router) { return router.directory->entries().size() == 101; }));
     BOOST_TEST(fleet.messages - before < 100U);
 }
@@ -339,7 +339,7 @@
                 BOOST_TEST(isThere == isForAll);
             }
             fleet.pass(seconds(2));
-            BOOST_TEST(fleet.allKnow([](const Router &router) {
+            BOOST_TEST(fleet.allRouters([](const Router &router) {
                 return !router.directory->find(Base::EndpointId("b"));
             }));
         }
