--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(requestsWithOnePromptGoToOneEndpointOnEveryRouter)
+BOOST_AUTO_TEST_CASE(allRoutersSendAPromptToItsHome)
 {
     Fixture one(9);
     Fixture other(9);
@@ -69,7 +69,7 @@
     BOOST_TEST(recordUse.size() == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatGoesMovesOnlyItsOwnPrompts)
+BOOST_AUTO_TEST_CASE(removingAnEndpointMovesOnlyItsPrompts)
 {
     Fixture f(9);
     std::map<std::uint64_t, std::string> before;
@@ -84,7 +84,7 @@
 
 /// Pattern: a hot key. A quarter of the requests share one prompt; its home alone would hold far
 /// more than the others. The fleet's rule: no more than 2 times the mean plus 3.
-BOOST_AUTO_TEST_CASE(aHotPromptDoesNotOverloadItsHome)
+BOOST_AUTO_TEST_CASE(hotPromptDoesNotOverloadItsHome)
 {
     Fixture f(9);
     for (int i = 0; i < 9; ++i)
@@ -108,7 +108,7 @@
 
 /// Pattern: an engine turns slow, five times as long for each step. New streams leave it, and come
 /// back when nothing bad was heard of it for some seconds.
-BOOST_AUTO_TEST_CASE(aSlowHomeIsLeftAndTriedAgainLater)
+BOOST_AUTO_TEST_CASE(slowHomeIsAvoidedAndRetriedLater)
 {
     Fixture f(4);
     const EndpointPtr home = f.choose(42).endpoint;
@@ -127,7 +127,7 @@
 
 /// Pattern: many routers, each of which sees a chat seldom, and engines that come, leave or are
 /// busy. A router that has never seen a chat knows from the order alone where its prompt lies.
-BOOST_AUTO_TEST_CASE(aPromptIsCopiedFromWhereAllRoutersSentItBefore)
+BOOST_AUTO_TEST_CASE(cacheSourceIsThePreviousHome)
 {
     Fixture f(6);
     f.now += std::chrono::seconds(60);
@@ -156,7 +156,7 @@
     BOOST_TEST(!f.choose(42).cacheSource);
 }
 
-BOOST_AUTO_TEST_CASE(drainingAndTriedEndpointsAreLeftOut)
+BOOST_AUTO_TEST_CASE(drainingAndTriedEndpointsAreExcluded)
 {
     Fixture f(2);
     Fleet::Endpoint draining = f.endpoint(0).info;
@@ -169,7 +169,7 @@
     BOOST_TEST(!none.endpoint);
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatRefusedAsFullIsLeftAloneForAMoment)
+BOOST_AUTO_TEST_CASE(endpointIsExcludedBrieflyAfterRefusingAsFull)
 {
     Fixture f(2);
     f.endpoint(0).fullUntil = f.now + std::chrono::milliseconds(150);
@@ -180,7 +180,7 @@
     BOOST_TEST(f.chooseService().endpoint->info.id.value() == "e0");
 }
 
-BOOST_AUTO_TEST_CASE(aSuspectedEndpointIsTriedByWhatMayBeRepeatedAlone)
+BOOST_AUTO_TEST_CASE(onlyRepeatableRequestsTrySuspectedEndpoints)
 {
     Fixture f(2);
     f.registry.suspicion().noteResult(f.endpoint(0).index, Routing::ExchangeResult::Unreachable,
@@ -194,7 +194,7 @@
     BOOST_TEST(f.chooseService(true).endpoint->info.id.value() == "e1");
 }
 
-BOOST_AUTO_TEST_CASE(whereAllAreSuspectedTheOldestSuspicionIsTried)
+BOOST_AUTO_TEST_CASE(lastResortIsTheEndpointSuspectedLongest)
 {
     Fixture f(2);
     f.registry.suspicion().noteResult(f.endpoint(1).index, Routing::ExchangeResult::Unreachable,
@@ -207,7 +207,7 @@
 }
 
 /// The way to another data centre shows in the time that its endpoints take.
-BOOST_AUTO_TEST_CASE(servicesUseWhoeverIsNearUntilThatIsFull)
+BOOST_AUTO_TEST_CASE(servicesPreferNearEndpointsUntilTheyAreFull)
 {
     Fixture f(2);
     f.endpoint(0).latency.add(0.03, f.now);
@@ -220,7 +220,7 @@
 
 /// Pattern: the start of a day with a hot prompt. No endpoint is known for long, and yet the home
 /// that is passed over holds the prompt: its work is what makes it busy.
-BOOST_AUTO_TEST_CASE(aBusyHomeIsCopiedFromHoweverNewItIs)
+BOOST_AUTO_TEST_CASE(busyHomeIsACacheSourceEvenIfNew)
 {
     Fixture f(6);
     const EndpointPtr home = f.choose(42).endpoint;
@@ -233,7 +233,7 @@
 
 /// Pattern: a data centre is cut off and has no endpoint of a service itself. Reachability finds
 /// out within 300 ms when one can be reached again; until then requests are refused at once.
-BOOST_AUTO_TEST_CASE(whatIsOutOfReachIsNoLastResort)
+BOOST_AUTO_TEST_CASE(unreachableEndpointsAreNoLastResort)
 {
     Fixture f(3);
     for (int i = 0; i < 3; ++i)
@@ -245,7 +245,7 @@
 }
 
 /// Pattern: many routers hear the same of a home a second late.
-BOOST_AUTO_TEST_CASE(amongManyRoutersRequestsLeaveAHomeOneAfterTheOther)
+BOOST_AUTO_TEST_CASE(requestsOverflowGraduallyInALargeFleet)
 {
     Fixture f(60);
     f.registry.setRouterCount(80);
@@ -281,7 +281,7 @@
 
 /// Pattern: one prompt is asked for far more than others, and many routers hear late of where it
 /// is.
-BOOST_AUTO_TEST_CASE(whatFindsItsHomeFullIsSpreadByHowMuchThatHasTooMuch)
+BOOST_AUTO_TEST_CASE(overflowIsSpreadInProportionToTheExcess)
 {
     Fixture f(60);
     f.registry.setRouterCount(80);
@@ -318,7 +318,7 @@
     BOOST_TEST(places(30).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(whereFewEndpointsAreLeftNoneIsPassedOverInVain)
+BOOST_AUTO_TEST_CASE(overflowWithFewEndpointsStillFindsOne)
 {
     Fixture f(3);
     f.registry.setRouterCount(80);
@@ -373,7 +373,7 @@
 } // namespace
 
 /// Pattern: engines are added or start again, and a part of all prompts gets another home.
-BOOST_AUTO_TEST_CASE(aPromptStaysWhereItIsHeldWhileThatHasNoMoreWorkThanOthers)
+BOOST_AUTO_TEST_CASE(promptStaysAtItsHolderWithinTheLoadBound)
 {
     HolderFixture f;
     EndpointRecord &holder = f.notHome();
@@ -386,7 +386,7 @@
     BOOST_TEST((f.choose().endpoint.get() != &holder));
 }
 
-BOOST_AUTO_TEST_CASE(aHolderThatIsDrainingOrTriedIsLeft)
+BOOST_AUTO_TEST_CASE(drainingHolderIsNotChosen)
 {
     HolderFixture f;
     EndpointRecord &holder = f.notHome();
@@ -396,7 +396,7 @@
 }
 
 /// Pattern: prompts take more memory on one engine than it has, while others have some left.
-BOOST_AUTO_TEST_CASE(aPromptLeavesAHomeThatHasNoMemoryForIt)
+BOOST_AUTO_TEST_CASE(promptLeavesAHomeWithoutMemoryForIt)
 {
     HolderFixture f;
     const EndpointPtr home = f.choose().endpoint;
@@ -446,7 +446,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(whatFindsAFullHomeDoesNotAllGoToTheNextHolder)
+BOOST_AUTO_TEST_CASE(overflowDoesNotAllGoToTheNextHolder)
 {
     HeldHomeFixture f(30);
     f.hold(f.other(*f.home));
@@ -456,7 +456,7 @@
 }
 
 /// Pattern: the home has no room at all, so that it is not even looked at.
-BOOST_AUTO_TEST_CASE(whatFindsAHomeWithoutRoomIsSpreadToo)
+BOOST_AUTO_TEST_CASE(overflowOfAHomeWithoutFreeSlotsIsSpread)
 {
     HeldHomeFixture f(60);
     const std::set<EndpointPtr> places = f.places();
@@ -464,7 +464,7 @@
     BOOST_TEST(places.size() > 8U);
 }
 
-BOOST_AUTO_TEST_CASE(aHeldPromptLeavesItsHomeOneRequestAfterTheOther)
+BOOST_AUTO_TEST_CASE(heldPromptOverflowsGradually)
 {
     HeldHomeFixture f(8);
     int left = 0;
