--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -33,7 +33,7 @@
         double perSecond = 0; ///< Of all workspaces.
         double seconds = 0; ///< That one runs on an idle engine.
         double target = 0; ///< Seconds to the first event.
-        double patience = 0; ///< Seconds.
+        double timeout = 0; ///< Seconds.
         int prompts = 0; ///< That its requests share, each with a home; 0 for requests without.
     };
     struct Options
@@ -44,7 +44,7 @@
         int slots = 64;
         int workspaces = 10;
         int urgentWorkspaces = 0; ///< The first ones, with a more urgent priority of their own.
-        double greedy = 1; ///< Times its equal part that the first workspace sends.
+        double firstWorkspaceFactor = 1; ///< Times its equal part that the first workspace sends.
         bool isShedding = true;
         bool isSharing = false; ///< Routers tell each other of loads.
         bool isLimiting = false; ///< Each router limits its own requests.
@@ -58,14 +58,14 @@
     };
     struct Tally
     {
-        int requestArrived = 0;
+        int callers = 0;
         int inTime = 0;
         int late = 0;
         int refused = 0;
         int abandoned = 0;
         Tally &operator+=(const Tally &other)
         {
-            requestArrived += other.requestArrived;
+            callers += other.callers;
             inTime += other.inTime;
             late += other.late;
             refused += other.refused;
@@ -74,12 +74,9 @@
         }
         double served() const
         {
-            return requestArrived > 0 ? static_cast<double>(inTime + late) / requestArrived : 1;
-        }
-        double timely() const
-        {
-            return requestArrived > 0 ? static_cast<double>(inTime) / requestArrived : 1;
+            return callers > 0 ? static_cast<double>(inTime + late) / callers : 1;
         }
+        double timely() const { return callers > 0 ? static_cast<double>(inTime) / callers : 1; }
     };
 
     explicit OverloadModel(Options options)
@@ -258,13 +255,14 @@
             job->kind = kind;
             job->cameAt = m_now;
             std::uniform_real_distribution<double> part(
-                0, m_options.workspaces - 1 + m_options.greedy);
-            job->workspace = static_cast<int>(std::max(0.0, part(m_random) - m_options.greedy + 1));
+                0, m_options.workspaces - 1 + m_options.firstWorkspaceFactor);
+            job->workspace = static_cast<int>(
+                std::max(0.0, part(m_random) - m_options.firstWorkspaceFactor + 1));
             if (const int prompts = m_options.kinds[kind].prompts; prompts > 0) {
                 job->prompt = Lagoonbank::Routing::mixHashes(
                     kind + 1, std::uniform_int_distribution<std::uint64_t>(1, prompts)(m_random));
             }
-            count(*job, &Tally::requestArrived);
+            count(*job, &Tally::callers);
             come(job);
             scheduleNext(kind);
         });
@@ -279,12 +277,12 @@
                 .urgency = {.priority = job.workspace < m_options.urgentWorkspaces ? 0 : 1,
                             .routePriority = kind.priority},
                 .targetLatency = duration(kind.target),
-                .patience = duration(kind.patience - (m_now - job.cameAt))};
+                .timeout = duration(kind.timeout - (m_now - job.cameAt))};
     }
     void come(const JobPtr &job)
     {
         job->router = std::uniform_int_distribution<std::size_t>(0, m_routers.size() - 1)(m_random);
-        m_routers[job->router]->shedder.requestArrived(admissionRequest(*job), at(m_now));
+        m_routers[job->router]->shedder.callers(admissionRequest(*job), at(m_now));
         place(job, m_now);
     }
     void place(const JobPtr &job, double since)
--- a/tests/auto/gateway/slowroutermodel.h
+++ b/tests/auto/gateway/slowroutermodel.h
@@ -33,7 +33,7 @@
         int priority = 0;
         double part = 1; ///< Of the requests.
         double target = 0.3; ///< Seconds to the first event.
-        double patience = 1; ///< Seconds.
+        double timeout = 1; ///< Seconds.
     };
     struct Options
     {
@@ -41,7 +41,7 @@
         double load = 1; ///< Of what the router can do...
         double burst = 1; ///< ...and times this, from second 4 to 12.
         int workspaces = 10;
-        double greedy = 1; ///< Times its equal part that the first workspace sends.
+        double firstWorkspaceFactor = 1; ///< Times its equal part that the first workspace sends.
         int repeatsAtOnce = 0; ///< Of the callers of that workspace.
         double stall = 0; ///< Seconds at second 6, in which the router does nothing.
         bool isControlled = true;
@@ -189,11 +189,13 @@
             parts.push_back(kind.part);
         caller->kind =
             std::discrete_distribution<std::size_t>(parts.begin(), parts.end())(m_random);
-        std::uniform_real_distribution<double> part(0, m_options.workspaces - 1 + m_options.greedy);
-        caller->workspace = static_cast<int>(std::max(0.0, part(m_random) - m_options.greedy + 1));
+        std::uniform_real_distribution<double> part(
+            0, m_options.workspaces - 1 + m_options.firstWorkspaceFactor);
+        caller->workspace =
+            static_cast<int>(std::max(0.0, part(m_random) - m_options.firstWorkspaceFactor + 1));
         caller->cameAt = m_now;
         count(*caller, &Tally::asked);
-        after(m_options.kinds[caller->kind].patience, [this, caller] { leave(*caller); });
+        after(m_options.kinds[caller->kind].timeout, [this, caller] { leave(*caller); });
         arrive(caller);
     }
     void leave(Caller &caller)
@@ -256,7 +258,7 @@
                 Lagoonbank::Base::WorkspaceId("w" + std::to_string(request.caller->workspace)),
             .urgency = {.priority = kind.priority},
             .targetLatency = duration(kind.target)};
-        const double leftAt = request.caller->cameAt + kind.patience;
+        const double leftAt = request.caller->cameAt + kind.timeout;
         const bool isTooOld = m_options.isControlled && m_options.isAgeKnown && m_now >= leftAt;
         const bool isTaken = !m_options.isControlled
             || (m_control.admits(admissionRequest, duration(delay), timeOf(m_now)) && !isTooOld);
--- a/tests/auto/gateway/tst_backlogcontrol.cpp
+++ b/tests/auto/gateway/tst_backlogcontrol.cpp
@@ -14,9 +14,9 @@
 /// The users' head office: answers at the counter, tags, plans; one in ten workspaces sends more.
 SlowRouterModel::Options headOffice(double load)
 {
-    return {.kinds = {{.name = "counter", .priority = 0, .part = 1.0, .target = 0.3, .patience = 1},
-                      {.name = "tag", .priority = 2, .part = 1.1, .target = 0.4, .patience = 1},
-                      {.name = "plan", .priority = 1, .part = 0.7, .target = 0.8, .patience = 3}},
+    return {.kinds = {{.name = "counter", .priority = 0, .part = 1.0, .target = 0.3, .timeout = 1},
+                      {.name = "tag", .priority = 2, .part = 1.1, .target = 0.4, .timeout = 1},
+                      {.name = "plan", .priority = 1, .part = 0.7, .target = 0.8, .timeout = 3}},
             .load = load};
 }
 
@@ -25,7 +25,7 @@
 {
     SlowRouterModel::Options options = headOffice(0.7);
     options.burst = 4;
-    options.greedy = 6;
+    options.firstWorkspaceFactor = 6;
     options.repeatsAtOnce = 3;
     options.seed = seed;
     options.isAgeKnown = false; // What admission does alone.
--- a/tests/auto/gateway/tst_loadshedder.cpp
+++ b/tests/auto/gateway/tst_loadshedder.cpp
@@ -22,19 +22,19 @@
                        .perSecond = 0.7 * scale,
                        .seconds = 1.3,
                        .target = 0.8,
-                       .patience = 15},
+                       .timeout = 15},
                       {.name = "counter",
                        .priority = 0,
                        .perSecond = 1.0 * scale,
                        .seconds = 1.0,
                        .target = 0.3,
-                       .patience = 12},
+                       .timeout = 12},
                       {.name = "tag",
                        .priority = 2,
                        .perSecond = 1.1 * scale,
                        .seconds = 0.1,
                        .target = 0.4,
-                       .patience = 3}}};
+                       .timeout = 3}}};
 }
 
 } // namespace
@@ -122,7 +122,7 @@
 BOOST_AUTO_TEST_CASE(greedyWorkspaceDoesNotDisplaceOthers)
 {
     OverloadModel::Options options = headOffice(1.5);
-    options.greedy = 8;
+    options.firstWorkspaceFactor = 8;
     OverloadModel model(options);
     model.run();
     const OverloadModel::Tally others = model.otherWorkspaces();
