--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -262,26 +262,26 @@
         sendTo(*peer);
 }
 
-bool FleetSync::isDeputy(const Peer &peer) const
+bool FleetSync::isStandby(const Peer &peer) const
 {
-    const std::vector<std::string> deputies = m_peers.deputies();
-    return std::find(deputies.begin(), deputies.end(), peer.id) != deputies.end();
+    const std::vector<std::string> standbys = m_peers.standbys();
+    return std::find(standbys.begin(), standbys.end(), peer.id) != standbys.end();
 }
 
 /// Those that a router talks to each time: a leader to its deputies and to leaders elsewhere, the
 /// reader to all of these; deputies to their leader.
 std::vector<const Peer *> FleetSync::frequentPeers()
 {
-    if (!m_isLeader && !m_peers.isDeputy())
+    if (!m_isLeader && !m_peers.isStandby())
         return {};
-    const std::vector<std::string> deputies = m_peers.deputies();
-    const auto isDeputy = [&deputies](const Peer &peer) {
-        return std::find(deputies.begin(), deputies.end(), peer.id) != deputies.end();
+    const std::vector<std::string> standbys = m_peers.standbys();
+    const auto isStandby = [&standbys](const Peer &peer) {
+        return std::find(standbys.begin(), standbys.end(), peer.id) != standbys.end();
     };
     std::vector<const Peer *> chosen;
     for (const Peer *peer : m_peers.localPeers()) {
         // Each that started may have led for a moment, and most have not been heard since.
-        if (m_isLeader ? isDeputy(*peer) : peer->isLeading && m_peers.isAlive(*peer))
+        if (m_isLeader ? isStandby(*peer) : peer->isLeading && m_peers.isAlive(*peer))
             chosen.push_back(peer);
     }
     if (m_isLeader) {
@@ -327,8 +327,8 @@
     Schema::FleetBeacon message = beacon();
     message.news = news;
     // Each is told of itself alone: two names are a third of a beacon.
-    if (m_isLeader && isDeputy(peer))
-        message.deputies = {peer.id};
+    if (m_isLeader && isStandby(peer))
+        message.standbys = {peer.id};
     m_peers.setBeaconSent(peer);
     send(peer.address, message);
 }
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -186,7 +186,7 @@
     void pushState();
     void applyDrains(const Schema::FleetBeacon &beacon);
     void notifyPeers(const std::function<bool(const Peer &)> &isBehind);
-    bool isDeputy(const Peer &peer) const;
+    bool isStandby(const Peer &peer) const;
     std::vector<const Peer *> frequentPeers();
     void sendTo(const Peer &peer, const std::vector<Schema::SharedEndpoint> &news = {});
     std::vector<const Peer *> beaconPeers();
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -72,7 +72,7 @@
 /// rest of a large data centre would only ask in vain.
 bool FleetSync::defersTo(const Peer &leader) const
 {
-    return leader.isLeading && !m_peers.isDeputyOf(leader)
+    return leader.isLeading && !m_peers.isStandbyOf(leader)
         && m_peers.localPeers().size() >= m_options.minPeersToDefer
         && now() - leader.stateAsOf <= m_options.maxDeferAge;
 }
@@ -107,7 +107,7 @@
     if (!peer.isReading || !peer.lastBeaconAt)
         return false;
     // Its deputies hear it often; others could not tell its silence from failed reads.
-    const Base::MonoTime at = m_peers.isDeputyOf(peer) ? now() : *peer.lastBeaconAt;
+    const Base::MonoTime at = m_peers.isStandbyOf(peer) ? now() : *peer.lastBeaconAt;
     return at - peer.stateAsOf > m_options.maxLeaderAge;
 }
 
@@ -147,7 +147,7 @@
         return;
     m_options.timers->cancel(m_leaderTimer);
     Base::Duration limit = m_peers.beaconTimeout(peer);
-    if (m_peers.isDeputyOf(peer))
+    if (m_peers.isStandbyOf(peer))
         limit = std::min(limit, m_options.maxLeaderAge - (now() - peer.stateAsOf) + readMargin);
     m_leaderTimer = m_options.timers->start(limit, [this] { updateRole(); });
 }
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -49,7 +49,7 @@
         - std::chrono::milliseconds(peer.hasState ? beacon.knowledgeAgeMs : 0);
     peer.configuration = beacon.configuration;
     peer.endpoints = beacon.endpoints;
-    peer.deputies = beacon.deputies;
+    peer.standbys = beacon.standbys;
     if (isUnknown)
         count(peer.dataCentre);
     return peer;
@@ -67,7 +67,7 @@
         const auto others = static_cast<double>(otherDataCentres());
         interval = std::chrono::duration_cast<Base::Duration>(
             interval * std::max(1.0, others / static_cast<double>(m_options.contacts)));
-    } else if (!isDeputyOf(peer)) {
+    } else if (!isStandbyOf(peer)) {
         interval = localInterval();
     }
     return std::chrono::duration_cast<Base::Duration>(interval * m_options.missedIntervals);
@@ -80,14 +80,14 @@
     return peer.id < m_options.id;
 }
 
-std::vector<std::string> PeerTable::deputies() const
+std::vector<std::string> PeerTable::standbys() const
 {
     std::vector<const Peer *> living;
     for (const Peer *peer : localPeers()) {
         if (isAlive(*peer) && !peer->isLeaving)
             living.push_back(peer);
     }
-    const std::size_t count = std::min(living.size(), m_options.deputies);
+    const std::size_t count = std::min(living.size(), m_options.standbys);
     std::partial_sort(living.begin(), living.begin() + static_cast<std::ptrdiff_t>(count),
                       living.end(), isStrongerThan);
     std::vector<std::string> ids;
@@ -96,17 +96,17 @@
     return ids;
 }
 
-bool PeerTable::isDeputyOf(const Peer &leader) const
+bool PeerTable::isStandbyOf(const Peer &leader) const
 {
-    const auto &deputies = leader.deputies;
-    return std::find(deputies.begin(), deputies.end(), m_options.id) != deputies.end();
+    const auto &standbys = leader.standbys;
+    return std::find(standbys.begin(), standbys.end(), m_options.id) != standbys.end();
 }
 
-bool PeerTable::isDeputy() const
+bool PeerTable::isStandby() const
 {
     return std::any_of(m_peers.begin(), m_peers.end(), [this](const auto &item) {
         const Peer &peer = item.second;
-        return peer.isLeading && isLocal(peer) && isDeputyOf(peer) && isAlive(peer);
+        return peer.isLeading && isLocal(peer) && isStandbyOf(peer) && isAlive(peer);
     });
 }
 
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -32,7 +32,7 @@
     std::uint64_t configuration = 0;
     std::uint64_t endpoints = 0;
     bool isBeaconSent = false; ///< Has been sent a beacon.
-    std::vector<std::string> deputies; ///< Of a leader; see FleetBeacon.
+    std::vector<std::string> standbys; ///< Of a leader; see FleetBeacon.
     /// A pull that told nothing new: when it ended, and the hashes of both sides then.
     struct EmptyPull
     {
@@ -67,7 +67,7 @@
         /// On the wire, with the headers of UDP and IP; for names of 20 letters.
         double beaconBytes = 105;
         /// Two, as a leader and its first deputy may go at the same moment.
-        std::size_t deputies = 2;
+        std::size_t standbys = 2;
         /// Intervals without a beacon after which a peer is not counted on: two lost ones and some
         /// delay.
         double missedIntervals = 2.6;
@@ -104,11 +104,11 @@
     /// Goes before this router in leading its data centre.
     bool isStronger(const Peer &peer) const;
     /// The strongest living routers of this data centre beside this one.
-    std::vector<std::string> deputies() const;
+    std::vector<std::string> standbys() const;
     /// This leader has made this router one of its deputies.
-    bool isDeputyOf(const Peer &leader) const;
+    bool isStandbyOf(const Peer &leader) const;
     /// A living leader has made this router one of its deputies.
-    bool isDeputy() const;
+    bool isStandby() const;
     /// Time between two beacons of a leader and its deputies, and of leaders.
     Base::Duration beaconInterval() const { return m_options.beaconInterval; }
     /// Time between two beacons of a leader and those that are not its deputies.
