--- a/tests/auto/gateway/tst_endpointregistry.cpp
+++ b/tests/auto/gateway/tst_endpointregistry.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(endpointsOfAServiceStandInOneOrderOnEveryRouter)
+BOOST_AUTO_TEST_CASE(endpointsOfAServiceAreOrderedById)
 {
     EndpointRegistry registry({});
     for (const char *id : {"c", "a", "b"})
@@ -34,7 +34,7 @@
     BOOST_TEST(registry.endpoints(Base::ServiceId("other")).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aNewStartAtAnAddressIsAnotherEndpoint)
+BOOST_AUTO_TEST_CASE(newIdAtAnAddressIsAnotherEndpoint)
 {
     EndpointRegistry registry({});
     registry.put(endpoint("old"), start);
@@ -49,7 +49,7 @@
     BOOST_TEST(!registry.findByStart(old->startHash));
 }
 
-BOOST_AUTO_TEST_CASE(anotherStartUnderTheSameIdIsANewEndpoint)
+BOOST_AUTO_TEST_CASE(restartUnderTheSameIdIsANewEndpoint)
 {
     using std::chrono::milliseconds;
     const auto startAt = [](int ms) { return std::optional(Base::WallTime(milliseconds(ms))); };
@@ -89,7 +89,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anotherStartHoldsNoPromptsOfBefore)
+BOOST_AUTO_TEST_CASE(startHashChangesWithARestart)
 {
     EndpointRegistry registry({});
     Fleet::Endpoint one = endpoint("a");
@@ -102,7 +102,7 @@
 }
 
 /// Pattern: entries lapse while the store is down and come back after it.
-BOOST_AUTO_TEST_CASE(whatAnEndpointSaidOutlastsItsEntry)
+BOOST_AUTO_TEST_CASE(noticeOfAnEndpointOutlivesItsEntry)
 {
     EndpointRegistry registry({});
     Fleet::Endpoint one = endpoint("a");
@@ -125,7 +125,7 @@
     BOOST_TEST(registry.find(one.id)->takesRequests(start));
 }
 
-BOOST_AUTO_TEST_CASE(loadIsTheReportAndWhatWasSentSince)
+BOOST_AUTO_TEST_CASE(loadIsTheReportPlusRequestsSentSince)
 {
     EndpointRegistry registry({});
     registry.put(endpoint("a"), start);
@@ -143,7 +143,7 @@
     BOOST_TEST(registry.load(one, start) == 5);
 }
 
-BOOST_AUTO_TEST_CASE(anOldReportSaysNothing)
+BOOST_AUTO_TEST_CASE(expiredReportIsIgnored)
 {
     EndpointRegistry registry({});
     registry.put(endpoint("a"), start);
@@ -154,7 +154,7 @@
     BOOST_TEST(registry.load(one, start + std::chrono::seconds(4)) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(whatWasLearntFades)
+BOOST_AUTO_TEST_CASE(movingAverageDecays)
 {
     MovingAverage mean;
     const Base::Duration halfLife = std::chrono::seconds(4);
