--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -50,7 +50,7 @@
         bool isLimiting = false; ///< Each router limits its own requests.
         int queue = std::numeric_limits<int>::max(); ///< Requests that may wait at an engine.
         double seconds = 30;
-        double countedFrom = 0; ///< Of callers that came before nothing is counted.
+        double measuredFrom = 0; ///< Of callers that came before nothing is counted.
         /// From here to there so many engines are gone, with all that they had.
         double lostFrom = 0;
         double lostTo = 0;
@@ -192,7 +192,7 @@
     Tally &kindOf(const Job &job) { return m_byKind[m_options.kinds[job.kind].name]; }
     void count(const Job &job, int Tally::*field)
     {
-        if (job.cameAt < m_options.countedFrom)
+        if (job.cameAt < m_options.measuredFrom)
             return;
         ++(kindOf(job).*field);
         ++(m_byWorkspace[job.workspace].*field);
--- a/tests/auto/gateway/slowroutermodel.h
+++ b/tests/auto/gateway/slowroutermodel.h
@@ -42,7 +42,7 @@
         double burst = 1; ///< ...and times this, from second 4 to 12.
         int workspaces = 10;
         double firstWorkspaceFactor = 1; ///< Times its equal part that the first workspace sends.
-        int repeatsAtOnce = 0; ///< Of the callers of that workspace.
+        int immediateRetries = 0; ///< Of the callers of that workspace.
         double stall = 0; ///< Seconds at second 6, in which the router does nothing.
         bool isControlled = true;
         /// Of a request that was read, so that one that lay there for as long as its caller waits
@@ -54,13 +54,13 @@
     };
     struct Tally
     {
-        int asked = 0; ///< Callers, not tries.
+        int callers = 0; ///< Callers, not tries.
         int inTime = 0;
         int late = 0;
         int left = 0;
         int refused = 0;
-        double served() const { return asked > 0 ? double(inTime + late) / asked : 1; }
-        double timely() const { return asked > 0 ? double(inTime) / asked : 1; }
+        double served() const { return callers > 0 ? double(inTime + late) / callers : 1; }
+        double timely() const { return callers > 0 ? double(inTime) / callers : 1; }
     };
 
     explicit SlowRouterModel(Options options)
@@ -92,13 +92,13 @@
         return sum(others);
     }
     /// Requests sent on over half a second after their callers had left.
-    int sentForGone() const { return m_sentForGone; }
-    int taken() const { return m_taken; }
+    int sentForCallersWhoLeft() const { return m_sentForGone; }
+    int admitted() const { return m_taken; }
     int finished() const { return m_finished; } ///< Of those taken.
     int refusals() const { return m_refusals; }
     /// The last time at which the oldest unread request was older than \a seconds.
     double lastBehind() const { return m_lastBehind; }
-    double mostDelay() const { return m_mostDelay; }
+    double maxDelay() const { return m_mostDelay; }
 
     static constexpr double behind = 0.2; ///< Seconds; see lastBehind().
 
@@ -142,7 +142,7 @@
     {
         Tally all;
         for (const auto &[key, tally] : tallies) {
-            all.asked += tally.asked;
+            all.callers += tally.callers;
             all.inTime += tally.inTime;
             all.late += tally.late;
             all.left += tally.left;
@@ -194,7 +194,7 @@
         caller->workspace =
             static_cast<int>(std::max(0.0, part(m_random) - m_options.firstWorkspaceFactor + 1));
         caller->cameAt = m_now;
-        count(*caller, &Tally::asked);
+        count(*caller, &Tally::callers);
         after(m_options.kinds[caller->kind].timeout, [this, caller] { leave(*caller); });
         arrive(caller);
     }
@@ -282,10 +282,11 @@
     }
     void refused(const CallerPtr &caller, double wait)
     {
-        const bool isAtOnce = caller->workspace == 0 && caller->tries <= m_options.repeatsAtOnce;
+        const bool isAtOnce = caller->workspace == 0 && caller->tries <= m_options.immediateRetries;
         if (caller->hasLeft)
             return;
-        if (!isAtOnce && caller->tries > 1 + m_options.repeatsAtOnce * (caller->workspace == 0)) {
+        if (!isAtOnce
+            && caller->tries > 1 + m_options.immediateRetries * (caller->workspace == 0)) {
             caller->hasLeft = true;
             count(*caller, &Tally::refused);
             return;
--- a/tests/auto/gateway/tst_backlogcontrol.cpp
+++ b/tests/auto/gateway/tst_backlogcontrol.cpp
@@ -26,7 +26,7 @@
     SlowRouterModel::Options options = headOffice(0.7);
     options.burst = 4;
     options.firstWorkspaceFactor = 6;
-    options.repeatsAtOnce = 3;
+    options.immediateRetries = 3;
     options.seed = seed;
     options.isAgeKnown = false; // What admission does alone.
     return options;
@@ -34,12 +34,13 @@
 
 void tell(SlowRouterModel &model, const std::string &what)
 {
-    BOOST_TEST_MESSAGE(
-        what << ": in time " << model.all().timely() << ", served " << model.all().served()
-             << " (counter " << model.kind("counter").served() << ", plan "
-             << model.kind("plan").served() << ", tag " << model.kind("tag").served()
-             << "), refusals " << model.refusals() << ", sent for who left " << model.sentForGone()
-             << ", oldest " << model.mostDelay() << " s, behind until " << model.lastBehind());
+    BOOST_TEST_MESSAGE(what << ": in time " << model.all().timely() << ", served "
+                            << model.all().served() << " (counter "
+                            << model.kind("counter").served() << ", plan "
+                            << model.kind("plan").served() << ", tag " << model.kind("tag").served()
+                            << "), refusals " << model.refusals() << ", sent for who left "
+                            << model.sentForCallersWhoLeft() << ", oldest " << model.maxDelay()
+                            << " s, behind until " << model.lastBehind());
 }
 
 /// The first day has the usual callers of other workspaces as well; in the second the loop stands
@@ -64,7 +65,7 @@
         SlowRouterModel model(options);
         model.run();
         tell(model, "day " + std::to_string(day) + " without control");
-        BOOST_TEST(model.sentForGone() > 100);
+        BOOST_TEST(model.sentForCallersWhoLeft() > 100);
     }
 }
 
@@ -80,8 +81,8 @@
             options.isControlled = false;
             SlowRouterModel before(options);
             before.run();
-            BOOST_TEST(model.sentForGone() <= 3);
-            BOOST_TEST(model.finished() == model.taken());
+            BOOST_TEST(model.sentForCallersWhoLeft() <= 3);
+            BOOST_TEST(model.finished() == model.admitted());
             BOOST_TEST(model.all().timely() > before.all().timely() + 0.2);
             BOOST_TEST(model.kind("counter").served() > model.kind("tag").served());
             BOOST_TEST(model.otherWorkspaces().served() > model.firstWorkspace().served());
@@ -106,8 +107,8 @@
                 uncontrolled.isControlled = false;
                 SlowRouterModel before(uncontrolled);
                 before.run();
-                BOOST_TEST(model.finished() == model.taken());
-                BOOST_TEST(model.sentForGone() <= before.sentForGone());
+                BOOST_TEST(model.finished() == model.admitted());
+                BOOST_TEST(model.sentForCallersWhoLeft() <= before.sentForCallersWhoLeft());
                 // After one stall at less than it can do, what is refused is as much as what is
                 // late.
                 BOOST_TEST(model.all().timely() >= before.all().timely() - 0.02);
@@ -145,13 +146,13 @@
     BacklogControl control({});
     Base::MonoTime now(std::chrono::hours(1));
     const AdmissionRequest admissionRequest{.workspace = Base::WorkspaceId("w")};
-    int taken = 0;
+    int admitted = 0;
     for (int i = 0; i < 400; ++i) {
-        taken += control.admits(admissionRequest, milliseconds(300), now) ? 1 : 0;
+        admitted += control.admits(admissionRequest, milliseconds(300), now) ? 1 : 0;
         now += milliseconds(5);
     }
-    BOOST_TEST(taken > 20);
-    BOOST_TEST(taken < 200);
+    BOOST_TEST(admitted > 20);
+    BOOST_TEST(admitted < 200);
     BOOST_TEST(control.admittedShare() < 0.1);
     BOOST_TEST(control.admits(admissionRequest, milliseconds(10), now));
     now += std::chrono::seconds(3);
--- a/tests/auto/gateway/tst_concurrencylimit.cpp
+++ b/tests/auto/gateway/tst_concurrencylimit.cpp
@@ -50,7 +50,7 @@
             .isLimiting = true,
             .queue = 96,
             .seconds = 15,
-            .countedFrom = 5};
+            .measuredFrom = 5};
 }
 
 void print(const char *what, int routers, double load, const OverloadModel &model)
@@ -58,7 +58,7 @@
     const OverloadModel::Tally all = model.all();
     BOOST_TEST_MESSAGE(what << ", " << routers << " routers, load " << load << ": in time "
                             << all.timely() << ", served " << all.served() << ", rejected "
-                            << static_cast<double>(model.rejected()) / all.asked);
+                            << static_cast<double>(model.rejected()) / all.callers);
 }
 
 LoadReport report(int waiting)
@@ -93,7 +93,7 @@
             model.run();
             print("limited", routers, load, model);
             BOOST_TEST(model.all().timely() > 0.5 / load);
-            BOOST_TEST(model.rejected() < 0.05 * model.all().asked);
+            BOOST_TEST(model.rejected() < 0.05 * model.all().callers);
         }
     }
 }
@@ -104,7 +104,7 @@
         OverloadModel model(bookings(routers, 0.6));
         model.run();
         print("limited", routers, 0.6, model);
-        BOOST_TEST(model.all().refused < 0.005 * model.all().asked);
+        BOOST_TEST(model.all().refused < 0.005 * model.all().callers);
     }
 }
 
@@ -117,13 +117,13 @@
     options.lostEngines = 42;
     options.lostFrom = 5;
     options.lostTo = 15;
-    options.countedFrom = 10;
+    options.measuredFrom = 10;
     OverloadModel lost(options);
     lost.run();
     print("seven in ten lost", 85, 1.3, lost);
     BOOST_TEST(lost.all().timely() > 0.5 / 1.3);
     options.seconds = 30;
-    options.countedFrom = 20;
+    options.measuredFrom = 20;
     OverloadModel back(options);
     back.run();
     print("back again", 85, 1.3, back);
--- a/tests/auto/gateway/tst_loadshedder.cpp
+++ b/tests/auto/gateway/tst_loadshedder.cpp
@@ -61,7 +61,7 @@
     BOOST_TEST_MESSAGE("in time " << before.all().timely() << " without, " << model.all().timely()
                                   << " with shedding");
     BOOST_TEST(model.all().timely() > 0.38); // No more than half of them find places.
-    BOOST_TEST(model.all().abandoned < 0.03 * model.all().asked);
+    BOOST_TEST(model.all().abandoned < 0.03 * model.all().callers);
 }
 
 /// Pattern: what the most urgent ask for fits, what all ask for is several times the places.
