--- a/tests/auto/gateway/tst_promptdirectory.cpp
+++ b/tests/auto/gateway/tst_promptdirectory.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(peersAreToldOfWhatIsNewAndNowAndThenOfWhatIsInUse)
+BOOST_AUTO_TEST_CASE(newHoldingsAreAnnouncedAndUsedOnesPeriodically)
 {
     Fixture f;
     using Announcement = PromptDirectory::Announcement;
@@ -54,7 +54,7 @@
     BOOST_TEST((f.directory.recordUse(holding(1), f.now) == Announcement::InUse));
 }
 
-BOOST_AUTO_TEST_CASE(whatNobodyUsesIsForgotten)
+BOOST_AUTO_TEST_CASE(unusedHoldingsExpire)
 {
     Fixture f;
     f.directory.recordUse(holding(1), f.now);
@@ -69,7 +69,7 @@
     BOOST_TEST(!f.hasMemory(10001));
 }
 
-BOOST_AUTO_TEST_CASE(whatAnEndpointHasNoMemoryForIsForgottenThereByTheLastUse)
+BOOST_AUTO_TEST_CASE(leastRecentlyUsedHoldingsAreEvictedPerEndpoint)
 {
     Fixture f;
     for (const std::uint64_t prompt : {1, 2, 3, 4}) {
@@ -89,7 +89,7 @@
     BOOST_TEST(f.holds(6));
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointOfUnknownMemoryHasRoom)
+BOOST_AUTO_TEST_CASE(endpointOfUnknownMemoryAcceptsAnyPrompt)
 {
     Fixture f;
     f.directory.recordUse(holding(1), f.now);
@@ -98,7 +98,7 @@
     BOOST_TEST(!f.hasMemory(20001));
 }
 
-BOOST_AUTO_TEST_CASE(whatWasNotReadIsNotHeld)
+BOOST_AUTO_TEST_CASE(droppedHoldingFreesMemory)
 {
     Fixture f;
     f.directory.recordUse(holding(1), f.now);
@@ -110,7 +110,7 @@
     BOOST_TEST(f.directory.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aPeerKnowsThatAnEndpointReadsAgainWhatItShouldHold)
+BOOST_AUTO_TEST_CASE(peerAnnouncementRestartsThePrefill)
 {
     Fixture f;
     f.directory.recordUse(holding(1), f.now);
@@ -121,7 +121,7 @@
     BOOST_TEST((f.directory.find(1, engine)->readUntil == f.now + milliseconds(150)));
 }
 
-BOOST_AUTO_TEST_CASE(memoryOfTheDirectoryIsBounded)
+BOOST_AUTO_TEST_CASE(numberOfPromptsIsBounded)
 {
     PromptDirectory directory({.maximumPrompts = 100});
     const Base::MonoTime now{std::chrono::hours(1)};
@@ -131,7 +131,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(theFormForPeersLosesNothingThatTheyNeed)
+BOOST_AUTO_TEST_CASE(sharedFormRoundTrips)
 {
     const PromptHolding there = fromShared(toShared(holding(7, other, 1234)));
     BOOST_TEST(there.prompt.hash == 7U);
