--- a/tests/auto/gateway/tst_reachability.cpp
+++ b/tests/auto/gateway/tst_reachability.cpp
@@ -82,7 +82,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aCutDataCentreIsFoundOutByOneRequest)
+BOOST_AUTO_TEST_CASE(oneRequestDetectsAPartitionedDataCentre)
 {
     Fixture f;
     f.cut = {"10.0.0.1", "10.0.0.4", "10.0.0.7"};
@@ -100,7 +100,7 @@
     BOOST_TEST(f.unreachable() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(oneEndpointThatCrashedLeavesTheOthersAlone)
+BOOST_AUTO_TEST_CASE(crashedEndpointDoesNotAffectOthers)
 {
     Fixture f;
     f.cut = {"10.0.0.1"};
@@ -112,7 +112,7 @@
     BOOST_TEST(f.count - before <= 13);
 }
 
-BOOST_AUTO_TEST_CASE(aLostPacketCostsAnEndpointMilliseconds)
+BOOST_AUTO_TEST_CASE(lostPacketExcludesAnEndpointForMilliseconds)
 {
     Fixture f;
     f.reachability.reportUnreachable(f.endpoint(1));
@@ -121,7 +121,7 @@
     BOOST_TEST(f.unreachable() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatHasGoneIsCheckedNoMore)
+BOOST_AUTO_TEST_CASE(removedEndpointIsNoLongerChecked)
 {
     Fixture f;
     f.cut = {"10.0.0.1"};
@@ -136,7 +136,7 @@
 
 /// Pattern: a fleet with hundreds of engines in a data centre, of which single ones crash all the
 /// time, before hundreds of routers; a check of all for each would be a storm of connections.
-BOOST_AUTO_TEST_CASE(oneOfHundredsThatCrashedCostsFewConnections)
+BOOST_AUTO_TEST_CASE(crashAmongHundredsCostsFewConnections)
 {
     Fixture f;
     for (int i = 0; i < 500; ++i) {
