--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -132,7 +132,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(fleetsOfAnySizeKeepToWhatAnEndpointBears)
+BOOST_AUTO_TEST_CASE(fleetsOfAnySizeKeepTheSustainableRate)
 {
     for (const int routers : {1, 6, 17, 18, 19, 24, 85, 300}) {
         RouterFleet fleet(routers);
@@ -149,7 +149,7 @@
 }
 
 /// Pattern: routers that started together know a part of the fleet only, and some know nobody.
-BOOST_AUTO_TEST_CASE(whatRoutersDoNotKnowOfTheFleetStaysWithinTheBound)
+BOOST_AUTO_TEST_CASE(partlyKnownFleetStaysWithinTheBound)
 {
     RouterFleet fleet(85);
     for (int i = 0; i < 20; ++i)
@@ -163,7 +163,7 @@
 }
 
 /// Pattern: a quarter of the routers have come lately; those that were there do not know of them.
-BOOST_AUTO_TEST_CASE(routersThatJoinStayWithinTheBound)
+BOOST_AUTO_TEST_CASE(joiningRoutersStayWithinTheBound)
 {
     for (const int routers : {8, 32, 100, 300}) {
         RouterFleet fleet(routers);
@@ -177,7 +177,7 @@
 }
 
 /// Pattern: all routers have been killed and the store is away, so that none knows any other.
-BOOST_AUTO_TEST_CASE(aFleetThatNobodyKnowsStaysWithinTheBound)
+BOOST_AUTO_TEST_CASE(unknownFleetStaysWithinTheBound)
 {
     for (const int routers : {24, 85, 300}) {
         RouterFleet fleet(routers);
@@ -191,7 +191,7 @@
 }
 
 /// Pattern: all engines have started again. Each router finds some that it may send to.
-BOOST_AUTO_TEST_CASE(whereAllEndpointsAreColdEachRouterHasItsPart)
+BOOST_AUTO_TEST_CASE(eachRouterMaySendIfAllEndpointsAreCold)
 {
     constexpr int endpoints = 60;
     RouterFleet fleet(85);
@@ -207,7 +207,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aColdEndpointGetsWhatItBearsAndTheOthersTheRest)
+BOOST_AUTO_TEST_CASE(coldEndpointGetsOnlyTheSustainableRate)
 {
     PlacementFixture f;
     BOOST_TEST(f.chosen(2, 200) > 25);
@@ -221,7 +221,7 @@
     BOOST_TEST(f.chosen(2, 200) > 25);
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatBecomesColdAgainIsSparedAgain)
+BOOST_AUTO_TEST_CASE(secondWarmUpIsLimitedAgain)
 {
     PlacementFixture f;
     f.registry.put(PlacementFixture::endpoint(1, true), f.now);
@@ -234,7 +234,7 @@
 }
 
 /// Its engines may have become cold while nothing was sent there.
-BOOST_AUTO_TEST_CASE(endpointsOfADataCentreThatIsTakenBackAreSpared)
+BOOST_AUTO_TEST_CASE(endpointsAreLimitedAfterADrain)
 {
     PlacementFixture f;
     f.registry.setDrainedDataCentres({Base::DataCentreId("here")}, f.now);
@@ -245,7 +245,7 @@
 }
 
 /// Pattern: an engine crashed and is back, and every router wants to know.
-BOOST_AUTO_TEST_CASE(trialsOfAColdEndpointCountToo)
+BOOST_AUTO_TEST_CASE(trialsCountAgainstTheQuota)
 {
     PlacementFixture f;
     f.registry.put(PlacementFixture::endpoint(1, true), f.now);
@@ -256,7 +256,7 @@
 }
 
 /// Where all are suspected, the last resort is none that is cold and has had its part.
-BOOST_AUTO_TEST_CASE(aColdEndpointThatHasHadItsPartIsNoLastResort)
+BOOST_AUTO_TEST_CASE(coldEndpointWithoutQuotaIsNoLastResort)
 {
     PlacementFixture f;
     f.registry.put(PlacementFixture::endpoint(1, true), f.now);
