--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -72,7 +72,7 @@
 } // namespace
 
 /// Pattern: a calm day of a large fleet.
-BOOST_AUTO_TEST_CASE(hundredsOfRoutersKnowWhichEnginesHaveTooMuch)
+BOOST_AUTO_TEST_CASE(hundredsOfRoutersKnowOverloadedEngines)
 {
     const auto before = ManyRoutersModel({.gossipSeconds = 0, .placement = alone()}).run();
     const auto after = ManyRoutersModel({}).run();
@@ -85,7 +85,7 @@
 }
 
 /// Pattern: everybody asks the same for six seconds.
-BOOST_AUTO_TEST_CASE(aHotPromptIsSpreadBeforeItsHomeHasTooMuch)
+BOOST_AUTO_TEST_CASE(hotPromptIsSpreadBeforeItsHomeIsOverloaded)
 {
     const auto before =
         ManyRoutersModel({.hotPart = 0.07, .gossipSeconds = 0, .placement = alone()}).run();
@@ -96,7 +96,7 @@
 }
 
 /// Pattern: 80 routers before 60 engines, with short prompts alone.
-BOOST_AUTO_TEST_CASE(shortPromptsStayInTheBoundAmongEightyRouters)
+BOOST_AUTO_TEST_CASE(shortPromptsStayWithinTheBound)
 {
     const auto options = [](bool isTold) {
         return ManyRoutersModel::Options{
@@ -126,7 +126,7 @@
 /// each report took a second. A message held any ten of up to thirty busy engines, whatever the
 /// age, so that old reports crowded out new ones. Proven by reports that reach all routers after a
 /// set time: after 1 s they give the figures that were seen, after 0.3 s a third of them.
-BOOST_AUTO_TEST_CASE(homesAreLeftInTimeWhileEnginesJoin)
+BOOST_AUTO_TEST_CASE(requestsOverflowInTimeWhileEnginesJoin)
 {
     for (unsigned seed = 1; seed <= incidentSeeds; ++seed) {
         const auto figures = ManyRoutersModel(incidentFleet(seed)).run();
@@ -143,7 +143,7 @@
 /// Cause: all routers send what leaves a full home to the same next endpoint, which is as full
 /// before they hear of it, and then to the one after. Proven by the endpoints in the order in which
 /// they filled, and by fewer over the bound with sooner news (a quarter less at twice the rate).
-BOOST_AUTO_TEST_CASE(aPromptThatAQuarterAskForFillsNoEndpoint)
+BOOST_AUTO_TEST_CASE(promptOfAQuarterOfRequestsOverloadsNoEndpoint)
 {
     for (unsigned seed = 1; seed <= incidentSeeds; ++seed)
         BOOST_TEST(hotWorstFiveSeconds(incidentFleet(seed)) < mostAllowed);
@@ -153,7 +153,7 @@
 ///
 /// Cause: requests were divided and spread from 24 routers on, and nowhere where a prompt's holders
 /// are known. One router of twelve hears of an engine each two seconds, which is as late.
-BOOST_AUTO_TEST_CASE(soItIsWithSomeTensOfRouters)
+BOOST_AUTO_TEST_CASE(hotPromptOverloadsNoEndpointInSmallFleets)
 {
     for (const int routers : {10, 12, 16, 23}) {
         for (unsigned seed = 1; seed <= incidentSeeds; ++seed)
@@ -193,7 +193,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(onlyWhatHasFarMoreThanUsualIsTold)
+BOOST_AUTO_TEST_CASE(onlyLoadsFarAboveAverageAreAnnounced)
 {
     Fixture f;
     for (int i = 0; i < 20; ++i) {
@@ -219,7 +219,7 @@
 }
 
 /// Old news would crowd out what has just been heard.
-BOOST_AUTO_TEST_CASE(ofMoreThanAMessageHoldsTheNewestIsTold)
+BOOST_AUTO_TEST_CASE(newestReportsAreAnnouncedIfNotAllFit)
 {
     Base::MonoTime now{std::chrono::hours(1)};
     EndpointRegistry registry{{}};
@@ -240,7 +240,7 @@
         BOOST_TEST(load.ageMs <= 10 * LoadSharing::Options().maximumLoads);
 }
 
-BOOST_AUTO_TEST_CASE(whatAPeerTellsCountsAsItsAgeSays)
+BOOST_AUTO_TEST_CASE(peerReportsAreMergedByTheirAge)
 {
     Fixture f;
     EndpointRecord &a = f.endpoint("a");
@@ -259,7 +259,7 @@
     BOOST_TEST(f.registry.load(a, f.now) == 5);
 }
 
-BOOST_AUTO_TEST_CASE(newsOfAnEarlierStartSayNothing)
+BOOST_AUTO_TEST_CASE(reportsOfAnEarlierStartAreIgnored)
 {
     Fixture f;
     const Schema::LoadNews announcement = f.announcement("a", 11, 0);
@@ -271,7 +271,7 @@
 }
 
 /// All routers have heard it and send elsewhere; nobody may tell when it has less.
-BOOST_AUTO_TEST_CASE(aLoadThatPeersToldIsForgotten)
+BOOST_AUTO_TEST_CASE(loadReportedByPeersDecays)
 {
     Fixture f;
     f.sharing.merge(f.announcement("a", 10, 0), {}, f.now);
@@ -282,7 +282,7 @@
 }
 
 /// An endpoint with twice the requests is heard of twice as often.
-BOOST_AUTO_TEST_CASE(theUsualLoadIsNotThatOfTheBusiest)
+BOOST_AUTO_TEST_CASE(averageLoadIsNotBiasedToBusyEndpoints)
 {
     AverageLoad usual;
     Base::MonoTime now{std::chrono::hours(1)};
@@ -300,7 +300,7 @@
     BOOST_TEST(!usual.value(now + seconds(6)));
 }
 
-BOOST_AUTO_TEST_CASE(routersAgreeOnTheUsualLoad)
+BOOST_AUTO_TEST_CASE(averageLoadConvergesAmongRouters)
 {
     AverageLoad one;
     AverageLoad other;
@@ -317,7 +317,7 @@
 /// Pattern: the operators empty one data centre after the other. The second one is drained while
 /// the engines of the first are cold, so that half of the engines have next to nothing to do and
 /// the mean of all is half of what the others have.
-BOOST_AUTO_TEST_CASE(drainedAndColdEnginesLeaveTheOthersInTheBound)
+BOOST_AUTO_TEST_CASE(otherEnginesStayWithinTheBoundDuringDrains)
 {
     for (unsigned seed = 1; seed <= incidentSeeds; ++seed) {
         const auto figures =
