--- a/src/libs/fleetsync/loadgossip.cpp
+++ b/src/libs/fleetsync/loadgossip.cpp
@@ -22,10 +22,10 @@
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
-void LoadGossip::receive(const Schema::LoadNews &news, Base::Duration delay) const
+void LoadGossip::receive(const Schema::LoadNews &latest, Base::Duration delay) const
 {
     if (received)
-        received(news, delay);
+        received(latest, delay);
 }
 
 void LoadGossip::tick()
@@ -36,9 +36,9 @@
 
 void LoadGossip::sendLoads()
 {
-    if (!send || !news)
+    if (!send || !latest)
         return;
-    const Schema::LoadNews told = news();
+    const Schema::LoadNews told = latest();
     const bool isDue = !told.loads.empty() || ++m_intervalsSinceSent >= m_options.idleIntervals;
     if (!isDue || (told.loads.empty() && told.usual.empty()))
         return;
--- a/src/libs/fleetsync/loadgossip.h
+++ b/src/libs/fleetsync/loadgossip.h
@@ -35,14 +35,14 @@
     LoadGossip(const LoadGossip &) = delete;
     LoadGossip &operator=(const LoadGossip &) = delete;
 
-    std::function<void(const Runtime::SocketAddress &to, const Schema::LoadNews &news)> send;
+    std::function<void(const Runtime::SocketAddress &to, const Schema::LoadNews &latest)> send;
     /// What this router knows now.
-    std::function<Schema::LoadNews()> news;
+    std::function<Schema::LoadNews()> latest;
     /// A peer has told this; it came \a delay ago.
-    std::function<void(const Schema::LoadNews &news, Base::Duration delay)> received;
+    std::function<void(const Schema::LoadNews &latest, Base::Duration delay)> received;
 
     void start();
-    void receive(const Schema::LoadNews &news, Base::Duration delay) const;
+    void receive(const Schema::LoadNews &latest, Base::Duration delay) const;
 
 private:
     void tick();
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -151,10 +151,10 @@
 {
     Fixture f;
     std::size_t heard = 0;
-    f.other.loads.received = [&](const Schema::LoadNews &news, Base::Duration) {
-        heard = news.loads.size();
+    f.other.loads.received = [&](const Schema::LoadNews &latest, Base::Duration) {
+        heard = latest.loads.size();
     };
-    f.one.loads.news = [] {
+    f.one.loads.latest = [] {
         return Schema::LoadNews{
             .loads = {{.endpoint = 5, .running = 11, .slots = 12, .ageMs = 40}}};
     };
@@ -171,8 +171,8 @@
 {
     Fixture f;
     std::uint64_t heard = 0;
-    f.other.crashes.received = [&](const Schema::CrashNews &news) {
-        heard = news.ends.empty() ? 0 : news.ends.front().request;
+    f.other.crashes.received = [&](const Schema::CrashNews &latest) {
+        heard = latest.ends.empty() ? 0 : latest.ends.front().request;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
     f.one.crashes.sendEnds({{.request = 42, .endpoint = 5}});
--- a/tests/auto/fleetsync/tst_loadgossip.cpp
+++ b/tests/auto/fleetsync/tst_loadgossip.cpp
@@ -22,13 +22,13 @@
     {
         for (int i = 0; i < peerCount; ++i)
             peers.push_back({"10.0.0." + std::to_string(i), 7000});
-        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::LoadNews &news) {
+        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::LoadNews &latest) {
             constexpr std::size_t headers = 28;
             ++datagrams;
-            bytes += headers + Schema::encodeMessage(news).value().size();
+            bytes += headers + Schema::encodeMessage(latest).value().size();
             told.insert(to.ip);
         };
-        gossip.news = [this] { return known; };
+        gossip.latest = [this] { return known; };
     }
     void pass(Base::Duration duration)
     {
