--- a/tests/auto/gateway/tst_scarcememory.cpp
+++ b/tests/auto/gateway/tst_scarcememory.cpp
@@ -142,7 +142,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(promptsThatFitTogetherAreSeldomReadAgain)
+BOOST_AUTO_TEST_CASE(promptsThatFitIntoMemoryAreRarelyPrefilledAgain)
 {
     constexpr int requests = 8000;
     Model homes(false);
