--- a/tests/auto/gateway/tst_draineddatacentre.cpp
+++ b/tests/auto/gateway/tst_draineddatacentre.cpp
@@ -82,7 +82,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(itsPromptsFindOtherHomes)
+BOOST_AUTO_TEST_CASE(promptsOfADrainedDataCentreGetOtherHomes)
 {
     PlacementFixture f;
     BOOST_TEST(f.chosenIn(there) > 0);
@@ -93,7 +93,7 @@
     BOOST_TEST(f.chosenIn(there) > 0);
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointThatComesMeanwhileGetsNothing)
+BOOST_AUTO_TEST_CASE(endpointAddedDuringADrainGetsNoRequests)
 {
     PlacementFixture f;
     f.registry.setDrainedDataCentres({there}, f.now);
@@ -101,7 +101,7 @@
     BOOST_TEST(f.chosenIn(there) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(noTrialFindsOutWhetherASuspectedOneIsBack)
+BOOST_AUTO_TEST_CASE(drainedEndpointsGetNoTrials)
 {
     PlacementFixture f;
     for (int i = 1; i < 8; i += 2)
@@ -111,7 +111,7 @@
     BOOST_TEST(f.chosenIn(there, true) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(whereNothingElseIsLeftItIsNoLastResort)
+BOOST_AUTO_TEST_CASE(drainedEndpointsAreNoLastResort)
 {
     PlacementFixture f;
     for (int i = 0; i < 8; ++i)
@@ -124,7 +124,7 @@
     BOOST_TEST((place.endpoint->info.dataCentre == here));
 }
 
-BOOST_AUTO_TEST_CASE(whatNobodyCouldServeIsRefusedAtOnceAsNotRun)
+BOOST_AUTO_TEST_CASE(requestIsRefusedAtOnceIfAllAreDrained)
 {
     Fixture f;
     f.setRoute({.kind = Fleet::RouteKind::NonIdempotent,
@@ -137,7 +137,7 @@
     BOOST_TEST(f.requests() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(whatRunsThereEndsInItsOwnTime)
+BOOST_AUTO_TEST_CASE(runningRequestsCompleteDuringADrain)
 {
     Fixture f;
     f.setRoute({.kind = Fleet::RouteKind::NonIdempotent, .timeout = std::chrono::seconds(2)});
@@ -149,7 +149,7 @@
     BOOST_TEST(f.runUntil([&] { return caller.has("200 OK"); }));
 }
 
-BOOST_AUTO_TEST_CASE(aRepeatGoesToAnotherDataCentre)
+BOOST_AUTO_TEST_CASE(retryGoesToAnotherDataCentre)
 {
     Fixture f;
     f.setRoute({.kind = Fleet::RouteKind::Idempotent,
