--- a/tests/auto/gateway/tst_fleetretrybudget.cpp
+++ b/tests/auto/gateway/tst_fleetretrybudget.cpp
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(refundedRetriesAreAvailableAgain)
 {
     Gateway::FleetRetryBudget budget(
-        {.ratio = 0, .window = std::chrono::seconds(10), .slack = 3, .share = 1});
+        {.ratio = 0, .window = std::chrono::seconds(10), .slack = 3, .usedShare = 1});
     const Base::ServiceId service("model");
     Base::MonoTime now{};
     BOOST_TEST(budget.spend(service, now));
