--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -71,7 +71,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(inASmallFleetAllCountTheEnds)
+BOOST_AUTO_TEST_CASE(inSmallFleetAllRoutersCountEnds)
 {
     Routers f(6);
     f.routers[2]->sendEnds({{.request = 1, .endpoint = 11}, {.request = 2, .endpoint = 11}});
@@ -80,7 +80,7 @@
 }
 
 /// Pattern: an endpoint ends with all its places taken; the request to blame is any of them.
-BOOST_AUTO_TEST_CASE(allEndsOfAFullEndpointAreTold)
+BOOST_AUTO_TEST_CASE(allEndsOfFullEndpointAreSent)
 {
     Routers f(6);
     std::vector<Schema::SharedRequestEnd> ends;
@@ -94,7 +94,7 @@
 }
 
 /// However many routers see the ends under one request, the same few are told.
-BOOST_AUTO_TEST_CASE(inALargeFleetTheSameFewCountTheEndsUnderARequest)
+BOOST_AUTO_TEST_CASE(inLargeFleetSameFewRoutersCountEndsOfRequest)
 {
     Routers f(300);
     for (const std::size_t teller : {3U, 50U, 299U})
@@ -107,7 +107,7 @@
 
 /// Pattern: many endpoints with many requests end at once, behind a link of 10 Mbit/s that calls
 /// need too.
-BOOST_AUTO_TEST_CASE(endsInNumbersKeepToTheirBytes)
+BOOST_AUTO_TEST_CASE(manyEndsKeepToByteBudget)
 {
     Routers f(300);
     std::uint64_t request = 0;
@@ -124,7 +124,7 @@
     BOOST_TEST(f.routers[0]->dropped() > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aQuarantineIsToldToAllAtOnceAndLaterToWhoMissedIt)
+BOOST_AUTO_TEST_CASE(quarantineIsSentToAllAtOnceAndRepeatedLater)
 {
     Routers f(300);
     f.routers[0]->sendQuarantine({.request = 1, .leftMs = 1000});
@@ -142,7 +142,7 @@
     BOOST_TEST(f.bytes / 300 / 3 < 500U);
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsToldWhileNothingIsQuarantined)
+BOOST_AUTO_TEST_CASE(nothingIsSentWithoutQuarantines)
 {
     Routers f(6);
     for (const auto &router : f.routers) {
--- a/tests/auto/fleetsync/tst_loadgossip.cpp
+++ b/tests/auto/fleetsync/tst_loadgossip.cpp
@@ -51,7 +51,7 @@
 } // namespace
 
 /// Of the 5,000 that a router's control traffic may have in all, however large the fleet.
-BOOST_AUTO_TEST_CASE(aRouterKeepsToItsBytesInALargeFleet)
+BOOST_AUTO_TEST_CASE(routerKeepsToByteLimitInLargeFleet)
 {
     Fixture f;
     f.known.usual.resize(2);
@@ -63,7 +63,7 @@
     BOOST_TEST(f.told.size() > 30U); // Others each time.
 }
 
-BOOST_AUTO_TEST_CASE(whileNothingIsFarFromUsualLittleIsTold)
+BOOST_AUTO_TEST_CASE(messagesAreRareWhileLoadsAreAverage)
 {
     Fixture f;
     f.gossip.start();
@@ -79,7 +79,7 @@
     BOOST_TEST(f.datagrams >= 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aRouterThatIsAloneTellsNobody)
+BOOST_AUTO_TEST_CASE(routerWithoutPeersSendsNothing)
 {
     Fixture f(0);
     f.known.usual.resize(1);
@@ -89,7 +89,7 @@
     BOOST_TEST(f.datagrams == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(newsAreHandedOnWithTheTimeThatTheyWaited)
+BOOST_AUTO_TEST_CASE(receivedLoadsArePassedOnWithTheirDelay)
 {
     Fixture f;
     Base::Duration waited{};
--- a/tests/auto/fleetsync/tst_promptgossip.cpp
+++ b/tests/auto/fleetsync/tst_promptgossip.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(whatComesTogetherGoesToEachPeerInOneDatagram)
+BOOST_AUTO_TEST_CASE(simultaneousPromptsAreSentInOneDatagramToEachPeer)
 {
     Fixture f;
     f.report(1);
@@ -73,7 +73,7 @@
     BOOST_TEST(f.prompts == 14U);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsOnlyInUseWaitsForNews)
+BOOST_AUTO_TEST_CASE(promptsInUseAreSentWithNewOnes)
 {
     Fixture f;
     f.report(1, false);
@@ -88,7 +88,7 @@
 }
 
 /// Pattern: a fleet starts, or a data centre goes, and all prompts come to new places at once.
-BOOST_AUTO_TEST_CASE(theBudgetIsKeptAndWhatIsBeyondIsCounted)
+BOOST_AUTO_TEST_CASE(budgetIsKeptAndDroppedPromptsAreCounted)
 {
     for (const int peers : {7, 79, 329}) {
         Fixture f(peers);
@@ -110,7 +110,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(newsGoBeforeWhatIsInUse)
+BOOST_AUTO_TEST_CASE(newPromptsTakePrecedenceOverThoseInUse)
 {
     Fixture f;
     for (std::uint64_t i = 0; i < 60; ++i) {
@@ -126,7 +126,7 @@
 }
 
 /// A router whose callers come back to many prompts has a whole datagram of them waiting.
-BOOST_AUTO_TEST_CASE(aNewPlaceIsToldAlthoughManyPromptsAreInUse)
+BOOST_AUTO_TEST_CASE(newPromptIsSentAlthoughManyAreInUse)
 {
     Fixture f;
     for (std::uint64_t i = 0; i < 40; ++i)
@@ -139,7 +139,7 @@
     BOOST_TEST(f.gossip.dropped() == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(aPeersNewsAreHandedOnOneByOne)
+BOOST_AUTO_TEST_CASE(receivedPromptsArePassedOnOneByOne)
 {
     Fixture f;
     std::vector<std::uint64_t> heard;
@@ -148,7 +148,7 @@
     BOOST_TEST(heard == (std::vector<std::uint64_t>{3, 4}), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(aDatagramOfNewsIsToldFromABeacon)
+BOOST_AUTO_TEST_CASE(promptMessageIsDistinguishedFromBeacon)
 {
     const std::string news = Schema::encodeMessage(Schema::PromptNews{}).value();
     const std::string beacon = Schema::encodeMessage(Schema::FleetBeacon{}).value();
