--- a/tests/auto/fleetsync/tst_quarantinelog.cpp
+++ b/tests/auto/fleetsync/tst_quarantinelog.cpp
@@ -65,7 +65,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(whatIsSavedIsRead)
+BOOST_AUTO_TEST_CASE(savedRequestIsRead)
 {
     Fixture f;
     f.log.save(0xab);
@@ -76,7 +76,7 @@
 }
 
 /// Pattern: the log is out while a request ends endpoints.
-BOOST_AUTO_TEST_CASE(itIsWrittenUntilTheLogHasIt)
+BOOST_AUTO_TEST_CASE(writeIsRetriedUntilItSucceeds)
 {
     Fixture f;
     f.log.save(0xab);
@@ -94,7 +94,7 @@
     BOOST_TEST(f.values.size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsOverIsDroppedFromTheLog)
+BOOST_AUTO_TEST_CASE(expiredRequestIsDeletedFromLog)
 {
     Fixture f;
     f.log.save(0xab);
@@ -111,7 +111,7 @@
 }
 
 /// The routers that saved it may be gone.
-BOOST_AUTO_TEST_CASE(whoHasReadItDropsItToo)
+BOOST_AUTO_TEST_CASE(routerThatOnlyReadKeyDeletesItToo)
 {
     Fixture f;
     f.values[key] = "1";
@@ -121,7 +121,7 @@
     BOOST_TEST(f.values.at(key).empty());
 }
 
-BOOST_AUTO_TEST_CASE(recordsThatCannotBeReadAreLeftAlone)
+BOOST_AUTO_TEST_CASE(malformedRecordsAreIgnored)
 {
     Fixture f;
     f.log.recordRead({.key = "no number", .value = "1"});
--- a/tests/auto/fleetsync/tst_routerregistry.cpp
+++ b/tests/auto/fleetsync/tst_routerregistry.cpp
@@ -83,7 +83,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aRouterWritesItselfThenReadsTheOthers)
+BOOST_AUTO_TEST_CASE(routerWritesItsEntryThenReadsTheOthers)
 {
     Fixture f;
     f.registry.start();
@@ -94,7 +94,7 @@
     BOOST_TEST(Runtime::toString(f.sync.peers().at("r3").address) == "10.0.0.2:7000");
 }
 
-BOOST_AUTO_TEST_CASE(whileTheLogIsDownItTriesAgain)
+BOOST_AUTO_TEST_CASE(registryRetriesWhileLogIsDown)
 {
     Fixture f;
     f.log.isDown = true;
@@ -109,7 +109,7 @@
     BOOST_TEST(f.sync.routerCount() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(entriesAreReadBackOrRefused)
+BOOST_AUTO_TEST_CASE(validEntriesAreParsedAndOthersRejected)
 {
     const auto read = FleetSync::parseRegistryEntry(
         FleetSync::formatRegistryEntry({"dc0", {"10.0.0.9", 7000}, 20}));
