--- a/tests/auto/fleetsync/tst_drains.cpp
+++ b/tests/auto/fleetsync/tst_drains.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(everyRouterKnowsADrainWithinASecondAndItsEnd)
+BOOST_AUTO_TEST_CASE(drainAndItsEndReachEveryRouterWithinASecond)
 {
     SyncFleet fleet({20, 20, 20, 20});
     settle(fleet);
@@ -38,7 +38,7 @@
     BOOST_TEST(allRouters(fleet, {}));
 }
 
-BOOST_AUTO_TEST_CASE(aRouterThatStartsWithoutTheStoreLearnsItFromItsPeers)
+BOOST_AUTO_TEST_CASE(routerThatStartsWithoutStoreGetsDrainFromPeers)
 {
     SyncFleet fleet({3, 2});
     settle(fleet);
@@ -53,7 +53,7 @@
     BOOST_TEST(allRouters(fleet, east));
 }
 
-BOOST_AUTO_TEST_CASE(itIsTakenBackAlsoWhereTheStoreTurnsAThirdAway)
+BOOST_AUTO_TEST_CASE(drainEndsAlsoWhereStoreRefusesAThirdOfRouters)
 {
     SyncFleet fleet({5, 5, 5});
     settle(fleet);
@@ -66,7 +66,7 @@
     BOOST_TEST(allRouters(fleet, {}));
 }
 
-BOOST_AUTO_TEST_CASE(aDataCentreThatWasCutOffDoesNotBringADrainBack)
+BOOST_AUTO_TEST_CASE(reconnectedDataCentreDoesNotRestoreDrain)
 {
     SyncFleet fleet({3, 3});
     settle(fleet);
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -75,7 +75,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(whatOneKnowsIsPulledByTheOther)
+BOOST_AUTO_TEST_CASE(stateOfOneRouterIsPulledByAnother)
 {
     Fixture f;
     f.one.directory.put({.id = Base::EndpointId("a"),
@@ -97,7 +97,7 @@
     BOOST_TEST(f.one.failures + f.other.failures == 0);
 }
 
-BOOST_AUTO_TEST_CASE(whatCannotBeReadIsToldOfAndHarmless)
+BOOST_AUTO_TEST_CASE(malformedMessagesAreReportedAndIgnored)
 {
     Fixture f;
     const auto socket = Runtime::UdpSocket::bind({.loop = &f.loop, .address = {"127.0.0.1", 0}});
@@ -112,7 +112,7 @@
 }
 
 /// Pattern: hundreds of routers start at once and all ask the one that was first to know all.
-BOOST_AUTO_TEST_CASE(askersBeyondItsBytesASecondAreTurnedAway)
+BOOST_AUTO_TEST_CASE(pullsBeyondRateLimitAreRefused)
 {
     Fixture f;
     f.one.sync.setConfiguration(
@@ -133,7 +133,7 @@
     BOOST_TEST(statusOfNext() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(newsOfPromptsReachThePeersThatAreKnown)
+BOOST_AUTO_TEST_CASE(promptsReachKnownPeers)
 {
     Fixture f;
     std::uint64_t heard = 0;
@@ -147,7 +147,7 @@
     BOOST_TEST(f.other.failures == 0);
 }
 
-BOOST_AUTO_TEST_CASE(newsOfLoadsReachAPeer)
+BOOST_AUTO_TEST_CASE(loadsReachPeer)
 {
     Fixture f;
     std::size_t heard = 0;
@@ -167,7 +167,7 @@
     BOOST_TEST(f.other.failures == 0);
 }
 
-BOOST_AUTO_TEST_CASE(newsOfEndsReachAPeer)
+BOOST_AUTO_TEST_CASE(endsReachPeer)
 {
     Fixture f;
     std::uint64_t heard = 0;
@@ -182,7 +182,7 @@
 
 /// Pattern: the link of a router that others pull from is squeezed, so that its answer flows, but
 /// does not end. A configuration has to be in force within 2 s; a peer that has it is there.
-BOOST_AUTO_TEST_CASE(aPullThatTricklesDoesNotKeepOthersFromBeingAsked)
+BOOST_AUTO_TEST_CASE(slowPullDoesNotPreventPullFromAnotherPeer)
 {
     PausedLoop f;
     Http::Client client{{.loop = &f.loop}};
--- a/tests/auto/fleetsync/tst_fleetpulls.cpp
+++ b/tests/auto/fleetsync/tst_fleetpulls.cpp
@@ -48,7 +48,7 @@
 
 /// Behind a restart a router has known of an endpoint's leaving 0.5 s too late, as it waited for
 /// its reader's next beacon to find out that its last pull had failed.
-BOOST_AUTO_TEST_CASE(theSecondPullThatFailsHasTheStoreReadAtOnce)
+BOOST_AUTO_TEST_CASE(secondFailedPullCausesStoreReadAtOnce)
 {
     Hearer hearer;
     BOOST_TEST(!hearer.sync.readsStore());
@@ -62,7 +62,7 @@
 }
 
 /// Two large configurations one after the other over a slow link.
-BOOST_AUTO_TEST_CASE(aLongPullThatIsOvertakenHasTheStoreRead)
+BOOST_AUTO_TEST_CASE(longSupersededPullCausesStoreRead)
 {
     Hearer hearer;
     hearer.hearReader(2);
@@ -76,7 +76,7 @@
 }
 
 /// It is on its way, however large it is.
-BOOST_AUTO_TEST_CASE(aLongPullOfTheNewestConfigurationIsWaitedFor)
+BOOST_AUTO_TEST_CASE(longPullOfNewestConfigurationIsAwaited)
 {
     Hearer hearer;
     hearer.hearReader(2);
