--- a/tests/auto/fleetsync/tst_fleetreader.cpp
+++ b/tests/auto/fleetsync/tst_fleetreader.cpp
@@ -15,7 +15,7 @@
 
 /// The users' largest fleet: the store is asked once for all, and what it tells is nowhere older
 /// than what deputies wait for before they ask it.
-BOOST_AUTO_TEST_CASE(oneOfSixDataCentresAsksTheStore)
+BOOST_AUTO_TEST_CASE(oneOfSixDataCentresReadsTheStore)
 {
     SyncFleet fleet(std::vector<int>(6, 5));
     settle(fleet);
@@ -71,7 +71,7 @@
     checkWithoutReader([](SyncFleet &fleet, Router &reader) { fleet.kill(reader); });
 }
 
-BOOST_AUTO_TEST_CASE(anotherDataCentreReadsWhenTheStoreTurnsTheReaderAway)
+BOOST_AUTO_TEST_CASE(anotherDataCentreReadsWhenTheStoreRefusesTheReader)
 {
     checkWithoutReader([](SyncFleet &, Router &reader) { reader.reachesStore = false; });
 }
@@ -96,7 +96,7 @@
 }
 
 /// The others hear it, and cannot ask it.
-BOOST_AUTO_TEST_CASE(anotherReadsWhenNobodyCanAskTheReader)
+BOOST_AUTO_TEST_CASE(anotherReadsWhenNobodyCanPullFromTheReader)
 {
     checkWithoutReader([](SyncFleet &fleet, Router &reader) {
         fleet.passes = [&reader](const Router &, const Router &to) { return to.id != reader.id; };
@@ -105,7 +105,7 @@
 
 /// Pattern: the store is down for some seconds. Leaders and their deputies find out when it is
 /// back; for the rest of a large data centre to ask as well would only be refused.
-BOOST_AUTO_TEST_CASE(whileTheStoreIsDownFewAskForIt)
+BOOST_AUTO_TEST_CASE(whileTheStoreIsDownFewRoutersReadIt)
 {
     SyncFleet fleet(std::vector<int>(6, 12));
     settle(fleet);
@@ -126,7 +126,7 @@
 }
 
 /// A leader and both of its deputies are turned away: its data centre learns from the others.
-BOOST_AUTO_TEST_CASE(aDataCentreWhoseDeputiesAreTurnedAwayLearnsFromTheOthers)
+BOOST_AUTO_TEST_CASE(dataCentreWithRefusedStandbysGetsChangesFromTheOthers)
 {
     SyncFleet fleet({6, 6});
     settle(fleet);
@@ -141,7 +141,7 @@
 
 /// Pattern: the store turns the reader away as keys are revoked, so that a leader learns of it 1.25
 /// s late, and one of its 50 hearers misses what it tells.
-BOOST_AUTO_TEST_CASE(aHearerThatMissesAConfigurationHearsOfItAgain)
+BOOST_AUTO_TEST_CASE(missedConfigurationIsAnnouncedAgain)
 {
     SyncFleet fleet({50});
     settle(fleet);
