--- a/tests/auto/fleetsync/tst_fleetsync.cpp
+++ b/tests/auto/fleetsync/tst_fleetsync.cpp
@@ -32,7 +32,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(changesReachEveryRouterWithinAReadAndABeacon)
+BOOST_AUTO_TEST_CASE(changesReachEveryRouterWithinOneReadAndOneBeacon)
 {
     SyncFleet fleet({3, 2, 1});
     settle(fleet);
@@ -65,7 +65,7 @@
 }
 
 /// The store turns some routers away at just the moment when endpoints leave and keys are revoked.
-BOOST_AUTO_TEST_CASE(aRouterThatTheStoreTurnsAwayLearnsFromItsPeers)
+BOOST_AUTO_TEST_CASE(routerRefusedByTheStoreGetsChangesFromPeers)
 {
     for (const std::size_t turnedAway : {0U, 1U, 2U, 3U, 4U, 5U}) {
         BOOST_TEST_CONTEXT("router " << turnedAway)
@@ -84,7 +84,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aWholeDataCentreThatTheStoreTurnsAwayLearnsFromTheOthers)
+BOOST_AUTO_TEST_CASE(dataCentreRefusedByTheStoreGetsChangesFromTheOthers)
 {
     SyncFleet fleet({2, 2, 1});
     settle(fleet);
@@ -115,7 +115,7 @@
     BOOST_TEST(fleet.leaders("dc1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(whileTheStoreIsAwayNothingGoesBack)
+BOOST_AUTO_TEST_CASE(nothingRevertsWhileTheStoreIsUnavailable)
 {
     SyncFleet fleet(usersSizes);
     settle(fleet);
@@ -135,7 +135,7 @@
         [](const Router &router) { return router.configuration == 2 && isDraining(router, "a"); }));
 }
 
-BOOST_AUTO_TEST_CASE(aLeavingReaderHandsOverAtOnce)
+BOOST_AUTO_TEST_CASE(leavingReaderHandsOverAtOnce)
 {
     SyncFleet fleet({2});
     settle(fleet);
@@ -149,7 +149,7 @@
     BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "a"); }));
 }
 
-BOOST_AUTO_TEST_CASE(routersThatAllStartAtOnceSettle)
+BOOST_AUTO_TEST_CASE(routersThatStartTogetherSettle)
 {
     SyncFleet fleet({4, 4});
     settle(fleet);
@@ -164,7 +164,7 @@
 }
 
 /// The target: 330 routers in 13 data centres; control may cost a router 5 KB/s.
-BOOST_AUTO_TEST_CASE(controlTrafficStaysInItsBoundsAtTheTargetsSize)
+BOOST_AUTO_TEST_CASE(averageControlTrafficStaysInBoundsAtTargetSize)
 {
     SyncFleet fleet(std::vector<int>(13, 25));
     settle(fleet);
@@ -181,7 +181,7 @@
 }
 
 /// The same for those that have most of it: what a reader sends and gets, at the target's size.
-BOOST_AUTO_TEST_CASE(aReaderKeepsToItsControlTrafficAtTheTargetsSize)
+BOOST_AUTO_TEST_CASE(maximumControlTrafficStaysInBoundsAtTargetSize)
 {
     SyncFleet fleet(std::vector<int>(13, 25));
     settle(fleet);
@@ -199,7 +199,7 @@
 /// Pattern: every process of a large fleet is killed and starts again. Each reads the store itself,
 /// once; what they tell each other meanwhile must not grow with the square of the fleet or with
 /// each endpoint, or slow links are full for seconds.
-BOOST_AUTO_TEST_CASE(aLargeFleetThatStartsAtOnceTellsLittle)
+BOOST_AUTO_TEST_CASE(largeFleetThatStartsTogetherSendsLittle)
 {
     SyncFleet fleet(std::vector<int>(5, 30));
     constexpr int endpoints = 300;
@@ -237,7 +237,7 @@
         BOOST_TEST(fleet.leaders("dc" + std::to_string(dc)) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aPullBringsOnlyWhatDiffers)
+BOOST_AUTO_TEST_CASE(pullReturnsOnlyDifferences)
 {
     SyncFleet fleet({2});
     for (int i = 0; i < 640; ++i)
@@ -256,7 +256,7 @@
 
 /// Pattern: the reader dies together with the one that would follow it, in a data centre that is
 /// too large for all to be told often; changes have to be in force within 3 s.
-BOOST_AUTO_TEST_CASE(theSecondDeputyReadsWhenTheReaderAndTheFirstDie)
+BOOST_AUTO_TEST_CASE(secondStandbyReadsWhenReaderAndFirstStandbyDie)
 {
     SyncFleet fleet({25, 25});
     settle(fleet);
@@ -279,7 +279,7 @@
     BOOST_TEST(fleet.leaders("dc0") <= 2);
 }
 
-BOOST_AUTO_TEST_CASE(manyChangesAtOnceGoOutTogether)
+BOOST_AUTO_TEST_CASE(simultaneousChangesAreSentTogether)
 {
     SyncFleet fleet({10});
     settle(fleet);
@@ -295,7 +295,7 @@
 /// Pattern: the store turns the strongest router of a data centre away for long. What its peers
 /// tell it does not make it a reader that can be counted on; found by a deployment of one data
 /// centre, whose two routers took turns in not reading.
-BOOST_AUTO_TEST_CASE(aReaderThatLearnsFromItsPeersAloneIsNotCountedOn)
+BOOST_AUTO_TEST_CASE(readerWithStateFromPeersOnlyIsNotHealthy)
 {
     SyncFleet fleet({2});
     settle(fleet);
@@ -318,7 +318,7 @@
 
 /// Pattern: a router that was cut off alone comes back while an engine leaves. The store was there
 /// for its peers, so that no entry has lapsed: what is missing is gone at once.
-BOOST_AUTO_TEST_CASE(onlyAnOutageThatNobodyReadThroughMakesEntriesLapse)
+BOOST_AUTO_TEST_CASE(entriesExpireOnlyInOutageForAllRouters)
 {
     for (const bool isForAll : {false, true}) {
         BOOST_TEST_CONTEXT("for all " << isForAll)
@@ -351,7 +351,7 @@
 /// beacon that came 400 ms after a pull was a reason for the next one, although the first was still
 /// on its way. Proved by the lines of the pulls, two of the same configuration, and by the bytes
 /// that came in.
-BOOST_AUTO_TEST_CASE(whatIsOnItsWayIsNotAskedForAgain)
+BOOST_AUTO_TEST_CASE(pullInFlightIsNotRepeated)
 {
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers(clock);
@@ -376,7 +376,7 @@
 /// Found by the simulation: routers that passed an age back and forth while the store was away took
 /// off the time on the way each time, so that after 2.5 s of outage all of them thought of 2 s, in
 /// which no entry lapses, and gave up endpoints that lived.
-BOOST_AUTO_TEST_CASE(anAgeThatIsPassedOnDoesNotShrink)
+BOOST_AUTO_TEST_CASE(forwardedAgeDoesNotShrink)
 {
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers(clock);
@@ -397,7 +397,7 @@
 
 /// Found by the simulation: a deputy that the store turned away said for 1.6 s that it read, and
 /// the next deputy left the store to it.
-BOOST_AUTO_TEST_CASE(aReaderIsCountedOnOnlyOnceItHasRead)
+BOOST_AUTO_TEST_CASE(readerIsHealthyOnlyOnceItHasRead)
 {
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers(clock);
