--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -63,10 +63,10 @@
     const auto waiters = m_queues.find(queueId);
     if (waiters == m_queues.end())
         return false;
-    // What was sent before may not go where it was, and tells nothing of others.
+    // Repeats are skipped: they may be excluded from endpoints that are open to this request.
     const auto first =
-        std::find_if(waiters->second.begin(), waiters->second.end(), [&](const auto &one) {
-            return !one.first.priority.isRepeat && (one.second.mayRepeat || !mayRepeat);
+        std::find_if(waiters->second.begin(), waiters->second.end(), [&](const auto &entry) {
+            return !entry.first.priority.isRepeat && (entry.second.mayRepeat || !mayRepeat);
         });
     return first != waiters->second.end() && first->first.priority.compare(priority) <= 0;
 }
@@ -101,24 +101,24 @@
     }
 }
 
-/// Calls may add and remove waiters: nothing of the line is kept across one.
+/// Callbacks may add and remove waiters, so no iterator is kept across a call.
 void AdmissionQueue::tryPlace(const QueueId &queueId, int maxFailedAttempts)
 {
-    Key after;
-    int inVain = 0;
-    for (bool isFirst = true; inVain < maxFailedAttempts; isFirst = false) {
+    Key current;
+    int failedAttempts = 0;
+    for (bool isFirst = true; failedAttempts < maxFailedAttempts; isFirst = false) {
         const auto waiters = m_queues.find(queueId);
         if (waiters == m_queues.end())
             return;
-        const auto next = isFirst ? waiters->second.begin() : waiters->second.upper_bound(after);
+        const auto next = isFirst ? waiters->second.begin() : waiters->second.upper_bound(current);
         if (next == waiters->second.end())
             return;
-        after = next->first;
+        current = next->first;
         const auto tryPlace = next->second.tryPlace;
         if (tryPlace())
-            remove({.queueId = queueId, .priority = after.priority, .number = after.number});
+            remove({.queueId = queueId, .priority = current.priority, .number = current.number});
         else
-            ++inVain;
+            ++failedAttempts;
     }
 }
 
@@ -136,16 +136,16 @@
 
 void AdmissionQueue::failExpired()
 {
-    // Another interval would be too long.
-    const Base::MonoTime soon = m_options.timers->clock().now() + m_options.retryInterval;
-    std::vector<std::pair<QueueId, Key>> late;
+    // Waiters whose deadline comes before the next tick fail now, as they would be late then.
+    const Base::MonoTime nextTick = m_options.timers->clock().now() + m_options.retryInterval;
+    std::vector<std::pair<QueueId, Key>> expired;
     for (const auto &[queueId, waiters] : m_queues) {
         for (const auto &[key, waiter] : waiters) {
-            if (waiter.deadline < soon)
-                late.emplace_back(queueId, key);
+            if (waiter.deadline < nextTick)
+                expired.emplace_back(queueId, key);
         }
     }
-    for (const auto &[queueId, key] : late)
+    for (const auto &[queueId, key] : expired)
         fail(queueId, key);
 }
 
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -15,26 +15,28 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Where a request stands among those that wait for room; the least goes first.
+/// Priority of a request that waits for a free slot. The lowest value is served first.
 struct QueuePriority
 {
-    /// Sent before: its work is done in part, and it may not go everywhere.
+    /// Whether the request was sent before. Such a request is served first, as part of its work is
+    /// done, but it may be excluded from some endpoints.
     bool isRepeat = false;
-    double usableShare = 1; ///< Of the places; see LoadShedder.
+    double usableShare = 1; ///< Fraction of the slots; see LoadShedder.
     Urgency urgency;
 
-    /// Negative if this one goes before the other, 0 for equals.
+    /// Negative if this priority is served before the other, 0 if they are equal.
     int compare(const QueuePriority &other) const;
 };
 
-/// Requests that found no endpoint with room, in the order in which they get what comes free. Room
-/// that comes free wakes the first of them, and the next ones while there is more; nobody looks on
-/// their own. Against a look of each of them each 10 ms a refusal takes 15 us of a core instead of
-/// 16.5 (bm_refusal, within its noise); worth and processor time of whole days are the same.
+/// Queues of requests that found no endpoint with a free slot, in the order in which they are
+/// served. A freed slot wakes the first waiter, and the next ones while slots are left. Waiters
+/// don't poll; a refusal would take about as much processor time if each of them retried every 10
+/// ms (16.5 us compared to 15 us, within the noise of the measurement).
 class AdmissionQueue
 {
 public:
-    /// Requests of one service that find room alike: plain ones may also wait at an endpoint.
+    /// Identifies a queue of requests of one service that can be placed under the same conditions.
+    /// Streams have a queue of their own, as only other requests may also wait at an endpoint.
     struct QueueId
     {
         Base::ServiceId service;
@@ -45,30 +47,33 @@
     struct Options
     {
         Runtime::TimerQueue *timers = nullptr;
-        /// Between two looks of the first in line where nothing has ended: what others have at an
-        /// endpoint is guessed to shrink with time. An engine ends a request each 20 to 50 ms.
+        /// Interval at which the first waiter retries if no request has ended: the estimate of the
+        /// requests that other routers have at an endpoint decreases with time. An engine completes
+        /// a request every 20 to 50 ms.
         Base::Duration retryInterval = std::chrono::milliseconds(10);
-        /// In one line; they wait for tens of ms, in which no router gets so many places.
+        /// Maximum number of waiters of one queue. They wait for tens of milliseconds, in which no
+        /// router gets more free slots than that.
         std::size_t maxWaiters = 256;
-        /// Looks in vain before the others in line are taken to find nothing either: the first ones
-        /// may be barred from the endpoint that has room.
+        /// Number of failed placement attempts after which the remaining waiters are not tried.
+        /// More than one, as the first waiters may be excluded from the endpoint that has a free
+        /// slot.
         int maxFailedAttempts = 3;
     };
     struct Waiter
     {
         QueuePriority priority;
-        bool mayRepeat = false; ///< So that it may find out whether a suspected endpoint is back.
-        Base::MonoTime deadline; ///< It is given up then.
-        /// Looks for a place; true if it waits no longer.
+        bool mayRepeat = false; ///< Such a request may be a trial of a suspect endpoint.
+        Base::MonoTime deadline; ///< The waiter fails at this time.
+        /// Tries to place the request. True if it need not wait any longer.
         std::function<bool()> tryPlace;
-        /// There is no room for it.
+        /// Called when the waiter is removed because it got no slot.
         std::function<void()> fail;
     };
     struct Ticket
     {
         QueueId queueId;
         QueuePriority priority;
-        std::uint64_t number = 0; ///< Equals go in the order in which they came.
+        std::uint64_t number = 0; ///< Orders waiters of equal priority by arrival.
     };
 
     explicit AdmissionQueue(const Options &options)
@@ -78,13 +83,15 @@
     AdmissionQueue(const AdmissionQueue &) = delete;
     AdmissionQueue &operator=(const AdmissionQueue &) = delete;
 
-    /// Nothing if the line is full of others that go before it.
+    /// Adds a waiter. Nothing if the queue is full and none of its waiters has a lower priority;
+    /// otherwise the last waiter of a full queue fails.
     std::optional<Ticket> add(const QueueId &queueId, Waiter waiter);
     void remove(const Ticket &ticket);
-    /// Whether one that has not looked yet would find nothing, as one in line goes before it that
-    /// may go wherever it may, and found nothing.
+    /// Whether a new request must wait without an attempt of its own: a waiter that is served
+    /// before it and may use at least the same endpoints has found no free slot.
     bool mustWait(const QueueId &queueId, const QueuePriority &priority, bool mayRepeat) const;
-    /// A place of the service may have come free; those in line look soon, but not from this call.
+    /// Reports that a slot of the service may have become free. Waiters are tried from the event
+    /// loop, not from within this call.
     void slotMayBeFree(const Base::ServiceId &service);
     std::size_t size() const;
 
@@ -92,7 +99,7 @@
     struct Key
     {
         QueuePriority priority;
-        std::uint64_t number = 0; ///< See Ticket.
+        std::uint64_t number = 0; ///< Like Ticket::number.
 
         bool operator<(const Key &other) const;
     };
@@ -102,14 +109,15 @@
     void startTicking();
     void retryFreed();
     void tryPlace(const QueueId &queueId, int maxFailedAttempts);
-    /// Takes one out and calls its fail.
+    /// Removes a waiter and calls its fail function.
     void fail(const QueueId &queueId, const Key &key);
     void failExpired();
 
     Options m_options;
-    std::map<QueueId, Waiters> m_queues; ///< None is empty.
+    std::map<QueueId, Waiters> m_queues; ///< Holds no empty queues.
     std::uint64_t m_lastNumber = 0;
-    absl::flat_hash_set<Base::ServiceId> m_freed; ///< Services that have had room since.
+    /// Services in which slots may have become free since the last round.
+    absl::flat_hash_set<Base::ServiceId> m_freed;
     std::optional<Runtime::TimerId> m_retryTimer;
     std::optional<Runtime::TimerId> m_tickTimer;
 };
--- a/src/libs/gateway/averageload.cpp
+++ b/src/libs/gateway/averageload.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-/// Whoever answers has the request that it answers.
-constexpr double fewest = 1;
+/// An endpoint that answers a request has at least that one.
+constexpr double minimumRequests = 1;
 
 double inverseOf(double requests)
 {
-    return 1 / std::max(fewest, requests);
+    return 1 / std::max(minimumRequests, requests);
 }
 
 } // namespace
 
 void AverageLoad::addReport(double requests, Base::MonoTime now)
 {
-    const double memories =
+    const double timeConstants =
         m_reportedAt ? Base::toSeconds(now - *m_reportedAt) / Base::toSeconds(m_options.memory) : 1;
     m_reportedAt = now;
-    mix(inverseOf(requests), std::min(m_options.maximumWeight, 1 - std::exp(-memories)), now);
+    mix(inverseOf(requests), std::min(m_options.maximumWeight, 1 - std::exp(-timeConstants)), now);
 }
 
 void AverageLoad::addPeerEstimate(double requests, Base::MonoTime now)
--- a/src/libs/gateway/averageload.h
+++ b/src/libs/gateway/averageload.h
@@ -6,24 +6,24 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Requests that one endpoint of a service has on average, as a router can tell that hears of few
-/// endpoints a second: it looks at each report that comes, and asks what its peers think.
+/// Estimates the average number of requests at an endpoint of a service on a router that gets few
+/// load reports a second, from these reports and the estimates of its peers.
 ///
-/// Reports come with answers, so an endpoint with twice the requests is heard of twice as often,
-/// and the plain mean of the reports is too high: 4.0 where endpoints have 3.0 with the spread of
-/// chance. The mean of their inverses is not.
+/// Reports come with answers, so an endpoint with twice the requests sends twice as many reports.
+/// Their arithmetic mean is therefore too high: 4.0 for randomly distributed loads with a mean of
+/// 3.0. The harmonic mean, as the mean of the inverses, is not biased in this way.
 class AverageLoad
 {
 public:
     struct Options
     {
-        /// In which reports are forgotten; requests last for a second or two.
+        /// Time constant of the moving average; requests take a second or two.
         Base::Duration memory = std::chrono::seconds(2);
-        /// Weight of one report at most, however long ago the last one was.
+        /// Maximum weight of one report, however old the previous one is.
         double maximumWeight = 0.3;
-        /// Weight of what a peer thinks: routers that take the middle of both agree soon.
+        /// Weight of a peer's estimate. At one half the estimates of all routers converge fast.
         double peerWeight = 0.5;
-        /// After so long without any news nothing is known.
+        /// Age of the last report or peer estimate at which the average becomes unknown.
         Base::Duration lifetime = std::chrono::seconds(5);
     };
 
@@ -32,9 +32,9 @@
         : m_options(options)
     { }
 
-    /// An endpoint has told this router that it has so many requests.
+    /// Adds a load report of an endpoint.
     void addReport(double requests, Base::MonoTime now);
-    /// A peer thinks so.
+    /// Adds a peer's estimate of the average.
     void addPeerEstimate(double requests, Base::MonoTime now);
     std::optional<double> value(Base::MonoTime now) const;
 
--- a/src/libs/gateway/backlogcontrol.cpp
+++ b/src/libs/gateway/backlogcontrol.cpp
@@ -6,35 +6,34 @@
 
 namespace Lagoonbank::Gateway {
 
-bool BacklogControl::admits(const AdmissionRequest &admissionRequest, Base::Duration delay,
+bool BacklogControl::admits(const AdmissionRequest &request, Base::Duration delay,
                             Base::MonoTime now)
 {
-    count(admissionRequest, now);
+    count(request, now);
     adapt(delay, now);
     if (m_admittedShare >= 1)
         return true;
-    const double ofKind =
-        delay > m_options.target ? m_urgencyLevels[admissionRequest.urgency].share : 1;
-    const double share = ofKind * workspaceShare(admissionRequest.workspace, now);
+    const double levelShare = delay > m_options.target ? m_urgencyLevels[request.urgency].share : 1;
+    const double share = levelShare * workspaceShare(request.workspace, now);
     return std::uniform_real_distribution<double>(0, 1)(m_random) < share;
 }
 
 Base::Duration BacklogControl::retryAfter(Base::Duration delay)
 {
-    // From half to one and a half of it.
+    // Spread over 50% to 150% of the base value.
     std::uniform_real_distribution<double> spread(0.5, 1.5);
     const double seconds =
         Base::toSeconds(delay) + Base::toSeconds(m_options.interval) / m_admittedShare;
-    const double latest = Base::toSeconds(m_options.maxRetryAfter);
+    const double maxSeconds = Base::toSeconds(m_options.maxRetryAfter);
     return std::chrono::duration_cast<Base::Duration>(
-        std::chrono::duration<double>(std::min(seconds * spread(m_random), latest)));
+        std::chrono::duration<double>(std::min(seconds * spread(m_random), maxSeconds)));
 }
 
-void BacklogControl::count(const AdmissionRequest &admissionRequest, Base::MonoTime now)
+void BacklogControl::count(const AdmissionRequest &request, Base::MonoTime now)
 {
     m_arrivals.add(1, now, m_options.halfLife);
-    m_urgencyLevels[admissionRequest.urgency].arrivals.add(1, now, m_options.halfLife);
-    m_workspaces[admissionRequest.workspace].add(1, now, m_options.halfLife);
+    m_urgencyLevels[request.urgency].arrivals.add(1, now, m_options.halfLife);
+    m_workspaces[request.workspace].add(1, now, m_options.halfLife);
 }
 
 void BacklogControl::adapt(Base::Duration delay, Base::MonoTime now)
@@ -43,7 +42,7 @@
     if (now - m_intervalStart < m_options.interval)
         return;
     const bool isBehind = m_minDelay > m_options.target;
-    // Intervals in which nobody came count as well.
+    // Intervals without any request count as well.
     const double intervals =
         std::floor(Base::toSeconds(now - m_intervalStart) / Base::toSeconds(m_options.interval));
     m_admittedShare = isBehind
@@ -55,26 +54,26 @@
         computeShares(now);
 }
 
-/// By urgency, as places are divided; each request costs the router the same.
+/// Divides by urgency as LoadShedder divides slots, with the same cost for each request.
 void BacklogControl::computeShares(Base::MonoTime now)
 {
-    constexpr double nobody = 0.1;
+    constexpr double idleArrivals = 0.1;
     absl::erase_if(m_workspaces, [&](const auto &entry) {
-        return entry.second.value(now, m_options.halfLife) < nobody;
+        return entry.second.value(now, m_options.halfLife) < idleArrivals;
     });
     std::vector<Demand> demands;
     demands.reserve(m_urgencyLevels.size());
     double arrivals = 0;
-    for (const auto &[urgency, kind] : m_urgencyLevels) {
-        const double requests = kind.arrivals.value(now, m_options.halfLife);
+    for (const auto &[urgency, level] : m_urgencyLevels) {
+        const double requests = level.arrivals.value(now, m_options.halfLife);
         demands.push_back({.urgency = urgency, .requests = requests, .cost = 1});
         arrivals += requests;
     }
     const std::vector<double> shares =
         servedShares(demands, m_admittedShare * arrivals, m_options.minShare * m_admittedShare);
     auto share = shares.begin();
-    for (auto &[urgency, kind] : m_urgencyLevels)
-        kind.share = *share++;
+    for (auto &[urgency, level] : m_urgencyLevels)
+        level.share = *share++;
 }
 
 double BacklogControl::workspaceShare(const Base::WorkspaceId &workspace, Base::MonoTime now) const
@@ -84,10 +83,10 @@
         return 1;
     const double arrivals = found->second.value(now, m_options.halfLife);
     const double others = m_arrivals.value(now, m_options.halfLife) - arrivals;
-    const double usual =
+    const double average =
         others / static_cast<double>(std::max<std::size_t>(1, m_workspaces.size() - 1));
-    const double most = std::max(m_options.minRequests, m_options.greedyFactor * usual);
-    return arrivals > most ? most / arrivals : 1;
+    const double maxArrivals = std::max(m_options.minRequests, m_options.greedyFactor * average);
+    return arrivals > maxArrivals ? maxArrivals / arrivals : 1;
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -11,41 +11,48 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Decides who is refused when the router itself is short of processor time: it knows how old the
-/// oldest work is that it has not looked at. A delay that stays above a target for an interval
-/// (CoDel) lowers the part of the requests that are taken, step by step; the least urgent are
-/// refused first, by the rate at which each urgency asks (DAGOR), and a workspace that asks for far
-/// more than the others before them. While the delay is under the target only such a workspace is
-/// refused, and nobody while the router has not been behind.
+/// Sheds load when the router itself lacks processor time. Its input is the queueing delay: the age
+/// of the oldest work that the router has not processed yet.
 ///
-/// Of all services together, as one loop serves them. Pure: time is an argument.
+/// A delay that stays above a target for an interval (as in CoDel) reduces the admitted share of
+/// requests step by step. Requests of the lowest urgency are refused first, based on the arrival
+/// rate of each urgency (as in DAGOR), and before them those of a workspace that sends far more
+/// than the others. While the delay is below the target only such a workspace is limited, and
+/// nothing is refused unless the router has been behind.
+///
+/// Covers all services together, because one event loop serves them. The class reads no clock; time
+/// is an argument.
 class BacklogControl
 {
 public:
     struct Options
     {
-        /// A tenth of the shortest target latencies (150 to 300 ms), and some turns of a loop that
-        /// has a quarter of a core. DAGOR's target is 20 ms.
+        /// Maximum acceptable queueing delay: a tenth of the shortest target latencies (150 to
+        /// 300 ms), and some turns of an event loop that has a quarter of a core. DAGOR uses 20 ms.
         Base::Duration target = std::chrono::milliseconds(25);
-        /// A single long turn, as for reading a configuration (0.1 s), refuses nobody. CoDel's.
+        /// Time for which the delay has to exceed the target before load is shed, as in CoDel. A
+        /// single long turn of the loop, such as reading a configuration (0.1 s), refuses nothing.
         Base::Duration interval = std::chrono::milliseconds(100);
-        /// What is taken after an interval that was above the target throughout, as a part of what
-        /// was taken before.
+        /// Factor applied to the admitted share after an interval in which the delay was above the
+        /// target throughout.
         double decreaseFactor = 0.5;
-        /// Added to the part that is taken after an interval in which the delay was under it.
+        /// Added to the admitted share after an interval in which the delay was below the target.
         double raise = 0.1;
-        /// Taken at least, to learn whether there is time again.
+        /// Minimum of the admitted share. Some requests are always admitted, to detect that there
+        /// is processor time again.
         double minAdmittedShare = 0.05;
-        /// Part of what all get that each urgency gets at least; see LoadShedder.
+        /// Minimum share of each urgency, relative to the admitted share of all requests; see
+        /// LoadShedder.
         double minShare = 0.35;
-        /// A workspace that asks for more than so many times what the others do on average gets no
-        /// more than that, behind or not: who repeats at once displaces nobody else.
+        /// A workspace that sends more than this multiple of the other workspaces' average is
+        /// limited to that multiple, whether or not the delay is above the target. Callers that
+        /// retry immediately therefore displace nobody else.
         double greedyFactor = 2.5;
-        /// For what is counted: bursts last some seconds.
+        /// Half-life of the arrival counts; bursts last some seconds.
         Base::Duration halfLife = std::chrono::seconds(3);
-        /// Fewer requests of a workspace than this say nothing.
+        /// Minimum number of requests of a workspace before it can be limited.
         double minRequests = 6;
-        /// The latest time to come back; callers wait some seconds at most.
+        /// Maximum value of retryAfter(); callers wait for some seconds at most.
         Base::Duration maxRetryAfter = std::chrono::seconds(1);
         std::uint64_t randomSeed = 1;
     };
@@ -55,22 +62,24 @@
         , m_random(static_cast<std::uint32_t>(options.randomSeed))
     { }
 
-    /// A request has come while the router's oldest work was \a delay old; whether it is taken.
-    bool admits(const AdmissionRequest &admissionRequest, Base::Duration delay, Base::MonoTime now);
-    /// For one that is not: when the work that waits is done, later the fewer are taken, so that as
-    /// many come as there is time for; spread, so that callers do not return together.
+    /// Records an arriving request and returns whether to admit it. \a delay is the current age of
+    /// the router's oldest unprocessed work.
+    bool admits(const AdmissionRequest &request, Base::Duration delay, Base::MonoTime now);
+    /// Time after which a refused caller should retry: once the waiting work is done, and later the
+    /// smaller the admitted share is, so that the retries match the available processor time.
+    /// Randomized, so that callers do not return together.
     Base::Duration retryAfter(Base::Duration delay);
-    /// Part of the requests that is taken while the delay is above the target.
+    /// Share of the requests that is admitted while the delay is above the target.
     double admittedShare() const { return m_admittedShare; }
 
 private:
     struct UrgencyLevel
     {
         DecayingSum arrivals;
-        double share = 1; ///< Of its requests, that are taken.
+        double share = 1; ///< Admitted share of this level's requests.
     };
 
-    void count(const AdmissionRequest &admissionRequest, Base::MonoTime now);
+    void count(const AdmissionRequest &request, Base::MonoTime now);
     void adapt(Base::Duration delay, Base::MonoTime now);
     void computeShares(Base::MonoTime now);
     double workspaceShare(const Base::WorkspaceId &workspace, Base::MonoTime now) const;
@@ -82,7 +91,8 @@
     DecayingSum m_arrivals;
     double m_admittedShare = 1;
     Base::MonoTime m_intervalStart;
-    Base::Duration m_minDelay = Base::Duration::max(); ///< In this interval.
+    /// Minimum delay in the current interval.
+    Base::Duration m_minDelay = Base::Duration::max();
 };
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/callerrequest.h
+++ b/src/libs/gateway/callerrequest.h
@@ -12,46 +12,46 @@
 
 namespace Lagoonbank::Gateway {
 
-/// A piece of a prompt that many requests may share.
+/// A section of a prompt that many requests may share.
 struct PromptPart
 {
     std::uint64_t id = 0;
     Base::Tokens tokens;
 };
 
-/// What a request for a model tells of its prompt.
+/// Metadata of the prompt of a model request.
 struct Prompt
 {
     std::string model;
     Base::Tokens promptTokens;
     Base::Tokens maxOutput;
-    /// In the order of the prompt; the last one belongs to this request or its chat alone.
+    /// Sections in prompt order. The last one is specific to this request or its chat.
     std::vector<PromptPart> parts;
 };
 
-/// One call of a caller, as a front has decoded it.
+/// A request of a caller, as decoded by the ingress.
 struct CallerRequest
 {
-    Base::RequestId id; ///< Of this attempt of the caller.
+    Base::RequestId id; ///< Identifies this attempt of the caller.
     std::string method;
     std::string host;
     std::string path; ///< Without the query.
-    std::string target; ///< Path and query, as they came.
-    Http::Headers headers; ///< That go on to the endpoint as they are.
+    std::string target; ///< Path and query, unmodified.
+    Http::Headers headers; ///< Forwarded to the endpoint unchanged.
     std::string body;
-    std::optional<std::string> key; ///< That names the caller's workspace.
-    std::optional<Base::MonoTime> cameAt; ///< When its bytes came; when it was read if not given.
-    std::optional<Base::Duration> patience; ///< How long the caller will wait, from its arrival.
-    std::optional<std::uint64_t> resumeAfter; ///< The last event that the caller has of a stream.
+    std::optional<std::string> key; ///< Identifies the caller's workspace.
+    std::optional<Base::MonoTime> cameAt; ///< When its bytes arrived; if unset, when it was read.
+    std::optional<Base::Duration> patience; ///< Timeout of the caller, counted from arrival.
+    std::optional<std::uint64_t> resumeAfter; ///< Id of the last stream event that the caller has.
     std::optional<Prompt> prompt;
 };
 
-/// Why a request is not answered by an endpoint.
+/// The reason why a request is refused instead of answered by an endpoint.
 struct Refusal
 {
     Errors::ErrorKind kind = Errors::ErrorKind::Internal;
     Errors::Ran ran = Errors::Ran::No;
-    std::optional<Base::Duration> retryAfter; ///< When the caller may come back.
+    std::optional<Base::Duration> retryAfter; ///< Time after which the caller may retry.
 };
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/concurrencylimit.cpp
+++ b/src/libs/gateway/concurrencylimit.cpp
@@ -4,10 +4,10 @@
 
 namespace Lagoonbank::Gateway {
 
-void ConcurrencyLimit::setCapacity(double places, double routers)
+void ConcurrencyLimit::setCapacity(double slots, double routers)
 {
-    m_isEnforced = places > 0 && routers >= m_options.minRouters;
-    m_fairShare = places / std::max(1.0, routers);
+    m_isEnforced = slots > 0 && routers >= m_options.minRouters;
+    m_fairShare = slots / std::max(1.0, routers);
     if (m_limit <= 0)
         m_limit = m_options.maxShare * m_fairShare;
     clamp();
@@ -19,7 +19,7 @@
         decrease(now);
         return;
     }
-    // A limit that nobody reaches says nothing of what endpoints can take.
+    // A limit that is not reached gives no evidence of what the endpoints can take.
     if (inFlight < m_options.minShare * m_limit)
         return;
     m_limit += m_options.raise / std::max(1.0, m_limit);
--- a/src/libs/gateway/concurrencylimit.h
+++ b/src/libs/gateway/concurrencylimit.h
@@ -5,29 +5,35 @@
 
 namespace Lagoonbank::Gateway {
 
-/// How many requests this router may have at the endpoints of one service, found out from what they
-/// answer: one more for each limit's worth of answers from endpoints that have places (additive
-/// increase), and a part of it less when requests wait there or are rejected (multiplicative
-/// decrease). Among many routers none knows how much work endpoints have: each hears of one so
-/// seldom that all see places where there are none.
+/// Adaptive limit (AIMD) of the requests that this router has in flight at the endpoints of one
+/// service. Answers of endpoints with free slots raise the limit, by one for each limit's worth of
+/// answers (additive increase). Requests that queue at an endpoint or are rejected by it lower the
+/// limit by a factor (multiplicative decrease).
 ///
-/// Pure: time is an argument.
+/// In a fleet of many routers no router can rely on load reports alone: it receives reports of each
+/// endpoint so seldom that all routers see free slots where there are none.
+///
+/// The class reads no clock; time is an argument.
 class ConcurrencyLimit
 {
 public:
     struct Options
     {
-        /// With fewer routers each hears of every endpoint's load soon enough; see Placement.
+        /// Minimum number of routers for which the limit is enforced. With fewer, each router
+        /// receives the load of every endpoint often enough; see Placement.
         double minRouters = 10;
-        /// Requests that wait at an endpoint for it to be short of places, as a part of those.
+        /// Requests queued at an endpoint, relative to its slots, above which the endpoint counts
+        /// as short of slots.
         double maxWaitingShare = 0.1;
-        double decreaseFactor = 0.7; ///< What is left of the limit then.
-        /// Between two cuts: what was sent before the last one still shows its load.
+        double decreaseFactor = 0.7;
+        /// Minimum time between two decreases: reports that follow a decrease still reflect the
+        /// requests sent before it.
         Base::Duration decreaseInterval = std::chrono::milliseconds(300);
-        double raise = 1; ///< For each limit's worth of answers.
-        /// Never less than this part of the router's even part of all places.
+        double raise = 1; ///< Added for each limit's worth of answers.
+        /// Minimum of the limit, relative to the router's fair share of all slots.
         double minShare = 0.5;
-        /// Nor more than so many times that, so that it is cut soon when load comes.
+        /// Maximum of the limit, relative to the router's fair share of all slots, so that the
+        /// limit falls quickly when load rises.
         double maxShare = 4;
     };
 
@@ -35,13 +41,14 @@
         : m_options(options)
     { }
 
-    /// Places of all endpoints in service, and routers that share them.
-    void setCapacity(double places, double routers);
-    /// An endpoint has told its load with an answer.
+    /// Sets the slots of all endpoints in service and the number of routers that share them.
+    void setCapacity(double slots, double routers);
+    /// Handles a load report that came with an endpoint's answer.
     void loadReported(const LoadReport &report, double inFlight, Base::MonoTime now);
-    /// An endpoint has rejected a request as it was full.
+    /// Handles the rejection of a request by an endpoint that was full.
     void rejected(Base::MonoTime now) { decrease(now); }
-    /// Whether one request more may be sent; \a usableShare as for an endpoint's places.
+    /// Whether one more request may be sent. \a usableShare is the share of the limit that the
+    /// request may use; see LoadShedder::usableShare().
     bool admits(double inFlight, double usableShare) const;
     double value() const { return m_limit; }
 
@@ -50,8 +57,8 @@
     void clamp();
 
     Options m_options;
-    double m_fairShare = 0;
-    double m_limit = 0; ///< 0 until the places are known.
+    double m_fairShare = 0; ///< Slots divided by routers.
+    double m_limit = 0; ///< 0 until the slots are known.
     bool m_isEnforced = false;
     Base::MonoTime m_decreasedAt{};
 };
--- a/src/libs/gateway/crashwatch.cpp
+++ b/src/libs/gateway/crashwatch.cpp
@@ -69,19 +69,19 @@
 void CrashWatch::reportCrashes()
 {
     m_reportTimer.reset();
-    std::vector<Crash> ends = std::exchange(m_crashes, {});
+    std::vector<Crash> crashes = std::exchange(m_crashes, {});
     absl::flat_hash_map<RequestFingerprint, std::size_t> counts;
-    for (const Crash &end : ends) {
-        for (const RequestFingerprint request : end.requests)
+    for (const Crash &crash : crashes) {
+        for (const RequestFingerprint request : crash.requests)
             ++counts[request];
     }
-    const double least = m_options.minCrashShare * static_cast<double>(ends.size());
-    for (Crash &end : ends) {
-        std::erase_if(end.requests, [&](RequestFingerprint request) {
-            return static_cast<double>(counts.at(request)) < least;
+    const double minCount = m_options.minCrashShare * static_cast<double>(crashes.size());
+    for (Crash &crash : crashes) {
+        std::erase_if(crash.requests, [&](RequestFingerprint request) {
+            return static_cast<double>(counts.at(request)) < minCount;
         });
-        if (!end.requests.empty() && crashed)
-            crashed(*end.endpoint, end.requests);
+        if (!crash.requests.empty() && crashed)
+            crashed(*crash.endpoint, crash.requests);
     }
 }
 
--- a/src/libs/gateway/crashwatch.h
+++ b/src/libs/gateway/crashwatch.h
@@ -14,31 +14,38 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Finds out whether an endpoint on which a request broke has ended: it takes no connection then,
-/// while one that only broke an answer does. A router that is cut off sees many endpoints end at
-/// once, and most of them without one and the same request.
+/// Detects endpoints that have crashed while requests were running there. After an answer breaks
+/// off, it checks whether the endpoint still accepts connections: a crashed endpoint does not,
+/// while one that only broke an answer does.
+///
+/// A request is blamed only if it ran on a large part of the endpoints that crashed together. A
+/// router that is cut off from the network sees many endpoints fail at once, most of which did not
+/// have any request in common.
 class CrashWatch
 {
 public:
     struct Options
     {
         Runtime::TimerQueue *timers = nullptr;
-        /// Opens a connection and closes it; calls back once, later.
+        /// Opens a connection and closes it; calls back once, asynchronously.
         std::function<void(const Runtime::SocketAddress &server, Base::Duration timeout,
                            std::function<void(bool isReachable)> checked)>
             check;
-        /// For a connection: a live endpoint of the region accepts within 5 ms.
+        /// Connect timeout of a check; a live endpoint of the region accepts within 5 ms.
         Base::Duration checkTimeout = std::chrono::milliseconds(100);
-        /// From the first broken answer to the check: the others of an endpoint that ended break
-        /// within a round trip.
+        /// Time from the first broken answer to the check. The other answers of a crashed endpoint
+        /// break within a round trip.
         Base::Duration checkDelay = std::chrono::milliseconds(5);
-        /// Between two checks of one endpoint. One that breaks many answers and stays costs few
-        /// connections, and none that ended is back by then.
+        /// Time between two checks of the same endpoint. It limits the connections made to an
+        /// endpoint that breaks many answers without crashing, and is too short for a crashed
+        /// endpoint to be back.
         Base::Duration checkInterval = std::chrono::milliseconds(200);
-        /// For which ends are gathered: a cut shows at all endpoints within some tens of ms.
+        /// Time for which crashes are collected before requests are blamed. A network cut shows at
+        /// all endpoints within some tens of milliseconds.
         Base::Duration correlationWindow = std::chrono::milliseconds(100);
-        /// Part of the endpoints that ended together which a request must have been at for it to
-        /// be to blame: it may have been at some of them through other routers.
+        /// Minimum part of the endpoints that crashed together at which a request must have been
+        /// running to be blamed. It is below 1 because the request may have reached some of them
+        /// through other routers.
         double minCrashShare = 0.5;
     };
 
@@ -47,11 +54,11 @@
     CrashWatch(const CrashWatch &) = delete;
     CrashWatch &operator=(const CrashWatch &) = delete;
 
-    /// The request was there, and its answer has broken off.
+    /// Records that the answer to \a request from \a endpoint has broken off.
     void answerBroke(const EndpointPtr &endpoint, RequestFingerprint request);
 
-    /// The endpoint has ended while it had these requests, each named once, any of which may be to
-    /// blame.
+    /// Called when an endpoint has crashed while running \a requests, any of which may be the
+    /// cause. Each request is listed once.
     std::function<void(const EndpointRecord &endpoint,
                        const std::vector<RequestFingerprint> &requests)>
         crashed;
@@ -65,22 +72,23 @@
     struct BrokenEndpoint
     {
         EndpointPtr endpoint;
-        std::vector<RequestFingerprint> requests; ///< That broke since the last check.
-        std::optional<Runtime::TimerId> timer; ///< Until the next check; none while one is made.
+        std::vector<RequestFingerprint> requests; ///< Requests that broke since the last check.
+        std::optional<Runtime::TimerId> timer; ///< Set until the next check, unset while it runs.
     };
 
     void checkAfter(Base::Duration delay, BrokenEndpoint &broken);
     void check(std::uint64_t startHash);
     void checked(std::uint64_t startHash, const std::vector<RequestFingerprint> &requests,
                  bool isReachable);
+    /// Blames requests for the collected crashes and calls crashed().
     void reportCrashes();
 
     Options m_options;
-    absl::flat_hash_map<std::uint64_t, BrokenEndpoint>
-        m_brokenEndpoints; ///< By EndpointRecord::startHash.
-    std::vector<Crash> m_crashes; ///< That are not judged yet.
+    /// Keyed by EndpointRecord::startHash.
+    absl::flat_hash_map<std::uint64_t, BrokenEndpoint> m_brokenEndpoints;
+    std::vector<Crash> m_crashes; ///< Crashes that have not been reported yet.
     std::optional<Runtime::TimerId> m_reportTimer;
-    /// Checks that end after this object is gone find it out by this.
+    /// Lets checks that complete after the destruction of this object detect that.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -33,13 +33,12 @@
     const State after = suspicion.state(endpoint.index);
     if (after == before || after == State::OnTrial)
         return;
-    m_options.log->event(part,
-                         after == State::Trusted ? "An endpoint is trusted again."
-                                                 : "An endpoint is suspected.",
-                         {{"endpoint", endpoint.info.id.value()},
-                          {"request", request.value()},
-                          {"failure_share", share},
-                          {"in_flight", endpoint.inFlight}});
+    m_options.log->event(
+        part, after == State::Trusted ? "An endpoint is healthy again." : "An endpoint is suspect.",
+        {{"endpoint", endpoint.info.id.value()},
+         {"request", request.value()},
+         {"failure_share", share},
+         {"in_flight", endpoint.inFlight}});
 }
 
 bool EndpointHealth::isInFailureBurst(const EndpointRecord &endpoint, Base::MonoTime now) const
@@ -56,7 +55,7 @@
     }
     if (std::exchange(endpoint.notice.isReplaced, true))
         return;
-    m_options.log->event(part, "An endpoint's address is another one's now.",
+    m_options.log->event(part, "Another endpoint answered at the address of an endpoint.",
                          {{"endpoint", endpoint.info.id.value()},
                           {"address", Runtime::toString(endpoint.info.address)},
                           {"request", request.value()}});
@@ -68,7 +67,7 @@
     EndpointNotice &notice = endpoint.notice;
     if (facts.isLeaving && !std::exchange(notice.isLeaving, true)) {
         m_options.log->event(
-            part, "An endpoint says that it leaves.",
+            part, "An endpoint announced that it takes no new requests.",
             {{"endpoint", endpoint.info.id.value()}, {"request", request.value()}});
     }
     const Base::MonoTime now = m_options.clock->now();
@@ -77,7 +76,7 @@
     if (!facts.backOffTime)
         return;
     notice.backOffUntil = std::max(notice.backOffUntil, now + *facts.backOffTime);
-    m_options.log->request(part, "An endpoint wants rest.",
+    m_options.log->request(part, "An endpoint asked this router to back off.",
                            {{"endpoint", endpoint.info.id.value()},
                             {"request", request.value()},
                             {"for_ms", *facts.backOffTime}});
--- a/src/libs/gateway/endpointhealth.h
+++ b/src/libs/gateway/endpointhealth.h
@@ -6,8 +6,10 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Doubts endpoints by what they answer: a share of failures makes one suspect, a single one does
-/// not, and neither do many at once; one that is full gets nothing for a moment.
+/// Tracks the health of endpoints by the outcome of the requests sent to them. A high share of
+/// failures makes an endpoint suspect; a single failure does not, and neither do many failures at
+/// the same moment. An endpoint that refuses a request because it is full receives no new requests
+/// for a short time.
 class EndpointHealth
 {
 public:
@@ -16,18 +18,20 @@
         EndpointRegistry *registry = nullptr;
         const Runtime::Clock *clock = nullptr;
         Logging::DecisionLog *log = nullptr;
-        /// Above the share of errors that good endpoints give for requests that are wrong
-        /// themselves.
+        /// Share of failures from which an endpoint becomes suspect. It is above the share of
+        /// errors that healthy endpoints return for requests that are invalid themselves.
         double failureShareToSuspect = 0.4;
-        /// Of the newest answer; some eight bad ones of sixteen make an endpoint suspect.
+        /// Weight of the newest answer in the failure share; about eight failures in sixteen
+        /// answers make an endpoint suspect.
         double failureWeight = 0.15;
         Base::Duration failureHalfLife = std::chrono::seconds(4);
-        /// Failures of a trusted endpoint within this time count as one: what resets connections in
-        /// bulk breaks all answers at once, and tells no more of the endpoint than one of them.
-        /// They come within a round trip; an engine that fails by itself does so each tens of ms.
+        /// Failures of a healthy endpoint within this time count as one. A bulk reset of
+        /// connections breaks all answers at once, which says no more about the endpoint than one
+        /// broken answer. Such failures occur within a round trip, whereas an engine that fails by
+        /// itself does so at intervals of tens of milliseconds.
         Base::Duration failureBurst = std::chrono::milliseconds(5);
-        /// For which an endpoint that refused as full gets nothing new: a few of its requests end
-        /// meanwhile.
+        /// Time for which an endpoint that refused a request as full receives no new requests; a
+        /// few of its running requests end meanwhile.
         Base::Duration fullBackOff = std::chrono::milliseconds(150);
     };
 
@@ -35,19 +39,20 @@
         : m_options(options)
     { }
 
-    /// It has answered, or failed to. \a request is named in the log if that decides.
+    /// Records the outcome of a request at \a endpoint: a usable answer or a failure. \a request is
+    /// named in the log line if the endpoint's state changes.
     void answered(EndpointRecord &endpoint, bool isGood, const Base::RequestId &request) const;
-    /// It has proven not to have run a request, as it is full or as another endpoint has its
-    /// address now, which it then has for good.
+    /// Records that \a endpoint provably did not run a request: either because it was full, or
+    /// because another endpoint has its address now, which is permanent.
     void refused(EndpointRecord &endpoint, bool isOtherEndpoint,
                  const Base::RequestId &request) const;
 
-    /// What the head of its answer says of the endpoint itself.
+    /// Evaluates what the head of an answer reports about the endpoint itself.
     void headReceived(EndpointRecord &endpoint, const HeadFacts &facts,
                       const Base::RequestId &request) const;
 
 private:
-    /// Whether another failure has been counted a moment ago.
+    /// Whether a failure has been counted within Options::failureBurst.
     bool isInFailureBurst(const EndpointRecord &endpoint, Base::MonoTime now) const;
 
     Options m_options;
--- a/src/libs/gateway/endpointprotocol.h
+++ b/src/libs/gateway/endpointprotocol.h
@@ -10,41 +10,42 @@
 
 namespace Lagoonbank::Gateway {
 
-/// What an endpoint says of its work.
+/// Load of an endpoint, as reported by itself.
 struct LoadReport
 {
     int running = 0;
     int waiting = 0;
-    int slots = 0; ///< That can run at once.
+    int slots = 0; ///< Maximum number of running requests.
 };
 
-/// One request on its way to one endpoint.
+/// A request together with the endpoint that it is sent to.
 struct Send
 {
     const CallerRequest *request = nullptr;
     const Fleet::Endpoint *endpoint = nullptr;
     Base::WorkspaceId workspace; ///< Empty for an anonymous request.
-    Base::Duration timeLeft{}; ///< After which the endpoint may stop.
-    int priority = 0; ///< 0 is most urgent.
-    std::optional<std::uint64_t> resumeAfter; ///< The last event that the caller has.
-    /// Another endpoint that holds parts of the prompt in its cache, to be copied from there; null
-    /// for none.
+    Base::Duration timeLeft{}; ///< The endpoint may stop processing after this time.
+    int priority = 0; ///< 0 is the most urgent.
+    std::optional<std::uint64_t> resumeAfter; ///< Id of the last event that the caller has.
+    /// Another endpoint whose cache holds parts of the prompt, which can be copied from there. Null
+    /// if there is none.
     const Fleet::Endpoint *cacheSource = nullptr;
 };
 
-/// What the head of an endpoint's answer says beyond HTTP.
+/// Information in the head of an endpoint's answer beyond status and headers.
 struct HeadFacts
 {
-    bool isOwn = false; ///< It answers this request and not another one.
-    bool isNotRun = false; ///< The endpoint proves that the request did not run and never will.
-    bool isOtherEndpoint = false; ///< Another endpoint has the address now.
+    bool isOwn = false; ///< The answer belongs to this request.
+    bool isNotRun = false; ///< The request did not run and never will.
+    bool isOtherEndpoint = false; ///< The address is in use by another endpoint now.
     std::optional<LoadReport> load;
-    bool isLeaving = false; ///< The endpoint says that it takes no new requests any more.
-    bool isWarmingUp = false; ///< The endpoint says that it bears few requests yet.
-    std::optional<Base::Duration> backOffTime; ///< For which it wants nothing from this router.
+    bool isLeaving = false; ///< The endpoint accepts no new requests any more.
+    bool isWarmingUp = false; ///< The endpoint is cold and can handle few requests yet.
+    std::optional<Base::Duration>
+        backOffTime; ///< This router must send it no request for this time.
 };
 
-/// How endpoints are spoken to; an adapter provides it.
+/// Encodes requests to endpoints and decodes their answers. Provided by an adapter.
 struct EndpointProtocol
 {
     std::function<Http::Call(const Send &send)> makeCall;
--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Of endpoints that have left; entries that lapsed come back within seconds.
-constexpr std::size_t mostKeptNotices = 1024;
+/// Maximum number of notices of removed endpoints. Expired entries reappear within seconds.
+constexpr std::size_t maximumRetainedNotices = 1024;
 
 std::uint64_t startHash(const Fleet::Endpoint &endpoint)
 {
@@ -35,12 +35,12 @@
     m_at = now;
 }
 
-double MovingAverage::value(double usual, Base::MonoTime now, Base::Duration halfLife) const
+double MovingAverage::value(double fallback, Base::MonoTime now, Base::Duration halfLife) const
 {
     if (!m_at)
-        return usual;
+        return fallback;
     const double kept = std::exp2(-Base::toSeconds(now - *m_at) / Base::toSeconds(halfLife));
-    return usual + (m_mean - usual) * kept;
+    return fallback + (m_mean - fallback) * kept;
 }
 
 void EndpointRegistry::put(const Fleet::Endpoint &endpoint, Base::MonoTime now)
@@ -73,10 +73,10 @@
     m_records.emplace(endpoint.id, record);
     m_byStart.emplace(record->startHash, record);
     auto &others = m_services[endpoint.service];
-    const auto place = std::lower_bound(
+    const auto position = std::lower_bound(
         others.begin(), others.end(), record,
         [](const EndpointPtr &a, const EndpointPtr &b) { return a->info.id < b->info.id; });
-    others.insert(place, record);
+    others.insert(position, record);
 }
 
 void EndpointRegistry::remove(const Base::EndpointId &id)
@@ -93,7 +93,7 @@
     m_freeIndices.push_back(record->index);
 }
 
-/// Endpoints that are taken back may have become cold meanwhile, and say so later.
+/// Endpoints may have become cold while they were drained, and report that only with an answer.
 void EndpointRegistry::setDrainedDataCentres(std::set<Base::DataCentreId> dataCentres,
                                              Base::MonoTime now)
 {
@@ -141,7 +141,7 @@
 {
     if (endpoint.notice == EndpointNotice())
         return;
-    if (m_notices.size() >= mostKeptNotices)
+    if (m_notices.size() >= maximumRetainedNotices)
         m_notices.erase(m_notices.begin());
     m_notices[endpoint.startHash] = {endpoint.info.address, endpoint.notice};
 }
@@ -213,27 +213,27 @@
         return own;
     double others = endpoint.report->running + endpoint.report->waiting - endpoint.inFlightAtReport;
     if (endpoint.isReportFromPeer) {
-        const double usual = usualLoad(endpoint.info.service, now).value_or(0);
+        const double average = usualLoad(endpoint.info.service, now).value_or(0);
         const double halves = Base::toSeconds(now - endpoint.reportedAt)
             / Base::toSeconds(m_options.peerReportHalfLife);
-        others = usual + (others - usual) * std::exp2(-halves);
+        others = average + (others - average) * std::exp2(-halves);
     }
     return std::max(own, others + own);
 }
 
 double EndpointRegistry::fleetLoad(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
-    constexpr int fewest = 2;
+    constexpr int minimumOwn = 2;
     const double own = endpoint.inFlight;
-    if (!endpoint.report) // The others probably send as this one does; half of that is the middle.
+    if (!endpoint.report) // Assumes that half of the routers send as many requests as this one.
         return own * std::max(1.0, m_routerCount / 2);
-    const double addReport = endpoint.report->running + endpoint.report->waiting;
+    const double reported = endpoint.report->running + endpoint.report->waiting;
     const double ownThen = endpoint.inFlightAtReport;
-    if (ownThen >= fewest)
-        return std::max(own, addReport * own / ownThen);
+    if (ownThen >= minimumOwn)
+        return std::max(own, reported * own / ownThen);
     const double halves =
         Base::toSeconds(now - endpoint.reportedAt) / Base::toSeconds(m_options.othersHalfLife);
-    return own + std::max(0.0, addReport - ownThen) * std::exp2(-halves);
+    return own + std::max(0.0, reported - ownThen) * std::exp2(-halves);
 }
 
 void EndpointRegistry::answerTimed(EndpointRecord &endpoint, Base::Duration latency,
@@ -275,13 +275,12 @@
 double EndpointRegistry::effectiveSlots(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
     const double all = endpoint.report ? endpoint.report->slots : endpoint.info.slots;
-    const double named = all * endpoint.timelyShare;
-    const bool isWaiting = endpoint.report
-        && endpoint.report->waiting > m_options.waitingShare * all
+    const double timely = all * endpoint.timelyShare;
+    const bool hasQueue = endpoint.report && endpoint.report->waiting > m_options.waitingShare * all
         && now - endpoint.reportedAt < m_options.waitingReportLifetime;
-    return isWaiting && endpoint.report->running > 0
-        ? std::min<double>(named, endpoint.report->running)
-        : named;
+    return hasQueue && endpoint.report->running > 0
+        ? std::min<double>(timely, endpoint.report->running)
+        : timely;
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -18,21 +18,21 @@
 
 namespace Lagoonbank::Gateway {
 
-/// A mean over the last observations that forgets what is old.
+/// Exponentially weighted moving average whose value decays towards a given one with age.
 class MovingAverage
 {
 public:
     MovingAverage() = default;
-    /// Begins with \a prior, so that the first observation alone says little.
+    /// Starts from \a prior, which limits the weight of the first observation.
     explicit MovingAverage(double prior)
         : m_mean(prior)
         , m_hasPrior(true)
     { }
 
-    /// \a weight is that of the newest observation.
+    /// \a weight is the smoothing factor, the weight of the new observation.
     void add(double value, Base::MonoTime now, double weight = 0.2);
-    /// What is expected now: the mean while it is fresh, then more and more \a usual.
-    double value(double usual, Base::MonoTime now, Base::Duration halfLife) const;
+    /// The average, which decays towards \a fallback with \a halfLife since the last observation.
+    double value(double fallback, Base::MonoTime now, Base::Duration halfLife) const;
     bool isEmpty() const { return !m_at; }
 
 private:
@@ -41,48 +41,51 @@
     std::optional<Base::MonoTime> m_at;
 };
 
-/// What an endpoint's answers have said of it. It holds whatever its entry says, which cannot be
-/// written while the store is down, and until it starts again, though its entry lapses meanwhile.
+/// State that an endpoint announced in its answers. It takes precedence over the endpoint's entry
+/// in the store, which cannot be updated while the store is down. It remains valid until the
+/// endpoint restarts, even if the entry expires in between.
 struct EndpointNotice
 {
-    bool isLeaving = false; ///< It takes no new requests.
-    bool isReplaced = false; ///< Another endpoint has answered at its address.
-    Base::MonoTime backOffUntil{}; ///< It wants nothing before.
+    bool isLeaving = false; ///< The endpoint takes no new requests.
+    bool isReplaced = false; ///< Another endpoint answered at its address.
+    Base::MonoTime backOffUntil{}; ///< The endpoint asked for no requests before.
 
     bool operator==(const EndpointNotice &) const = default;
 };
 
-/// What this router knows of one endpoint.
+/// State of one endpoint as seen by this router.
 struct EndpointRecord
 {
     Fleet::Endpoint info;
-    std::uint64_t hash = 0; ///< Of its id; the same on every router.
-    std::uint64_t startHash = 0; ///< Of its id and its start: another start holds no prompts.
+    std::uint64_t hash = 0; ///< Hash of the endpoint's id; the same on every router.
+    /// Hash of the id and the start time, as a restarted endpoint has lost its cached prompts.
+    std::uint64_t startHash = 0;
     Routing::EndpointIndex index = Routing::noEndpoint;
-    bool isDrained = false; ///< The operators have drained its data centre.
+    bool isDrained = false; ///< Its data centre is drained by the operators.
     bool isUnreachable = false; ///< No connection can be opened; see Reachability.
     EndpointNotice notice;
     WarmupRecord warmup;
-    bool hasCrashed = false; ///< It took no connection after requests broke; cold when it is back.
-    Base::MonoTime fullUntil{}; ///< It refused as full.
-    bool isGone = false; ///< Its entry is gone; requests may still be in flight.
+    /// Requests broke and a new connection failed; the endpoint is cold when it is reachable again.
+    bool hasCrashed = false;
+    Base::MonoTime fullUntil{}; ///< End of the back-off after it refused a request as full.
+    bool isGone = false; ///< Its entry was removed; requests may still be in flight.
     Base::MonoTime knownSince;
-    int inFlight = 0; ///< Requests of this router.
+    int inFlight = 0; ///< Requests of this router in flight.
     std::optional<LoadReport> report;
     Base::MonoTime reportedAt;
-    bool isReportFromPeer = false; ///< By a peer; else the endpoint has told this router.
+    bool isReportFromPeer = false; ///< Whether the last report came from a peer.
     int inFlightAtReport = 0;
-    std::optional<Base::MonoTime> hotAt; ///< When it had far more than the usual load last.
-    /// Part of its places at which it still answers within the target latency.
+    std::optional<Base::MonoTime> hotAt; ///< When its load was last far above average.
+    /// Fraction of its slots up to which it answers within the target latency.
     double timelyShare = 1;
     Base::MonoTime timelyLoweredAt{};
-    MovingAverage latency; ///< Seconds to the answer, or to the first event of a stream.
-    MovingAverage pause; ///< Seconds between two events of a stream.
-    MovingAverage failures{0.0}; ///< 1 for an answer that failed, 0 for a good one.
-    std::optional<Base::MonoTime> failedAt; ///< When a failure was counted last.
-    Base::MonoTime lastContactAt; ///< When anything came from it last.
+    MovingAverage latency; ///< Seconds until the answer or the first event of a stream.
+    MovingAverage pause; ///< Seconds between consecutive events of a stream.
+    MovingAverage failures{0.0}; ///< Failure rate: 1 for a failed request, 0 for a successful one.
+    std::optional<Base::MonoTime> failedAt; ///< Time of the last failure.
+    Base::MonoTime lastContactAt; ///< When data was last received from it.
 
-    /// It is there for new requests, as far as this router knows, or will be when it has rested.
+    /// Whether the endpoint is available for new requests, now or after its back-off.
     bool isInService() const
     {
         return info.state == Fleet::EndpointState::Ready && !isGone && !isDrained && !isUnreachable
@@ -96,8 +99,8 @@
 
 using EndpointPtr = std::shared_ptr<EndpointRecord>;
 
-/// Counts as a request at an endpoint while it lives, so that others who look for a place meanwhile
-/// take it into account.
+/// Counts as a request in flight at an endpoint during its lifetime, so that the slot is not given
+/// to another request.
 class SlotReservation
 {
 public:
@@ -114,43 +117,46 @@
     EndpointPtr m_endpoint;
 };
 
-/// What this router knows of all endpoints. Pure: time is an argument.
+/// State of all endpoints as seen by this router. Does no I/O and reads no clock.
 class EndpointRegistry
 {
 public:
     struct Options
     {
-        /// A refused connection proves that nobody is there; a cut network looks the same for a
-        /// moment, so that trials begin soon and stay frequent.
+        /// A single refused connection makes an endpoint suspect, as no process listens there. A
+        /// short network failure looks the same, so that trials start early and stay frequent.
         Routing::Suspicion::Options suspicion{.breaksToSuspect = 1,
                                               .unreachableToSuspect = 1,
                                               .firstWait = std::chrono::milliseconds(500),
                                               .longestWait = std::chrono::seconds(4),
                                               .trialsToTrust = 1,
                                               .trialTimeout = std::chrono::seconds(2)};
-        /// Age at which a report of load says no more than what this router has in flight.
+        /// Age from which a load report is ignored and only this router's requests in flight count.
         Base::Duration reportLifetime = std::chrono::seconds(3);
-        /// In which half of what an endpoint has beyond the usual load is taken to have ended,
-        /// where peers have told of it: all of them have heard it, and send elsewhere.
+        /// Half-life of an endpoint's load above the average if the report came from a peer. All
+        /// routers have received that report and send their requests elsewhere.
         Base::Duration peerReportHalfLife = std::chrono::seconds(4);
-        /// Age to which requests that wait at an endpoint show that it has no place; they last some
-        /// seconds.
+        /// Maximum age of a report whose queued requests show that the endpoint has no free slots.
+        /// Requests take a few seconds.
         Base::Duration waitingReportLifetime = std::chrono::milliseconds(600);
-        /// So many have to wait for that, as a part of its places; some wait for a moment whenever
-        /// prompts are read that it has not in its cache. With 0 and 0.15 a start with cold caches
-        /// refused callers that would have been served in time.
+        /// Minimum number of queued requests for that, as a fraction of the slots. Some requests
+        /// queue briefly whenever the endpoint prefills a prompt that is not in its cache. With 0
+        /// and 0.15, requests that would have been answered in time were refused during a start
+        /// with cold caches.
         double waitingShare = 0.4;
-        /// In which half of the requests of other routers have ended, where this one has too few of
-        /// its own to tell.
+        /// Half-life of the reported requests of other routers, used if this router has too few of
+        /// its own to estimate the trend.
         Base::Duration othersHalfLife = std::chrono::seconds(1);
-        /// Of the target latency: answers that take longer lower the part of its places that an
-        /// endpoint gets, quicker ones raise it again.
+        /// Fraction of the target latency from which an answer is late. Late answers lower the
+        /// fraction of an endpoint's slots that is used, other answers raise it again.
         double lateShare = 0.5;
-        double timelyShareStep = 0.06; ///< Down at once, up in four answers.
-        /// Between two steps down: what was sent before the last one is still on its way.
+        /// Change of that fraction per late answer; other answers change it by a quarter of this.
+        double timelyShareStep = 0.06;
+        /// Minimum interval between two steps down, as answers to requests that were sent before a
+        /// step do not show its effect yet.
         Base::Duration timelyInterval = std::chrono::milliseconds(150);
-        /// Never less than this part of its places; with fewer taken other things than load make it
-        /// late, such as prompts that it has not read yet.
+        /// Minimum fraction of its slots. Below this load, late answers have other causes, such as
+        /// the prefill of prompts that are not cached.
         double minimumTimelyShare = 0.6;
         WarmupQuota::Options warmupQuota;
     };
@@ -161,78 +167,81 @@
         , m_warmupQuota(options.warmupQuota)
     { }
 
-    /// Another start of an endpoint that is known is a new endpoint: what was believed of the one
-    /// before (load, doubt, speed, prompts) says nothing of it.
+    /// Adds or updates an endpoint. A restarted endpoint counts as a new one: the load, suspicion,
+    /// latency and prompts recorded for the previous process do not apply to it.
     void put(const Fleet::Endpoint &endpoint, Base::MonoTime now);
     void remove(const Base::EndpointId &id);
-    /// Endpoints of a service, in the order of their ids.
+    /// The endpoints of a service, ordered by id.
     const std::vector<EndpointPtr> &endpoints(const Base::ServiceId &service) const;
     using Services = absl::flat_hash_map<Base::ServiceId, std::vector<EndpointPtr>>;
     const Services &services() const { return m_services; }
     std::vector<EndpointPtr> inDataCentre(const Base::DataCentreId &dataCentre) const;
     EndpointPtr find(const Base::EndpointId &id) const;
-    /// By EndpointRecord::startHash; null if it is not known.
+    /// Finds an endpoint by EndpointRecord::startHash; null if it is unknown.
     EndpointPtr findByStart(std::uint64_t startHash) const;
     std::size_t size() const { return m_records.size(); }
-    /// Endpoints of these get no new requests.
+    /// Endpoints of these data centres get no new requests.
     void setDrainedDataCentres(std::set<Base::DataCentreId> dataCentres, Base::MonoTime now);
 
     void setServices(const std::vector<Fleet::Service> &services);
     void setFleet(WarmupQuota::Fleet fleet) { m_warmupQuota.setFleet(std::move(fleet)); }
-    /// Found to be cold, now or again.
+    /// Starts the warm-up of an endpoint that was found to be cold.
     static void markCold(EndpointRecord &endpoint, Base::MonoTime now)
     {
         endpoint.warmup.since = now;
     }
     bool isWarmingUp(const EndpointRecord &endpoint, Base::MonoTime now) const;
-    /// Whether this router may send the endpoint a request now, as far as that is cold.
+    /// Whether the warm-up quota of this router lets it send the endpoint a request now.
     bool admitsRequest(EndpointRecord &endpoint, Base::MonoTime now) const;
 
-    /// Something has come from it.
+    /// Data was received from the endpoint.
     void recordContact(EndpointRecord &endpoint, Base::MonoTime now)
     {
         endpoint.lastContactAt = now;
         m_lastContactAt = now;
     }
-    /// When anything came from any endpoint last.
+    /// When data was last received from any endpoint.
     Base::MonoTime lastContactAt() const { return m_lastContactAt; }
     void requestSent(EndpointRecord &endpoint, Base::MonoTime now) const;
     void requestEnded(EndpointRecord &endpoint) const { --endpoint.inFlight; }
-    /// It has told this router its load.
+    /// The endpoint reported its load to this router.
     void loadReported(EndpointRecord &endpoint, const LoadReport &report, Base::MonoTime now);
-    /// A peer tells what the endpoint told somebody \a at that time; older news change nothing.
+    /// Merges a report that the endpoint sent to a peer \a at that time. Ignored if it is older
+    /// than the last report.
     static void mergeLoadReport(EndpointRecord &endpoint, const LoadReport &report,
                                 Base::MonoTime at);
-    /// Requests at an endpoint of the service on average; nothing if no report tells.
+    /// Average load of the service's endpoints, in requests; unset without recent reports.
     std::optional<double> usualLoad(const Base::ServiceId &service, Base::MonoTime now) const;
     void mergeAverageLoad(const Base::ServiceId &service, double requests, Base::MonoTime now)
     {
         m_averageLoads[service].addPeerEstimate(requests, now);
     }
-    /// Whether its own report tells its load.
+    /// Whether there is a load report of the endpoint that has not expired.
     bool hasFreshReport(const EndpointRecord &endpoint, Base::MonoTime now) const
     {
         return endpoint.report && now - endpoint.reportedAt < m_options.reportLifetime;
     }
-    /// Requests that the endpoint has, for comparing endpoints: its last report and what this
-    /// router has sent and got back since. Where nothing is known, what this router has sent.
+    /// Estimated requests at the endpoint, used to compare endpoints: its last report plus the
+    /// change in this router's requests in flight since. Without a report only the latter.
     double load(const EndpointRecord &endpoint, Base::MonoTime now) const;
-    /// Requests that the endpoint has from all routers, for the question of room, where too low an
-    /// estimate has all of them send at once: since the last report, their part is taken to have
-    /// grown or shrunk as this router's own has.
+    /// Estimated requests of all routers at the endpoint, used to find free slots, where too low an
+    /// estimate makes all routers send at once. The requests of other routers are assumed to have
+    /// grown or shrunk since the last report in proportion to this router's own.
     double fleetLoad(const EndpointRecord &endpoint, Base::MonoTime now) const;
     void setRouterCount(std::size_t routers) { m_routerCount = static_cast<double>(routers); }
     double routerCount() const { return m_routerCount; }
-    /// It has answered a request, or begun to; \a latency from the send.
+    /// The endpoint answered a request or began a stream \a latency after the request was sent.
     void answerTimed(EndpointRecord &endpoint, Base::Duration latency, Base::Duration target,
                      Base::MonoTime now) const;
-    /// Requests that this router has at the endpoints of a service.
+    /// Requests of this router in flight at all endpoints of a service.
     int inFlight(const Base::ServiceId &service) const;
-    /// That all endpoints of a service that are there for new requests can run at once.
+    /// Sum of the effective slots of all endpoints of a service that are in service.
     double totalSlots(const Base::ServiceId &service, Base::MonoTime now) const;
-    /// Requests that the endpoint can run at once, as far as can be told; 0 for no limit.
+    /// Estimated number of requests that the endpoint can run at once; 0 for no limit. It is lower
+    /// than the reported slots if answers are late. An endpoint with queued requests has no more
+    /// slots than it runs requests, as its memory is in use.
     double effectiveSlots(const EndpointRecord &endpoint, Base::MonoTime now) const;
-    /// Of these, as many as are not taken; below zero where more are taken than there are.
+    /// Effective slots that are not in use; negative if the endpoint is overcommitted.
     double freeSlots(const EndpointRecord &endpoint, Base::MonoTime now) const
     {
         return effectiveSlots(endpoint, now) - fleetLoad(endpoint, now);
@@ -241,7 +250,7 @@
     const Routing::Suspicion &suspicion() const { return m_suspicion; }
 
 private:
-    /// What an endpoint whose entry is gone said, for when that comes back.
+    /// Notice of an endpoint whose entry was removed, restored if the entry reappears.
     struct RetainedNotice
     {
         Runtime::SocketAddress address;
@@ -259,7 +268,7 @@
     std::set<Base::DataCentreId> m_drained;
     Services m_services;
     absl::flat_hash_map<Base::ServiceId, AverageLoad> m_averageLoads;
-    absl::flat_hash_map<Base::ServiceId, Fleet::Warmup> m_warmups; ///< None of services without.
+    absl::flat_hash_map<Base::ServiceId, Fleet::Warmup> m_warmups; ///< Omits services without one.
     WarmupQuota m_warmupQuota;
     std::vector<Routing::EndpointIndex> m_freeIndices;
     Routing::EndpointIndex m_nextIndex = 0;
--- a/src/libs/gateway/eventsplitter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr std::string_view eventEnd = "\n\n";
-constexpr std::string_view eventEndWithReturns = "\r\n\r\n";
+constexpr std::string_view eventEndCrLf = "\r\n\r\n";
 constexpr std::string_view idField = "id:";
-/// Events hold a few tokens; this is far above and bounds the memory of a stream.
-constexpr std::size_t longestEvent = 1024 * 1024;
+/// Limits the memory of a stream. Events of a few tokens are far smaller.
+constexpr std::size_t maxEventBytes = 1024 * 1024;
 
-std::string_view withoutBlanks(std::string_view text)
+std::string_view trimmed(std::string_view text)
 {
     while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
         text.remove_prefix(1);
@@ -27,7 +27,7 @@
         const std::size_t end = event.find('\n');
         const std::string_view line = event.substr(0, end);
         if (line.starts_with(idField))
-            return Base::parseNumber<std::uint64_t>(withoutBlanks(line.substr(idField.size())));
+            return Base::parseNumber<std::uint64_t>(trimmed(line.substr(idField.size())));
         if (end == std::string_view::npos)
             break;
         event.remove_prefix(end + 1);
@@ -35,14 +35,14 @@
     return std::nullopt;
 }
 
-/// Where the first event of \a text ends; nothing if it is not whole.
+/// The end of the first event in \a text, searched from \a from; nothing if it is incomplete.
 std::optional<std::size_t> endOfEvent(std::string_view text, std::size_t from)
 {
     const std::size_t plain = text.find(eventEnd, from);
-    const std::size_t returns = text.find(eventEndWithReturns, from);
+    const std::size_t returns = text.find(eventEndCrLf, from);
     if (plain == std::string_view::npos && returns == std::string_view::npos)
         return std::nullopt;
-    return plain < returns ? plain + eventEnd.size() : returns + eventEndWithReturns.size();
+    return plain < returns ? plain + eventEnd.size() : returns + eventEndCrLf.size();
 }
 
 } // namespace
@@ -60,9 +60,9 @@
         from = start;
     }
     m_remainder.erase(0, start);
-    const std::size_t overlap = eventEndWithReturns.size() - 1;
+    const std::size_t overlap = eventEndCrLf.size() - 1;
     m_searched = m_remainder.size() > overlap ? m_remainder.size() - overlap : 0;
-    return m_remainder.size() <= longestEvent;
+    return m_remainder.size() <= maxEventBytes;
 }
 
 void EventSplitter::clear()
--- a/src/libs/gateway/fleetretrybudget.cpp
+++ b/src/libs/gateway/fleetretrybudget.cpp
@@ -24,8 +24,8 @@
 {
     const double requests = std::accumulate(counts.requests.begin(), counts.requests.end(), 0U);
     const double retries = std::accumulate(counts.retries.begin(), counts.retries.end(), 0U);
-    const double all = m_options.ratio * requests + m_options.slack / m_routers;
-    return all * m_options.usedShare - retries;
+    const double budget = m_options.ratio * requests + m_options.slack / m_routers;
+    return budget * m_options.usedShare - retries;
 }
 
 void FleetRetryBudget::requestArrived(const Base::ServiceId &service, Base::MonoTime now)
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -11,20 +11,21 @@
 namespace {
 
 constexpr std::string_view part = "gateway";
-/// For reading one token of a prompt, and before the first: engines read 80 to 160 in a
-/// millisecond, and begin with a step of some ms for all that runs there.
-constexpr Base::Duration readingPerToken = std::chrono::nanoseconds(12'500);
-constexpr Base::Duration readingSetup = std::chrono::milliseconds(20);
-/// The same for a copy from another endpoint: 18 KB a token over 280 Gbit/s.
+/// Estimated prefill time of one prompt token, and of the setup before the first. Engines process
+/// 80 to 160 tokens per millisecond, after a step of some milliseconds for all running requests.
+constexpr Base::Duration prefillPerToken = std::chrono::nanoseconds(12'500);
+constexpr Base::Duration prefillSetup = std::chrono::milliseconds(20);
+/// Estimated time of copying a prompt from another endpoint: 18 KB per token over 280 Gbit/s.
 constexpr Base::Duration copyingPerToken = std::chrono::nanoseconds(600);
 constexpr Base::Duration copyingSetup = std::chrono::milliseconds(10);
-/// Part of the connections an endpoint takes that all routers use together. Callers come unevenly
-/// to the routers, and checks of reachability need some too.
-constexpr double connectionsUsed = 0.8;
-/// What no endpoint of a service may have, by the usual load; metrics count answers beyond it.
+/// Fraction of an endpoint's connection limit that all routers use together. Callers are spread
+/// unevenly over the routers, and reachability checks need connections too.
+constexpr double usedConnectionShare = 0.8;
+/// Load, relative to the average load, that no endpoint of a service may exceed. A metric counts
+/// the answers of endpoints above it.
 constexpr Placement::LoadThreshold fleetBound{.factor = 2, .slack = 3};
 
-/// With the parts of the policy that are options of others switched off as asked for.
+/// Applies the policy switches that map to options of the gateway's components.
 Gateway::Options withPolicy(Gateway::Options options)
 {
     const Schema::PolicySettings &policy = options.policy;
@@ -45,13 +46,14 @@
     if (!policy.toldPrompts)
         options.promptPlaced = nullptr;
     if (!policy.awaitedReading)
-        options.patience.prefillWaitShare = 0;
+        options.timeouts.prefillWaitShare = 0;
     if (!policy.settling)
-        options.patience.settle = Base::Duration::zero();
+        options.timeouts.settle = Base::Duration::zero();
     return options;
 }
 
-/// Opens a connection and closes it, for those that look whether an endpoint is there.
+/// Returns a function that checks whether a server is reachable by opening and closing a
+/// connection.
 auto connectionCheck(Http::Client &client)
 {
     return [&client](const Runtime::SocketAddress &server, Base::Duration timeout,
@@ -87,8 +89,8 @@
         if (!endpoint.isUnreachable && std::exchange(endpoint.hasCrashed, false))
             EndpointRegistry::markCold(endpoint, m_options.loop->clock().now());
         m_options.log->event(part,
-                             endpoint.isUnreachable ? "An endpoint cannot be reached."
-                                                    : "An endpoint can be reached again.",
+                             endpoint.isUnreachable ? "Endpoint became unreachable."
+                                                    : "Endpoint is reachable again.",
                              {{"endpoint", endpoint.info.id.value()},
                               {"data_centre", endpoint.info.dataCentre.value()}});
     };
@@ -140,7 +142,7 @@
     if (!known || known->maxConnections <= 0 || !m_options.policy.connectionShares)
         return std::nullopt;
     const double share =
-        connectionsUsed * known->maxConnections / static_cast<double>(m_routerCount);
+        usedConnectionShare * known->maxConnections / static_cast<double>(m_routerCount);
     return std::max<std::size_t>(2, static_cast<std::size_t>(share));
 }
 
@@ -171,10 +173,10 @@
     if (prefix.tokens < minCopiedTokens)
         return nullptr;
     const Base::MonoTime now = m_options.loop->clock().now();
-    for (const PromptDirectory::Holder &one : m_prompts.holders(prefix.hash)) {
-        EndpointPtr source = m_endpoints.findByStart(one.endpoint);
+    for (const PromptDirectory::Holder &holder : m_prompts.holders(prefix.hash)) {
+        EndpointPtr source = m_endpoints.findByStart(holder.endpoint);
         const bool isUsable = source && source->info.service == target.info.service
-            && source.get() != &target && !source->isUnreachable && one.readUntil <= now
+            && source.get() != &target && !source->isUnreachable && holder.readUntil <= now
             && m_endpoints.suspicion().state(source->index) == Routing::Suspicion::State::Trusted;
         if (isUsable)
             return source;
@@ -191,33 +193,33 @@
                          bool isCopied)
 {
     const Base::MonoTime now = m_options.loop->clock().now();
-    const Base::Duration perToken = isCopied ? copyingPerToken : readingPerToken;
-    const Base::Duration setup = isCopied ? copyingSetup : readingSetup;
+    const Base::Duration perToken = isCopied ? copyingPerToken : prefillPerToken;
+    const Base::Duration setup = isCopied ? copyingSetup : prefillSetup;
     const Base::Tokens memory = memoryOf(endpoint.info.service);
-    bool isBrought = false;
+    bool isNew = false;
     for (const PromptPrefix &prefix : prefixes) {
         PromptHolding holding{.prompt = prefix,
                               .endpoint = endpoint.startHash,
                               .memory = memory,
                               .remainingReadTime = setup + perToken * prefix.tokens.value()};
         const PromptDirectory::Announcement announcement = m_prompts.recordUse(holding, now);
-        isBrought = announcement == PromptDirectory::Announcement::New;
-        const bool isTold = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
-        if (!isTold || announcement == PromptDirectory::Announcement::None)
+        isNew = announcement == PromptDirectory::Announcement::New;
+        const bool isAnnounced = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
+        if (!isAnnounced || announcement == PromptDirectory::Announcement::None)
             continue;
-        holding.isNew = isBrought;
+        holding.isNew = isNew;
         if (!holding.isNew)
             holding.remainingReadTime = Base::Duration::zero();
         m_options.promptPlaced(holding);
     }
-    return isBrought;
+    return isNew;
 }
 
 void Gateway::promptReceived(const PromptHolding &holding)
 {
     const EndpointPtr endpoint = m_endpoints.findByStart(holding.endpoint);
     if (!endpoint)
-        return; // Gone, or not known yet; a later request tells again.
+        return; // Removed, or not known yet; a later request announces the prompt again.
     PromptHolding known = holding;
     known.memory = memoryOf(endpoint->info.service);
     m_prompts.mergeHolding(known, m_options.loop->clock().now());
@@ -226,7 +228,7 @@
 void Gateway::endpointEnded(const EndpointRecord &endpoint,
                             const std::vector<RequestFingerprint> &requests)
 {
-    // It may start again under its id, and its entry may tell of that only later.
+    // The endpoint may restart under the same id before its store entry shows that.
     if (const EndpointPtr record = m_endpoints.findByStart(endpoint.startHash)) {
         record->hasCrashed = true;
         if (m_options.policy.reachability)
@@ -236,10 +238,10 @@
     for (const RequestFingerprint request : requests) {
         ends.push_back({.request = request, .endpoint = endpoint.startHash});
         m_options.log->request(
-            part, "An endpoint has ended under a request.",
+            part, "Endpoint terminated while processing a request.",
             {{"endpoint", endpoint.info.id.value()}, {"asks", toString(request)}});
     }
-    // Peers are told first of those that are the more likely to be to blame.
+    // Announces the requests that have crashed endpoints before first: they are the likelier cause.
     std::stable_partition(ends.begin(), ends.end(), [this](const RequestCrash &end) {
         return m_quarantine.hasCrashes(end.request);
     });
@@ -274,11 +276,11 @@
 {
     const Base::MonoTime now = m_options.loop->clock().now();
     m_options.log->event(
-        part, "A request is quarantined.",
+        part, "Request was quarantined.",
         {{"asks", toString(request)},
          {"from", from},
          {"for_ms", m_quarantine.timeLeft(request, now).value_or(Base::Duration::zero())}});
-    const auto runs = m_runs; // Some end by this.
+    const auto runs = m_runs; // A copy, as some runs end and remove themselves.
     for (const auto &run : runs)
         run->quarantined(request);
 }
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -37,54 +37,59 @@
 
 class RequestRun;
 
-/// How long a gateway waits for what.
+/// Timeouts of a gateway, and the limits that are derived from a route's target latency.
 struct GatewayTimeouts
 {
-    /// For a connection to an endpoint. A live one accepts within 5 ms; one that is cut off does
-    /// not answer at all, and the request has to be tried elsewhere within its 150 to 600 ms.
+    /// Timeout of connecting to an endpoint. A live endpoint accepts within 5 ms; one that is cut
+    /// off does not answer at all, and the request must then be retried at another endpoint within
+    /// its target latency of 150 to 600 ms.
     Base::Duration connect = std::chrono::milliseconds(120);
-    /// For which a new connection has to stay open before a request leaves on it: an endpoint that
-    /// has all the connections it takes resets one within a round trip of 1 ms, and a request on it
-    /// would count as one that may have run.
+    /// Time that a new connection must stay open before a request is sent on it. An endpoint that
+    /// has reached its connection limit resets a new connection within a round trip of 1 ms, and a
+    /// request sent on it would count as one that may have run.
     Base::Duration settle = std::chrono::milliseconds(2);
-    /// Part of the target latency after which a request that may be repeated is sent elsewhere
-    /// when nothing has come from its endpoint, on any connection, so that the other one still has
-    /// time.
+    /// Fraction of the target latency after which a repeatable request is moved to another endpoint
+    /// if its own has sent nothing on any connection. The remainder is the other endpoint's time.
     double firstEventShare = 0.75;
-    /// The same for a pause within a stream.
+    /// Like firstEventShare, for a pause within a stream: a fraction of the route's longest pause.
     double pauseShare = 0.6;
-    /// Target latencies, or longest pauses, after which a request is sent elsewhere although its
-    /// endpoint answers others: it is busy then, and moving costs another reading of the prompt.
+    /// Number of target latencies (or longest pauses, within a stream) after which a request is
+    /// moved although its endpoint answers other requests. Such an endpoint is only busy, and
+    /// moving the request costs another prefill of its prompt.
     double busyFactor = 2.0;
-    /// Callers leave a stream that pauses for longer than this, than so many target latencies and
-    /// than so many of its longest pauses; until then a stream that has begun waits for an
-    /// endpoint.
+    /// Callers abandon a stream that pauses for longer than the maximum of this timeout,
+    /// callerTimeoutTargets target latencies, and callerTimeoutPauses longest pauses of the route.
+    /// A started stream waits for an endpoint until then.
     Base::Duration callerTimeout = std::chrono::seconds(2);
     int callerTimeoutTargets = 4;
     int callerTimeoutPauses = 8;
-    /// Between two looks for an endpoint that can be reached: connections are checked each 300 ms.
+    /// Interval between two attempts to find a reachable endpoint. Reachability is checked every
+    /// 300 ms.
     Base::Duration reachabilityRetryInterval = std::chrono::milliseconds(50);
-    /// For reading a prompt, on top: engines read 80 to 160 tokens in a millisecond.
+    /// Added to the silence limit of the first event, for the prefill. Engines process 80 to 160
+    /// prompt tokens per millisecond.
     Base::Duration perPromptToken = std::chrono::microseconds(10);
-    /// Beyond a route's timeout, for the endpoint's own answer that it gave up.
+    /// Extra time after a request's deadline in which the endpoint can report the timeout itself.
     Base::Duration timeoutGrace = std::chrono::milliseconds(60);
-    /// What a caller is told when no endpoint could take its request.
+    /// Retry-after time of a refusal for which no better estimate exists, in particular if no
+    /// endpoint could be reached.
     Base::Duration retryAfter = std::chrono::milliseconds(150);
-    /// Part of the target latency for which a request waits for room before it is refused; the rest
-    /// is left for its answer, or for another try of the caller.
+    /// Fraction of the target latency for which a request waits for a free slot before it is
+    /// refused. The remainder is left for its answer, or for a retry by the caller.
     double queueWaitShare = 0.12;
-    /// And no longer than this, so that those with time to spare do not get more looks than those
-    /// who are in a hurry.
+    /// Upper limit of that wait, so that requests with a long target latency do not get more
+    /// attempts than those with a short one.
     Base::Duration maxQueueWait = std::chrono::milliseconds(40);
-    /// Prompts of so many shared tokens are awaited while their endpoint reads them for another
-    /// request: that takes 20 ms and more.
+    /// Minimum number of shared prompt tokens for which a request waits while its endpoint
+    /// processes the same prompt for another request. That takes 20 ms or more.
     Base::Tokens minAwaitedTokens{1500};
-    /// For so much of the target latency at most; a third of it reads 20,000 tokens.
+    /// Maximum length of that wait, as a fraction of the target latency. In a third of it an engine
+    /// processes 20,000 tokens.
     double prefillWaitShare = 0.33;
 };
 
-/// Runs callers' requests: checks them, chooses an endpoint, sends them, passes the answer on, and
-/// repeats what may be repeated. It knows no header and no wire name.
+/// Processes callers' requests: admits them, chooses an endpoint, sends them, forwards the answer,
+/// and retries where that is allowed. It is independent of header names and wire formats.
 class Gateway
 {
 public:
@@ -93,20 +98,20 @@
         Runtime::Loop *loop = nullptr;
         Http::Client *client = nullptr;
         EndpointProtocol protocol;
-        /// Tells a caller that its request is not answered by an endpoint.
+        /// Sends a refusal to a caller, in place of an endpoint's answer.
         std::function<void(Http::Responder &responder, const Refusal &refusal)> refuse;
-        /// How old what this router knows of endpoints and configuration is; for the log.
+        /// Age of this router's state of endpoints and configuration; for the log.
         std::function<std::optional<Base::Duration>()> stateAge;
-        /// How far behind its own work this router is. Null where that is not known: never behind.
+        /// Delay of this router's own event loop. Null if unknown, which counts as no delay.
         std::function<Base::Duration()> ownDelay;
-        /// A prompt has come to an endpoint, or is still in use there: peers ought to know. Null
-        /// where there are none.
+        /// Announces to peers that a prompt was sent to an endpoint or is still in use there. Null
+        /// without peers.
         std::function<void(const PromptHolding &holding)> promptPlaced;
-        /// An endpoint has ended while it had these requests of this router: peers ought to know.
-        /// Null where there are none.
+        /// Announces to peers that an endpoint terminated while it was processing these requests of
+        /// this router. Null without peers.
         std::function<void(const std::vector<RequestCrash> &ends)> requestsEnded;
-        /// A request is quarantined: peers ought to know, and routers that start. Null where there
-        /// are none.
+        /// Announces a quarantined request to peers and to routers that start later. Null without
+        /// peers.
         std::function<void(const QuarantinedRequest &quarantined)> requestQuarantined;
         Schema::PolicySettings policy;
         Placement::Options placement;
@@ -117,7 +122,7 @@
         BacklogControl::Options backlog;
         ConcurrencyLimit::Options concurrencyLimit;
         RequestQuarantine::Options quarantine;
-        GatewayTimeouts patience;
+        GatewayTimeouts timeouts;
         Logging::DecisionLog *log = nullptr;
         GatewayMetrics *metrics = nullptr;
     };
@@ -127,31 +132,34 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    /// Puts a configuration in force; an older one than that in force is left out.
+    /// Applies a configuration, unless its revision is not newer than the current one.
     void setConfiguration(std::shared_ptr<const Fleet::Configuration> configuration);
     const std::shared_ptr<const Fleet::Configuration> &configuration() const
     {
         return m_configuration;
     }
     EndpointRegistry &endpoints() { return m_endpoints; }
-    /// Endpoints of these data centres get no new requests; what runs there ends in its own time.
+    /// Sets the data centres whose endpoints get no new requests. Requests that run there are
+    /// completed.
     void setDrainedDataCentres(std::set<Base::DataCentreId> dataCentres);
     void setRetryBudget(const FleetRetryBudget::Options &options)
     {
         m_retryBudget.setOptions(options);
     }
-    /// Routers of the fleet, which share its budget of repeats.
+    /// Sets the number of routers of the fleet, which share its retry budget.
     void setRouterCount(std::size_t routers);
 
-    /// What a peer ought to know of endpoints' loads.
+    /// Endpoint loads to be sent to peers.
     Schema::LoadNews loadsForPeers();
-    /// A peer has told this; it came \a delay ago.
+    /// Merges endpoint loads from a peer, which were received \a delay ago.
     void peerLoadsReceived(const Schema::LoadNews &announcement, Base::Duration delay);
-    /// A peer's request with this prompt went to this endpoint.
+    /// Records that a peer sent a request with this prompt to this endpoint.
     void promptReceived(const PromptHolding &holding);
-    /// An endpoint has ended while it had a request of this router or of a peer.
+    /// Records that an endpoint terminated while it was processing a request of this router or of a
+    /// peer.
     void noteRequestEnd(const RequestCrash &end);
-    /// A peer or the store tells of a request that is quarantined; for how long, if that is news.
+    /// Merges a quarantined request from a peer or the store. Returns the remaining time of its
+    /// quarantine if this router did not have it yet.
     std::optional<Base::Duration> quarantineReceived(const QuarantinedRequest &quarantined);
     std::vector<QuarantinedRequest> quarantined() const;
 
@@ -161,16 +169,18 @@
 private:
     friend class RequestRun;
 
-    /// Fewer tokens are read as fast as a copy of them is set up.
+    /// Minimum number of tokens that are copied from another endpoint's cache. Processing fewer
+    /// takes no longer than setting up the copy.
     static constexpr Base::Tokens minCopiedTokens{256};
-    /// Shorter prompts are read in 12 ms or less, so that peers need not know where they are.
+    /// Minimum number of tokens of a prompt whose endpoint is announced to peers. Shorter prompts
+    /// are processed in 12 ms or less.
     static constexpr Base::Tokens minAnnouncedTokens{1000};
-    /// Routers that can tell each other of all prompts within the bytes that they may spend: 24 of
-    /// them, each 1,500 bytes a second, tell of 25 new places in a second.
+    /// Maximum number of routers that announce prompts to each other within their bandwidth limit:
+    /// 24 routers at 1,500 bytes a second each can announce 25 new prompt locations a second.
     static constexpr std::size_t maxAnnouncingRouters = 24;
 
-    /// Connections that this router may have to one endpoint of a service; nothing where there is
-    /// no limit.
+    /// Number of connections that this router may have to one endpoint of a service; nothing if
+    /// there is no limit.
     std::optional<std::size_t> connectionShare(const Base::ServiceId &service) const;
     Base::Duration ownDelay() const
     {
@@ -178,29 +188,31 @@
     }
     void countRefusal(Errors::ErrorKind kind);
     void countAnswer(int status);
-    /// In milliseconds; -1 where nothing is known.
+    /// Age of this router's state in milliseconds; -1 if unknown.
     std::int64_t knowledgeAgeMs() const;
-    /// An endpoint other than \a target that holds the first parts of a prompt, as far as this
-    /// router knows; null if there is none, or reading them again is as quick as copying.
+    /// An endpoint other than \a target that holds the prompt prefix in its cache, according to
+    /// this router's prompt directory. Null if there is none, or if the prefix is too short for
+    /// copying.
     EndpointPtr cacheSource(const PromptPrefix &prefix, const EndpointRecord &target) const;
-    /// Whether routers tell each other where this prompt is, so that one that is not known to be
-    /// held is held nowhere.
+    /// Whether routers announce the endpoints of this prompt to each other. If so, a prompt without
+    /// a known holder is held by no endpoint.
     bool isAnnouncedToPeers(const PromptPrefix &prefix) const;
-    /// A request with the prompt is sent to the endpoint; true if that was not known to hold it.
+    /// Records that a request with the prompt is sent to the endpoint. True if the endpoint was not
+    /// known to hold it.
     bool notePrompt(const std::vector<PromptPrefix> &prefixes, const EndpointRecord &endpoint,
                     bool isCopied);
-    /// Where prompts are held, if routers know it together; else null. One of many routers sees few
-    /// requests of a prompt, and cannot tell all others of them; going by its own knowledge alone
-    /// has prompts read in more places.
+    /// The prompt directory if routers share it, else null. In a large fleet a router sees few
+    /// requests of a prompt and cannot announce all of them; placing by its own observations alone
+    /// would make more endpoints process the same prompt.
     const PromptDirectory *sharedPrompts() const;
-    /// Of this router's requests at the model engines of a service.
+    /// Limit of this router's concurrent requests to the model engines of a service.
     ConcurrencyLimit &concurrencyLimit(const Base::ServiceId &service);
-    /// An endpoint has told its load; wakes who waits for room if there is more now.
+    /// Processes an endpoint's load report. Wakes waiting requests if more slots are free now.
     void loadReported(EndpointRecord &endpoint, const LoadReport &report);
     void endpointEnded(const EndpointRecord &endpoint,
                        const std::vector<RequestFingerprint> &requests);
     void noteQuarantined(RequestFingerprint request, std::string_view from);
-    /// Memory of one endpoint of a service; 0 if it is not known.
+    /// Cache memory of one endpoint of a service; 0 if unknown.
     Base::Tokens memoryOf(const Base::ServiceId &service) const;
 
     Options m_options;
@@ -220,7 +232,7 @@
     CrashWatch m_crashWatch;
     std::size_t m_routerCount = 1;
     absl::flat_hash_set<std::shared_ptr<RequestRun>> m_runs;
-    /// Looked up once: finding a metric by its labels builds several strings.
+    /// Cached counters, as finding a metric by its labels builds several strings.
     absl::flat_hash_map<Errors::ErrorKind, Metrics::Counter> m_refusals;
     absl::flat_hash_map<int, Metrics::Counter> m_answers; ///< By status.
 };
--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -5,10 +5,10 @@
 
 namespace Lagoonbank::Gateway {
 
-/// All metrics of a gateway process, for its page and its tests.
+/// Descriptions of all metrics of a gateway process, for its metrics page and its tests.
 Metrics::Catalogue gatewayCatalogue();
 
-/// What a gateway counts. Label values come from closed lists.
+/// Metrics of a gateway. Label values come from closed lists.
 class GatewayMetrics
 {
 public:
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double thousandths = 1000;
-constexpr std::size_t mostServices = 8;
+constexpr std::size_t maximumServices = 8;
 
 std::uint16_t toShort(std::int64_t number)
 {
@@ -34,16 +34,16 @@
 {
     Schema::LoadNews announcement;
     for (const auto &[service, endpoints] : m_options.registry->services()) {
-        const auto usual = m_options.registry->usualLoad(service, now);
-        if (!usual || announcement.usual.size() >= mostServices)
+        const auto averageLoad = m_options.registry->usualLoad(service, now);
+        if (!averageLoad || announcement.usual.size() >= maximumServices)
             continue;
         announcement.usual.push_back(
             {.service = Routing::stableHash(service.value()),
-             .requestsMilli = static_cast<std::uint32_t>(*usual * thousandths)});
+             .requestsMilli = static_cast<std::uint32_t>(*averageLoad * thousandths)});
         for (const EndpointPtr &endpoint : endpoints) {
             if (!endpoint->report || now - endpoint->reportedAt > m_options.maximumReportAge)
                 continue;
-            noteHot(*endpoint, *usual, now);
+            noteHot(*endpoint, *averageLoad, now);
             if (endpoint->hotAt && now - *endpoint->hotAt <= m_options.hotLifetime)
                 announcement.loads.push_back(toShared(*endpoint, now));
         }
@@ -52,8 +52,8 @@
     return announcement;
 }
 
-/// Old news would crowd out what has just been heard: an engine goes from the usual load to the
-/// fleet's bound within a second. Of equals any are told.
+/// Keeps the most recent reports, as the load of an engine can rise from the average to the load
+/// bound of the fleet within a second. Reports of equal age are chosen at random.
 void LoadSharing::keepNewest(std::vector<Schema::SharedLoad> &loads)
 {
     if (loads.size() <= m_options.maximumLoads)
@@ -80,7 +80,7 @@
     for (const Schema::SharedLoad &load : announcement.loads) {
         const EndpointPtr endpoint = m_options.registry->findByStart(load.endpoint);
         if (!endpoint)
-            continue; // Gone, or started again since.
+            continue; // Removed, or restarted since the report.
         const LoadReport report{
             .running = load.running, .waiting = load.waiting, .slots = load.slots};
         m_options.registry->mergeLoadReport(*endpoint, report,
@@ -88,10 +88,10 @@
     }
 }
 
-void LoadSharing::noteHot(EndpointRecord &endpoint, double usual, Base::MonoTime now) const
+void LoadSharing::noteHot(EndpointRecord &endpoint, double averageLoad, Base::MonoTime now) const
 {
     const double requests = endpoint.report->running + endpoint.report->waiting;
-    if (requests > m_options.hotFactor * usual + m_options.hotSlack)
+    if (requests > m_options.hotFactor * averageLoad + m_options.hotSlack)
         endpoint.hotAt = std::min(now, endpoint.reportedAt);
 }
 
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -10,12 +10,12 @@
 
 namespace Lagoonbank::Gateway {
 
-/// What routers tell each other of endpoints' loads. Of hundreds of endpoints a router of hundreds
-/// hears one once a minute, so that it knows neither which have far too much to do nor what is
-/// usual. All that its choices need are these two: an endpoint that nobody tells of has about the
-/// usual load.
+/// Exchanges the loads of endpoints between routers. Among hundreds of routers and endpoints, a
+/// router gets a report from each endpoint about once a minute. From its own reports alone it knows
+/// neither the overloaded endpoints nor the average load. These two are all that placement needs,
+/// as an endpoint that no router announces has about the average load.
 ///
-/// Pure: time is an argument.
+/// Does no I/O and reads no clock.
 class LoadSharing
 {
 public:
@@ -23,17 +23,18 @@
     {
         EndpointRegistry *registry = nullptr;
         std::uint64_t randomSeed = 1;
-        /// Told are endpoints with so many times the usual load and so many requests more, and what
-        /// becomes of them: fewer than what a prompt leaves its home for, so that routers that send
-        /// there meanwhile can count up.
+        /// Endpoints with more than this many times the average load plus `hotSlack` are hot: their
+        /// loads are announced. The threshold is below the load at which requests leave their home,
+        /// so that routers that send there in the meantime can add their own requests.
         double hotFactor = 1.2;
         double hotSlack = 1;
-        /// For so long after it was last seen with so much: until all have heard that it has less.
+        /// Time for which an endpoint is announced after it was last hot, until all routers have
+        /// received its lower load.
         Base::Duration hotLifetime = std::chrono::milliseconds(2500);
-        /// Reports that are older are told no more: an engine that is asked for much goes from the
-        /// usual load to the fleet's bound in half of this time.
+        /// Maximum age of an announced report. The load of an engine with a popular prompt rises
+        /// from the average to the load bound of the fleet in half of this time.
         Base::Duration maximumReportAge = std::chrono::milliseconds(800);
-        /// In one datagram, 16 bytes each; of more the newest are told.
+        /// Maximum number of loads in one datagram, 16 bytes each. The newest ones are chosen.
         std::size_t maximumLoads = 5;
     };
 
@@ -42,14 +43,14 @@
         , m_random(m_options.randomSeed)
     { }
 
-    /// What a peer ought to know.
+    /// The average loads and the loads of hot endpoints, to be sent to a peer.
     Schema::LoadNews announcement(Base::MonoTime now);
-    /// A peer has told this; it came \a delay ago.
+    /// Merges the announcement of a peer, which was received \a delay ago.
     void merge(const Schema::LoadNews &announcement, Base::Duration delay, Base::MonoTime now);
 
 private:
     void keepNewest(std::vector<Schema::SharedLoad> &loads);
-    void noteHot(EndpointRecord &endpoint, double usual, Base::MonoTime now) const;
+    void noteHot(EndpointRecord &endpoint, double averageLoad, Base::MonoTime now) const;
 
     Options m_options;
     std::mt19937_64 m_random;
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// For a kind of which no request has ended yet; engines' streams last seconds, plain calls less.
+/// Cost, in seconds, of a kind of which no request has ended yet. Engines' streams last for
+/// seconds, plain calls for less.
 constexpr double unknownCost = 1;
-/// Weight of the last request in what one of its kind costs.
-constexpr double costStep = 0.05;
-/// Of kinds that are counted; far more than are asked for at once.
-constexpr std::size_t mostKinds = 256;
-/// All are served: nothing has to be divided.
-constexpr double allServed = 0.995;
+/// Weight of the newest request in the average cost of its route.
+constexpr double costWeight = 0.05;
+/// Number of kinds from which idle ones are removed; far more than are in use at once.
+constexpr std::size_t maxKinds = 256;
+/// Served share from which all requests count as served, so that no slots need to be divided.
+constexpr double allServedShare = 0.995;
 
 } // namespace
 
@@ -32,53 +33,49 @@
     m_at = now;
 }
 
-void LoadShedder::requestArrived(const AdmissionRequest &admissionRequest, Base::MonoTime now)
+void LoadShedder::requestArrived(const AdmissionRequest &request, Base::MonoTime now)
 {
-    Service &service = m_services[admissionRequest.service];
+    Service &service = m_services[request.service];
     removeIdleKinds(service, now);
     ++service.changes;
-    service.all.requestArrived.add(1, now, m_options.halfLife);
-    service.kinds[{admissionRequest.route, admissionRequest.urgency}].requestArrived.add(
-        1, now, m_options.halfLife);
-    service.workspaces[admissionRequest.workspace].requestArrived.add(1, now,
-                                                                      m_options.workspaceHalfLife);
+    service.all.arrivals.add(1, now, m_options.halfLife);
+    service.kinds[{request.route, request.urgency}].arrivals.add(1, now, m_options.halfLife);
+    service.workspaces[request.workspace].arrivals.add(1, now, m_options.workspaceHalfLife);
     service.workspaceArrivals.add(1, now, m_options.workspaceHalfLife);
-    Route &route = service.routes[admissionRequest.route];
-    const auto kept =
+    Route &route = service.routes[request.route];
+    const auto decayed =
         std::chrono::duration_cast<Base::Duration>(route.patience * m_options.patienceDecay);
-    route.patience = std::max(admissionRequest.patience.value_or(Base::Duration::zero()), kept);
+    route.patience = std::max(request.patience.value_or(Base::Duration::zero()), decayed);
 }
 
-void LoadShedder::requestAdmitted(const AdmissionRequest &admissionRequest, Base::MonoTime now)
+void LoadShedder::requestAdmitted(const AdmissionRequest &request, Base::MonoTime now)
 {
-    Service &service = m_services[admissionRequest.service];
+    Service &service = m_services[request.service];
     ++service.changes;
-    service.all.requestAdmitted.add(1, now, m_options.halfLife);
-    service.kinds[{admissionRequest.route, admissionRequest.urgency}].requestAdmitted.add(
-        1, now, m_options.halfLife);
-    service.workspaces[admissionRequest.workspace].requestAdmitted.add(1, now,
-                                                                       m_options.workspaceHalfLife);
+    service.all.admissions.add(1, now, m_options.halfLife);
+    service.kinds[{request.route, request.urgency}].admissions.add(1, now, m_options.halfLife);
+    service.workspaces[request.workspace].admissions.add(1, now, m_options.workspaceHalfLife);
 }
 
-void LoadShedder::requestEnded(const AdmissionRequest &admissionRequest, Base::Duration held)
+void LoadShedder::requestEnded(const AdmissionRequest &request, Base::Duration held)
 {
-    Route &route = m_services[admissionRequest.service].routes[admissionRequest.route];
+    Route &route = m_services[request.service].routes[request.route];
     const double seconds = Base::toSeconds(held);
-    route.cost = route.cost ? *route.cost + costStep * (seconds - *route.cost) : seconds;
+    route.cost = route.cost ? *route.cost + costWeight * (seconds - *route.cost) : seconds;
 }
 
-double LoadShedder::usableShare(const AdmissionRequest &admissionRequest, Base::MonoTime now)
+double LoadShedder::usableShare(const AdmissionRequest &request, Base::MonoTime now)
 {
-    const auto found = m_services.find(admissionRequest.service);
+    const auto found = m_services.find(request.service);
     if (found == m_services.end())
         return 1;
     Service &service = found->second;
-    if (servedShare(service.all, now, m_options.halfLife) >= allServed)
+    if (servedShare(service.all, now, m_options.halfLife) >= allServedShare)
         return 1;
-    double share = isWithinShare(service, admissionRequest, now) ? 1 : 1 - m_options.reservedShare;
-    if (isLateRetry(service, admissionRequest))
+    double share = isWithinShare(service, request, now) ? 1 : 1 - m_options.reservedShare;
+    if (isLateRetry(service, request))
         share -= m_options.fairnessReserve;
-    const auto workspace = service.workspaces.find(admissionRequest.workspace);
+    const auto workspace = service.workspaces.find(request.workspace);
     if (workspace == service.workspaces.end())
         return share;
     if (isStarved(service, workspace->second, now))
@@ -86,11 +83,11 @@
     return isGreedy(service, workspace->second, now) ? share - m_options.fairnessReserve : share;
 }
 
-bool LoadShedder::isWithinShare(Service &service, const AdmissionRequest &admissionRequest,
+bool LoadShedder::isWithinShare(Service &service, const AdmissionRequest &request,
                                 Base::MonoTime now) const
 {
-    const auto own = service.kinds.find({admissionRequest.route, admissionRequest.urgency});
-    if (own == service.kinds.end() || own->second.requestArrived.value(now, m_options.halfLife) < 1)
+    const auto own = service.kinds.find({request.route, request.urgency});
+    if (own == service.kinds.end() || own->second.arrivals.value(now, m_options.halfLife) < 1)
         return true;
     if (areSharesStale(service, now))
         computeShares(service, now);
@@ -101,7 +98,7 @@
 {
     return !service.sharesComputedAt || now - *service.sharesComputedAt >= m_options.maxShareAge
         || service.changes
-        > m_options.maxShareChange * service.all.requestArrived.value(now, m_options.halfLife);
+        > m_options.maxShareChange * service.all.arrivals.value(now, m_options.halfLife);
 }
 
 void LoadShedder::computeShares(Service &service, Base::MonoTime now) const
@@ -113,12 +110,12 @@
     double supply = 0;
     for (const auto &[kind, tally] : service.kinds) {
         const auto route = service.routes.find(kind.first);
-        const bool isKnown = route != service.routes.end() && route->second.cost;
-        const double cost = isKnown ? *route->second.cost : unknownCost;
+        const bool isCostKnown = route != service.routes.end() && route->second.cost;
+        const double cost = isCostKnown ? *route->second.cost : unknownCost;
         demands.push_back({.urgency = kind.second,
-                           .requests = tally.requestArrived.value(now, m_options.halfLife),
+                           .requests = tally.arrivals.value(now, m_options.halfLife),
                            .cost = cost});
-        supply += cost * tally.requestAdmitted.value(now, m_options.halfLife);
+        supply += cost * tally.admissions.value(now, m_options.halfLife);
     }
     const double served = servedShare(service.all, now, m_options.halfLife);
     const std::vector<double> shares = servedShares(demands, supply * m_options.headroom,
@@ -130,53 +127,54 @@
 
 Base::Duration LoadShedder::retryAfter(Base::Duration targetLatency)
 {
-    // From half to one and a half of it.
+    // Spread over 50% to 150% of the base value.
     std::uniform_real_distribution<double> spread(0.5, 1.5);
     const double seconds = Base::toSeconds(targetLatency) * m_options.retryAfterShare;
     return std::chrono::duration_cast<Base::Duration>(
         std::chrono::duration<double>(seconds * spread(m_random)));
 }
 
-bool LoadShedder::isLateRetry(const Service &service, const AdmissionRequest &admissionRequest)
+bool LoadShedder::isLateRetry(const Service &service, const AdmissionRequest &request)
 {
-    const auto route = service.routes.find(admissionRequest.route);
-    return admissionRequest.patience && route != service.routes.end()
-        && *admissionRequest.patience + admissionRequest.targetLatency < route->second.patience;
+    const auto route = service.routes.find(request.route);
+    return request.patience && route != service.routes.end()
+        && *request.patience + request.targetLatency < route->second.patience;
 }
 
-/// Of the requests that came lately; 1 where none did.
+/// Share of the recent requests that were admitted; 1 if there were none.
 double LoadShedder::servedShare(const Tally &tally, Base::MonoTime now, Base::Duration halfLife)
 {
-    const double requestArrived = tally.requestArrived.value(now, halfLife);
-    return requestArrived <= 0 ? 1 : tally.requestAdmitted.value(now, halfLife) / requestArrived;
+    const double arrivals = tally.arrivals.value(now, halfLife);
+    return arrivals <= 0 ? 1 : tally.admissions.value(now, halfLife) / arrivals;
 }
 
 bool LoadShedder::isStarved(const Service &service, const Tally &workspace,
                             Base::MonoTime now) const
 {
-    return workspace.requestArrived.value(now, m_options.workspaceHalfLife) >= m_options.minRequests
+    return workspace.arrivals.value(now, m_options.workspaceHalfLife) >= m_options.minRequests
         && servedShare(workspace, now, m_options.workspaceHalfLife)
         < m_options.starvedShare * servedShare(service.all, now, m_options.halfLife);
 }
 
-/// Equal parts are of those that ask at all; one that is alone is never greedy.
+/// The fair share is the same for every workspace that has sent requests; a single workspace is
+/// never greedy.
 bool LoadShedder::isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const
 {
-    const double requestArrived = workspace.requestArrived.value(now, m_options.workspaceHalfLife);
-    if (requestArrived < m_options.minRequests)
+    const double arrivals = workspace.arrivals.value(now, m_options.workspaceHalfLife);
+    if (arrivals < m_options.minRequests)
         return false;
-    const double all = service.workspaceArrivals.value(now, m_options.workspaceHalfLife);
-    const double equal = all / static_cast<double>(service.workspaces.size());
-    return requestArrived > m_options.greedyFactor * equal;
+    const double total = service.workspaceArrivals.value(now, m_options.workspaceHalfLife);
+    const double fairShare = total / static_cast<double>(service.workspaces.size());
+    return arrivals > m_options.greedyFactor * fairShare;
 }
 
 void LoadShedder::removeIdleKinds(Service &service, Base::MonoTime now) const
 {
-    if (service.kinds.size() < mostKinds)
+    if (service.kinds.size() < maxKinds)
         return;
-    constexpr double nobody = 0.01;
+    constexpr double idleArrivals = 0.01;
     std::erase_if(service.kinds, [&](const auto &entry) {
-        return entry.second.requestArrived.value(now, m_options.halfLife) < nobody;
+        return entry.second.arrivals.value(now, m_options.halfLife) < idleArrivals;
     });
 }
 
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -15,7 +15,7 @@
 
 namespace Lagoonbank::Gateway {
 
-/// A sum that forgets what is old: half of it in each half-life.
+/// A sum whose terms decay exponentially: by half in each half-life.
 class DecayingSum
 {
 public:
@@ -27,59 +27,66 @@
     Base::MonoTime m_at{};
 };
 
-/// What of a request decides whether it goes before others when there is not room for all.
+/// The attributes of a request by which admission is decided when the capacity does not suffice for
+/// all requests.
 struct AdmissionRequest
 {
     Base::ServiceId service;
-    std::string route; ///< Its kind of request.
+    std::string route; ///< Name of the route, which stands for the kind of request.
     Base::WorkspaceId workspace; ///< Empty for an anonymous request.
     Urgency urgency;
     Base::Duration targetLatency{};
-    std::optional<Base::Duration> patience; ///< How long its caller will still wait.
+    std::optional<Base::Duration> patience; ///< Time until the caller's timeout, if it is known.
 };
 
-/// Decides who is refused when a service's endpoints cannot take all requests: the places go to the
-/// most urgent kinds as far as they ask for them and each kind keeps a least part; workspaces that
-/// ask for far more than their part come after others, and nobody is refused for ever. Says when a
-/// refused caller had better come back.
+/// Decides which requests are refused when the endpoints of a service cannot take all of them. The
+/// slots go to the most urgent kinds of request as far as they need them, while each kind keeps a
+/// minimum share. Workspaces that send far more than their fair share are served after others, and
+/// no workspace is starved. Also determines when a refused caller should retry.
 ///
-/// Each router decides by the requests that it sees itself. Pure: time is an argument.
+/// Each router decides by the requests that it receives itself. The class reads no clock; time is
+/// an argument.
 class LoadShedder
 {
 public:
     struct Options
     {
-        /// Part of the places that is kept for requests within the share of their kind (selective
-        /// circuit reservation, E.412): what routers know of places is some requests off.
+        /// Share of the slots that is reserved for requests within the share of their kind
+        /// (selective circuit reservation, E.412). The routers' view of the free slots is off by
+        /// some requests.
         double reservedShare = 0.15;
-        /// Part of the places that a workspace that asks for so many times its equal part leaves
-        /// free, and a caller that is past its target latency from an earlier try.
+        /// Share of the slots that a greedy workspace leaves free for others, and so does a retry
+        /// of a caller that has already waited for longer than its target latency.
         double fairnessReserve = 0.05;
+        /// A workspace is greedy if it sends more than this multiple of its fair share.
         double greedyFactor = 2.5;
-        /// Part of what all are served that each kind of request gets at least. The users count
-        /// less than a quarter as starved.
+        /// Minimum share of each kind of request, relative to the share served of all requests. The
+        /// users regard less than a quarter as starvation.
         double minShare = 0.35;
-        /// A workspace that is served under this part of what all are goes before its equals.
+        /// A workspace is starved, and takes precedence over its equals, if its served share is
+        /// below this part of the share served of all requests.
         double starvedShare = 0.3;
-        /// Of what has been served lately, so that a kind's share grows when places are free.
+        /// Factor applied to the capacity that was served recently, so that the share of a kind
+        /// grows when slots become free.
         double headroom = 1.1;
-        /// In which the longest patience of a route's callers is forgotten, by each request.
+        /// Factor by which each request decays the longest recent timeout of its route's callers.
         double patienceDecay = 0.995;
-        /// For what is counted of kinds: bursts last some seconds.
+        /// Half-life of the counts of kinds; bursts last some seconds.
         Base::Duration halfLife = std::chrono::seconds(3);
-        /// For what is counted of workspaces, of whom a router sees few requests.
+        /// Half-life of the counts of workspaces, of each of which a router receives few requests.
         Base::Duration workspaceHalfLife = std::chrono::seconds(12);
-        /// Fewer requests than this say nothing of a kind or a workspace.
+        /// Minimum number of requests of a workspace before it can be greedy or starved.
         double minRequests = 6;
-        /// When to come back, as a part of the target latency: while the answer can still be in
-        /// time. Places become free each few ms, to whoever asks then; a later return finds as many
-        /// others.
+        /// Time after which a refused caller should retry, relative to the target latency, so that
+        /// the answer can still be in time. Slots become free every few milliseconds and go to
+        /// whoever asks then; a later retry competes with as many others.
         double retryAfterShare = 0.3;
-        /// Shares of kinds are worked out again after this time, in which sums with a half-life of
-        /// 3 s change by 0.5%...
+        /// Maximum age of the computed shares of kinds. Sums with a half-life of 3 s change by 0.5%
+        /// in this time.
         Base::Duration maxShareAge = std::chrono::milliseconds(20);
-        /// ...or when so large a part of the requests is new: per look it was a walk over all
-        /// kinds.
+        /// The shares are also computed anew once the arrivals and admissions since the last
+        /// computation exceed this part of the recent requests. Computing them for each decision
+        /// would walk over all kinds each time.
         double maxShareChange = 0.02;
         std::uint64_t randomSeed = 1;
     };
@@ -89,32 +96,31 @@
         , m_random(static_cast<std::uint32_t>(options.randomSeed))
     { }
 
-    /// A request has come.
-    void requestArrived(const AdmissionRequest &admissionRequest, Base::MonoTime now);
-    /// A request has been sent to an endpoint for the first time.
-    void requestAdmitted(const AdmissionRequest &admissionRequest, Base::MonoTime now);
-    /// A request that was sent has given its place back after \a held.
-    void requestEnded(const AdmissionRequest &admissionRequest, Base::Duration held);
-    /// Part of an endpoint's places that may be taken when this request is sent there.
-    double usableShare(const AdmissionRequest &admissionRequest, Base::MonoTime now);
-    /// For a request that is refused as there is no room; spread, so that callers do not return
-    /// together.
+    void requestArrived(const AdmissionRequest &request, Base::MonoTime now);
+    /// Records that a request was sent to an endpoint for the first time.
+    void requestAdmitted(const AdmissionRequest &request, Base::MonoTime now);
+    /// Records that an admitted request has released its slot after \a held.
+    void requestEnded(const AdmissionRequest &request, Base::Duration held);
+    /// Share of an endpoint's slots that may be in use for this request to be sent there.
+    double usableShare(const AdmissionRequest &request, Base::MonoTime now);
+    /// Time after which a caller refused for lack of capacity should retry. Randomized, so that
+    /// callers do not return together.
     Base::Duration retryAfter(Base::Duration targetLatency);
 
 private:
     struct Tally
     {
-        DecayingSum requestArrived;
-        DecayingSum requestAdmitted;
+        DecayingSum arrivals;
+        DecayingSum admissions;
     };
     struct KindTally : Tally
     {
-        double share = 1; ///< Of its requests, that it may have served.
+        double share = 1; ///< Share of its requests that may be served.
     };
     struct Route
     {
-        Base::Duration patience{}; ///< The longest that its callers have lately.
-        std::optional<double> cost; ///< Seconds for which a request takes a place.
+        Base::Duration patience{}; ///< Longest recent timeout of its callers, decayed.
+        std::optional<double> cost; ///< Average time, in seconds, that a request occupies a slot.
     };
     using Kind = std::pair<std::string, Urgency>; ///< Route and urgency.
     struct Service
@@ -122,25 +128,26 @@
         Tally all;
         absl::flat_hash_map<std::string, Route> routes;
         std::map<Kind, KindTally> kinds;
-        std::optional<Base::MonoTime> sharesComputedAt; ///< When their shares were worked out.
-        int changes = 0; ///< Requests counted since.
+        std::optional<Base::MonoTime> sharesComputedAt;
+        int changes = 0; ///< Arrivals and admissions since the shares were computed.
         absl::flat_hash_map<Base::WorkspaceId, Tally> workspaces;
-        DecayingSum workspaceArrivals; ///< Of all of them, with their half-life.
+        DecayingSum workspaceArrivals; ///< Sum over all workspaces, with their half-life.
     };
 
-    /// Whether its kind has been served less than the share that it may have.
-    bool isWithinShare(Service &service, const AdmissionRequest &admissionRequest,
-                       Base::MonoTime now) const;
+    /// Whether the request's kind has been served less than its share.
+    bool isWithinShare(Service &service, const AdmissionRequest &request, Base::MonoTime now) const;
     bool areSharesStale(const Service &service, Base::MonoTime now) const;
-    /// Works out the shares of all kinds.
+    /// Computes the shares of all kinds.
     void computeShares(Service &service, Base::MonoTime now) const;
-    /// Whether the caller has waited past the target latency already, in a try before: it has less
-    /// patience left than others have at first.
-    static bool isLateRetry(const Service &service, const AdmissionRequest &admissionRequest);
+    /// Whether this is a retry of a caller that has waited for longer than the target latency. This
+    /// is inferred from its remaining timeout, which is that much shorter than the longest timeout
+    /// of the route's callers.
+    static bool isLateRetry(const Service &service, const AdmissionRequest &request);
     static double servedShare(const Tally &tally, Base::MonoTime now, Base::Duration halfLife);
     bool isStarved(const Service &service, const Tally &workspace, Base::MonoTime now) const;
     bool isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const;
-    /// Forgets kinds that nobody asks for any more, as the configuration changes.
+    /// Removes kinds without recent requests once there are many; configuration changes leave them
+    /// behind.
     void removeIdleKinds(Service &service, Base::MonoTime now) const;
 
     Options m_options;
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -14,12 +14,12 @@
                                                       "home_busy", "home_slow",  "least_cost",
                                                       "trial",     "last_resort"};
 
-constexpr std::uint64_t leavingParts = 1024;
+constexpr std::uint64_t fractionSteps = 1024;
 
-/// From 0 to 1, evenly; the same for a request on each router.
-double partOf(std::uint64_t hash)
+/// Fraction from 0 up to 1, uniformly distributed over hashes; the same on every router.
+double toFraction(std::uint64_t hash)
 {
-    return static_cast<double>(hash % leavingParts) / leavingParts;
+    return static_cast<double>(hash % fractionSteps) / fractionSteps;
 }
 
 bool isTried(const PlacementRequest &request, const EndpointPtr &endpoint)
@@ -27,25 +27,23 @@
     return std::find(request.tried.begin(), request.tried.end(), endpoint) != request.tried.end();
 }
 
-bool hasConnection(const PlacementRequest &request, const EndpointRecord &endpoint)
+bool isBelowConnectionShare(const PlacementRequest &request, const EndpointRecord &endpoint)
 {
     return !request.connectionShare
         || static_cast<std::size_t>(std::max(0, endpoint.inFlight)) < *request.connectionShare;
 }
 
-/// An endpoint with requests that wait for a place has no more places than run now, however many it
-/// names: its memory is taken.
-bool hasRoom(const PlacementRequest &request, const EndpointRegistry &registry,
-             const EndpointRecord &endpoint, Base::MonoTime now)
+bool hasFreeSlot(const PlacementRequest &request, const EndpointRegistry &registry,
+                 const EndpointRecord &endpoint, Base::MonoTime now)
 {
-    const double effectiveSlots = registry.effectiveSlots(endpoint, now);
-    const double usable = effectiveSlots * (1 + request.waitingPerSlot) * request.usableShare;
-    return effectiveSlots <= 0 || registry.fleetLoad(endpoint, now) + 1 <= std::max(1.0, usable);
+    const double slots = registry.effectiveSlots(endpoint, now);
+    const double usable = slots * (1 + request.waitingPerSlot) * request.usableShare;
+    return slots <= 0 || registry.fleetLoad(endpoint, now) + 1 <= std::max(1.0, usable);
 }
 
-/// The first of the full endpoints, if it comes before \a cost in the order; else null.
-EndpointPtr fullBefore(double cost, const Routing::RendezvousCost &order,
-                       const std::vector<EndpointPtr> &full)
+/// The first of the full endpoints in the rendezvous-hash order that precedes \a cost, or null.
+EndpointPtr firstFullBefore(double cost, const Routing::RendezvousCost &order,
+                            const std::vector<EndpointPtr> &full)
 {
     EndpointPtr first;
     for (const EndpointPtr &endpoint : full) {
@@ -68,32 +66,32 @@
 PlacementResult Placement::choose(const PlacementRequest &request, EndpointRegistry &registry,
                                   Base::MonoTime now) const
 {
-    CandidateSets choice = candidateSets(request, registry, now);
-    const Candidates &candidates = choice.candidates;
+    CandidateSets sets = candidateSets(request, registry, now);
+    const Candidates &candidates = sets.candidates;
     if (candidates.empty())
-        return choice.full.empty() ? chooseLastResort(request, registry, now)
-                                   : fullResult(choice, registry, now);
+        return sets.full.empty() ? chooseLastResort(request, registry, now)
+                                 : fullResult(sets, registry, now);
     double sum = 0;
     for (const Candidate &candidate : candidates)
         sum += candidate.load;
     const double mean = sum / static_cast<double>(candidates.size());
     const std::size_t count = candidates.size();
-    PlacementResult place;
+    PlacementResult result;
     const auto trial = std::find_if(candidates.begin(), candidates.end(),
                                     [](const Candidate &one) { return one.isTrial; });
     if (trial != candidates.end()) {
-        place = {
+        result = {
             .endpoint = trial->endpoint, .reason = PlacementReason::Trial, .load = trial->load};
         registry.suspicion().noteTrialSent(trial->endpoint->index, now);
     } else if (request.affinity) {
-        place = chooseByAffinity(request, std::move(choice), registry, now);
-        place.cacheSource = cacheSource(request, registry, place, now);
+        result = chooseByAffinity(request, std::move(sets), registry, now);
+        result.cacheSource = cacheSource(request, registry, result, now);
     } else {
-        place = chooseByCost(candidates, now);
+        result = chooseByCost(candidates, now);
     }
-    place.meanLoad = mean;
-    place.candidates = count;
-    return place;
+    result.meanLoad = mean;
+    result.candidates = count;
+    return result;
 }
 
 bool Placement::canPlace(const PlacementRequest &request, const EndpointRegistry &registry,
@@ -102,84 +100,85 @@
     return !candidateSets(request, registry, now).candidates.empty();
 }
 
-PlacementResult Placement::fullResult(const CandidateSets &choice, const EndpointRegistry &registry,
+PlacementResult Placement::fullResult(const CandidateSets &sets, const EndpointRegistry &registry,
                                       Base::MonoTime now)
 {
     double sum = 0;
-    for (const EndpointPtr &endpoint : choice.full)
+    for (const EndpointPtr &endpoint : sets.full)
         sum += registry.fleetLoad(*endpoint, now);
-    return {.meanLoad = sum / static_cast<double>(choice.full.size()),
-            .candidates = choice.full.size(),
+    return {.meanLoad = sum / static_cast<double>(sets.full.size()),
+            .candidates = sets.full.size(),
             .isFull = true};
 }
 
-/// The filters, one after the other: who is there, who is trusted or may prove itself, and who has
-/// room.
+/// Applies the filters in turn: availability, health, capacity.
 Placement::Eligibility Placement::eligibilityOf(const PlacementRequest &request,
                                                 const EndpointPtr &endpoint,
                                                 const EndpointRegistry &registry,
                                                 Base::MonoTime now)
 {
-    const bool isThere =
+    const bool isAvailable =
         endpoint->takesRequests(now) && now >= endpoint->fullUntil && !isTried(request, endpoint);
-    if (!isThere)
+    if (!isAvailable)
         return Eligibility::Excluded;
-    const bool isTrusted = !request.excludeSuspected
+    const bool isHealthy = !request.excludeSuspected
         || registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
-    const bool mayProveItself =
+    const bool isTrialDue =
         request.mayRepeat && registry.suspicion().admitsTrial(endpoint->index, now);
-    if (!isTrusted && !mayProveItself)
+    if (!isHealthy && !isTrialDue)
         return Eligibility::Excluded;
-    const bool hasPlace = !request.checkCapacity || hasRoom(request, registry, *endpoint, now);
-    if (!hasConnection(request, *endpoint) || !hasPlace || !registry.admitsRequest(*endpoint, now))
+    const bool hasCapacity =
+        !request.checkCapacity || hasFreeSlot(request, registry, *endpoint, now);
+    if (!isBelowConnectionShare(request, *endpoint) || !hasCapacity
+        || !registry.admitsRequest(*endpoint, now))
         return Eligibility::Full;
-    return isTrusted ? Eligibility::Candidate : Eligibility::Trial;
+    return isHealthy ? Eligibility::Candidate : Eligibility::Trial;
 }
 
 Placement::CandidateSets Placement::candidateSets(const PlacementRequest &request,
                                                   const EndpointRegistry &registry,
                                                   Base::MonoTime now) const
 {
-    CandidateSets choice;
+    CandidateSets sets;
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         const Eligibility standing = eligibilityOf(request, endpoint, registry, now);
         if (standing == Eligibility::Excluded)
             continue;
         if (standing == Eligibility::Full) {
-            choice.full.push_back(endpoint);
+            sets.full.push_back(endpoint);
             continue;
         }
-        choice.candidates.push_back({.endpoint = endpoint,
-                                     .load = registry.load(*endpoint, now),
-                                     .isTrial = standing == Eligibility::Trial});
+        sets.candidates.push_back({.endpoint = endpoint,
+                                   .load = registry.load(*endpoint, now),
+                                   .isTrial = standing == Eligibility::Trial});
     }
-    return choice;
+    return sets;
 }
 
-PlacementResult Placement::chooseByAffinity(const PlacementRequest &request, CandidateSets choice,
+PlacementResult Placement::chooseByAffinity(const PlacementRequest &request, CandidateSets sets,
                                             const EndpointRegistry &registry,
                                             Base::MonoTime now) const
 {
     const Routing::RendezvousCost order(*request.affinity);
-    Candidates &candidates = choice.candidates;
+    Candidates &candidates = sets.candidates;
     for (Candidate &candidate : candidates)
         candidate.cost = order.cost(candidate.endpoint->hash, 1);
     std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &a, const Candidate &b) { return a.cost < b.cost; });
     const double mean = meanLoad(request, candidates, registry, now);
-    const double most = maximumLoad(request, mean, registry);
+    const double limit = maximumLoad(request, mean, registry);
     const LatencySums speeds = latencySums(candidates, now);
-    const EndpointPtr fullHome = fullBefore(candidates.front().cost, order, choice.full);
+    const EndpointPtr fullHome = firstFullBefore(candidates.front().cost, order, sets.full);
     PlacementReason reason = fullHome ? PlacementReason::HomeBusy : PlacementReason::Home;
     const double homeLoad = fullHome ? registry.load(*fullHome, now) : candidates.front().load;
-    std::size_t toPass = skippedEndpoints(request, homeLoad, mean, registry);
-    if (toPass == 0) { // Holders are one or two; what is spread goes beyond them.
-        if (const auto held = chooseHolder(request, candidates, mean, most, speeds, now))
+    std::size_t toSkip = skippedEndpoints(request, homeLoad, mean, registry);
+    if (toSkip == 0) { // There are only one or two holders, so overflow is spread beyond them.
+        if (const auto held = chooseHolder(request, candidates, mean, limit, speeds, now))
             return *held;
     }
-    PlacementResult second; // The first one that is passed over, or has everything but memory.
+    PlacementResult fallback; // First candidate that is skipped or lacks only cache memory.
     for (const Candidate &candidate : candidates) {
-        if (candidate.load + 1 > most) {
+        if (candidate.load + 1 > limit) {
             reason = PlacementReason::HomeBusy;
             continue;
         }
@@ -187,47 +186,50 @@
             reason = PlacementReason::HomeSlow;
             continue;
         }
-        PlacementResult place{.endpoint = candidate.endpoint,
-                              .reason = reason,
-                              .load = candidate.load,
-                              .maximumLoad = most};
-        const bool isPassedOver = toPass > 0;
-        if (!isPassedOver && hasMemory(request, *candidate.endpoint))
-            return place;
-        if (!second.endpoint)
-            second = place;
-        if (isPassedOver)
-            --toPass;
+        PlacementResult result{.endpoint = candidate.endpoint,
+                               .reason = reason,
+                               .load = candidate.load,
+                               .maximumLoad = limit};
+        const bool isSkipped = toSkip > 0;
+        if (!isSkipped && hasMemory(request, *candidate.endpoint))
+            return result;
+        if (!fallback.endpoint)
+            fallback = result;
+        if (isSkipped)
+            --toSkip;
         else
             reason = PlacementReason::HomeFilled;
     }
-    if (second.endpoint)
-        return second;
-    const auto least =
+    if (fallback.endpoint)
+        return fallback;
+    const auto leastLoaded =
         std::min_element(candidates.begin(), candidates.end(),
                          [](const Candidate &a, const Candidate &b) { return a.load < b.load; });
-    return {
-        .endpoint = least->endpoint, .reason = reason, .load = least->load, .maximumLoad = most};
+    return {.endpoint = leastLoaded->endpoint,
+            .reason = reason,
+            .load = leastLoaded->load,
+            .maximumLoad = limit};
 }
 
-/// Of the candidates with the request itself, and of endpoints that are spared on purpose: they are
-/// part of the service, and what the others get for them is what the bound is there for.
+/// Mean load of the candidates, including this request. Endpoints that get no requests because they
+/// are drained or warming up count too: they belong to the service, and the bound limits the load
+/// that the others take over from them.
 double Placement::meanLoad(const PlacementRequest &request, const Candidates &candidates,
                            const EndpointRegistry &registry, Base::MonoTime now) const
 {
-    const double usual =
+    const double averageLoad =
         m_options.usesAverageLoad ? registry.usualLoad(request.service, now).value_or(0) : 0;
     double sum = 1;
     auto count = static_cast<double>(candidates.size());
     for (const Candidate &candidate : candidates) {
         const bool isKnown = registry.hasFreshReport(*candidate.endpoint, now)
             || registry.isWarmingUp(*candidate.endpoint, now);
-        sum += isKnown ? candidate.load : std::max(candidate.load, usual);
+        sum += isKnown ? candidate.load : std::max(candidate.load, averageLoad);
     }
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
-        const bool isSpared = endpoint->isDrained
+        const bool isRelieved = endpoint->isDrained
             || (registry.isWarmingUp(*endpoint, now) && !registry.admitsRequest(*endpoint, now));
-        if (!isSpared)
+        if (!isRelieved)
             continue;
         sum += registry.load(*endpoint, now);
         ++count;
@@ -237,7 +239,7 @@
 
 std::optional<PlacementResult> Placement::chooseHolder(const PlacementRequest &request,
                                                        const Candidates &candidates,
-                                                       double meanLoad, double mostAtHome,
+                                                       double meanLoad, double homeLimit,
                                                        const LatencySums &speeds,
                                                        Base::MonoTime now) const
 {
@@ -254,15 +256,15 @@
         if (!isHolder)
             continue;
         const bool isHome = &candidate == &candidates.front();
-        const double most = isHome
-            ? mostAtHome
+        const double limit = isHome
+            ? homeLimit
             : m_options.holderBoundFactor * meanLoad + m_options.holderBoundSlack;
-        if (candidate.load + 1 > most || isSlow(request, *candidate.endpoint, speeds, now))
+        if (candidate.load + 1 > limit || isSlow(request, *candidate.endpoint, speeds, now))
             continue;
         return PlacementResult{.endpoint = candidate.endpoint,
                                .reason = isHome ? PlacementReason::Home : PlacementReason::Holder,
                                .load = candidate.load,
-                               .maximumLoad = most};
+                               .maximumLoad = limit};
     }
     return std::nullopt;
 }
@@ -274,17 +276,18 @@
         || request.prompts->hasMemory(endpoint.startHash, request.sharedTokens, request.memory);
 }
 
-/// Among many routers the part of the requests that leaves is the same on each.
+/// In a large fleet the limit depends on the request, so that the overflow sets in gradually. All
+/// routers compute the same limit for a request.
 double Placement::maximumLoad(const PlacementRequest &request, double mean,
                               const EndpointRegistry &registry) const
 {
-    const double most = bound().at(mean);
+    const double limit = bound().at(mean);
     if (!isLoadStale(registry))
-        return most;
+        return limit;
     const bool isShort = request.sharedTokens < m_options.shortPrompt;
     const double first =
         (isShort ? m_options.shortPromptOverflow : m_options.longPromptOverflow).at(mean);
-    return first < most ? first + partOf(request.requestHash) * (most - first) : most;
+    return first < limit ? first + toFraction(request.requestHash) * (limit - first) : limit;
 }
 
 std::size_t Placement::skippedEndpoints(const PlacementRequest &request, double homeLoad,
@@ -295,37 +298,38 @@
         return 0;
     const double endpoints = std::min(m_options.maximumOverflowEndpoints,
                                       1 + m_options.overflowEndpointsPerRequest * excess);
-    // Independent of the part by which a request leaves its home.
-    return static_cast<std::size_t>(endpoints * partOf(request.requestHash / leavingParts));
+    // Uses other bits of the hash than maximumLoad(), so that both choices are independent.
+    return static_cast<std::size_t>(endpoints * toFraction(request.requestHash / fractionSteps));
 }
 
-/// The endpoint where requests with this prompt went before: the first in their order that has been
-/// there for long, unless that is the target itself. A home that is passed over need not be there
-/// for long, as such requests are what it is busy with, unless it is cold.
+/// The endpoint that earlier requests with this prompt were sent to: the first in the
+/// rendezvous-hash order that is not new, unless that is the target itself. A home that is left
+/// because it is busy or slow may be new, as requests with this prompt caused its load; a cold one
+/// may not.
 EndpointPtr Placement::cacheSource(const PlacementRequest &request,
-                                   const EndpointRegistry &registry, const PlacementResult &place,
+                                   const EndpointRegistry &registry, const PlacementResult &result,
                                    Base::MonoTime now) const
 {
-    const EndpointRecord &target = *place.endpoint;
-    const bool isPassedOver =
-        place.reason == PlacementReason::HomeBusy || place.reason == PlacementReason::HomeSlow;
+    const EndpointRecord &target = *result.endpoint;
+    const bool isHomeLeft =
+        result.reason == PlacementReason::HomeBusy || result.reason == PlacementReason::HomeSlow;
     const auto isHolder = [&](const EndpointRecord &endpoint) {
-        const bool isLeftForLoad = isPassedOver && !registry.isWarmingUp(endpoint, now);
+        const bool isLeftForLoad = isHomeLeft && !registry.isWarmingUp(endpoint, now);
         return isLeftForLoad || now - endpoint.knownSince >= m_options.newEndpointPeriod;
     };
     const Routing::RendezvousCost order(*request.affinity);
     const bool isTargetNew = now - target.knownSince < m_options.newEndpointPeriod;
     const double targetCost = order.cost(target.hash, 1);
     EndpointPtr source;
-    double least = isTargetNew ? std::numeric_limits<double>::max() : targetCost;
+    double lowest = isTargetNew ? std::numeric_limits<double>::max() : targetCost;
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         const bool isUsable = endpoint.get() != &target && !endpoint->isUnreachable
             && !endpoint->notice.isReplaced && isHolder(*endpoint)
             && registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
-        const double cost = isUsable ? order.cost(endpoint->hash, 1) : least;
-        if (cost >= least)
+        const double cost = isUsable ? order.cost(endpoint->hash, 1) : lowest;
+        if (cost >= lowest)
             continue;
-        least = cost;
+        lowest = cost;
         source = endpoint;
     }
     return source;
@@ -333,19 +337,20 @@
 
 PlacementResult Placement::chooseByCost(const Candidates &candidates, Base::MonoTime now) const
 {
-    const double usual =
+    const double meanLatency =
         latencySums(candidates, now).latency / static_cast<double>(candidates.size());
     PlacementResult best;
-    double least = std::numeric_limits<double>::max();
+    double lowest = std::numeric_limits<double>::max();
     for (const Candidate &candidate : candidates) {
         const EndpointRecord &endpoint = *candidate.endpoint;
         const double slots = std::max(1, endpoint.info.slots);
         const double queues = std::max(1.0, (candidate.load + 1) / slots);
-        const double cost = endpoint.latency.value(usual, now, m_options.speedHalfLife) * queues
+        const double cost =
+            endpoint.latency.value(meanLatency, now, m_options.speedHalfLife) * queues
             + 0.001 * candidate.load / slots;
-        if (cost >= least)
+        if (cost >= lowest)
             continue;
-        least = cost;
+        lowest = cost;
         best = {.endpoint = candidate.endpoint,
                 .reason = PlacementReason::LeastCost,
                 .load = candidate.load};
@@ -356,24 +361,24 @@
 PlacementResult Placement::chooseLastResort(const PlacementRequest &request,
                                             const EndpointRegistry &registry, Base::MonoTime now)
 {
-    PlacementResult place{.reason = PlacementReason::LastResort};
+    PlacementResult result{.reason = PlacementReason::LastResort};
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         if (!endpoint->isInService() || isTried(request, endpoint))
             continue;
         if (!endpoint->takesRequests(now)) {
             const Base::MonoTime until = endpoint->notice.backOffUntil;
-            place.backOffUntil = std::min(place.backOffUntil.value_or(until), until);
+            result.backOffUntil = std::min(result.backOffUntil.value_or(until), until);
             continue;
         }
         if (!registry.admitsRequest(*endpoint, now))
             continue;
-        const bool isBetter = !place.endpoint
+        const bool isBetter = !result.endpoint
             || registry.suspicion().suspectedSince(endpoint->index)
-                < registry.suspicion().suspectedSince(place.endpoint->index);
+                < registry.suspicion().suspectedSince(result.endpoint->index);
         if (isBetter)
-            place.endpoint = endpoint;
+            result.endpoint = endpoint;
     }
-    return place;
+    return result;
 }
 
 Placement::LatencySums Placement::latencySums(const Candidates &candidates,
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -10,68 +10,69 @@
 
 namespace Lagoonbank::Gateway {
 
-/// One request, as far as its place depends on it.
+/// The properties of a request that determine which endpoint it is sent to.
 struct PlacementRequest
 {
     Base::ServiceId service;
-    /// Requests with the same value share a prompt and belong on the same endpoint; nothing where
-    /// endpoints cache nothing.
+    /// Hash of the shared prompt. Requests with the same value belong on the same endpoint. Unset
+    /// if the endpoints of the service have no prompt cache.
     std::optional<std::uint64_t> affinity;
-    Base::Tokens sharedTokens; ///< Of the prompt that is shared.
-    const PromptDirectory *prompts = nullptr; ///< Null: homes alone decide.
-    Base::Tokens memory; ///< Of an endpoint of the service; 0 if it is not known.
+    Base::Tokens sharedTokens; ///< Length of the shared prompt.
+    const PromptDirectory *prompts = nullptr; ///< If null, only the home endpoint is preferred.
+    Base::Tokens memory; ///< Cache memory of each endpoint of the service; 0 if unknown.
     std::uint64_t requestHash = 0;
     Base::Duration targetLatency{};
     Base::Duration maxEventGap{};
-    bool mayRepeat = false; ///< Only such a request finds out whether a suspected endpoint is back.
-    bool checkCapacity = true; ///< Endpoints that have no place for the request are left out.
-    bool excludeSuspected = true; ///< And so are those that failed lately.
-    std::vector<EndpointPtr> tried; ///< Not to be taken again.
-    /// Requests that this router may have at one endpoint; nothing for no limit.
+    /// Whether the request may be sent twice, so that it may serve as a trial of a suspected
+    /// endpoint.
+    bool mayRepeat = false;
+    bool checkCapacity = true; ///< Excludes endpoints without a free slot.
+    bool excludeSuspected = true; ///< Excludes endpoints that failed recently.
+    std::vector<EndpointPtr> tried; ///< Endpoints that are not tried again.
+    /// Maximum number of requests from this router in flight at one endpoint; unset for no limit.
     std::optional<std::size_t> connectionShare;
-    /// Part of an endpoint's places that may be taken when the request is sent there; see
-    /// LoadShedder.
+    /// Fraction of an endpoint's slots that a request of this priority may fill; see LoadShedder.
     double usableShare = 1;
-    /// Requests for each place that may wait for one at an endpoint: plain services are done with
-    /// one in tens of ms, engines in seconds.
+    /// Maximum number of requests per slot that may queue at an endpoint. Plain services complete a
+    /// request in tens of milliseconds, so that a short queue is acceptable; engines take seconds.
     double waitingPerSlot = 0;
 };
 
-/// Why an endpoint was taken.
+/// Why an endpoint was chosen.
 enum class PlacementReason : std::uint8_t {
-    Home, ///< First in the order of the request's affinity.
-    Holder, ///< It holds the prompt, although others come before it in that order.
-    HomeFilled, ///< Endpoints before it in that order have no memory for the prompt.
-    HomeBusy, ///< Endpoints before it in that order had too much work.
-    HomeSlow, ///< Endpoints before it in that order were too slow.
-    LeastCost, ///< Soonest done, by its load and its speed, in which the way there shows.
-    Trial, ///< Suspected before; finds out whether it is back.
-    LastResort ///< All that can be reached are suspected; the one suspected longest ago.
+    Home, ///< Home endpoint: first in the rendezvous-hash order of the request's affinity.
+    Holder, ///< Has the prompt in its cache, although others precede it in that order.
+    HomeFilled, ///< Preceding endpoints have no cache memory left for the prompt.
+    HomeBusy, ///< Preceding endpoints were overloaded.
+    HomeSlow, ///< Preceding endpoints were too slow.
+    LeastCost, ///< Shortest expected completion time by load and latency, network included.
+    Trial, ///< Suspected; the request tests whether it has recovered.
+    LastResort ///< All reachable endpoints are suspected; this one has been for the longest time.
 };
 std::string_view toString(PlacementReason reason);
 
 struct PlacementResult
 {
-    EndpointPtr endpoint; ///< Null if there is none.
+    EndpointPtr endpoint; ///< Null if no endpoint can take the request.
     PlacementReason reason = PlacementReason::Home;
-    /// Another endpoint that probably holds the prompt, as all routers send it there; null for
-    /// none.
+    /// Another endpoint that probably has the prompt in its cache, as all routers send it there;
+    /// null if there is none.
     EndpointPtr cacheSource;
-    double load = 0; ///< Of the endpoint, in requests.
-    double meanLoad = 0; ///< Of the candidates.
-    /// With which it still takes requests of this prompt; nothing for a request without one.
+    double load = 0; ///< Load of the endpoint in requests.
+    double meanLoad = 0; ///< Mean load of the candidates.
+    /// Maximum load at which the endpoint is chosen for this prompt; unset without a prompt.
     std::optional<double> maximumLoad;
     std::size_t candidates = 0;
-    bool isFull = false; ///< None of the candidates has room for the request.
-    /// When the first one that rests takes requests again, if there is no endpoint but such.
+    bool isFull = false; ///< No candidate has a free slot for the request.
+    /// When the first endpoint takes requests again, if all endpoints in service back off.
     std::optional<Base::MonoTime> backOffUntil;
 };
 
-/// Chooses the endpoint of a request. Pure: state and time in, a place out.
+/// Chooses the endpoint of a request. Does no I/O and reads no clock.
 class Placement
 {
 public:
-    /// So many requests: a part of the mean load of the candidates, and some more.
+    /// A number of requests that is linear in the mean load of the candidates.
     struct LoadThreshold
     {
         double factor = 1;
@@ -80,47 +81,51 @@
     };
     struct Options
     {
-        /// A cached prompt is left when its endpoint has this many times the mean load, plus
-        /// `boundSlack`. The fleet's rule allows 2 and 3; late reports take up the rest.
+        /// Load bound: a request does not go to the home of its prompt if that has more than this
+        /// many times the mean load plus `boundSlack`. The service level objective of the fleet
+        /// allows 2 and 3; the difference allows for the delay of load reports.
         double boundFactor = 1.7;
         double boundSlack = 3;
-        /// Endpoints whose load is not known count as having the usual one in the mean. Else a
-        /// router that knows ten of 200 takes the mean for next to nothing, and prompts leave homes
-        /// with three requests.
+        /// Endpoints of unknown load enter the mean with the average load. Otherwise a router that
+        /// has reports of ten out of 200 endpoints computes a mean near zero, and requests leave
+        /// homes that have only three requests.
         bool usesAverageLoad = true;
         bool overflowsGradually = true;
-        /// In a fleet of many routers a part of the requests leave their home from these loads on,
-        /// the more the nearer it is to the bound: all routers hear a second late what it has, and
-        /// would else leave and come back together. Short prompts leave first, as reading them
-        /// again costs little.
+        /// In a large fleet, requests start to overflow from their home at these loads. The
+        /// fraction that overflows grows as the load approaches the bound. All routers receive a
+        /// load report about a second late and would otherwise leave and return to the home in
+        /// step. Short prompts overflow first, as prefilling them again costs little.
         LoadThreshold shortPromptOverflow{.factor = 1.0, .slack = 0.5};
         LoadThreshold longPromptOverflow{.factor = 1.4, .slack = 1};
-        /// In such a fleet, requests that find their home full go to any of the endpoints behind
-        /// it: of so many for each request that it has too much. If all took the next one, it would
-        /// be as full before the first of them hear of it.
+        /// In a large fleet, requests whose home is above the bound are spread over the endpoints
+        /// that follow it in the rendezvous-hash order: this many endpoints for each request above
+        /// the bound. If all routers chose the next endpoint, that would be overloaded before they
+        /// receive its load.
         double overflowEndpointsPerRequest = 4;
-        /// Each of them has to read the prompt or get a copy.
+        /// Maximum number of these endpoints, as each has to prefill the prompt or copy its cache.
         double maximumOverflowEndpoints = 16;
-        /// A prompt stays where it is held, though its home is another endpoint, up to these: new
-        /// endpoints get their part of the work as soon as others have more than theirs.
+        /// Load bound for a holder of the prompt that is not its home. It is lower than that of the
+        /// home, so that new endpoints get their share as soon as the holders exceed theirs.
         double holderBoundFactor = 1.3;
         double holderBoundSlack = 2;
-        /// An endpoint is slow when it takes this part of the time that a request has...
+        /// An endpoint is slow if it takes more than this fraction of the time limit of a
+        /// request...
         double slowShare = 0.6;
-        /// ...and so many times what the others of its service take.
+        /// ...and more than this many times the mean of the other endpoints of its service.
         double slowFactor = 2.5;
-        /// In which half of what was learnt of an endpoint's speed is forgotten, so that one that
-        /// has become fast again is found out.
+        /// Half-life of measured latencies. They decay so that an endpoint that has recovered gets
+        /// requests again.
         Base::Duration speedHalfLife = std::chrono::seconds(4);
-        /// For which an endpoint that is new to its service counts as one without the prompts whose
-        /// home it has become: chats return within this time or seldom.
+        /// Time for which a new endpoint is assumed not to hold the prompts whose home it has
+        /// become. Most chats that continue do so within this time.
         Base::Duration newEndpointPeriod = std::chrono::seconds(12);
-        /// Prompts of fewer shared tokens are short: engines read 80 to 160 tokens in a
+        /// Prompts with fewer shared tokens are short. Engines prefill 80 to 160 tokens per
         /// millisecond.
         Base::Tokens shortPrompt{1500};
-        /// With fewer routers each hears of an endpoint's load soon enough by itself: an engine
-        /// answers some five requests a second, so that one of eight routers hears of it twice in
-        /// three seconds, one of sixteen once, and one of eighty each 16 s (worked out).
+        /// Minimum number of routers of a large fleet. An engine answers about five requests a
+        /// second, and each answer reports its load to one router: each of 8 routers gets two
+        /// reports in three seconds, each of 16 routers one, and each of 80 routers one in 16 s.
+        /// With fewer routers than this the reports are recent enough.
         double largeFleetRouters = 10;
     };
 
@@ -130,7 +135,7 @@
 
     PlacementResult choose(const PlacementRequest &request, EndpointRegistry &registry,
                            Base::MonoTime now) const;
-    /// Whether an endpoint that is trusted has room for the request.
+    /// Whether a healthy endpoint, or one that is due for a trial, has a free slot for the request.
     bool canPlace(const PlacementRequest &request, const EndpointRegistry &registry,
                   Base::MonoTime now) const;
 
@@ -139,42 +144,42 @@
     {
         EndpointPtr endpoint;
         double load = 0;
-        double cost = 0; ///< Its place in the order of the request's affinity; least first.
+        double cost = 0; ///< Rendezvous-hash cost for the request's affinity; lowest first.
         bool isTrial = false;
     };
     using Candidates = std::vector<Candidate>;
     enum class Eligibility : std::uint8_t {
-        Excluded, ///< Gets no such request.
-        Full, ///< Would be a candidate if it could take more.
-        Trial, ///< A candidate that has to prove itself.
+        Excluded, ///< Must not get the request.
+        Full, ///< Would be a candidate if it had a free slot.
+        Trial, ///< Suspected, and due for a trial request.
         Candidate
     };
     struct CandidateSets
     {
         Candidates candidates;
-        std::vector<EndpointPtr> full; ///< Would be candidates if they had room.
+        std::vector<EndpointPtr> full; ///< Would be candidates if they had a free slot.
     };
 
     static Eligibility eligibilityOf(const PlacementRequest &request, const EndpointPtr &endpoint,
                                      const EndpointRegistry &registry, Base::MonoTime now);
     CandidateSets candidateSets(const PlacementRequest &request, const EndpointRegistry &registry,
                                 Base::MonoTime now) const;
-    static PlacementResult fullResult(const CandidateSets &choice, const EndpointRegistry &registry,
+    static PlacementResult fullResult(const CandidateSets &sets, const EndpointRegistry &registry,
                                       Base::MonoTime now);
-    PlacementResult chooseByAffinity(const PlacementRequest &request, CandidateSets choice,
+    PlacementResult chooseByAffinity(const PlacementRequest &request, CandidateSets sets,
                                      const EndpointRegistry &registry, Base::MonoTime now) const;
     double meanLoad(const PlacementRequest &request, const Candidates &candidates,
                     const EndpointRegistry &registry, Base::MonoTime now) const;
     static bool hasMemory(const PlacementRequest &request, const EndpointRecord &endpoint);
     EndpointPtr cacheSource(const PlacementRequest &request, const EndpointRegistry &registry,
-                            const PlacementResult &place, Base::MonoTime now) const;
-    /// Requests that an endpoint may have, this one included, for it to be sent there by affinity.
+                            const PlacementResult &result, Base::MonoTime now) const;
+    /// Maximum load, including this request, at which an endpoint is chosen by affinity.
     double maximumLoad(const PlacementRequest &request, double mean,
                        const EndpointRegistry &registry) const;
-    /// Endpoints behind its home that a request passes over although they would take it.
+    /// Number of eligible endpoints that the request skips to spread the overflow of its home.
     std::size_t skippedEndpoints(const PlacementRequest &request, double homeLoad, double mean,
                                  const EndpointRegistry &registry) const;
-    /// Whether routers hear of a load later than it changes.
+    /// Whether loads change faster than reports of them reach all routers.
     bool isLoadStale(const EndpointRegistry &registry) const
     {
         return m_options.overflowsGradually
@@ -187,7 +192,7 @@
     PlacementResult chooseByCost(const Candidates &candidates, Base::MonoTime now) const;
     static PlacementResult chooseLastResort(const PlacementRequest &request,
                                             const EndpointRegistry &registry, Base::MonoTime now);
-    /// Sums over the candidates, in seconds.
+    /// Sums over all candidates, in seconds.
     struct LatencySums
     {
         double latency = 0;
@@ -195,10 +200,11 @@
         std::size_t count = 0;
     };
     LatencySums latencySums(const Candidates &candidates, Base::MonoTime now) const;
-    /// Where the prompt is held; nothing if that is nowhere, or has too much work.
+    /// Chooses an endpoint that holds the prompt; unset if there is none below its load bound that
+    /// is not slow.
     std::optional<PlacementResult> chooseHolder(const PlacementRequest &request,
                                                 const Candidates &candidates, double meanLoad,
-                                                double mostAtHome, const LatencySums &speeds,
+                                                double homeLimit, const LatencySums &speeds,
                                                 Base::MonoTime now) const;
     bool isSlow(const PlacementRequest &request, const EndpointRecord &endpoint,
                 const LatencySums &sum, Base::MonoTime now) const;
--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -38,11 +38,11 @@
     const bool isNew = !find(holding.prompt.hash, holding.endpoint);
     Holder &one = holder(holding, now);
     one.usedAt = now;
-    const bool isToBeTold = isNew || now - one.announcedAt >= m_options.announceInterval;
-    if (isToBeTold)
+    const bool isAnnouncementDue = isNew || now - one.announcedAt >= m_options.announceInterval;
+    if (isAnnouncementDue)
         one.announcedAt = now;
     sweep(now);
-    if (!isToBeTold)
+    if (!isAnnouncementDue)
         return Announcement::None;
     return isNew ? Announcement::New : Announcement::InUse;
 }
@@ -52,7 +52,7 @@
     Holder &one = holder(holding, now);
     one.usedAt = now;
     one.announcedAt = now;
-    // The peer knows better than this router that the endpoint did not hold it.
+    // The endpoint prefills the prompt again, contrary to what this router may have recorded.
     one.readUntil = std::max(one.readUntil, now + holding.remainingReadTime);
     sweep(now);
 }
@@ -102,23 +102,23 @@
 {
     if (memory.value() <= 0)
         return true;
-    const auto ledger = m_memoryUses.find(endpoint);
-    const std::int64_t held = ledger == m_memoryUses.end() ? 0 : ledger->second.tokens;
+    const auto use = m_memoryUses.find(endpoint);
+    const std::int64_t held = use == m_memoryUses.end() ? 0 : use->second.tokens;
     const double usable = m_options.memoryShare * static_cast<double>(memory.value());
     return static_cast<double>(held + tokens.value()) <= usable;
 }
 
-/// The holder in question, added if it is new.
+/// Returns the holder, which is added if it is new.
 PromptDirectory::Holder &PromptDirectory::holder(const PromptHolding &holding, Base::MonoTime now)
 {
     Holders &holders = m_prompts[holding.prompt.hash];
-    MemoryUse &ledger = m_memoryUses[holding.endpoint];
+    MemoryUse &use = m_memoryUses[holding.endpoint];
     if (holding.memory.value() > 0)
-        ledger.memory = holding.memory.value();
+        use.memory = holding.memory.value();
     const auto known = findIn(holders, holding.endpoint);
     if (known != holders.end())
         return *known;
-    ledger.tokens += holding.prompt.tokens.value();
+    use.tokens += holding.prompt.tokens.value();
     return holders.emplace_back(
         Holder{.endpoint = holding.endpoint,
                .tokens = static_cast<std::uint32_t>(holding.prompt.tokens.value()),
@@ -133,14 +133,14 @@
         return;
     m_sweptAt = now;
     forgetUnused(now - m_options.lifetime);
-    // Far more prompts than are remembered: the last second of them is better than none.
+    // Still over the limit: keeps the prompts of the last second if they fit, otherwise none.
     if (m_prompts.size() > m_options.maximumPrompts)
         forgetUnused(now - std::chrono::seconds(1));
     if (m_prompts.size() > m_options.maximumPrompts)
         forgetUnused(now + std::chrono::seconds(1));
-    for (const auto &[endpoint, ledger] : m_memoryUses) {
-        if (ledger.memory > 0 && ledger.tokens > ledger.memory)
-            forgetOverflow(endpoint, ledger);
+    for (const auto &[endpoint, use] : m_memoryUses) {
+        if (use.memory > 0 && use.tokens > use.memory)
+            forgetOverflow(endpoint, use);
     }
 }
 
@@ -160,8 +160,8 @@
     absl::erase_if(m_memoryUses, [](const auto &entry) { return entry.second.tokens <= 0; });
 }
 
-/// What the endpoint has had to forget: the longest unused, until the rest fits.
-void PromptDirectory::forgetOverflow(std::uint64_t endpoint, const MemoryUse &ledger)
+/// Removes the least recently used prompts of an endpoint until the rest fits into its memory.
+void PromptDirectory::forgetOverflow(std::uint64_t endpoint, const MemoryUse &use)
 {
     std::vector<std::pair<Base::MonoTime, std::uint64_t>> byUse;
     for (const auto &[prompt, holders] : m_prompts) {
@@ -171,7 +171,7 @@
     }
     std::sort(byUse.begin(), byUse.end());
     for (const auto &[usedAt, prompt] : byUse) {
-        if (ledger.tokens <= ledger.memory)
+        if (use.tokens <= use.memory)
             return;
         drop(prompt, endpoint);
     }
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -11,47 +11,50 @@
 
 namespace Lagoonbank::Gateway {
 
-/// The first parts of a prompt, which requests share.
+/// The leading parts of a prompt, which several requests share.
 struct PromptPrefix
 {
-    std::uint64_t hash = 0; ///< Of the model and these parts.
-    Base::Tokens tokens; ///< Of all of them.
+    std::uint64_t hash = 0; ///< Hash of the model and these parts.
+    Base::Tokens tokens; ///< Length of all these parts.
 };
 
-/// That an endpoint holds a prompt in its cache, or is reading it, as routers tell each other.
+/// Announcement between routers that an endpoint has a prompt in its cache or is prefilling it.
 struct PromptHolding
 {
     PromptPrefix prompt;
     std::uint64_t endpoint = 0; ///< EndpointRecord::startHash.
-    Base::Tokens memory; ///< Of the endpoint; 0 if it is not known.
-    Base::Duration remainingReadTime{}; ///< What is left of its reading the prompt.
-    bool isNew = true; ///< Not known to be held there before; else in use again.
+    Base::Tokens memory; ///< Cache memory of the endpoint; 0 if unknown.
+    Base::Duration remainingReadTime{}; ///< Estimated time until the prompt is prefilled.
+    bool isNew = true; ///< Whether the endpoint was not known to hold the prompt before.
 };
 
-/// The form in which routers tell each other.
+/// Conversion to and from the form that routers send to each other.
 Schema::SharedPrompt toShared(const PromptHolding &holding);
 PromptHolding fromShared(const Schema::SharedPrompt &shared);
 
-/// Which endpoints hold which prompts, by where requests of this router and of its peers went. An
-/// endpoint forgets what has not been used for longest when its memory is taken; so does this.
+/// Records which endpoints hold which prompts, from where this router and its peers sent requests.
+/// Endpoints evict the least recently used prompts when their memory is full, and so does this
+/// directory. A holder of a prompt is an endpoint that has it in its cache or is prefilling it.
 ///
-/// Pure: time is an argument.
+/// Does no I/O and reads no clock.
 class PromptDirectory
 {
 public:
     struct Options
     {
-        /// Prompts that nobody uses for so long make room for others on endpoints; sessions return
-        /// within some seconds or seldom.
+        /// Time after the last use at which a prompt is assumed to be evicted from endpoints. Most
+        /// sessions that continue do so within a few seconds.
         Base::Duration lifetime = std::chrono::seconds(25);
-        /// Part of an endpoint's memory that prompts may take; the rest is for what runs. With 24
-        /// to 128 places, requests of 1,700 tokens of their own take 0.13 to 0.22 of it.
+        /// Fraction of an endpoint's memory available to shared prompts; the rest is for running
+        /// requests. With 24 to 128 slots, requests with 1,700 tokens of their own take 0.13 to
+        /// 0.22 of the memory.
         double memoryShare = 0.75;
-        /// Prompts that are remembered, at some 80 bytes each.
+        /// Maximum number of recorded prompts, at about 80 bytes each.
         std::size_t maximumPrompts = 8192;
-        /// Between two looks for what is to be forgotten.
+        /// Minimum interval between two sweeps for prompts to remove.
         Base::Duration sweepInterval = std::chrono::milliseconds(500);
-        /// A holding in use is told again after this time, by whoever uses it first then.
+        /// A holding in use is announced to peers again after this time, by the first router that
+        /// uses it then.
         Base::Duration announceInterval = std::chrono::seconds(10);
     };
     struct Holder
@@ -59,8 +62,8 @@
         std::uint64_t endpoint = 0;
         std::uint32_t tokens = 0;
         Base::MonoTime usedAt;
-        Base::MonoTime readUntil; ///< It is read by then.
-        Base::MonoTime announcedAt; ///< To peers, or by one.
+        Base::MonoTime readUntil; ///< Estimated end of the prefill.
+        Base::MonoTime announcedAt; ///< Last announcement by this router or a peer.
     };
     /// Most prompts are held by one or two endpoints.
     using Holders = absl::InlinedVector<Holder, 2>;
@@ -70,17 +73,18 @@
     { }
 
     enum class Announcement : std::uint8_t { None, InUse, New };
-    /// A request with the prompt has gone to the endpoint. Says what peers ought to be told.
+    /// Records that a request with the prompt was sent to the endpoint. Returns what to announce to
+    /// peers.
     Announcement recordUse(const PromptHolding &holding, Base::MonoTime now);
-    /// A peer has told of it.
+    /// Merges a holding that a peer announced.
     void mergeHolding(const PromptHolding &holding, Base::MonoTime now);
-    /// The endpoint has read the prompt.
+    /// Records that the endpoint has completed the prefill of the prompt.
     void read(std::uint64_t prompt, std::uint64_t endpoint, Base::MonoTime now);
-    /// It turned out that the endpoint does not hold it.
+    /// Removes a holding after the endpoint turned out not to have the prompt.
     void drop(std::uint64_t prompt, std::uint64_t endpoint);
 
     const Holders &holders(std::uint64_t prompt) const;
-    /// Null if the endpoint does not hold the prompt.
+    /// Finds a holder of the prompt; null if the endpoint does not hold it.
     const Holder *find(std::uint64_t prompt, std::uint64_t endpoint) const;
     /// Whether an endpoint has memory for one more prompt of \a tokens; true if its memory is not
     /// known.
@@ -90,18 +94,18 @@
 private:
     struct MemoryUse
     {
-        std::int64_t tokens = 0; ///< Of all prompts that it holds.
-        std::int64_t memory = 0; ///< 0 if it is not known.
+        std::int64_t tokens = 0; ///< Total length of the prompts that the endpoint holds.
+        std::int64_t memory = 0; ///< Cache memory of the endpoint; 0 if unknown.
     };
 
     Holder &holder(const PromptHolding &holding, Base::MonoTime now);
     void sweep(Base::MonoTime now);
     void forgetUnused(Base::MonoTime usedBefore);
-    void forgetOverflow(std::uint64_t endpoint, const MemoryUse &ledger);
+    void forgetOverflow(std::uint64_t endpoint, const MemoryUse &use);
 
     Options m_options;
     absl::flat_hash_map<std::uint64_t, Holders> m_prompts;
-    absl::flat_hash_map<std::uint64_t, MemoryUse> m_memoryUses; ///< By endpoint.
+    absl::flat_hash_map<std::uint64_t, MemoryUse> m_memoryUses; ///< Keyed by endpoint.
     Base::MonoTime m_sweptAt;
 };
 
--- a/src/libs/gateway/reachability.cpp
+++ b/src/libs/gateway/reachability.cpp
@@ -26,7 +26,8 @@
     checkOthers(*endpoint);
 }
 
-/// Checks a few that are not known to be out of reach and not being checked.
+/// Checks a few random endpoints of the data centre that are neither marked as unreachable nor
+/// being checked.
 void Reachability::checkOthers(const EndpointRecord &failed)
 {
     std::vector<EndpointPtr> others = m_options.registry->inDataCentre(failed.info.dataCentre);
@@ -58,16 +59,16 @@
     }
     if (endpoint->isGone)
         return;
-    const bool isFound = !isReachable && !endpoint->isUnreachable;
+    const bool isNewlyUnreachable = !isReachable && !endpoint->isUnreachable;
     setUnreachable(*endpoint, !isReachable);
     if (isReachable)
         return;
-    if (isFound)
+    if (isNewlyUnreachable)
         checkOthers(*endpoint);
-    // Up to a quarter later, so that routers do not check in step.
-    std::uniform_int_distribution<Base::Duration::rep> extra(0, m_options.interval.count() / 4);
+    // Jitter of up to a quarter of the interval, so that routers do not check in step.
+    std::uniform_int_distribution<Base::Duration::rep> jitter(0, m_options.interval.count() / 4);
     m_timers[endpoint->info.id] = m_options.timers->start(
-        m_options.interval + Base::Duration(extra(m_random)), [this, endpoint] {
+        m_options.interval + Base::Duration(jitter(m_random)), [this, endpoint] {
             m_timers.erase(endpoint->info.id);
             check(endpoint);
         });
--- a/src/libs/gateway/reachability.h
+++ b/src/libs/gateway/reachability.h
@@ -12,13 +12,13 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Keeps away from endpoints that cannot be reached and finds out when they can be again, by
-/// connections of its own, so that no caller's request has to find it out.
+/// Marks endpoints that cannot be reached, and probes them with connections of its own until they
+/// can be reached again, so that no caller's request has to wait for a connection timeout.
 ///
-/// Endpoints become unreachable together: a data centre that is cut off takes all of its own with
-/// it. So when one is found unreachable, some others of its data centre are checked at once, and
-/// more for each of these that cannot be reached: a data centre that is cut off is found out in a
-/// few rounds, and one endpoint that crashed costs a few connections however many there are.
+/// A network partition makes all endpoints of a data centre unreachable at once. When one endpoint
+/// is found to be unreachable, some others of its data centre are therefore probed immediately, and
+/// more for each of these that is unreachable too. A partition is detected in a few rounds, while
+/// the crash of a single endpoint costs a few connections in a data centre of any size.
 class Reachability
 {
 public:
@@ -26,17 +26,17 @@
     {
         EndpointRegistry *registry = nullptr;
         Runtime::TimerQueue *timers = nullptr;
-        /// Opens a connection and closes it; calls back once, later.
+        /// Opens a connection and closes it. Calls back once, after it has returned.
         std::function<void(const Runtime::SocketAddress &server, Base::Duration timeout,
                            std::function<void(bool isReachable)> checked)>
             check;
-        /// For a connection: a live endpoint of the region accepts within 5 ms.
+        /// Connection timeout. A live endpoint in the region accepts within 5 ms.
         Base::Duration checkTimeout = std::chrono::milliseconds(100);
-        /// Between two checks of an endpoint that cannot be reached. A cut ends after seconds; a
-        /// connection costs next to nothing.
+        /// Interval between two checks of an unreachable endpoint. Network partitions end after
+        /// seconds, and a connection attempt is cheap.
         Base::Duration interval = std::chrono::milliseconds(300);
-        /// Others that are checked for each one that is found unreachable: 500 are found out in
-        /// three rounds of `checkTimeout`.
+        /// Number of other endpoints that are checked for each one found to be unreachable. With 8,
+        /// 500 endpoints are checked in three rounds of `checkTimeout`.
         std::size_t checksPerFailure = 8;
         std::uint64_t randomSeed = 1;
     };
@@ -46,10 +46,10 @@
     Reachability(const Reachability &) = delete;
     Reachability &operator=(const Reachability &) = delete;
 
-    /// A request found no connection to it.
+    /// Reports that a request could not connect to the endpoint.
     void reportUnreachable(const EndpointPtr &endpoint);
 
-    /// An endpoint cannot be reached, or can be again.
+    /// Called when an endpoint becomes unreachable or reachable again.
     std::function<void(EndpointRecord &endpoint)> changed;
 
 private:
@@ -60,9 +60,9 @@
 
     Options m_options;
     std::minstd_rand m_random;
-    absl::flat_hash_map<Base::EndpointId, Runtime::TimerId> m_timers; ///< Of the next checks.
-    absl::flat_hash_set<Base::EndpointId> m_checking; ///< Checks under way.
-    /// Checks that end after this object is gone find it out by this.
+    absl::flat_hash_map<Base::EndpointId, Runtime::TimerId> m_timers; ///< For the next checks.
+    absl::flat_hash_set<Base::EndpointId> m_checking; ///< Endpoints being checked.
+    /// Lets callbacks of checks detect that this object was destroyed.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/src/libs/gateway/requestfingerprint.h
+++ b/src/libs/gateway/requestfingerprint.h
@@ -9,12 +9,12 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Names what a caller asks for, the same in each attempt and at every router: workspace, method,
-/// host, target and body.
+/// Hash of workspace, method, host, target and body of a request. It is the same for each attempt
+/// of the caller and at every router.
 using RequestFingerprint = Base::StrongNumber<struct RequestFingerprintTag, std::uint64_t>;
 
 RequestFingerprint fingerprintOf(const CallerRequest &request, const Base::WorkspaceId &workspace);
-/// 16 hexadecimal digits.
+/// Formats a fingerprint as 16 hexadecimal digits.
 std::string toString(RequestFingerprint fingerprint);
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -4,9 +4,9 @@
 
 namespace Lagoonbank::Gateway {
 
-Schema::SharedRequestEnd toShared(const RequestCrash &end)
+Schema::SharedRequestEnd toShared(const RequestCrash &crash)
 {
-    return {.request = end.request.value(), .endpoint = end.endpoint};
+    return {.request = crash.request.value(), .endpoint = crash.endpoint};
 }
 
 RequestCrash fromShared(const Schema::SharedRequestEnd &shared)
@@ -26,30 +26,30 @@
             .remaining = std::chrono::milliseconds(shared.leftMs)};
 }
 
-bool RequestQuarantine::crashed(const RequestCrash &end, Base::MonoTime now)
+bool RequestQuarantine::crashed(const RequestCrash &crash, Base::MonoTime now)
 {
-    if (timeLeft(end.request, now))
+    if (timeLeft(crash.request, now))
         return false;
-    if (!m_crashes.contains(end.request))
+    if (!m_crashes.contains(crash.request))
         evictIfFull(now);
-    Crashes &ends = m_crashes[end.request];
-    if (!isFresh(ends, now))
-        ends.endpoints.clear();
-    ends.lastAt = now;
-    if (!ends.has(end.endpoint))
-        ends.endpoints.push_back(end.endpoint);
-    if (ends.endpoints.size() < m_options.maxCrashes)
+    Crashes &crashes = m_crashes[crash.request];
+    if (!isFresh(crashes, now))
+        crashes.endpoints.clear();
+    crashes.lastAt = now;
+    if (!crashes.has(crash.endpoint))
+        crashes.endpoints.push_back(crash.endpoint);
+    if (crashes.endpoints.size() < m_options.maxCrashes)
         return false;
-    return quarantine({.request = end.request, .remaining = m_options.quarantineTime}, now);
+    return quarantine({.request = crash.request, .remaining = m_options.quarantineTime}, now);
 }
 
-bool RequestQuarantine::wouldQuarantine(const RequestCrash &end, Base::MonoTime now) const
+bool RequestQuarantine::wouldQuarantine(const RequestCrash &crash, Base::MonoTime now) const
 {
-    const auto found = m_crashes.find(end.request);
+    const auto found = m_crashes.find(crash.request);
     if (found == m_crashes.end() || !isFresh(found->second, now))
         return false;
-    const Crashes &ends = found->second;
-    return ends.endpoints.size() + (ends.has(end.endpoint) ? 0 : 1) >= m_options.maxCrashes;
+    const Crashes &crashes = found->second;
+    return crashes.endpoints.size() + (crashes.has(crash.endpoint) ? 0 : 1) >= m_options.maxCrashes;
 }
 
 bool RequestQuarantine::quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now)
@@ -87,7 +87,6 @@
     return all;
 }
 
-/// For one request more.
 void RequestQuarantine::evictIfFull(Base::MonoTime now)
 {
     if (m_crashes.size() < m_options.maxRequests)
@@ -95,14 +94,14 @@
     absl::erase_if(m_crashes, [&](const auto &entry) { return !isFresh(entry.second, now); });
     if (m_crashes.size() < m_options.maxRequests)
         return;
-    // One that several endpoints ended under stays before one with a single end.
-    const auto least =
+    // Requests with several crashes are kept in preference to those with a single one.
+    const auto leastRelevant =
         std::min_element(m_crashes.begin(), m_crashes.end(), [](const auto &a, const auto &b) {
-            const std::size_t ends = a.second.endpoints.size();
-            const std::size_t others = b.second.endpoints.size();
-            return ends != others ? ends < others : a.second.lastAt < b.second.lastAt;
+            const std::size_t countA = a.second.endpoints.size();
+            const std::size_t countB = b.second.endpoints.size();
+            return countA != countB ? countA < countB : a.second.lastAt < b.second.lastAt;
         });
-    m_crashes.erase(least);
+    m_crashes.erase(leastRelevant);
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -14,68 +14,75 @@
 
 namespace Lagoonbank::Gateway {
 
-/// An endpoint that has ended while it had a request.
+/// A crash of an endpoint while it was running a request.
 struct RequestCrash
 {
     RequestFingerprint request;
     std::uint64_t endpoint = 0; ///< EndpointRecord::startHash.
 };
 
-/// A request that is sent to no endpoint for so long.
+/// A request that is sent to no endpoint until its quarantine ends.
 struct QuarantinedRequest
 {
     RequestFingerprint request;
-    Base::Duration remaining = Base::Duration::max(); ///< A whole quarantine if that is less.
+    /// Remaining time of the quarantine, limited to RequestQuarantine::Options::quarantineTime.
+    Base::Duration remaining = Base::Duration::max();
 };
 
-Schema::SharedRequestEnd toShared(const RequestCrash &end);
+Schema::SharedRequestEnd toShared(const RequestCrash &crash);
 RequestCrash fromShared(const Schema::SharedRequestEnd &shared);
 Schema::SharedQuarantine toShared(const QuarantinedRequest &quarantined);
 QuarantinedRequest fromShared(const Schema::SharedQuarantine &shared);
 
-/// Keeps requests that end the endpoints that run them from ending more.
+/// Quarantines requests that crash the endpoints that run them, so that they crash no more.
 ///
-/// An endpoint that ends takes all of its requests with it, and nobody learns which was to blame.
-/// That one is under each of the ends. Another one is seldom under three, and where many callers
-/// ask for the same, one of them is answered in between.
+/// A crash ends all requests of the endpoint, and nothing shows which of them caused it. The cause
+/// is among the requests of each crash. Another request is seldom among those of three crashes, and
+/// if it is one that many callers send, one of them gets an answer in between, which clears it.
 ///
-/// Pure: time is an argument.
+/// The class reads no clock; time is an argument.
 class RequestQuarantine
 {
 public:
     struct Options
     {
-        /// Endpoints that may end under a request. With fewer, two ends in a row would have sound
-        /// streams quarantined that went on from the first endpoint at the second.
+        /// Number of endpoints that may crash while running a request before it is quarantined.
+        /// With fewer, two crashes in a row would quarantine harmless streams that were resumed at
+        /// the second endpoint after the first one had crashed.
         std::size_t maxCrashes = 3;
-        /// For which an end counts: callers of such a request come back within minutes.
+        /// Time for which crashes are remembered after the last one of a request; callers repeat
+        /// such a request within minutes.
         Base::Duration crashLifetime = std::chrono::minutes(10);
-        /// After which the request may have its three ends again: time for operators to mend what
-        /// it breaks.
+        /// Duration of a quarantine. Afterwards the request may again crash as many endpoints. It
+        /// gives operators time to fix the cause.
         Base::Duration quarantineTime = std::chrono::hours(1);
-        /// Under which ends are remembered; those of most ends stay, and of these the latest.
+        /// Maximum number of requests whose crashes are remembered. Those with the most crashes are
+        /// kept, and among them those with the latest.
         std::size_t maxRequests = 4096;
-        std::size_t maxQuarantined = 256; ///< Then the one that ends soonest makes room.
+        /// Maximum number of quarantined requests; beyond it, the quarantine that ends first is
+        /// dropped.
+        std::size_t maxQuarantined = 256;
     };
 
     explicit RequestQuarantine(Options options)
         : m_options(options)
     { }
 
-    /// An endpoint has ended under a request; true if that is quarantined by it.
-    bool crashed(const RequestCrash &end, Base::MonoTime now);
-    /// The request was answered, so that what ended under it ended for another reason.
+    /// Records a crash; returns whether it has put the request into quarantine.
+    bool crashed(const RequestCrash &crash, Base::MonoTime now);
+    /// Records that the request was answered. Crashes recorded for it had another cause and are
+    /// forgotten.
     void answered(RequestFingerprint request) { m_crashes.erase(request); }
-    /// Whether an endpoint has ended under it lately.
+    /// Whether crashes are recorded for a request that is not quarantined.
     bool hasCrashes(RequestFingerprint request) const { return m_crashes.contains(request); }
-    /// Whether the end of one more endpoint would have it quarantined.
-    bool wouldQuarantine(const RequestCrash &end, Base::MonoTime now) const;
-    /// Somebody else has quarantined it; true if that is news.
+    /// Whether \a crash, if recorded, would quarantine the request.
+    bool wouldQuarantine(const RequestCrash &crash, Base::MonoTime now) const;
+    /// Applies a quarantine that was decided elsewhere; returns whether it is new here.
     bool quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now);
-    /// For how long the request is quarantined yet.
+    /// Remaining time of the request's quarantine; empty if it is not quarantined.
     std::optional<Base::Duration> timeLeft(RequestFingerprint request, Base::MonoTime now) const;
     std::vector<QuarantinedRequest> quarantined(Base::MonoTime now) const;
-    /// Nothing is known of any request: it need not be looked up.
+    /// Whether neither crashes nor quarantines are recorded, so that no request needs a lookup.
     bool isEmpty() const { return m_crashes.empty() && m_quarantinedUntil.empty(); }
 
 private:
@@ -90,16 +97,16 @@
         }
     };
 
-    bool isFresh(const Crashes &ends, Base::MonoTime now) const
+    bool isFresh(const Crashes &crashes, Base::MonoTime now) const
     {
-        return now - ends.lastAt < m_options.crashLifetime;
+        return now - crashes.lastAt < m_options.crashLifetime;
     }
+    /// Makes space in m_crashes for one more request.
     void evictIfFull(Base::MonoTime now);
 
     Options m_options;
     absl::flat_hash_map<RequestFingerprint, Crashes> m_crashes;
-    absl::flat_hash_map<RequestFingerprint, Base::MonoTime>
-        m_quarantinedUntil; ///< Of quarantined ones.
+    absl::flat_hash_map<RequestFingerprint, Base::MonoTime> m_quarantinedUntil;
 };
 
 } // namespace Lagoonbank::Gateway
