--- a/tests/auto/gateway/tst_urgencyshares.cpp
+++ b/tests/auto/gateway/tst_urgencyshares.cpp
@@ -25,28 +25,44 @@
 {
     const struct
     {
-        const char *what;
+        const char *name;
         std::vector<Demand> demands;
         double supply;
         double minShare;
         std::vector<double> shares;
     } cases[] = {
-        {"nobody asks", {}, 10, 0.1, {}},
-        {"all fits", {{second, 10, 1}, {first, 5, 2}}, 20, 0.1, {1, 1}},
-        {"the last one pays", {{third, 10, 1}, {first, 5, 2}}, 15, 0, {0.5, 1}},
-        {"the last one keeps its part", {{third, 10, 1}, {first, 5, 2}}, 10, 0.2, {0.2, 0.8}},
-        {"equals share alike", {{first, 10, 1}, {first, 5, 2}}, 10, 0, {0.5, 0.5}},
+        {"no demands", {}, 10, 0.1, {}},
+        {"all demands fit", {{second, 10, 1}, {first, 5, 2}}, 20, 0.1, {1, 1}},
+        {"the least urgent demand is cut", {{third, 10, 1}, {first, 5, 2}}, 15, 0, {0.5, 1}},
+        {"the least urgent demand keeps its minimum",
+         {{third, 10, 1}, {first, 5, 2}},
+         10,
+         0.2,
+         {0.2, 0.8}},
+        {"equally urgent demands get the same share",
+         {{first, 10, 1}, {first, 5, 2}},
+         10,
+         0,
+         {0.5, 0.5}},
         {"in the order of urgency",
          {{third, 10, 1}, {second, 10, 1}, {first, 10, 1}},
          15,
          0,
          {0, 0.5, 1}},
-        {"no supply is known", {{first, 10, 1}, {second, 10, 1}}, 0, 0, {0, 0}},
-        {"less than the least parts", {{first, 10, 1}, {second, 10, 1}}, 1, 0.3, {0.3, 0.3}},
-        {"what costs nothing is served", {{first, 10, 1}, {second, 10, 0}}, 5, 0, {0.5, 1}},
+        {"no supply", {{first, 10, 1}, {second, 10, 1}}, 0, 0, {0, 0}},
+        {"supply below the sum of minimum shares",
+         {{first, 10, 1}, {second, 10, 1}},
+         1,
+         0.3,
+         {0.3, 0.3}},
+        {"demand without cost is served in full",
+         {{first, 10, 1}, {second, 10, 0}},
+         5,
+         0,
+         {0.5, 1}},
     };
-    for (const auto &[what, demands, supply, minShare, expected] : cases) {
-        BOOST_TEST_CONTEXT(what)
+    for (const auto &[name, demands, supply, minShare, expected] : cases) {
+        BOOST_TEST_CONTEXT(name)
         {
             const std::vector<double> shares = servedShares(demands, supply, minShare);
             BOOST_REQUIRE(shares.size() == expected.size());
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -1,5 +1,5 @@
-/// Engines that are cold bear few requests, and hundreds of routers have to keep to that together
-/// without a word between them.
+/// Cold engines sustain a low request rate, which hundreds of routers have to respect together
+/// without communicating.
 #define BOOST_TEST_MODULE tst_warmupquota
 #include <boost/test/unit_test.hpp>
 
@@ -22,19 +22,19 @@
 const Base::ServiceId service{"service"};
 const Base::MonoTime start{std::chrono::hours(1)};
 
-/// As the users' engines: cold for 3 s, 18 requests a second.
+/// The users' engines are cold for 3 s and sustain 18 requests a second in this time.
 constexpr double sustainableRate = 18;
-/// What the users allow in any second: so many times that, and so many more.
+/// The users allow `excess` times the sustainable rate plus `slack` requests in any second.
 constexpr double excess = 1.5;
 constexpr double slack = 5;
-constexpr double most = excess * sustainableRate + slack;
+constexpr double maximumPerSecond = excess * sustainableRate + slack;
 
 std::string routerName(int number)
 {
     return "router-" + std::to_string(number);
 }
 
-/// Routers before one cold endpoint that all send as often as they may.
+/// Routers that all send to one cold endpoint as often as their quota admits.
 struct RouterFleet
 {
     explicit RouterFleet(int routers)
@@ -42,10 +42,10 @@
         , records(static_cast<std::size_t>(routers))
     {
         for (int i = 0; i < routers; ++i)
-            know(i, routers, true);
+            setKnownFleet(i, routers, true);
     }
-    /// The router knows the first \a known ones and itself.
-    void know(int router, int known, bool isComplete)
+    /// Makes the router know itself and the first \a known routers.
+    void setKnownFleet(int router, int known, bool isComplete)
     {
         WarmupQuota::Fleet fleet{.self = routerName(router), .isComplete = isComplete};
         for (int i = 0; i < known; ++i) {
@@ -54,14 +54,14 @@
         }
         quotas[static_cast<std::size_t>(router)].setFleet(std::move(fleet));
     }
-    /// Requests in the worst second.
+    /// Maximum number of requests in any second.
     std::size_t worstSecond(std::uint64_t endpoint, Base::Duration duration = seconds(3))
     {
         std::size_t worst = 0;
         std::deque<Base::MonoTime> sends;
         std::mt19937_64 random(endpoint);
         for (Base::MonoTime now = start; now < start + duration; now += milliseconds(1)) {
-            // Each looks when one of its callers asks, some hundred times a second.
+            // Each router has a few hundred requests a second from its callers.
             for (std::size_t i = 0; i < quotas.size(); ++i) {
                 if (random() % 4 != 0
                     || !quotas[i].admits(records[i], endpoint, sustainableRate, now))
@@ -105,20 +105,20 @@
     {
         return *registry.find(Base::EndpointId("e" + std::to_string(i)));
     }
-    /// Requests of so many prompts that go to the endpoint at this moment.
+    /// Number of requests, one for each of \a prompts prompts, that are sent to the endpoint now.
     int chosen(int endpoint, int prompts)
     {
         int count = 0;
         for (int prompt = 1; prompt <= prompts; ++prompt) {
-            const PlacementResult place =
+            const PlacementResult result =
                 placement.choose({.service = service,
                                   .affinity = static_cast<std::uint64_t>(prompt) * 7919,
                                   .mayRepeat = true},
                                  registry, now);
-            if (place.endpoint.get() != &record(endpoint))
+            if (result.endpoint.get() != &record(endpoint))
                 continue;
-            registry.requestSent(*place.endpoint, now);
-            registry.requestEnded(*place.endpoint);
+            registry.requestSent(*result.endpoint, now);
+            registry.requestEnded(*result.endpoint);
             ++count;
         }
         return count;
@@ -148,49 +148,49 @@
     }
 }
 
-/// Pattern: routers that started together know a part of the fleet only, and some know nobody.
+/// Routers that started at the same time know only a part of the fleet, and some know no peer.
 BOOST_AUTO_TEST_CASE(partlyKnownFleetStaysWithinTheBound)
 {
     RouterFleet fleet(85);
     for (int i = 0; i < 20; ++i)
-        fleet.know(i, 26 + 3 * i, true);
+        fleet.setKnownFleet(i, 26 + 3 * i, true);
     for (int i = 20; i < 30; ++i)
-        fleet.know(i, i % 5, false);
+        fleet.setKnownFleet(i, i % 5, false);
     for (std::uint64_t endpoint = 1; endpoint <= 50; ++endpoint) {
-        BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= most);
+        BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= maximumPerSecond);
         fleet.records.assign(fleet.records.size(), {});
     }
 }
 
-/// Pattern: a quarter of the routers have come lately; those that were there do not know of them.
+/// A quarter of the routers joined recently and are unknown to the others.
 BOOST_AUTO_TEST_CASE(joiningRoutersStayWithinTheBound)
 {
     for (const int routers : {8, 32, 100, 300}) {
         RouterFleet fleet(routers);
         for (int i = 0; i < routers * 4 / 5; ++i)
-            fleet.know(i, routers * 4 / 5, true);
+            fleet.setKnownFleet(i, routers * 4 / 5, true);
         for (std::uint64_t endpoint = 1; endpoint <= 50; ++endpoint) {
-            BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= most);
+            BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= maximumPerSecond);
             fleet.records.assign(fleet.records.size(), {});
         }
     }
 }
 
-/// Pattern: all routers have been killed and the store is away, so that none knows any other.
+/// All routers restarted while the store is down, so that none knows any peer.
 BOOST_AUTO_TEST_CASE(unknownFleetStaysWithinTheBound)
 {
     for (const int routers : {24, 85, 300}) {
         RouterFleet fleet(routers);
         for (int i = 0; i < routers; ++i)
-            fleet.know(i, 0, false);
+            fleet.setKnownFleet(i, 0, false);
         for (std::uint64_t endpoint = 1; endpoint <= 50; ++endpoint) {
-            BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= most);
+            BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= maximumPerSecond);
             fleet.records.assign(fleet.records.size(), {});
         }
     }
 }
 
-/// Pattern: all engines have started again. Each router finds some that it may send to.
+/// All engines restarted. Each router still has some that it may send to.
 BOOST_AUTO_TEST_CASE(eachRouterMaySendIfAllEndpointsAreCold)
 {
     constexpr int endpoints = 60;
@@ -233,7 +233,7 @@
     BOOST_TEST(f.chosen(1, 200) == 18);
 }
 
-/// Its engines may have become cold while nothing was sent there.
+/// The engines of a data centre may have become cold while it was drained.
 BOOST_AUTO_TEST_CASE(endpointsAreLimitedAfterADrain)
 {
     PlacementFixture f;
@@ -244,7 +244,7 @@
         BOOST_TEST(f.chosen(i, 400) == 18);
 }
 
-/// Pattern: an engine crashed and is back, and every router wants to know.
+/// An engine restarted after a crash, and all routers have a trial due.
 BOOST_AUTO_TEST_CASE(trialsCountAgainstTheQuota)
 {
     PlacementFixture f;
@@ -255,7 +255,7 @@
     BOOST_TEST(f.chosen(1, 200) == 0);
 }
 
-/// Where all are suspected, the last resort is none that is cold and has had its part.
+/// If all endpoints are suspected, a cold one whose quota is used up is not chosen as last resort.
 BOOST_AUTO_TEST_CASE(coldEndpointWithoutQuotaIsNoLastResort)
 {
     PlacementFixture f;
