--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::ptrdiff_t mostItems = 32; ///< In one datagram.
-/// On the wire: headers of IP and UDP, version and two counts; then each end.
-constexpr double emptyBytes = 46;
-constexpr double endBytes = 16;
+constexpr std::ptrdiff_t maxItems = 32; ///< Ends or quarantined requests in one datagram.
+/// Size of a datagram without ends: IP and UDP headers, version and two counts.
+constexpr double emptyDatagramBytes = 46;
+constexpr double endBytes = 16; ///< Size of one request end in a datagram.
 
 } // namespace
 
@@ -30,11 +30,12 @@
     m_options.timers->cancel(m_timer);
 }
 
-/// Routers that start together tell at different moments.
+/// Starts with a random part of the interval, so that routers that start together do not all send
+/// at the same time.
 void CrashGossip::start()
 {
-    const auto part = std::uniform_real_distribution<double>(0, 1)(m_random);
-    const auto first = std::chrono::duration_cast<Base::Duration>(m_options.interval * part);
+    const auto fraction = std::uniform_real_distribution<double>(0, 1)(m_random);
+    const auto first = std::chrono::duration_cast<Base::Duration>(m_options.interval * fraction);
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
@@ -44,7 +45,7 @@
     for (const Runtime::SocketAddress &peer : m_options.peers())
         routers.push_back({Routing::stableHash(Runtime::toString(peer)), peer});
     for (auto first = ends.begin(); first != ends.end();) {
-        const auto count = std::min<std::ptrdiff_t>(ends.end() - first, mostItems);
+        const auto count = std::min<std::ptrdiff_t>(ends.end() - first, maxItems);
         sendBatch({first, first + count}, routers);
         first += count;
     }
@@ -53,28 +54,30 @@
 void CrashGossip::sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
                             const std::vector<Router> &routers)
 {
-    std::map<std::string, std::pair<Runtime::SocketAddress, Schema::CrashNews>> messages;
+    std::map<std::string, std::pair<Runtime::SocketAddress, Schema::CrashNews>> datagrams;
     for (const Schema::SharedRequestEnd &end : ends) {
-        for (const Runtime::SocketAddress &counter : countingRoutersOf(end.request, routers)) {
-            auto &[to, news] = messages[Runtime::toString(counter)];
-            to = counter;
-            news.ends.push_back(end);
+        for (const Runtime::SocketAddress &router : countingRoutersOf(end.request, routers)) {
+            auto &[to, datagram] = datagrams[Runtime::toString(router)];
+            to = router;
+            datagram.ends.push_back(end);
         }
     }
     const Base::MonoTime now = m_options.timers->clock().now();
-    for (const auto &[name, message] : messages) {
-        const auto &[to, news] = message;
-        const double cost = emptyBytes + endBytes * static_cast<double>(news.ends.size());
+    for (const auto &[name, addressed] : datagrams) {
+        const auto &[to, datagram] = addressed;
+        const double cost =
+            emptyDatagramBytes + endBytes * static_cast<double>(datagram.ends.size());
         if (!send || m_bytes.waitFor(cost, now) != Base::Duration::zero()) {
-            m_dropped += news.ends.size();
+            m_dropped += datagram.ends.size();
             continue;
         }
         m_bytes.charge(cost, now);
-        send(to, news);
+        send(to, datagram);
     }
 }
 
-/// Those that come first in an order that is the request's own, this router left out.
+/// Ranks all routers, this one included, by rendezvous hash for the request and returns the
+/// addresses of the first ones. This router is left out of the result.
 std::vector<Runtime::SocketAddress>
 CrashGossip::countingRoutersOf(std::uint64_t request, const std::vector<Router> &routers) const
 {
@@ -85,12 +88,12 @@
     const std::size_t count = std::min(order.size(), m_options.countingRouters);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count),
                       order.end());
-    std::vector<Runtime::SocketAddress> countingRouters;
+    std::vector<Runtime::SocketAddress> addresses;
     for (std::size_t i = 0; i < count; ++i) {
         if (const auto &address = order[i].second->address)
-            countingRouters.push_back(*address);
+            addresses.push_back(*address);
     }
-    return countingRouters;
+    return addresses;
 }
 
 void CrashGossip::sendQuarantine(const Schema::SharedQuarantine &quarantine)
@@ -101,10 +104,10 @@
         send(peer, {.quarantined = {quarantine}});
 }
 
-void CrashGossip::receive(const Schema::CrashNews &news) const
+void CrashGossip::receive(const Schema::CrashNews &message) const
 {
     if (received)
-        received(news);
+        received(message);
 }
 
 void CrashGossip::tick()
@@ -116,16 +119,16 @@
 
 void CrashGossip::resendQuarantined()
 {
-    Schema::CrashNews news{.quarantined = quarantined()};
-    if (news.quarantined.empty())
+    Schema::CrashNews message{.quarantined = quarantined()};
+    if (message.quarantined.empty())
         return;
-    std::shuffle(news.quarantined.begin(), news.quarantined.end(), m_random);
-    news.quarantined.resize(std::min<std::size_t>(news.quarantined.size(), mostItems));
+    std::shuffle(message.quarantined.begin(), message.quarantined.end(), m_random);
+    message.quarantined.resize(std::min<std::size_t>(message.quarantined.size(), maxItems));
     std::vector<Runtime::SocketAddress> peers = m_options.peers();
     std::shuffle(peers.begin(), peers.end(), m_random);
     peers.resize(std::min(peers.size(), m_options.resendPeers));
     for (const Runtime::SocketAddress &peer : peers)
-        send(peer, news);
+        send(peer, message);
 }
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -14,14 +14,15 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// Tells the other routers under which requests endpoints have ended, so that a request that comes
-/// to each router once is found out as soon as one that comes to one router, and which requests are
-/// quarantined.
+/// Gossip about crashes: reports to other routers which requests were running when an endpoint
+/// ended, and which requests are quarantined. A crashing request that reaches each router only once
+/// is thus detected as early as one that reaches the same router every time.
 ///
-/// The ends under one request are counted by a few routers, the same whoever tells: an endpoint
-/// with hundreds of requests ends under all of them, and telling each router of each would fill
-/// small links. What is quarantined is told to all at once, and again and again to some, so that
-/// it comes to who has missed it or has started since.
+/// The ends under one request are counted by a few routers, chosen by the request's hash, so that
+/// every reporter chooses the same ones: an endpoint that ends with hundreds of requests ends under
+/// all of them, and reporting each to every router would saturate small links. A quarantine is sent
+/// to all routers at once and then repeated to a few of them in every round, so that it also
+/// reaches routers that missed it or started later.
 ///
 /// Pure: time comes from the timers, messages go out through the hooks.
 class CrashGossip
@@ -31,18 +32,20 @@
     {
         Runtime::TimerQueue *timers = nullptr;
         std::function<std::vector<Runtime::SocketAddress>()> peers;
-        Runtime::SocketAddress self; ///< Where peers reach this router.
+        Runtime::SocketAddress self; ///< Address at which peers reach this router.
         std::uint64_t randomSeed = 1;
-        /// Routers that count the ends under one request: some may be down, cut off or restarting.
+        /// Number of routers that count the ends under one request: some of them may be down, cut
+        /// off or restarting.
         std::size_t countingRouters = 8;
-        /// What this router may spend on ends. What is beyond is not told; the next ends are.
+        /// Budget for reports of ends. Reports beyond it are dropped, not delayed.
         double bytesPerSecond = 1000;
-        /// An endpoint with 64 requests of this router ends: 1,100 bytes to eight peers.
+        /// An endpoint that ends with 64 requests of this router costs 1,100 bytes to each of eight
+        /// peers.
         double burstBytes = 24000;
-        /// Between two rounds in which some are told again what is quarantined.
+        /// Time between two rounds in which quarantines are sent again to a few peers.
         Base::Duration interval = std::chrono::seconds(1);
-        /// Whom a round tells. A router hears it from two of the fleet a second, and so within 3 s
-        /// but for one time in 400.
+        /// Peers to which a round sends. Each router receives the quarantines about twice a second,
+        /// and so within 3 s except in one case of 400.
         std::size_t resendPeers = 2;
     };
 
@@ -51,29 +54,29 @@
     CrashGossip(const CrashGossip &) = delete;
     CrashGossip &operator=(const CrashGossip &) = delete;
 
-    std::function<void(const Runtime::SocketAddress &to, const Schema::CrashNews &news)> send;
-    /// What is quarantined now.
+    std::function<void(const Runtime::SocketAddress &to, const Schema::CrashNews &message)> send;
+    /// Returns the requests that are quarantined now.
     std::function<std::vector<Schema::SharedQuarantine>()> quarantined;
-    std::function<void(const Schema::CrashNews &news)> received;
+    std::function<void(const Schema::CrashNews &message)> received;
 
     void start();
-    /// The first ones go first, for when the budget does not do for all.
+    /// Sends the ends in the order given; the last ones are dropped if the budget is too small.
     void sendEnds(const std::vector<Schema::SharedRequestEnd> &ends);
-    /// Tells all routers.
+    /// Sends a new quarantine to all routers.
     void sendQuarantine(const Schema::SharedQuarantine &quarantine);
-    void receive(const Schema::CrashNews &news) const;
-    /// Ends of which the routers that count them were not told for want of budget.
+    void receive(const Schema::CrashNews &message) const;
+    /// Reports of ends that were not sent for lack of budget, one for each receiver.
     std::uint64_t dropped() const { return m_dropped; }
 
 private:
     struct Router
     {
-        std::uint64_t hash = 0; ///< Of its address; the same at every router.
-        std::optional<Runtime::SocketAddress> address; ///< None of this router itself.
+        std::uint64_t hash = 0; ///< Hash of its address; every router computes the same one.
+        std::optional<Runtime::SocketAddress> address; ///< Empty for this router itself.
     };
 
     void tick();
-    /// So many as one datagram holds.
+    /// Sends as many ends as fit into one datagram.
     void sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
                    const std::vector<Router> &routers);
     void resendQuarantined();
--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -13,17 +13,18 @@
 namespace {
 
 constexpr std::string_view statePath = "/fleet/state";
-/// For the connection of a pull: a peer that is there takes it within a few ms, and another one has
-/// to be asked in time where it is not.
+/// Connect timeout of a pull. A reachable peer accepts within a few ms; otherwise another peer has
+/// to be asked in time.
 constexpr Base::Duration pullConnectTimeout = std::chrono::milliseconds(400);
-/// Of a whole pull: fifteen times what the largest configuration of today takes over the slowest
-/// link, and half of the time in which a change has to be in force, so that another peer can be
-/// asked within it. Doubled after each one that did not end in time, as then the own link is slow.
-constexpr Base::Duration firstPullLimit = std::chrono::seconds(1);
-constexpr Base::Duration longestPullLimit = std::chrono::seconds(8);
+/// Timeout of a whole pull: fifteen times as long as the largest current configuration takes over
+/// the slowest link, and half of the time in which a change has to be in force, so that another
+/// peer can still be asked. The timeout doubles after each pull that exceeds it, as this router's
+/// own link is slow then.
+constexpr Base::Duration initialPullTimeout = std::chrono::seconds(1);
+constexpr Base::Duration maxPullTimeout = std::chrono::seconds(8);
 constexpr std::size_t maxRequestBytes = 1024;
-/// One answer, of 8,192 endpoints and a configuration of 4 MB when compressed.
-constexpr double largestState = 6e6;
+/// Maximum size of one answer: 8,192 endpoints and a configuration of 4 MB when compressed.
+constexpr double maxStateBytes = 6e6;
 constexpr int ok = 200;
 constexpr int tooBusy = 503;
 constexpr int badRequest = 400;
@@ -35,8 +36,8 @@
     : m_options(std::move(options))
     , m_stateBytes({.rate = m_options.stateBytesPerSecond,
                     .burst = m_options.stateBytesPerSecond,
-                    .debt = largestState})
-    , m_pullTimeout(firstPullLimit)
+                    .debt = maxStateBytes})
+    , m_pullTimeout(initialPullTimeout)
 { }
 
 FleetLink::~FleetLink()
@@ -69,12 +70,14 @@
     own.sync->send = [raw = link.get()](const auto &to, const auto &beacon) {
         raw->send(to, beacon);
     };
-    own.prompts->send = [raw = link.get()](const auto &to, const auto &news) {
-        raw->send(to, news);
+    own.prompts->send = [raw = link.get()](const auto &to, const auto &message) {
+        raw->send(to, message);
     };
-    own.loads->send = [raw = link.get()](const auto &to, const auto &news) { raw->send(to, news); };
-    own.crashes->send = [raw = link.get()](const auto &to, const auto &news) {
-        raw->send(to, news);
+    own.loads->send = [raw = link.get()](const auto &to, const auto &message) {
+        raw->send(to, message);
+    };
+    own.crashes->send = [raw = link.get()](const auto &to, const auto &message) {
+        raw->send(to, message);
     };
     own.sync->pull = [raw = link.get()](const auto &peer, const auto &request) {
         raw->pull(peer, request);
@@ -98,15 +101,15 @@
 {
     const auto version = Schema::messageVersion(datagram);
     if (version == versionOf(Schema::PromptNews{})) {
-        read<Schema::PromptNews>(datagram,
-                                 [this](const auto &news) { m_options.prompts->receive(news); });
+        read<Schema::PromptNews>(
+            datagram, [this](const auto &message) { m_options.prompts->receive(message); });
     } else if (version == versionOf(Schema::LoadNews{})) {
-        read<Schema::LoadNews>(datagram, [this](const auto &news) {
-            m_options.loads->receive(news, m_options.sync->arrivalDelay());
+        read<Schema::LoadNews>(datagram, [this](const auto &message) {
+            m_options.loads->receive(message, m_options.sync->arrivalDelay());
         });
     } else if (version == versionOf(Schema::CrashNews{})) {
-        read<Schema::CrashNews>(datagram,
-                                [this](const auto &news) { m_options.crashes->receive(news); });
+        read<Schema::CrashNews>(
+            datagram, [this](const auto &message) { m_options.crashes->receive(message); });
     } else {
         read<Schema::FleetBeacon>(datagram, [this, &from](const auto &beacon) {
             m_options.sync->receive(from.ip, beacon);
@@ -114,12 +117,12 @@
     }
 }
 
-template<typename Message, typename Take>
-void FleetLink::read(std::string_view datagram, const Take &pullSucceeded)
+template<typename Message, typename Handler>
+void FleetLink::read(std::string_view datagram, const Handler &handle)
 {
     const auto message = Schema::decodeMessage<Message>(datagram);
     if (message)
-        pullSucceeded(message.value());
+        handle(message.value());
     else
         m_options.failed(message.error());
 }
@@ -158,9 +161,9 @@
     const Base::Duration duration = m_options.loop->clock().now() - startedAt;
     const std::size_t inFlight = m_pulls--;
     const bool isTooSlow = result.end == Http::CallEnd::TimedOut && result.status == ok;
-    m_pullTimeout = isTooSlow ? std::min(2 * m_pullTimeout, longestPullLimit) : firstPullLimit;
+    m_pullTimeout = isTooSlow ? std::min(2 * m_pullTimeout, maxPullTimeout) : initialPullTimeout;
     if (result.end == Http::CallEnd::Whole && result.status == tooBusy) {
-        // Its next beacon, or another router's, leads to the next try.
+        // The next beacon of this peer or of another router leads to the next pull.
         m_options.sync->pullRefused();
         return;
     }
@@ -190,8 +193,8 @@
         responder.send(notFound, {}, {});
         return;
     }
-    const auto asked = Schema::decodeMessage<Schema::FleetStateRequest>(request.body);
-    if (!asked) {
+    const auto decoded = Schema::decodeMessage<Schema::FleetStateRequest>(request.body);
+    if (!decoded) {
         responder.send(badRequest, {}, {});
         return;
     }
@@ -200,7 +203,7 @@
         responder.send(tooBusy, {}, {});
         return;
     }
-    auto body = Schema::encodeMessage(m_options.sync->answer(asked.value()));
+    auto body = Schema::encodeMessage(m_options.sync->answer(decoded.value()));
     if (!body) {
         m_options.failed(body.error());
         responder.abort();
--- a/src/libs/fleetsync/fleetlink.h
+++ b/src/libs/fleetsync/fleetlink.h
@@ -21,12 +21,13 @@
 struct Pull
 {
     Runtime::SocketAddress peer;
-    std::size_t bytes = 0; ///< Of the answer.
+    std::size_t bytes = 0; ///< Size of the answer.
     Base::Duration duration{};
-    std::size_t inFlight = 0; ///< Pulls of this router when it ended, this one among them.
+    std::size_t inFlight = 0; ///< Pulls in flight when this one ended, itself included.
 };
 
-/// Carries a FleetSync over the network: beacons in datagrams, pulls over TCP on the same port.
+/// Network transport of a FleetSync and of the gossips: beacons and gossip in UDP datagrams, pulls
+/// over HTTP on the TCP port of the same number.
 class FleetLink
 {
 public:
@@ -39,17 +40,18 @@
         LoadGossip *loads = nullptr;
         CrashGossip *crashes = nullptr;
         Runtime::SocketAddress address;
-        /// Of answers to pulls; an asker beyond that is turned away and asks another router. One
-        /// answer may be larger than that.
+        /// Rate limit for answers to pulls. A pull beyond it is refused, and the peer pulls from
+        /// another router. A single answer may exceed it.
         double stateBytesPerSecond = 1e6;
-        /// Told of each state that a peer has sent.
+        /// Called for each state that a peer has sent in answer to a pull.
         std::function<void(const Pull &pull, const Schema::FleetStateAnswer &state)> received;
-        /// Told the bytes that leave and why a message could not be read.
+        /// Called with the size of each message that is sent.
         std::function<void(std::size_t bytes)> sent;
+        /// Called for messages that could not be read or encoded and for pulls that failed.
         std::function<void(const Errors::Error &error)> failed;
     };
 
-    /// Binds both sockets and connects the hooks of the sync.
+    /// Binds both sockets and connects the send and pull hooks of the sync and of the gossips.
     static Errors::Result<std::unique_ptr<FleetLink>> open(Options options);
     ~FleetLink();
     FleetLink(const FleetLink &) = delete;
@@ -60,9 +62,9 @@
     template<typename Message>
     void send(const Runtime::SocketAddress &to, const Message &message);
     void receive(const Runtime::SocketAddress &from, std::string_view datagram);
-    /// Reads a datagram and hands it on.
-    template<typename Message, typename Take>
-    void read(std::string_view datagram, const Take &take);
+    /// Decodes a datagram and passes the message to \a handle.
+    template<typename Message, typename Handler>
+    void read(std::string_view datagram, const Handler &handle);
     void pull(const Runtime::SocketAddress &peer, const Schema::FleetStateRequest &request);
     void pullFinished(const Runtime::SocketAddress &peer, Base::MonoTime startedAt,
                       const Http::CallResult &result);
@@ -72,9 +74,9 @@
     Admission::Gcra m_stateBytes;
     std::unique_ptr<Runtime::UdpSocket> m_socket;
     std::unique_ptr<Http::Server> m_server;
-    std::size_t m_pulls = 0; ///< Under way.
-    Base::Duration m_pullTimeout; ///< Of the next pull.
-    /// Pulls that end after this object is gone find it out by this.
+    std::size_t m_pulls = 0; ///< Pulls in flight.
+    Base::Duration m_pullTimeout; ///< Timeout of the next pull.
+    /// Lets callbacks of pulls detect that this object has been destroyed.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -11,11 +11,11 @@
 
 using Schema::SharedEndpoint;
 
-/// Changes that one datagram carries; more are found out by the hash and pulled.
-constexpr std::size_t mostNews = 8;
-/// By which knowledge is newer than before if it comes from another read. Of one read several
-/// leaders tell, with ages that differ by the ways.
-constexpr Base::Duration leastAdvance = std::chrono::milliseconds(200);
+/// Maximum number of changes in one datagram; more are detected by the hash and pulled.
+constexpr std::size_t maxChanges = 8;
+/// Minimum advance of the state's time that shows that it comes from a later read of the store.
+/// Several leaders pass on the same read, with ages that differ by their transit times.
+constexpr Base::Duration minAdvance = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -65,8 +65,9 @@
     sendBeacons();
 }
 
-/// Only routers of the own data centre are told at once; the others hear of this one by their
-/// readers. A fleet that starts as a whole would else tell everybody of everybody.
+/// Sends a beacon at once only to routers of the own data centre; between data centres only leaders
+/// exchange beacons. Otherwise every router of a fleet that starts as a whole would send beacons to
+/// every other one.
 void FleetSync::addRouter(const std::string &id, const std::string &dataCentre,
                           const Runtime::SocketAddress &address, std::uint32_t strength)
 {
@@ -80,15 +81,15 @@
     if (beacon.router == m_options.id)
         return;
     bool isNew = false;
-    const Peer &peer = m_peers.note(fromIp, beacon, m_freshness.arrivalTime(), isNew);
-    const auto knownBefore = m_freshness.at();
+    const Peer &peer = m_peers.receive(fromIp, beacon, m_freshness.arrivalTime(), isNew);
+    const auto asOfBefore = m_freshness.asOf();
     applyDrains(beacon);
-    for (const SharedEndpoint &news : beacon.news)
-        apply(news);
+    for (const SharedEndpoint &change : beacon.news)
+        apply(change);
     pullDifferences(peer);
     watchLeader(peer);
-    const bool isNews = knownBefore && *m_freshness.at() - *knownBefore > leastAdvance;
-    if (isFollowing() && isNews)
+    const bool isNewer = asOfBefore && *m_freshness.asOf() - *asOfBefore > minAdvance;
+    if (isFollowing() && isNewer)
         pushState();
     if (isNew && !peer.isBeaconSent)
         sendTo(peer);
@@ -96,7 +97,7 @@
 
 void FleetSync::storeRead()
 {
-    if (m_freshness.read(isReadOverdue()))
+    if (m_freshness.readSucceeded(isReadOverdue()))
         m_options.directory->storeReturned();
     m_requiresStoreRead = m_requiresStoreRead && isBehind();
     m_hasFollowed = false;
@@ -107,7 +108,8 @@
         pushState();
 }
 
-/// The endpoints are read before a large configuration is.
+/// A read of the endpoints ends before that of a large configuration, so a router may still have to
+/// catch up with the configuration.
 bool FleetSync::isBehind() const
 {
     const auto &peers = m_peers.peers();
@@ -122,19 +124,19 @@
     m_options.directory->storeFailed();
 }
 
-/// What is known was true at \a at. A peer that the store has answered first tells of its return
-/// before the own read does.
+/// Records that the state reflects the store up to \a at, as a peer has reported. A peer that the
+/// store answers first reports its recovery before this router's own read succeeds.
 void FleetSync::advanceState(Base::MonoTime at)
 {
-    if (m_freshness.apply(at, isReadOverdue()))
+    if (m_freshness.advanceTo(at, isReadOverdue()))
         m_options.directory->storeReturned();
 }
 
 void FleetSync::storeReturned()
 {
-    if (!m_freshness.at() && m_options.directory->entries().empty())
-        return; // Nothing can have lapsed.
-    if (!m_freshness.at() || m_options.directory->holdsRemovals()
+    if (!m_freshness.asOf() && m_options.directory->entries().empty())
+        return; // No entry can have expired.
+    if (!m_freshness.asOf() || m_options.directory->holdsRemovals()
         || m_freshness.mayHaveExpired(now(), isReadOverdue()))
         m_options.directory->storeReturned();
 }
@@ -150,19 +152,20 @@
         [this](const Peer &peer) { return peer.configuration < m_configuration.revision.value(); });
 }
 
-/// What the operators have changed has to be in force within seconds, so that a leader does not
-/// wait for its next beacon.
+/// Sends a beacon to those peers for which \a isBehind is true: all of the own data centre and
+/// living ones of others. Changes by operators have to be in force within seconds, so the leader
+/// does not wait for its next tick.
 void FleetSync::notifyPeers(const std::function<bool(const Peer &)> &isBehind)
 {
     if (!m_isLeader)
         return;
     for (const auto &[id, peer] : m_peers.peers()) {
-        const bool isHearer = m_peers.isLocal(peer) || m_peers.isAlive(peer);
-        if (isHearer && isBehind(peer))
+        const bool isReceiver = m_peers.isLocal(peer) || m_peers.isAlive(peer);
+        if (isReceiver && isBehind(peer))
             sendTo(peer);
     }
-    // And once more at the next tick: of 50 hearers one may miss it, or its pull may fail, and it
-    // would not hear its leader for 3 s.
+    // Repeated at the next tick: one of 50 routers may miss the beacon, or its pull may fail, and
+    // it would not get another beacon from its leader for 3 s.
     m_isAnnouncing = true;
 }
 
@@ -174,14 +177,15 @@
     m_drains.replace(std::move(drained), Base::LogOffset(beacon.drainsAsOf));
 }
 
-/// Changes that one read of the store brings go out together. What a router thinks that has just
-/// gone on after a standstill is no news: entries that it has waited for may have come back.
+/// Collects the changes of one read of the store into one message. A router whose state is old,
+/// such as one that has just been resumed after a suspension, sends no changes: entries that it has
+/// waited for may have come back meanwhile.
 void FleetSync::endpointChanged(const Fleet::EndpointDirectory::Entry &entry, bool isGone)
 {
     const auto age = stateAge();
     if (!m_isLeader || !age || *age > m_options.maxLeaderAge)
         return;
-    if (m_changes.size() <= mostNews) {
+    if (m_changes.size() <= maxChanges) {
         m_changes.push_back(isGone ? toSharedRemoval(entry.endpoint.id, entry.version)
                                    : toShared(entry));
     }
@@ -189,28 +193,29 @@
         m_changesTimer = m_options.timers->start(Base::Duration::zero(), [this] { sendChanges(); });
 }
 
-/// Of more changes than a datagram carries the peers hear by the hash alone, and pull them.
+/// If there are more changes than fit into a datagram, none is sent: the peers detect the
+/// difference by the hash and pull it.
 void FleetSync::sendChanges()
 {
     m_changesTimer.reset();
-    std::vector<SharedEndpoint> news = std::exchange(m_changes, {});
-    if (news.size() > mostNews)
-        news.clear();
+    std::vector<SharedEndpoint> changes = std::exchange(m_changes, {});
+    if (changes.size() > maxChanges)
+        changes.clear();
     for (const auto &[id, peer] : m_peers.peers()) {
-        // A leader of another data centre that reads the store hears it from there, unless that
-        // turns it away.
+        // A leader of another data centre that reads the store gets the changes from there, unless
+        // its reads fail.
         const bool isStale = now() - peer.stateAsOf > m_options.maxLeaderAge;
         const bool isFollower = m_isReading && peer.isReading && !outranks(peer);
         if (m_peers.isLocal(peer) || ((isStale || isFollower) && m_peers.isAlive(peer)))
-            sendTo(peer, news);
+            sendTo(peer, changes);
     }
 }
 
 std::optional<Base::Duration> FleetSync::stateAge() const
 {
-    if (!m_freshness.at())
+    if (!m_freshness.asOf())
         return std::nullopt;
-    return now() - *m_freshness.at();
+    return now() - *m_freshness.asOf();
 }
 
 std::vector<const Peer *> FleetSync::stayingPeers() const
@@ -253,8 +258,8 @@
         sendTo(*peer);
 }
 
-/// What a leader knows is passed on at once, so that ages do not add up on the way from the reader
-/// to the deputies of other leaders.
+/// Passes the state on at once, so that delays do not add up on the way from the store reader
+/// through other leaders to their standbys.
 void FleetSync::pushState()
 {
     m_pushedAt = now();
@@ -268,8 +273,8 @@
     return std::find(standbys.begin(), standbys.end(), peer.id) != standbys.end();
 }
 
-/// Those that a router talks to each time: a leader to its deputies and to leaders elsewhere, the
-/// reader to all of these; deputies to their leader.
+/// Peers that get a beacon at every tick: for a leader its standbys and some leaders of other data
+/// centres (more of them if it is the store reader), for a standby its leader.
 std::vector<const Peer *> FleetSync::frequentPeers()
 {
     if (!m_isLeader && !m_peers.isStandby())
@@ -280,7 +285,8 @@
     };
     std::vector<const Peer *> chosen;
     for (const Peer *peer : m_peers.localPeers()) {
-        // Each that started may have led for a moment, and most have not been heard since.
+        // Every router may have led for a moment after its start, and most have sent nothing since,
+        // so isLeading alone does not count.
         if (m_isLeader ? isStandby(*peer) : peer->isLeading && m_peers.isAlive(*peer))
             chosen.push_back(peer);
     }
@@ -291,7 +297,8 @@
     return chosen;
 }
 
-/// A leader talks to the rest of its data centre seldom; the others talk to their leader.
+/// Peers that get a beacon at this tick. Besides the frequent ones, a leader sends beacons to the
+/// rest of its data centre at a longer interval, and the rest send theirs to the leader.
 std::vector<const Peer *> FleetSync::beaconPeers()
 {
     if (m_isAnnouncing && leadsWithFreshState()) {
@@ -302,33 +309,33 @@
     std::vector<const Peer *> chosen;
     if (m_isLeaving || now() - m_pushedAt >= m_peers.beaconInterval())
         chosen = frequentPeers();
-    std::vector<const Peer *> silent;
+    std::vector<const Peer *> silentPeers;
     for (const Peer *peer : m_peers.localPeers()) {
         const bool isChosen = std::find(chosen.begin(), chosen.end(), peer) != chosen.end();
-        const bool isHearer = m_isLeader || m_isLeaving || peer->isLeading;
-        if (!isChosen && isLocalDue && isHearer && m_peers.isAlive(*peer))
+        const bool isReceiver = m_isLeader || m_isLeaving || peer->isLeading;
+        if (!isChosen && isLocalDue && isReceiver && m_peers.isAlive(*peer))
             chosen.push_back(peer);
         else if (!m_peers.isAlive(*peer))
-            silent.push_back(peer);
+            silentPeers.push_back(peer);
     }
     if (isLocalDue) {
         m_localBeaconsAt = now();
-        // One that is silent is asked now and then whether it is back.
-        if (const Peer *peer = m_peers.randomPeer(silent))
+        // A random silent peer gets a beacon too, so that it answers if it is back.
+        if (const Peer *peer = m_peers.randomPeer(silentPeers))
             chosen.push_back(peer);
     }
     return chosen;
 }
 
-void FleetSync::sendTo(const Peer &peer, const std::vector<SharedEndpoint> &news)
+void FleetSync::sendTo(const Peer &peer, const std::vector<SharedEndpoint> &changes)
 {
     if (!send)
         return;
     Schema::FleetBeacon message = beacon();
-    message.news = news;
-    // Each is told of itself alone: two names are a third of a beacon.
+    message.news = changes;
+    // Each standby gets only its own name: two names are a third of a beacon.
     if (m_isLeader && isStandby(peer))
-        message.standbys = {peer.id};
+        message.deputies = {peer.id};
     m_peers.setBeaconSent(peer);
     send(peer.address, message);
 }
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -19,22 +19,28 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// The configuration as the store holds it, with the place where it stands. Routers keep and send
-/// it compressed: 1,400 routes more, three times, make 880 KB of text or 64 KB compressed. On links
-/// of 10 Mbit/s a pull took 1.07 s on average, during which every answer waited, and takes 0.06 s;
-/// the busiest router of 70 needed 52 MB and needs 17 MB.
+/// The configuration as the store holds it, with its offset in the store. Routers keep and send it
+/// compressed: 1,400 more routes, three times, are 880 KB of text but only 64 KB compressed. On
+/// links of 10 Mbit/s an uncompressed pull takes 1.07 s on average, during which every answer
+/// waits, and a compressed one 0.06 s; the busiest of 70 routers needs 17 MB of memory instead of
+/// 52 MB.
 struct StoredConfiguration
 {
     Base::Revision revision;
     Base::LogOffset offset;
-    std::string packed; ///< By Schema::compress.
+    std::string packed; ///< Compressed by Schema::compress().
 };
 
-/// Shares what the store tells among routers, so that one router reads it and the others hear of
-/// changes within milliseconds. Each data centre has a leader, which tells the rest of it; the
-/// strongest leader reads the store, and the others go by it while they hear it and what it tells
-/// is fresh. Each router can also read alone, and one that the store turns away learns from its
-/// peers.
+/// Distributes the content of the store among routers, so that one router reads the store and the
+/// others receive changes within milliseconds. Each data centre has a leader, its strongest router,
+/// which sends beacons to the other ones. It appoints standbys, which get its beacons more often,
+/// so that one of them replaces it soon if it fails. The strongest leader is the store reader; the
+/// leaders of other data centres follow it while they receive its beacons and its state is fresh.
+/// Each router can also read the store alone, and one that cannot reach the store gets the state
+/// from its peers.
+///
+/// A beacon carries the age of the sender's state, the revision of its configuration, a hash of its
+/// endpoints and recent changes. A router whose state differs pulls the difference from the sender.
 ///
 /// Pure: time comes from the timers, messages go out through the hooks.
 class FleetSync
@@ -49,49 +55,53 @@
         Fleet::EndpointDirectory *directory = nullptr;
         Runtime::TimerQueue *timers = nullptr;
         std::uint64_t randomSeed = 1;
-        /// Of what a reader knows, as it says itself; older than that it is taken for turned away
-        /// by the store.
+        /// Maximum age of a leader's state, as its beacons give it. A leader with an older state is
+        /// considered to be failing to read the store.
         Base::Duration maxLeaderAge = std::chrono::milliseconds(1600);
-        /// The same for those that are no deputies, which ask the store only if all of these fail.
-        /// On a day on which it was down for 8 s, 295 routers that all asked made 10,357 calls.
+        /// The same for routers that are not standbys: they read the store only if the leader and
+        /// all standbys fail. During a store outage of 8 s, 295 routers that all read made 10,357
+        /// calls.
         Base::Duration maxDeferAge = std::chrono::seconds(5);
-        /// A reader that has read the store within this time asks no peer for endpoints: it does so
-        /// each 700 ms.
+        /// A store reader whose last read is no older than this pulls no endpoints from peers; it
+        /// reads every 700 ms.
         Base::Duration recentReadAge = std::chrono::milliseconds(1000);
-        /// In a data centre with fewer others all ask: one that its leader does not hear is no
-        /// deputy, and finds out by itself sooner.
+        /// With fewer peers in its data centre a router never leaves store reads to a failing
+        /// leader. A router whose beacons do not reach the leader is not made a standby; by reading
+        /// itself it notices sooner that the store has recovered.
         std::size_t minPeersToDefer = 8;
-        /// Of what a leader knows from another one, before it reads the store itself: that one
-        /// reads each 700 ms, and of two messages in that time one may be lost. It leaves time to
-        /// read before the own deputies count this leader as failing.
+        /// Maximum age of the state that a leader has from the leader that it follows; beyond it,
+        /// it reads the store itself. The followed leader reads every 700 ms, and one of two
+        /// messages in that time may be lost. The limit leaves time for a read before this leader's
+        /// own standbys consider it to be failing.
         Base::Duration maxFollowedAge = std::chrono::milliseconds(1250);
-        /// A leader that follows another one reads the store if a pull from that takes longer:
-        /// what it waits for, its data centre still has to pull from it.
+        /// A leader that follows another one reads the store itself if a pull takes longer than
+        /// this, because its data centre then still has to pull the result from it.
         Base::Duration followedPullTimeout = std::chrono::milliseconds(300);
-        /// A router that starts reads all once, so that it is ready as soon as may be. If it finds
-        /// a stronger one of its data centre registered, it then leaves the store alone for so long
-        /// after its start, until it hears that one lead or knows that it does not.
+        /// A starting router reads everything once, so that it is ready as soon as possible. If a
+        /// stronger router of its data centre is registered, it then does not read the store for
+        /// this time after its start, within which that router either announces itself as leader
+        /// or turns out to be absent.
         Base::Duration leaderDiscoveryTime = std::chrono::milliseconds(1200);
-        /// A router that has begun to read leaves its peers alone for so long unless the store
-        /// fails it; that answers within 25 ms, and within a second when hundreds of routers ask at
-        /// once.
+        /// A router that has begun to read pulls nothing from its peers for this time unless a read
+        /// fails. The store answers within 25 ms, or within a second if hundreds of routers read at
+        /// the same time.
         Base::Duration firstReadTimeout = std::chrono::milliseconds(500);
-        /// The store answers a first read within 25 ms; one that waits longer shows that it is slow
-        /// or away.
+        /// The store answers a first read within 25 ms. If a read has waited longer than this, the
+        /// store is slow or unavailable.
         Base::Duration storeAnswerTimeout = std::chrono::milliseconds(100);
-        /// In which a configuration that another data centre has comes from the store, or from the
-        /// own data centre's reader, too.
+        /// Time within which a configuration that another data centre has also arrives from the
+        /// store or from the leader of the own data centre.
         Base::Duration localSourceTimeout = std::chrono::milliseconds(200);
-        /// Between two pulls from whomever, while a difference lasts and none is on its way.
+        /// Minimum time between two pulls, from any peer, while a difference persists.
         Base::Duration pullInterval = std::chrono::milliseconds(400);
-        /// A pull that has taken longer, while its peer has got a still newer configuration, is not
-        /// waited for alone. A pull of 64 KB takes 0.06 s on a link of 10 Mbit/s; two of them one
-        /// after the other have to leave time for a read of the store within the 2 s in which a
-        /// change has to be in force.
+        /// If a pull has taken longer than this and its peer has an even newer configuration by
+        /// then, the router reads the store as well. A pull of 64 KB takes 0.06 s on a link of 10
+        /// Mbit/s; two consecutive ones have to leave time for a read of the store within the 2 s
+        /// in which a change has to be in force.
         Base::Duration supersededPullTimeout = std::chrono::milliseconds(700);
-        /// From a pull that told nothing new to the next one of the same peer while neither it nor
-        /// this router changes; others are asked meanwhile. Endpoints write their entries again in
-        /// it.
+        /// Time after a pull without new data in which the same peer is not asked again while
+        /// neither side changes. Other peers may be asked meanwhile. Endpoints write their entries
+        /// again within this time.
         Base::Duration emptyPullInterval = std::chrono::milliseconds(1500);
     };
 
@@ -100,67 +110,70 @@
     FleetSync(const FleetSync &) = delete;
     FleetSync &operator=(const FleetSync &) = delete;
 
-    // What goes out.
+    // Output hooks.
     std::function<void(const Runtime::SocketAddress &to, const Schema::FleetBeacon &beacon)> send;
-    /// Asks a peer; until take(), pullRefused() or pullFailed() no other one is asked.
+    /// Starts a pull from a peer. No other pull is started until pullSucceeded(), pullRefused() or
+    /// pullFailed() is called.
     std::function<void(const Runtime::SocketAddress &peer,
                        const Schema::FleetStateRequest &request)>
         pull;
-    /// This router has to read the store, or need not any more. The strongest leader reads.
+    /// Called when this router has to start or stop reading the store.
     std::function<void(bool reads)> roleChanged;
-    /// A peer has a newer configuration.
+    /// Called with a newer configuration that was pulled from a peer.
     std::function<void(const StoredConfiguration &configuration)> configurationPulled;
-    /// Other data centres than before are drained, as the store or a peer tells.
+    /// Called when the set of drained data centres changes, by the store or by a peer.
     std::function<void(const Fleet::DataCentreDrains::Set &before,
                        const Fleet::DataCentreDrains::Set &current)>
         drainsChanged;
 
     void start();
-    /// Tells the peers that this router leaves.
+    /// Announces to the peers that this router is shutting down.
     void leave();
 
-    // What comes in.
-    /// A router that was registered; it may be there no more.
+    // Input.
+    /// Adds a registered router, which may no longer exist.
     void addRouter(const std::string &id, const std::string &dataCentre,
                    const Runtime::SocketAddress &address, std::uint32_t strength);
-    /// All that are registered have been added.
+    /// To be called when all registered routers have been added.
     void allRoutersAdded();
     void receive(const std::string &fromIp, const Schema::FleetBeacon &beacon);
     Schema::FleetStateAnswer answer(const Schema::FleetStateRequest &request) const;
-    /// The peer has turned the last pull away.
+    /// The peer has refused the last pull because it is too busy.
     void pullRefused() { m_isPulling = false; }
-    /// The last pull has brought no answer.
+    /// The last pull has ended without an answer.
     void pullFailed();
-    /// The answer to the last pull.
+    /// Applies the answer to the last pull.
     void pullSucceeded(const Schema::FleetStateAnswer &state);
-    /// All endpoints that the store had a moment ago have been put into the directory.
+    /// To be called after a successful read, when all endpoints of the store are in the directory.
     void storeRead();
-    /// The store answers this router again; its entries may have lapsed if it answered nobody.
+    /// The store answers this router again. Its entries may have expired if it was unavailable to
+    /// all routers.
     void storeReturned();
     /// A read of the endpoints has failed.
     void storeFailed();
     void setConfiguration(StoredConfiguration configuration);
-    /// What the store tells of drained data centres belongs here.
+    /// The drained data centres; to be updated when they are read from the store.
     Fleet::DataCentreDrains &drains() { return m_drains; }
     const Fleet::DataCentreDrains &drains() const { return m_drains; }
     /// To be called when the directory has changed.
     void endpointChanged(const Fleet::EndpointDirectory::Entry &entry, bool isGone);
 
-    /// How long a message that is read now may have waited for this process.
+    /// Maximum time for which a message that is read now may have waited in a socket.
     Base::Duration arrivalDelay() { return now() - m_freshness.arrivalTime(); }
     bool readsStore() const { return m_isReading; }
-    /// Whether it tells its data centre what it knows.
+    /// Whether this router leads its data centre.
     bool isLeader() const { return m_isLeader; }
-    /// Age of what this router knows; nothing if it knows nothing.
+    /// Age of this router's state; empty if it has none.
     std::optional<Base::Duration> stateAge() const;
-    /// Whether the endpoints are known, from the store or from a peer.
-    bool hasEndpoints() const { return m_freshness.at().has_value(); }
-    /// Routers that were registered or heard of, this one included.
+    /// Whether this router has a state of the endpoints, from the store or from a peer.
+    bool hasEndpoints() const { return m_freshness.asOf().has_value(); }
+    /// Routers that are registered or have sent a beacon, this one included.
     std::size_t routerCount() const { return m_peers.peers().size() + 1; }
     const std::map<std::string, Peer> &peers() const { return m_peers.peers(); }
-    /// Of all routers that were registered or heard of and have not said that they leave.
+    /// Addresses of all routers that are registered or have sent a beacon and are not shutting
+    /// down.
     std::vector<Runtime::SocketAddress> peerAddresses() const;
-    /// Of the same routers.
+    /// Ids of the same routers.
     std::vector<std::string> peerIds() const;
 
 private:
@@ -180,7 +193,7 @@
     bool isFailing(const Peer &peer) const;
     bool leadsWithFreshState() const;
     bool isReadOverdue() const;
-    /// A peer has a newer configuration.
+    /// Whether a peer has a newer configuration than this router.
     bool isBehind() const;
     void sendBeacons();
     void pushState();
@@ -188,7 +201,7 @@
     void notifyPeers(const std::function<bool(const Peer &)> &isBehind);
     bool isStandby(const Peer &peer) const;
     std::vector<const Peer *> frequentPeers();
-    void sendTo(const Peer &peer, const std::vector<Schema::SharedEndpoint> &news = {});
+    void sendTo(const Peer &peer, const std::vector<Schema::SharedEndpoint> &changes = {});
     std::vector<const Peer *> beaconPeers();
     void sendChanges();
     bool shouldPullEndpoints(const Peer &peer) const;
@@ -213,26 +226,26 @@
     Base::MonoTime m_readingSince{};
     Base::MonoTime m_pulledAt{};
     bool m_isPulling = false;
-    std::string m_pulledFrom; ///< Id of the peer.
-    std::uint64_t m_pulledConfiguration = 0; ///< What the peer had when the pull began.
-    int m_failedPulls = 0; ///< In a row, the one that is under way included.
-    /// Pulls have not settled a difference, so this router reads the store itself.
+    std::string m_pulledFrom; ///< Id of the peer of the last pull.
+    std::uint64_t m_pulledConfiguration = 0; ///< Revision of that peer when the pull began.
+    int m_failedPulls = 0; ///< Consecutive ones, including the one in flight.
+    /// Pulls have not resolved a difference, so this router has to read the store itself.
     bool m_requiresStoreRead = false;
-    /// Since when another data centre has a newer configuration than this router.
+    /// Time since which another data centre has a newer configuration than this router.
     std::optional<Base::MonoTime> m_behindSince;
-    Base::MonoTime m_localBeaconsAt{}; ///< Those to peers that are not told often.
-    std::vector<Schema::SharedEndpoint> m_changes; ///< Changes that the peers are not told yet.
+    Base::MonoTime m_localBeaconsAt{}; ///< Last beacons to infrequent peers.
+    std::vector<Schema::SharedEndpoint> m_changes; ///< Changes not sent to the peers yet.
     std::optional<Runtime::TimerId> m_changesTimer;
     bool m_isLeader = true;
     bool m_isReading = true;
-    bool m_hasFollowed = false; ///< Until it reads: it went by another leader up to now.
+    bool m_hasFollowed = false; ///< It followed another leader until now and has not read yet.
     bool m_isLeaving = false;
-    bool m_isAnnouncing = false; ///< Has become leader; the whole data centre has to hear of it.
-    Base::MonoTime m_pushedAt{}; ///< What it knows, to those that hear it often.
+    bool m_isAnnouncing = false; ///< Sends the next beacons to the whole data centre.
+    Base::MonoTime m_pushedAt{}; ///< When the state was last sent to the frequent peers.
     Runtime::TimerId m_startTimer;
-    Runtime::TimerId m_pullTimer; ///< Of the last pull of a leader that follows another one.
+    Runtime::TimerId m_pullTimer; ///< Timeout of a pull by a leader that follows another one.
     Runtime::TimerId m_timer;
-    Runtime::TimerId m_leaderTimer; ///< Runs while a leader is alive that this router goes by.
+    Runtime::TimerId m_leaderTimer; ///< Expires when the beacons of the leader stop.
 };
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-/// What a FleetSync asks its peers for and tells them when they ask.
+/// Pulls of a FleetSync from its peers and answers to theirs.
 
 namespace Lagoonbank::FleetSync {
 
@@ -12,25 +12,26 @@
 
 namespace {
 
-/// Pulls in a row without an answer after which a router reads the store itself: it hears its
-/// reader over a link that is cut in the other direction.
-constexpr int mostFailedPulls = 2;
+/// Consecutive pulls without an answer after which a router reads the store itself: it receives
+/// beacons of the store reader over a link that is cut in the other direction.
+constexpr int maxFailedPulls = 2;
 
 } // namespace
 
-/// Whether this router goes by what the peer tells.
+/// Whether this router normally gets its state from this peer.
 bool FleetSync::isSource(const Peer &peer) const
 {
     return m_peers.isLocal(peer) || (isFollowing() && isFollowable(peer));
 }
 
-/// Whether a pull of endpoints from this peer would tell anything new.
+/// Whether a pull of endpoints from this peer may return newer data and is worth its bytes.
 bool FleetSync::shouldPullEndpoints(const Peer &peer) const
 {
-    if (m_freshness.at() && peer.stateAsOf <= *m_freshness.at())
+    if (m_freshness.asOf() && peer.stateAsOf <= *m_freshness.asOf())
         return false;
-    // Bytes between data centres are dear, and the own reader tells the same a moment later.
-    const bool isStale = now() - m_freshness.at().value_or(m_startedAt) > m_options.maxLeaderAge;
+    // Traffic between data centres is expensive, and the leader of the own data centre sends the
+    // same a moment later.
+    const bool isStale = now() - m_freshness.asOf().value_or(m_startedAt) > m_options.maxLeaderAge;
     if (!isSource(peer) && !isStale && !m_freshness.hasFailed())
         return false;
     if (!m_isReading)
@@ -40,7 +41,7 @@
     return m_freshness.hasFailed() || now() - m_readingSince > m_options.firstReadTimeout;
 }
 
-/// A newer configuration of another data centre is pulled only if the own one stays behind.
+/// A newer configuration is pulled from another data centre only if the own one stays behind.
 bool FleetSync::shouldPullConfiguration(const Peer &peer, bool isBehind)
 {
     if (!isBehind)
@@ -52,9 +53,9 @@
     return now() - *m_behindSince > m_options.localSourceTimeout;
 }
 
-/// What a peer knows beyond this router is pulled from it; where both know the same, this router
-/// knows it as of the peer's time. One pull at a time: two copies of a configuration of 880 KB
-/// together hold up all answers on a link of 10 Mbit/s for 1.4 s.
+/// Compares the state of a peer with that of this router and pulls the difference. If both are the
+/// same, the state of this router is as recent as that of the peer. Only one pull runs at a time:
+/// two copies of a configuration of 880 KB block all answers on a link of 10 Mbit/s for 1.4 s.
 void FleetSync::pullDifferences(const Peer &peer)
 {
     if (!peer.hasState)
@@ -69,11 +70,11 @@
         requireStoreRead();
         return;
     }
-    const bool wantsMore = !isSame && !hadEmptyPull(peer) && shouldPullEndpoints(peer);
-    if ((!shouldPullConfiguration(peer, isBehind) && !wantsMore) || m_isPulling
+    const bool pullsEndpoints = !isSame && !hadEmptyPull(peer) && shouldPullEndpoints(peer);
+    if ((!shouldPullConfiguration(peer, isBehind) && !pullsEndpoints) || m_isPulling
         || now() - m_pulledAt < m_options.pullInterval)
         return;
-    if (m_failedPulls >= mostFailedPulls && !m_isReading) {
+    if (m_failedPulls >= maxFailedPulls && !m_isReading) {
         requireStoreRead();
         return;
     }
@@ -91,8 +92,8 @@
           .endpoints = std::vector<std::uint64_t>(digest.begin(), digest.end())});
 }
 
-/// What the pull under way brings is old already, and the link that brings it is slow: a second
-/// pull behind it would come too late.
+/// Whether the pull in flight returns an outdated configuration over a slow link, so that a second
+/// pull after it would be too late.
 bool FleetSync::isSuperseded(const Peer &peer) const
 {
     return m_isPulling && !m_isReading && peer.id == m_pulledFrom
@@ -106,13 +107,13 @@
         requireStoreRead();
 }
 
-/// The last one that is tried before the store is read decides at once; the peer's next beacon
-/// would come up to 0.5 s later.
+/// After the last failed pull that is allowed, the store is read at once: the next beacon of the
+/// peer may come up to 0.5 s later.
 void FleetSync::pullFailed()
 {
     m_isPulling = false;
     const auto found = m_peers.peers().find(m_pulledFrom);
-    if (m_failedPulls < mostFailedPulls || m_isReading || found == m_peers.peers().end())
+    if (m_failedPulls < maxFailedPulls || m_isReading || found == m_peers.peers().end())
         return;
     const Peer &peer = found->second;
     const bool isBehind = peer.configuration > m_configuration.revision.value();
@@ -150,11 +151,11 @@
     const std::uint64_t before = m_options.directory->hash();
     for (const SharedEndpoint &endpoint : state.endpoints)
         apply(endpoint);
-    const bool hadEmptyPull = m_options.directory->hash() == before;
-    if (hadEmptyPull)
+    const bool isUnchanged = m_options.directory->hash() == before;
+    if (isUnchanged)
         handleEmptyPull();
-    // The store may have dropped some of them while it was away.
-    if (!m_freshness.at())
+    // Some of these entries may have expired in the store while it was unavailable.
+    if (!m_freshness.asOf())
         m_options.directory->storeReturned();
     if (state.knowledgeAgeMs != unknownAge && !m_requiresStoreRead)
         advanceState(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
@@ -171,8 +172,9 @@
         && now() - peer.lastEmptyPull->at < m_options.emptyPullInterval;
 }
 
-/// The answer has told nothing new though the two differ: the peer lacks what this router has, and
-/// does not know that it has gone, as a reader that has just started. Only the store can tell.
+/// Handles an answer without new data although the two states differ: the peer lacks entries of
+/// this router but has no record of their removal, for example because it has just started. Only a
+/// read of the store can resolve this.
 void FleetSync::handleEmptyPull()
 {
     const auto found = m_peers.peers().find(m_pulledFrom);
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -2,26 +2,28 @@
 
 #include <algorithm>
 
-/// Who leads a data centre, and who reads the store.
+/// Roles of a router: which routers lead their data centres, and which read the store.
 
 namespace Lagoonbank::FleetSync {
 
 namespace {
 
-/// Past the moment at which a leader counts as failing.
+/// Margin after the time from which a leader is considered failing, so that a timer runs past it.
 constexpr Base::Duration readMargin = std::chrono::milliseconds(1);
 
 } // namespace
 
-/// The strongest living router of a data centre leads; where it knows nothing fresh, the next one
-/// leads too. Whoever starts reads first, so that stronger ones make themselves known. A leader
-/// reads the store unless it hears one of another data centre that goes before it.
+/// The strongest living router of a data centre leads. If its state is not fresh, the next
+/// strongest leads as well. A starting router reads the store at first, while stronger ones
+/// announce themselves. A leader reads the store unless it can follow a leader of another data
+/// centre that outranks it.
 void FleetSync::updateRole()
 {
-    // Until it knows anything a router reads, whoever else does; so it does while it waits for
-    // entries to come back, or doubts some, as peers that do not would not tell.
+    // A router without any state reads, whoever else does. It also reads while pulls have not
+    // resolved a difference and while its directory is unsure of entries that may come back, as
+    // peers that are not waiting for them would not report them.
     const bool mustRead =
-        !m_freshness.at() || m_requiresStoreRead || m_options.directory->hasUnconfirmedEntries();
+        !m_freshness.asOf() || m_requiresStoreRead || m_options.directory->hasUnconfirmedEntries();
     const bool leads = mustRead || !(hasLeader() || expectsLeader());
     const bool reads = mustRead || (leads && !canFollow());
     m_isAnnouncing = m_isAnnouncing || (leads && !m_isLeader);
@@ -48,18 +50,20 @@
     });
 }
 
-/// Hundreds of routers that start at once are 0.4 s at work on VMs with an eighth of a core to hear
-/// each other; meanwhile each would read the store two or three times more.
+/// Whether a stronger router of the data centre may still announce itself after the start of this
+/// one. On VMs with an eighth of a core, hundreds of routers that start together need 0.4 s to
+/// process each other's beacons; without this wait each would read the store two or three more
+/// times meanwhile.
 bool FleetSync::expectsLeader() const
 {
-    const bool knowsAll = m_freshness.readAt() && m_configuration.revision > Base::Revision();
-    if (!knowsAll || now() - m_startedAt >= m_options.leaderDiscoveryTime)
+    const bool hasReadAll = m_freshness.readAt() && m_configuration.revision > Base::Revision();
+    if (!hasReadAll || now() - m_startedAt >= m_options.leaderDiscoveryTime)
         return false;
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(), [this](const auto &item) {
         const Peer &peer = item.second;
-        const bool mayLive = !peer.lastBeaconAt || (m_peers.isAlive(peer) && !peer.isLeaving);
-        return m_peers.isLocal(peer) && m_peers.isStronger(peer) && mayLive;
+        const bool mayBeAlive = !peer.lastBeaconAt || (m_peers.isAlive(peer) && !peer.isLeaving);
+        return m_peers.isLocal(peer) && m_peers.isStronger(peer) && mayBeAlive;
     });
 }
 
@@ -68,8 +72,9 @@
     return peer.isReading && !isFailing(peer);
 }
 
-/// While the store answers neither a leader nor its deputies, nor those of other data centres, the
-/// rest of a large data centre would only ask in vain.
+/// Whether this router leaves store reads to a leader whose state is not fresh. While the store
+/// answers neither the leader nor its standbys nor those of other data centres, reads by the rest
+/// of a large data centre would only fail as well.
 bool FleetSync::defersTo(const Peer &leader) const
 {
     return leader.isLeading && !m_peers.isStandbyOf(leader)
@@ -77,16 +82,16 @@
         && now() - leader.stateAsOf <= m_options.maxDeferAge;
 }
 
-/// Whether the peer goes before this router in leading and reading. What has missed nothing goes
-/// before what has: a reader that waits for entries to come back tells late that an endpoint has
-/// gone.
+/// Whether the peer takes precedence over this router as leader and as store reader. A router that
+/// has missed nothing outranks one that waits for entries to come back, as the latter reports the
+/// removal of an endpoint late.
 bool FleetSync::outranks(const Peer &peer) const
 {
     const bool isWaiting = m_options.directory->isWaiting();
     return peer.isWaiting != isWaiting ? isWaiting : m_peers.isStronger(peer);
 }
 
-/// Such as go before itself only, so that no two leaders follow each other.
+/// Only leaders that outrank this router can be followed, so that no two leaders follow each other.
 bool FleetSync::isFollowable(const Peer &peer) const
 {
     return !m_peers.isLocal(peer) && peer.isReading && !peer.isLeaving && outranks(peer)
@@ -95,7 +100,7 @@
 
 bool FleetSync::canFollow() const
 {
-    if (now() - *m_freshness.at() > m_options.maxFollowedAge)
+    if (now() - *m_freshness.asOf() > m_options.maxFollowedAge)
         return false;
     const auto &peers = m_peers.peers();
     return std::any_of(peers.begin(), peers.end(),
@@ -106,40 +111,44 @@
 {
     if (!peer.isReading || !peer.lastBeaconAt)
         return false;
-    // Its deputies hear it often; others could not tell its silence from failed reads.
-    const Base::MonoTime at = m_peers.isStandbyOf(peer) ? now() : *peer.lastBeaconAt;
-    return at - peer.stateAsOf > m_options.maxLeaderAge;
+    // Standbys get its beacons often enough to count the time since the last one. For others a
+    // missing beacon does not show that reads fail.
+    const Base::MonoTime checkedAt = m_peers.isStandbyOf(peer) ? now() : *peer.lastBeaconAt;
+    return checkedAt - peer.stateAsOf > m_options.maxLeaderAge;
 }
 
-/// Whoever takes a reader's place for a moment while the store is silent may hear of the store's
-/// return before its own read fails; it has missed the store all the same.
+/// Whether the first read since this router began to read takes longer than the store usually
+/// needs. A router that takes over reading while the store is unavailable may get a report of the
+/// store's recovery before its own read fails; it has missed the outage all the same.
 bool FleetSync::isReadOverdue() const
 {
     const bool isFirst = !m_freshness.readAt() || *m_freshness.readAt() < m_readingSince;
     return m_isReading && isFirst && now() - m_readingSince > m_options.storeAnswerTimeout;
 }
 
-/// Peers count on a leader by this, so one that reads has to have read since it began. What it
-/// learns from them says nothing of its own reads.
+/// Whether peers can rely on this router as their leader. A store reader therefore has to have read
+/// successfully since it began to read; state that it received from peers says nothing about its
+/// own reads.
 bool FleetSync::leadsWithFreshState() const
 {
-    if (!m_isLeader || !m_freshness.at())
+    if (!m_isLeader || !m_freshness.asOf())
         return false;
     if (isFollowing() || m_hasFollowed)
-        return now() - *m_freshness.at() <= m_options.maxLeaderAge;
-    // Its followers read beyond that limit, and what it knows then may have come from them.
+        return now() - *m_freshness.asOf() <= m_options.maxLeaderAge;
+    // Beyond that limit its followers read for themselves, and newer state may come from them.
     return m_freshness.readAt() && *m_freshness.readAt() >= m_readingSince
         && now() - *m_freshness.readAt() <= m_options.maxFollowedAge;
 }
 
-/// A leaving endpoint has to be known in 2 s, of which 1.6 s go by until a leader counts as
-/// failing. That leaves no time to wait for the next tick.
+/// Restarts the timer that checks the role of this router when beacons of the leader stop. The
+/// removal of an endpoint has to be propagated within 2 s, of which 1.6 s pass until a leader is
+/// considered failing. That leaves no time to wait for the next tick.
 void FleetSync::watchLeader(const Peer &peer)
 {
     if (isFollowing() && isFollowable(peer)) {
         m_options.timers->cancel(m_leaderTimer);
         m_leaderTimer = m_options.timers->start(m_options.maxFollowedAge
-                                                    - (now() - *m_freshness.at()) + readMargin,
+                                                    - (now() - *m_freshness.asOf()) + readMargin,
                                                 [this] { updateRole(); });
         return;
     }
--- a/src/libs/fleetsync/loadgossip.cpp
+++ b/src/libs/fleetsync/loadgossip.cpp
@@ -14,18 +14,19 @@
     m_options.timers->cancel(m_timer);
 }
 
-/// Routers that start together tell at different moments.
+/// Starts with a random part of the interval, so that routers that start together do not all send
+/// at the same time.
 void LoadGossip::start()
 {
-    const auto part = std::uniform_real_distribution<double>(0, 1)(m_random);
-    const auto first = std::chrono::duration_cast<Base::Duration>(m_options.interval * part);
+    const auto fraction = std::uniform_real_distribution<double>(0, 1)(m_random);
+    const auto first = std::chrono::duration_cast<Base::Duration>(m_options.interval * fraction);
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
-void LoadGossip::receive(const Schema::LoadNews &latest, Base::Duration delay) const
+void LoadGossip::receive(const Schema::LoadNews &message, Base::Duration delay) const
 {
     if (received)
-        received(latest, delay);
+        received(message, delay);
 }
 
 void LoadGossip::tick()
@@ -38,15 +39,15 @@
 {
     if (!send || !latest)
         return;
-    const Schema::LoadNews told = latest();
-    const bool isDue = !told.loads.empty() || ++m_intervalsSinceSent >= m_options.idleIntervals;
-    if (!isDue || (told.loads.empty() && told.usual.empty()))
+    const Schema::LoadNews message = latest();
+    const bool isDue = !message.loads.empty() || ++m_intervalsSinceSent >= m_options.idleIntervals;
+    if (!isDue || (message.loads.empty() && message.usual.empty()))
         return;
     const std::vector<Runtime::SocketAddress> peers = m_options.peers();
     if (peers.empty())
         return;
     m_intervalsSinceSent = 0;
-    send(peers[m_random() % peers.size()], told);
+    send(peers[m_random() % peers.size()], message);
 }
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/loadgossip.h
+++ b/src/libs/fleetsync/loadgossip.h
@@ -11,10 +11,11 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// Passes news of endpoints' loads from router to router: each tells one other, any of the fleet,
-/// ten times a second, what it has seen and heard last. A router sends and receives the same few
-/// bytes however large the fleet is: 1,300 a second at most. Short messages that are often sent
-/// carry as much as long ones that are not, and sooner: half of 300 routers know within 0.5 s.
+/// Propagates the loads of endpoints by gossip: ten times a second each router sends the latest
+/// loads that it has seen or received to one random peer of the whole fleet. A router sends and
+/// receives the same amount however large the fleet is, at most 1,300 bytes a second. Short,
+/// frequent messages carry as much as long, rare ones and arrive earlier: half of 300 routers have
+/// a load within 0.5 s.
 ///
 /// Pure: time comes from the timers, messages go out through the hooks.
 class LoadGossip
@@ -26,7 +27,8 @@
         std::function<std::vector<Runtime::SocketAddress>()> peers;
         std::uint64_t randomSeed = 1;
         Base::Duration interval = std::chrono::milliseconds(100);
-        /// While no endpoint has far more to do than others: only what is usual has to be told.
+        /// Intervals between two messages while no endpoint is far above the average load, when
+        /// there are only average loads to send.
         int idleIntervals = 10;
     };
 
@@ -35,14 +37,14 @@
     LoadGossip(const LoadGossip &) = delete;
     LoadGossip &operator=(const LoadGossip &) = delete;
 
-    std::function<void(const Runtime::SocketAddress &to, const Schema::LoadNews &latest)> send;
-    /// What this router knows now.
+    std::function<void(const Runtime::SocketAddress &to, const Schema::LoadNews &message)> send;
+    /// Returns the loads to send, as this router has them now.
     std::function<Schema::LoadNews()> latest;
-    /// A peer has told this; it came \a delay ago.
-    std::function<void(const Schema::LoadNews &latest, Base::Duration delay)> received;
+    /// Called for each message of a peer; it arrived \a delay ago.
+    std::function<void(const Schema::LoadNews &message, Base::Duration delay)> received;
 
     void start();
-    void receive(const Schema::LoadNews &latest, Base::Duration delay) const;
+    void receive(const Schema::LoadNews &message, Base::Duration delay) const;
 
 private:
     void tick();
@@ -50,7 +52,7 @@
 
     Options m_options;
     std::mt19937_64 m_random;
-    int m_intervalsSinceSent = 0; ///< Intervals.
+    int m_intervalsSinceSent = 0;
     Runtime::TimerId m_timer;
 };
 
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -18,7 +18,7 @@
         return nullptr;
     Peer &peer = m_peers[id];
     if (peer.lastBeaconAt)
-        return nullptr; // What it says itself is newer.
+        return nullptr; // Its own beacons are newer than the registry.
     const bool isNew = peer.id.empty();
     peer.id = id;
     peer.dataCentre = dataCentre;
@@ -33,7 +33,7 @@
                                Base::MonoTime at, bool &isNew)
 {
     Peer &peer = m_peers[beacon.router];
-    const bool isUnknown = peer.id.empty();
+    const bool isFirstSeen = peer.id.empty();
     isNew = !peer.lastBeaconAt;
     peer.id = beacon.router;
     peer.dataCentre = beacon.dataCentre;
@@ -49,8 +49,8 @@
         - std::chrono::milliseconds(peer.hasState ? beacon.knowledgeAgeMs : 0);
     peer.configuration = beacon.configuration;
     peer.endpoints = beacon.endpoints;
-    peer.standbys = beacon.standbys;
-    if (isUnknown)
+    peer.standbys = beacon.deputies;
+    if (isFirstSeen)
         count(peer.dataCentre);
     return peer;
 }
@@ -158,8 +158,9 @@
     return found == m_sizes.end() ? 0 : found->second;
 }
 
-/// The leader of another data centre. While none is known every other time the strongest, which
-/// leads if it is there, and else any of its routers: of 50 the leader would be met in 25 s.
+/// Returns the leader of another data centre. While none is known, returns either its strongest
+/// router, which leads if it is alive, or a random one, each half of the time. With random choice
+/// alone it would take 25 s to reach the leader of 50 routers.
 const Peer *PeerTable::contactIn(const std::string &dataCentre)
 {
     std::vector<const Peer *> leaders;
@@ -172,8 +173,8 @@
     }
     if (!leaders.empty())
         return randomPeer(leaders);
-    constexpr std::uint64_t tries = 2;
-    return m_random() % tries == 0 ? randomPeer(others) : strongestOf(others);
+    constexpr std::uint64_t choices = 2;
+    return m_random() % choices == 0 ? randomPeer(others) : strongestOf(others);
 }
 
 const Peer *PeerTable::strongestOf(const std::vector<const Peer *> &peers)
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -15,25 +15,26 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// Another router.
+/// Another router, as the registry and its last beacon describe it.
 struct Peer
 {
     std::string id;
     std::string dataCentre;
-    Runtime::SocketAddress address; ///< Of its datagrams and of its answers to pulls.
-    std::optional<Base::MonoTime> lastBeaconAt;
+    Runtime::SocketAddress address; ///< For datagrams and for pulls.
+    std::optional<Base::MonoTime> lastBeaconAt; ///< Empty before its first beacon.
+    // These members have the meaning of the same members of FleetBeacon.
     std::uint32_t strength = 0;
-    bool isLeading = false; ///< See FleetBeacon.
+    bool isLeading = false;
     bool isReading = false;
     bool isLeaving = false;
-    bool isWaiting = false; ///< See FleetBeacon.
-    Base::MonoTime stateAsOf{}; ///< Time to which what it knew was true, as of its last beacon.
-    bool hasState = false; ///< It knew something.
-    std::uint64_t configuration = 0;
-    std::uint64_t endpoints = 0;
-    bool isBeaconSent = false; ///< Has been sent a beacon.
-    std::vector<std::string> standbys; ///< Of a leader; see FleetBeacon.
-    /// A pull that told nothing new: when it ended, and the hashes of both sides then.
+    bool isWaiting = false;
+    Base::MonoTime stateAsOf{}; ///< Time up to which its state reflects the store.
+    bool hasState = false;
+    std::uint64_t configuration = 0; ///< Revision of its configuration.
+    std::uint64_t endpoints = 0; ///< Hash of its endpoints.
+    bool isBeaconSent = false; ///< Whether this router has sent it a beacon.
+    std::vector<std::string> standbys; ///< Standbys that it has appointed as leader.
+    /// A pull without new data: when it ended, and the hashes of both sides at that time.
     struct EmptyPull
     {
         Base::MonoTime at;
@@ -43,81 +44,88 @@
     std::optional<EmptyPull> lastEmptyPull;
 };
 
-/// The routers that this one has heard of, and which of them can be counted on.
+/// The other routers that are registered or have sent a beacon, and whether they are alive.
 ///
-/// A leader and its deputies talk often, so that one that dies is replaced soon. All others of a
-/// data centre talk to its leader as seldom as their number demands, so that its traffic stays
-/// bounded.
+/// A leader and its standbys exchange beacons often, so that a leader that dies is replaced soon.
+/// The interval between the leader and the other routers of its data centre grows with their
+/// number, so that the leader's traffic stays bounded.
 class PeerTable
 {
 public:
     struct Options
     {
-        std::string id; ///< Of this router.
+        std::string id; ///< Id of this router.
         std::string dataCentre;
         std::uint32_t strength = 0; ///< See FleetBeacon.
         const Runtime::Clock *clock = nullptr;
         std::uint64_t randomSeed = 1;
-        /// Time between two beacons of a leader and its deputies, and of leaders.
+        /// Time between two beacons among a leader and its standbys, and among leaders.
         Base::Duration beaconInterval = std::chrono::milliseconds(500);
-        /// Bytes a second that a leader sends to the rest of its data centre; it gets about as
-        /// many. With deputies and other leaders that stays under 5,000, the limit for a router's
-        /// control traffic.
+        /// Bytes a second that a leader sends to the rest of its data centre; it receives about as
+        /// many. Together with the beacons of standbys and other leaders that stays under 5,000,
+        /// the limit for a router's control traffic.
         double localBytesPerSecond = 1600;
-        /// On the wire, with the headers of UDP and IP; for names of 20 letters.
+        /// Size of a beacon with UDP and IP headers, for names of 20 letters.
         double beaconBytes = 105;
-        /// Two, as a leader and its first deputy may go at the same moment.
+        /// Number of standbys: two, as a leader and its first standby may fail at the same time.
         std::size_t standbys = 2;
-        /// Intervals without a beacon after which a peer is not counted on: two lost ones and some
-        /// delay.
+        /// Intervals without a beacon after which a peer is considered dead: two lost beacons and
+        /// some delay.
         double missedIntervals = 2.6;
-        /// That a beacon may have been on its way, inside of a data centre and between two. Ages
-        /// that are passed back and forth would else shrink by that each time, so that nobody saw
-        /// how long the store has been away.
+        /// Maximum transit time of a beacon within a data centre and between two. It is added to
+        /// the age of the sender's state: ages that are passed back and forth would otherwise
+        /// shrink at each hop, so that no router would notice how long the store has been
+        /// unavailable.
         Base::Duration localTransit = std::chrono::milliseconds(5);
         Base::Duration remoteTransit = std::chrono::milliseconds(50);
-        /// Other data centres that a leader talks to in an interval; news spread on from there.
+        /// Other data centres to which a leader sends a beacon in each interval; they propagate its
+        /// content.
         std::size_t contacts = 2;
-        /// The same of the reader, whom their leaders follow.
+        /// The same for the store reader, which their leaders follow.
         std::size_t readerContacts = 5;
     };
 
     explicit PeerTable(Options options);
 
-    /// A router that was registered; null if it is this one or has told of itself before.
+    /// Adds a registered router. Returns null if it is this one or has already sent a beacon.
     const Peer *add(const std::string &id, const std::string &dataCentre,
                     const Runtime::SocketAddress &address, std::uint32_t strength);
-    /// A beacon has come, \a at this time or later; \a isNew says whether it is the peer's first.
+    /// Updates the sender of a beacon that arrived \a at this time or later. Sets \a isNew if it is
+    /// the first beacon of this peer.
     const Peer &receive(const std::string &fromIp, const Schema::FleetBeacon &beacon,
                         Base::MonoTime at, bool &isNew);
 
-    /// This router has sent \a peer a beacon.
+    /// Records that this router has sent a beacon to \a peer.
     void setBeaconSent(const Peer &peer) { m_peers[peer.id].isBeaconSent = true; }
+    /// Records that a pull from \a peer returned nothing new for endpoints with hash \a own.
     void setEmptyPull(const Peer &peer, std::uint64_t own)
     {
         m_peers[peer.id].lastEmptyPull = {m_options.clock->now(), own, peer.endpoints};
     }
     bool isAlive(const Peer &peer) const;
-    /// Without a beacon for so long a peer is not counted on.
+    /// Time without a beacon after which a peer is considered dead.
     Base::Duration beaconTimeout(const Peer &peer) const;
     bool isLocal(const Peer &peer) const { return peer.dataCentre == m_options.dataCentre; }
-    /// Goes before this router in leading its data centre.
+    /// Whether the peer precedes this router in the order in which routers lead their data centre.
     bool isStronger(const Peer &peer) const;
-    /// The strongest living routers of this data centre beside this one.
+    /// Ids of the strongest living routers of this data centre apart from this one.
     std::vector<std::string> standbys() const;
-    /// This leader has made this router one of its deputies.
+    /// Whether this leader has made this router one of its standbys.
     bool isStandbyOf(const Peer &leader) const;
-    /// A living leader has made this router one of its deputies.
+    /// Whether a living leader has made this router one of its standbys.
     bool isStandby() const;
-    /// Time between two beacons of a leader and its deputies, and of leaders.
+    /// Time between two beacons among a leader and its standbys, and among leaders.
     Base::Duration beaconInterval() const { return m_options.beaconInterval; }
-    /// Time between two beacons of a leader and those that are not its deputies.
+    /// Time between two beacons of a leader and the routers of its data centre that are not
+    /// standbys.
     Base::Duration localInterval() const;
 
+    /// All peers of this data centre.
     std::vector<const Peer *> localPeers() const;
-    /// Whom a leader tells of itself in other data centres: their leaders where they are known.
+    /// Peers of some other data centres, chosen at random, to which a leader sends its next beacon:
+    /// their leaders where these are known. \a isReading says whether this router reads the store.
     std::vector<const Peer *> contacts(bool isReading);
-    /// One of \a peers; null if there is none.
+    /// Returns a random element of \a peers, or null if there is none.
     const Peer *randomPeer(const std::vector<const Peer *> &peers);
     const std::map<std::string, Peer> &peers() const { return m_peers; }
 
@@ -127,13 +135,13 @@
     std::size_t otherDataCentres() const { return m_sizes.size() - (localCount() > 0 ? 1 : 0); }
     const Peer *contactIn(const std::string &dataCentre);
     static const Peer *strongestOf(const std::vector<const Peer *> &peers);
-    /// In the order in which routers of a data centre lead.
+    /// Order in which routers of a data centre lead.
     static bool isStrongerThan(const Peer *a, const Peer *b);
 
     Options m_options;
     std::mt19937_64 m_random;
     std::map<std::string, Peer> m_peers; ///< By id.
-    std::map<std::string, std::size_t> m_sizes; ///< Routers of each data centre, without this one.
+    std::map<std::string, std::size_t> m_sizes; ///< Routers by data centre, without this one.
 };
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr std::size_t mostPrompts = 32; ///< In one datagram.
-/// On the wire: headers of IP and UDP, version and count; then each prompt.
-constexpr double emptyBytes = 38;
-constexpr double promptBytes = 24;
+constexpr std::size_t maxPrompts = 32; ///< Prompts in one datagram.
+/// Size of a datagram without prompts: IP and UDP headers, version and count.
+constexpr double emptyDatagramBytes = 38;
+constexpr double promptBytes = 24; ///< Size of one prompt in a datagram.
 
 } // namespace
 
@@ -26,7 +26,7 @@
 
 void PromptGossip::report(const Schema::SharedPrompt &prompt, bool isNew)
 {
-    if (m_pending.prompts.size() >= mostPrompts && !evictForNew(isNew))
+    if (m_pending.prompts.size() >= maxPrompts && !evictForNew(isNew))
         return;
     const bool isFirstNew = isNew && m_newCount == 0;
     add(prompt, isNew);
@@ -38,54 +38,57 @@
                                       [this] { flush(); });
 }
 
-/// In a full datagram; false if there is nothing that yields.
+/// Drops a prompt that is only in use again from the full datagram to make space for a new one;
+/// returns false if nothing can be dropped.
 bool PromptGossip::evictForNew(bool isNew)
 {
-    ++m_dropped; // The one that comes, or the one that yields to it.
-    if (!isNew || m_newCount >= mostPrompts)
+    ++m_dropped; // Either the prompt to be added or the one dropped for it.
+    if (!isNew || m_newCount >= maxPrompts)
         return false;
     m_pending.prompts.pop_back();
     return true;
 }
 
-/// New places stand before prompts that are only in use, which yield to them.
+/// Keeps prompts at new endpoints before those that are only in use again, which are the first to
+/// be dropped.
 void PromptGossip::add(const Schema::SharedPrompt &prompt, bool isNew)
 {
     if (!isNew) {
         m_pending.prompts.push_back(prompt);
         return;
     }
-    const auto behindNew = m_pending.prompts.begin() + static_cast<std::ptrdiff_t>(m_newCount);
-    m_pending.prompts.insert(behindNew, prompt);
+    const auto endOfNew = m_pending.prompts.begin() + static_cast<std::ptrdiff_t>(m_newCount);
+    m_pending.prompts.insert(endOfNew, prompt);
     ++m_newCount;
 }
 
-void PromptGossip::receive(const Schema::PromptNews &news) const
+void PromptGossip::receive(const Schema::PromptNews &message) const
 {
     if (!received)
         return;
-    for (const Schema::SharedPrompt &prompt : news.prompts)
+    for (const Schema::SharedPrompt &prompt : message.prompts)
         received(prompt);
 }
 
 void PromptGossip::flush()
 {
     m_timer.reset();
-    const Schema::PromptNews news = std::exchange(m_pending, {});
-    const bool isUrgent = std::exchange(m_newCount, 0) > 0;
+    const Schema::PromptNews message = std::exchange(m_pending, {});
+    const bool hasNew = std::exchange(m_newCount, 0) > 0;
     const std::vector<Runtime::SocketAddress> peers = m_options.peers();
-    const auto count = static_cast<double>(news.prompts.size());
-    const double cost = (emptyBytes + promptBytes * count) * static_cast<double>(peers.size());
-    // Half of the burst stays for news.
-    const double kept = isUrgent ? 0 : m_options.burstBytes / 2;
+    const auto count = static_cast<double>(message.prompts.size());
+    const double cost =
+        (emptyDatagramBytes + promptBytes * count) * static_cast<double>(peers.size());
+    // Half of the burst is reserved for new prompts.
+    const double reserved = hasNew ? 0 : m_options.burstBytes / 2;
     const Base::MonoTime now = m_options.timers->clock().now();
-    if (!send || m_bytes.waitFor(cost + kept, now) != Base::Duration::zero()) {
-        m_dropped += news.prompts.size();
+    if (!send || m_bytes.waitFor(cost + reserved, now) != Base::Duration::zero()) {
+        m_dropped += message.prompts.size();
         return;
     }
     m_bytes.charge(cost, now);
     for (const Runtime::SocketAddress &peer : peers)
-        send(peer, news);
+        send(peer, message);
 }
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -12,9 +12,10 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// Tells the other routers where prompts are, so that requests with a prompt go to where it is held
-/// whichever router they come through, and none reads what another one has read a moment ago. News
-/// may be lost: then a prompt is read once more.
+/// Gossip about prompts: reports to the other routers which endpoint holds a prompt in its cache,
+/// so that requests with that prompt are placed at its holder whichever router receives them, and
+/// no endpoint processes a prompt that another one processed a moment ago. Messages may be lost;
+/// the prompt is then processed once more.
 ///
 /// Pure: time comes from the timers, messages go out through the hooks.
 class PromptGossip
@@ -23,18 +24,19 @@
     struct Options
     {
         Runtime::TimerQueue *timers = nullptr;
-        /// Whom to tell: all of them, as each may get the next request with the prompt.
+        /// Returns all receivers: any router may receive the next request with the prompt.
         std::function<std::vector<Runtime::SocketAddress>()> peers;
-        /// What this router may spend. Its control traffic has to stay under 5,000 bytes a second,
-        /// of which a reader's beacons take 1,600 each way. What is beyond is not told.
+        /// Budget of this gossip. The control traffic of a router has to stay under 5,000 bytes a
+        /// second, of which the beacons of a store reader take 1,600 in each direction. Prompts
+        /// beyond the budget are dropped.
         double bytesPerSecond = 1500;
-        /// A fleet that starts tells of all its prompts in a second or two: 50 datagrams to seven
-        /// peers.
+        /// Each router of a starting fleet reports all its prompts within one or two seconds:
+        /// 50 datagrams to each of seven peers.
         double burstBytes = 24000;
-        /// For which news are gathered. Requests that an endpoint's crash sets free come to their
-        /// next endpoint through many routers within some ms.
+        /// Time for which prompts at new endpoints are collected into one datagram. When an
+        /// endpoint crashes, its requests are placed again by many routers within a few ms.
         Base::Duration newPromptDelay = std::chrono::milliseconds(1);
-        /// The same for prompts that are only in use again.
+        /// The same for prompts that are only used again at the endpoint that holds them.
         Base::Duration usedPromptDelay = std::chrono::milliseconds(1500);
     };
 
@@ -43,14 +45,14 @@
     PromptGossip(const PromptGossip &) = delete;
     PromptGossip &operator=(const PromptGossip &) = delete;
 
-    std::function<void(const Runtime::SocketAddress &to, const Schema::PromptNews &news)> send;
+    std::function<void(const Runtime::SocketAddress &to, const Schema::PromptNews &message)> send;
     std::function<void(const Schema::SharedPrompt &prompt)> received;
 
-    /// Tells where a prompt is; if it is only in use there again, then with what others leave of
-    /// the budget.
+    /// Reports the holder of a prompt. \a isNew is false if the prompt is only used there again; it
+    /// is then sent only from the half of the budget that is not reserved for new prompts.
     void report(const Schema::SharedPrompt &prompt, bool isNew);
-    void receive(const Schema::PromptNews &news) const;
-    /// Prompts of which the peers were not told for want of budget.
+    void receive(const Schema::PromptNews &message) const;
+    /// Prompts that were not sent to the peers for lack of budget or of space in a datagram.
     std::uint64_t dropped() const { return m_dropped; }
 
 private:
@@ -60,8 +62,8 @@
 
     Options m_options;
     Admission::Gcra m_bytes;
-    Schema::PromptNews m_pending; ///< That the peers are not told yet.
-    std::size_t m_newCount = 0; ///< Of these, the first ones; the rest are only in use again.
+    Schema::PromptNews m_pending; ///< Not sent to the peers yet.
+    std::size_t m_newCount = 0; ///< Number of new prompts, which are first in m_pending.
     std::optional<Runtime::TimerId> m_timer;
     std::uint64_t m_dropped = 0;
 };
--- a/src/libs/fleetsync/quarantinelog.cpp
+++ b/src/libs/fleetsync/quarantinelog.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Of a key that is there; the key says all.
+/// Value of each key that is present; the key carries all information.
 constexpr const char *present = "1";
 
 } // namespace
@@ -37,7 +37,7 @@
 {
     std::uint64_t request = 0;
     if (!record.value || !absl::SimpleHexAtoi(record.key, &request))
-        return; // Not ours; it says nothing of a request.
+        return; // Deleted, or not the key of a request.
     scheduleDrop(record.key);
     if (received)
         received(request);
--- a/src/libs/fleetsync/quarantinelog.h
+++ b/src/libs/fleetsync/quarantinelog.h
@@ -12,10 +12,11 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// Keeps in a keyed log which requests are quarantined, so that it outlasts the loss of all
-/// routers: with nobody left to tell, they would let each request end three endpoints more. A key
-/// is a request. It is dropped by whoever has known it for the time of a quarantine, by its own
-/// steady clock: a router whose wall clock is wrong would end it for all.
+/// Stores quarantined requests in a keyed log, so that a quarantine survives a restart of all
+/// routers at once. Without it no router would be left to propagate the quarantine, and each
+/// request would end three more endpoints. Each key is the fingerprint of a request. A router
+/// deletes a key when it has had it for the duration of a quarantine by its own steady clock: with
+/// wall clocks, one router whose clock is wrong would end the quarantine for all routers.
 class QuarantineLog
 {
 public:
@@ -23,8 +24,8 @@
     {
         KeyedLog::KeyedWrite write;
         Runtime::TimerQueue *timers = nullptr;
-        Base::Duration retention = std::chrono::hours(1); ///< For which a key is kept.
-        PlatformClient::Backoff::Options backoff; ///< Between tries.
+        Base::Duration retention = std::chrono::hours(1); ///< Time after which a key is deleted.
+        PlatformClient::Backoff::Options backoff; ///< Between two attempts to write.
     };
 
     explicit QuarantineLog(Options options);
@@ -32,12 +33,13 @@
     QuarantineLog(const QuarantineLog &) = delete;
     QuarantineLog &operator=(const QuarantineLog &) = delete;
 
-    /// The log has this request.
+    /// Called for each quarantined request that is read from the log.
     std::function<void(std::uint64_t request)> received;
 
-    /// Writes it until the log has it, one after the other.
+    /// Writes the request to the log; retries until it succeeds. Requests are written one at a
+    /// time.
     void save(std::uint64_t request);
-    /// The log has this record.
+    /// Handles a record that was read from the log.
     void recordRead(const KeyedLog::KeyedRecord &record);
 
 private:
@@ -48,12 +50,12 @@
 
     Options m_options;
     PlatformClient::Backoff m_backoff;
-    std::map<std::string, Runtime::TimerId> m_dropTimers; ///< By keys that are in the log.
-    std::map<std::string, std::string>
-        m_pendingWrites; ///< Values by keys; an empty one drops the key.
+    std::map<std::string, Runtime::TimerId> m_dropTimers; ///< Timers that delete keys, by key.
+    /// Values by key; an empty value deletes the key.
+    std::map<std::string, std::string> m_pendingWrites;
     bool m_isWriting = false;
     Runtime::TimerId m_timer;
-    /// Answers that come after this object is gone find it out by this.
+    /// Lets callbacks detect that this object has been destroyed.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/src/libs/fleetsync/routerregistry.cpp
+++ b/src/libs/fleetsync/routerregistry.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Stands between data centre, address and strength; none can hold it.
+/// Separates data centre, address and strength, none of which can contain it.
 constexpr char separator = ' ';
 
 } // namespace
@@ -35,10 +35,10 @@
     m_options.write(
         m_options.id,
         formatRegistryEntry({m_options.dataCentre, m_options.address, m_options.strength}),
-        [this, isAlive = std::weak_ptr<bool>(m_isAlive)](const Errors::Result<void> &written) {
+        [this, isAlive = std::weak_ptr<bool>(m_isAlive)](const Errors::Result<void> &result) {
             if (isAlive.expired())
                 return;
-            if (written)
+            if (result)
                 readAll();
             else
                 retry(&RouterRegistry::write);
@@ -77,10 +77,10 @@
 
 void RouterRegistry::addRecord(const KeyedLog::KeyedRecord &record)
 {
-    const auto read = parseRegistryEntry(record.value.value_or(std::string()));
-    if (!read)
+    const auto entry = parseRegistryEntry(record.value.value_or(std::string()));
+    if (!entry)
         return;
-    const RegisteredRouter &router = read.value();
+    const RegisteredRouter &router = entry.value();
     m_options.sync->addRouter(record.key, router.dataCentre, router.address, router.strength);
 }
 
@@ -100,13 +100,15 @@
     const std::vector<std::string> parts =
         absl::StrSplit(absl::string_view(text.data(), text.size()), separator);
     if (parts.size() != 2 && parts.size() != 3)
-        return Errors::makeError(Errors::ErrorKind::BadMessage, "not a router's entry");
+        return Errors::makeError(Errors::ErrorKind::BadMessage,
+                                 "registry entry of a router has a wrong number of fields");
     auto address = Runtime::parseSocketAddress(parts[1]);
     if (!address)
         return address.error();
     RegisteredRouter router{.dataCentre = parts[0], .address = address.value()};
     if (parts.size() == 3 && !absl::SimpleAtoi(parts[2], &router.strength))
-        return Errors::makeError(Errors::ErrorKind::BadMessage, "a router's strength is no number");
+        return Errors::makeError(Errors::ErrorKind::BadMessage,
+                                 "strength in registry entry of a router is not a number");
     return router;
 }
 
--- a/src/libs/fleetsync/routerregistry.h
+++ b/src/libs/fleetsync/routerregistry.h
@@ -8,9 +8,9 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// How routers find each other: each writes its address into a keyed log when it starts, then reads
-/// the others' and tells them. Whoever starts later is told of by its own beacons, so that the log
-/// is read once.
+/// Discovery of routers: each router writes its address into a keyed log when it starts, then reads
+/// the addresses of the others and adds them to the FleetSync. Routers that start later announce
+/// themselves by beacons, so that the log is read only once.
 class RouterRegistry
 {
 public:
@@ -24,7 +24,7 @@
         std::string dataCentre;
         Runtime::SocketAddress address;
         std::uint32_t strength = 0; ///< See FleetBeacon.
-        PlatformClient::Backoff::Options backoff; ///< Between tries.
+        PlatformClient::Backoff::Options backoff; ///< Between two attempts.
     };
 
     explicit RouterRegistry(Options options);
@@ -33,7 +33,7 @@
     RouterRegistry &operator=(const RouterRegistry &) = delete;
 
     void start();
-    /// Whether this router is in the log and has read the others.
+    /// Whether this router has been written to the log and has read the entries of the others.
     bool isDone() const { return m_isDone; }
 
 private:
@@ -49,11 +49,11 @@
     PlatformClient::Backoff m_backoff;
     bool m_isDone = false;
     Runtime::TimerId m_timer;
-    /// Answers that come after this object is gone find it out by this.
+    /// Lets callbacks detect that this object has been destroyed.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
-/// What stands in the log of a router.
+/// Entry of one router in the log.
 struct RegisteredRouter
 {
     std::string dataCentre;
@@ -61,8 +61,8 @@
     std::uint32_t strength = 0;
 };
 std::string formatRegistryEntry(const RegisteredRouter &router);
-/// An entry without a strength is of a router that is weaker than any other one; an error if it
-/// cannot be read.
+/// Returns an error if the entry is malformed. An entry without a strength gets strength 0, which
+/// ranks below every other one.
 Errors::Result<RegisteredRouter> parseRegistryEntry(std::string_view text);
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/sharedendpoint.cpp
+++ b/src/libs/fleetsync/sharedendpoint.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// In whole milliseconds, as endpoints say it; 0 if one does not.
+/// Start time as the endpoint reports it, in whole milliseconds since 1970; 0 if it reports none.
 std::uint64_t startedAtMs(const Fleet::Endpoint &endpoint)
 {
     if (!endpoint.startedAt)
--- a/src/libs/fleetsync/sharedendpoint.h
+++ b/src/libs/fleetsync/sharedendpoint.h
@@ -9,13 +9,15 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// What a router tells of an endpoint, and back.
+/// Conversion of endpoints to and from the form in which routers exchange them.
 Schema::SharedEndpoint toShared(const Fleet::EndpointDirectory::Entry &entry);
+/// Reports that the entry of an endpoint has been deleted.
 Schema::SharedEndpoint toSharedRemoval(const Base::EndpointId &id, Base::LogOffset version);
 Fleet::Endpoint fromShared(const Schema::SharedEndpoint &shared);
 
-/// Of what a router knows, as peers tell it: in milliseconds, and one number for nothing.
+/// Age that stands for "no state" in messages.
 constexpr std::uint32_t unknownAge = std::numeric_limits<std::uint32_t>::max();
+/// Age of a router's state in milliseconds for messages; unknownAge if there is none.
 std::uint32_t encodeAge(std::optional<Base::Duration> age);
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/storefreshness.cpp
+++ b/src/libs/fleetsync/storefreshness.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Ticks are half a second apart, so a process that did nothing for so long stood still.
-constexpr Base::Duration standstill = std::chrono::seconds(1);
-/// In which a process that goes on reads what has come meanwhile.
+/// Ticks are half a second apart, so a process that did nothing for this long was suspended.
+constexpr Base::Duration minSuspension = std::chrono::seconds(1);
+/// Time that a resumed process needs to read the messages that arrived while it was suspended.
 constexpr Base::Duration backlogTime = std::chrono::milliseconds(100);
 
 } // namespace
@@ -16,7 +16,7 @@
 Base::MonoTime StoreFreshness::arrivalTime()
 {
     const Base::MonoTime now = m_options.clock->now();
-    if (now - m_activeAt > standstill) {
+    if (now - m_activeAt > minSuspension) {
         m_suspendedAt = m_activeAt;
         m_backlogUntil = now + backlogTime;
     }
@@ -24,18 +24,18 @@
     return now < m_backlogUntil ? m_suspendedAt : now;
 }
 
-/// Outages count as one if endpoints had no time to write in between. A gap that begins right
-/// behind an outage is taken for its second part, whatever its cause.
+/// Outages count as one if endpoints had no time to write their entries in between. A gap that
+/// begins right after an outage is treated as its second part, whatever its cause.
 bool StoreFreshness::mayHaveExpired(Base::MonoTime asOf, bool isReadOverdue)
 {
-    const Base::Duration thereFor = *m_asOf - m_availableSince;
-    const bool isOutage = m_hasFailed || isReadOverdue || thereFor <= m_options.briefRecovery;
-    // Without a read of its own that failed a router may just have lost its reader.
+    const Base::Duration availableFor = *m_asOf - m_availableSince;
+    const bool isOutage = m_hasFailed || isReadOverdue || availableFor <= m_options.briefRecovery;
+    // A router without a failed read of its own may just have lost its store reader.
     if (!isOutage)
         return asOf - *m_asOf > m_options.minExpiryOutage;
     if (asOf - *m_asOf <= m_options.maxReadInterval)
         return false;
-    if (thereFor >= m_options.rewriteTime)
+    if (availableFor >= m_options.rewriteTime)
         m_outageStartedAt = *m_asOf;
     m_availableSince = asOf;
     return asOf - m_outageStartedAt > m_options.minExpiryOutage;
@@ -43,17 +43,17 @@
 
 bool StoreFreshness::advanceTo(Base::MonoTime asOf, bool isReadOverdue)
 {
-    const bool isLapsed = m_asOf && mayHaveExpired(asOf, isReadOverdue);
+    const bool mayBeExpired = m_asOf && mayHaveExpired(asOf, isReadOverdue);
     m_asOf = std::max(m_asOf.value_or(asOf), asOf);
-    return isLapsed;
+    return mayBeExpired;
 }
 
 bool StoreFreshness::readSucceeded(bool isReadOverdue)
 {
-    const bool isLapsed = advanceTo(arrivalTime(), isReadOverdue);
+    const bool mayBeExpired = advanceTo(arrivalTime(), isReadOverdue);
     m_readAt = m_asOf;
     m_hasFailed = false;
-    return isLapsed;
+    return mayBeExpired;
 }
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/storefreshness.h
+++ b/src/libs/fleetsync/storefreshness.h
@@ -7,23 +7,26 @@
 
 namespace Lagoonbank::FleetSync {
 
-/// Up to when a router knows what the store held, from the store or from peers, and whether entries
-/// may have lapsed while nobody could read it.
+/// Tracks up to which time a router's state reflects the store, whether it comes from the store
+/// itself or from peers, and whether entries of the store may have expired while no router could
+/// read it.
 class StoreFreshness
 {
 public:
     struct Options
     {
         const Runtime::Clock *clock = nullptr;
-        /// Entries lapse after three heartbeats of 1.2 s, of which one may have passed when the
-        /// store went away; in less than this none has. A reader that dies leaves a gap of 2 s.
+        /// Minimum length of an outage in which entries may expire. They expire after three missed
+        /// heartbeats of 1.2 s, of which one may have passed when the store became unavailable. A
+        /// store reader that dies leaves a gap of only 2 s.
         Base::Duration minExpiryOutage = std::chrono::milliseconds(2300);
-        /// From one read to the next; where reads failed, longer ones are gaps.
+        /// Maximum time between two reads. If reads have failed, a longer time is a gap.
         Base::Duration maxReadInterval = std::chrono::milliseconds(800);
-        /// A store that was there for no longer than this between two gaps was not there for most
-        /// endpoints: they write each 1.2 s.
+        /// If the store was available for no longer than this between two gaps, most endpoints had
+        /// no chance to write, as they write every 1.2 s.
         Base::Duration briefRecovery = std::chrono::milliseconds(250);
-        /// In which endpoints write their entries again after the store's return: 2 s, and a read.
+        /// Time in which endpoints write their entries again after the store has recovered: 2 s,
+        /// and a read.
         Base::Duration rewriteTime = std::chrono::milliseconds(2200);
     };
 
@@ -32,27 +35,29 @@
         , m_activeAt(options.clock->now())
     { }
 
-    /// Time to which what is known was true; nothing if nothing is known.
+    /// Time up to which the state reflects the store; empty if there is no state.
     const std::optional<Base::MonoTime> &asOf() const { return m_asOf; }
-    /// When this router has read the store itself.
+    /// When this router last read the store itself.
     const std::optional<Base::MonoTime> &readAt() const { return m_readAt; }
-    /// A read has failed since.
+    /// Whether a read has failed since.
     bool hasFailed() const { return m_hasFailed; }
 
-    /// To be called whenever the process does anything. When a message that is read now may have
-    /// come: those that came while the process stood still have waited in its sockets, and what
-    /// they call new is as old as that.
+    /// Returns the earliest time at which a message that is read now may have arrived: messages
+    /// that arrived while the process was suspended have waited in its sockets, and their content
+    /// is as old as that. To be called whenever the process is active, so that suspensions are
+    /// noticed.
     Base::MonoTime arrivalTime();
-    /// Whether entries may have lapsed of which nothing was known until \a at. Something is known.
-    /// \a isReadOverdue says that a read of this router's own waits for longer than the store
-    /// takes.
+    /// Whether entries may have expired between the time of the current state and \a asOf. Requires
+    /// a state. \a isReadOverdue says that a read by this router has waited longer than the store
+    /// usually takes to answer.
     bool mayHaveExpired(Base::MonoTime asOf, bool isReadOverdue);
-    /// What is known was true at \a at; gives back whether entries may have lapsed since before.
+    /// Records that the state reflects the store up to \a asOf; returns whether entries may have
+    /// expired since the previous state.
     bool advanceTo(Base::MonoTime asOf, bool isReadOverdue);
-    /// The same of a read of this router's own.
+    /// The same for a successful read by this router.
     bool readSucceeded(bool isReadOverdue);
     void readFailed() { m_hasFailed = true; }
-    /// This router reads no more, so its reads say nothing of what comes.
+    /// To be called when this router stops reading: a failed read says nothing about later outages.
     void clearFailure() { m_hasFailed = false; }
 
 private:
@@ -60,11 +65,11 @@
     std::optional<Base::MonoTime> m_asOf;
     std::optional<Base::MonoTime> m_readAt;
     bool m_hasFailed = false;
-    Base::MonoTime m_availableSince{}; ///< Since the last gap.
-    Base::MonoTime m_outageStartedAt{}; ///< Start of the gaps that count as one.
-    Base::MonoTime m_activeAt; ///< When the process last did anything.
-    Base::MonoTime m_suspendedAt{}; ///< Since when it stood still, the last time.
-    Base::MonoTime m_backlogUntil{}; ///< What is read until then may have come meanwhile.
+    Base::MonoTime m_availableSince{}; ///< End of the last gap.
+    Base::MonoTime m_outageStartedAt{}; ///< Start of the gaps that count as one outage.
+    Base::MonoTime m_activeAt; ///< When the process was last active.
+    Base::MonoTime m_suspendedAt{}; ///< Start of the last suspension.
+    Base::MonoTime m_backlogUntil{}; ///< Messages read earlier may have waited since then.
 };
 
 } // namespace Lagoonbank::FleetSync
--- a/tests/auto/fleetsync/fleethelpers.h
+++ b/tests/auto/fleetsync/fleethelpers.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-/// Endpoints of a SyncFleet, and what its routers know of them.
+/// Helpers for the endpoints of a SyncFleet and for checks of its routers' state.
 namespace FleetHelpers {
 
 namespace Base = Lagoonbank::Base;
@@ -22,11 +22,11 @@
 
 inline bool isDraining(const Router &router, const char *id)
 {
-    const Fleet::Endpoint *known = router.directory->find(Base::EndpointId(id));
-    return known && known->state == Fleet::EndpointState::Draining;
+    const Fleet::Endpoint *found = router.directory->find(Base::EndpointId(id));
+    return found && found->state == Fleet::EndpointState::Draining;
 }
 
-/// A fleet that has settled, with one endpoint and a configuration.
+/// Adds one endpoint and a configuration and waits until the fleet has settled.
 inline SyncFleet &settle(SyncFleet &fleet)
 {
     fleet.put(endpoint("a"));
--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-/// Routers that share a store, on one paused clock, with a network that the test can cut.
+/// Simulated routers that share a store, on one manual clock, with a network that the test can cut.
 class SyncFleet
 {
 public:
@@ -26,18 +26,18 @@
         std::string ip;
         bool isUp = true;
         bool reachesStore = true;
-        bool isStoreUp = true; ///< As of its last read.
+        bool isStoreUp = true; ///< Result of its last read.
         bool isReading = true;
-        bool isReadDue = false; ///< It has begun to read.
-        int reads = 0; ///< Of the store.
-        std::uint64_t sentBytes = 0; ///< In beacons, with the headers of UDP and IP.
+        bool isReadDue = false; ///< Reads the store at the next step.
+        int reads = 0; ///< Reads of the store.
+        std::uint64_t sentBytes = 0; ///< Size of its beacons with UDP and IP headers.
         std::uint64_t receivedBytes = 0;
         std::uint64_t configuration = 0;
         std::unique_ptr<Lagoonbank::Fleet::EndpointDirectory> directory;
         std::shared_ptr<Sync> sync;
     };
 
-    /// \a sizes gives the routers of each data centre.
+    /// \a sizes contains the number of routers of each data centre.
     explicit SyncFleet(const std::vector<int> &sizes)
     {
         for (std::size_t dc = 0; dc < sizes.size(); ++dc) {
@@ -49,7 +49,7 @@
     Router &add(const std::string &dataCentre, int number)
     {
         auto router = std::make_unique<Router>();
-        // As long as the users' names.
+        // As long as names in production.
         router->id = "edge-data-centre-r" + std::to_string(number);
         router->dataCentre = dataCentre;
         router->ip = "10.0.0." + std::to_string(number);
@@ -89,7 +89,7 @@
     /// Writes to the store.
     void put(const Endpoint &endpoint) { m_store[endpoint.id] = {endpoint, ++m_offset}; }
     void drop(const std::string &id) { m_store.erase(Lagoonbank::Base::EndpointId(id)); }
-    /// The operators have drained these data centres, and no others.
+    /// Makes these data centres the drained ones, as operators do.
     void drain(std::set<Lagoonbank::Base::DataCentreId> dataCentres)
     {
         m_drained = std::move(dataCentres);
@@ -134,12 +134,12 @@
 
     Lagoonbank::Runtime::ManualClock clock;
     Lagoonbank::Runtime::TimerQueue timers{clock};
-    /// Whether a message may pass.
+    /// Whether a message is delivered.
     std::function<bool(const Router &from, const Router &to)> passes =
         [](const Router &, const Router &) { return true; };
     std::vector<std::unique_ptr<Router>> routers;
     std::uint64_t revision = 0; ///< Of the configuration in the store; 0 for none.
-    std::uint64_t bytes = 0; ///< Sent by all routers.
+    std::uint64_t bytes = 0; ///< Size of beacons sent by all routers.
     std::uint64_t messages = 0; ///< Beacons sent by all routers.
     std::uint64_t pulledEndpoints = 0; ///< Entries in answers to pulls.
 
@@ -159,41 +159,41 @@
             router.isReading = reads;
             router.isReadDue = reads;
         };
-        router.sync->configurationPulled =
-            [&router](const FleetSync::StoredConfiguration &received) {
-                takeConfiguration(router, std::stoull(received.packed));
-            };
+        router.sync->configurationPulled = [&router](const FleetSync::StoredConfiguration &pulled) {
+            takeConfiguration(router, std::stoull(pulled.packed));
+        };
         router.sync->send = [this, &router](const auto &to, const Schema::FleetBeacon &beacon) {
             constexpr std::uint64_t headers = 28;
             ++messages;
             const std::uint64_t size = headers + Schema::encodeMessage(beacon).value().size();
             bytes += size;
             router.sentBytes += size;
-            later(router, to.ip, [&router, beacon, size](Router &target) {
+            deliverLater(router, to.ip, [&router, beacon, size](Router &target) {
                 target.receivedBytes += size;
                 target.sync->receive(router.ip, beacon);
             });
         };
         router.sync->pull = [this, &router](const auto &peer,
-                                            const Schema::FleetStateRequest &ask) {
-            // As long as a router waits for a peer that does not answer.
+                                            const Schema::FleetStateRequest &request) {
+            // Timeout for a peer that does not answer.
             constexpr Base::Duration timeout = std::chrono::milliseconds(400);
             const auto isAnswered = std::make_shared<bool>(false);
             timers.start(timeout, [&router, isAnswered, weak = std::weak_ptr<Sync>(router.sync)] {
                 if (!weak.expired() && !*isAnswered)
                     router.sync->pullFailed();
             });
-            later(router, peer.ip, [this, &router, ask, isAnswered](Router &target) {
-                const Schema::FleetStateAnswer state = target.sync->answer(ask);
+            deliverLater(router, peer.ip, [this, &router, request, isAnswered](Router &target) {
+                const Schema::FleetStateAnswer state = target.sync->answer(request);
                 pulledEndpoints += state.endpoints.size();
-                later(target, router.ip, [state, isAnswered](Router &asker) {
+                deliverLater(target, router.ip, [state, isAnswered](Router &puller) {
                     *isAnswered = true;
-                    asker.sync->pullSucceeded(state);
+                    puller.sync->pullSucceeded(state);
                 });
             });
         };
     }
-    void later(const Router &from, const std::string &ip, std::function<void(Router &)> arrive)
+    void deliverLater(const Router &from, const std::string &ip,
+                      std::function<void(Router &)> arrive)
     {
         const auto found = m_byIp.find(ip);
         if (found != m_byIp.end() && found->second->isUp && passes(from, *found->second))
@@ -206,13 +206,13 @@
                 arrive(*router);
         }
     }
-    /// Each reader looks at the store every 500 ms, and when it begins to read.
+    /// Each store reader reads every 500 ms and when it starts to read.
     void readStore()
     {
         using namespace Lagoonbank;
-        const bool isTurn = ++m_turn % 50 == 0;
+        const bool isReadStep = ++m_steps % 50 == 0;
         for (const auto &router : routers) {
-            const bool isDue = std::exchange(router->isReadDue, false) || isTurn;
+            const bool isDue = std::exchange(router->isReadDue, false) || isReadStep;
             if (!router->isUp || !router->isReading || !isDue)
                 continue;
             ++router->reads;
@@ -247,9 +247,9 @@
 
     std::map<Lagoonbank::Base::EndpointId, std::pair<Endpoint, std::uint64_t>> m_store;
     std::set<Lagoonbank::Base::DataCentreId> m_drained;
-    std::uint64_t m_operatorOffset = 0; ///< Of the operators' records.
+    std::uint64_t m_operatorOffset = 0; ///< Offset of the last record of the operators.
     std::map<std::string, Router *> m_byIp;
     std::uint64_t m_offset = 0;
-    std::uint64_t m_turn = 0;
+    std::uint64_t m_steps = 0;
     std::vector<std::pair<Router *, std::function<void(Router &)>>> m_messages;
 };
--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Routers that hear each other at once.
+/// Routers whose messages are counted by receiver.
 struct Routers
 {
     explicit Routers(std::size_t count)
@@ -40,14 +40,14 @@
                 },
             .self = addresses[index],
             .randomSeed = index + 1});
-        gossip->send = [this](const Runtime::SocketAddress &to, const Schema::CrashNews &news) {
+        gossip->send = [this](const Runtime::SocketAddress &to, const Schema::CrashNews &message) {
             constexpr std::size_t headers = 28;
             ++datagrams;
-            bytes += headers + Schema::encodeMessage(news).value().size();
-            if (!news.ends.empty())
-                toldOfEnds[to.ip] += news.ends.size();
-            if (!news.quarantined.empty())
-                ++toldOfQuarantine[to.ip];
+            bytes += headers + Schema::encodeMessage(message).value().size();
+            if (!message.ends.empty())
+                receivedEnds[to.ip] += message.ends.size();
+            if (!message.quarantined.empty())
+                ++receivedQuarantines[to.ip];
         };
         routers.push_back(std::move(gossip));
     }
@@ -65,8 +65,8 @@
     std::vector<std::unique_ptr<CrashGossip>> routers;
     std::size_t datagrams = 0;
     std::size_t bytes = 0;
-    std::map<std::string, std::size_t> toldOfEnds;
-    std::map<std::string, std::size_t> toldOfQuarantine;
+    std::map<std::string, std::size_t> receivedEnds;
+    std::map<std::string, std::size_t> receivedQuarantines;
 };
 
 } // namespace
@@ -75,11 +75,12 @@
 {
     Routers f(6);
     f.routers[2]->sendEnds({{.request = 1, .endpoint = 11}, {.request = 2, .endpoint = 11}});
-    BOOST_TEST(f.toldOfEnds.size() == 5);
+    BOOST_TEST(f.receivedEnds.size() == 5);
     BOOST_TEST(f.datagrams == 5);
 }
 
-/// Pattern: an endpoint ends with all its places taken; the request to blame is any of them.
+/// An endpoint ends with all its slots in use. Any of its requests may be the cause, so all ends
+/// have to be reported.
 BOOST_AUTO_TEST_CASE(allEndsOfFullEndpointAreSent)
 {
     Routers f(6);
@@ -88,25 +89,25 @@
     for (std::uint64_t request = 0; request < 128; ++request)
         ends.push_back({.request = request, .endpoint = 11});
     f.routers[2]->sendEnds(ends);
-    for (const auto &[router, count] : f.toldOfEnds)
+    for (const auto &[router, count] : f.receivedEnds)
         BOOST_TEST(count == 128U);
     BOOST_TEST(f.routers[2]->dropped() == 0U);
 }
 
-/// However many routers see the ends under one request, the same few are told.
+/// Whichever router reports the end, the same few routers count the ends under one request.
 BOOST_AUTO_TEST_CASE(inLargeFleetSameFewRoutersCountEndsOfRequest)
 {
     Routers f(300);
-    for (const std::size_t teller : {3U, 50U, 299U})
-        f.routers[teller]->sendEnds({{.request = 1, .endpoint = teller}});
-    BOOST_TEST(f.toldOfEnds.size() <= 8);
-    const auto all = std::count_if(f.toldOfEnds.begin(), f.toldOfEnds.end(),
+    for (const std::size_t reporter : {3U, 50U, 299U})
+        f.routers[reporter]->sendEnds({{.request = 1, .endpoint = reporter}});
+    BOOST_TEST(f.receivedEnds.size() <= 8);
+    const auto all = std::count_if(f.receivedEnds.begin(), f.receivedEnds.end(),
                                    [](const auto &entry) { return entry.second == 3; });
-    BOOST_TEST(all >= 5); // A teller that counts itself is told of the others' alone.
+    BOOST_TEST(all >= 5); // A reporter that counts itself receives only the others' reports.
 }
 
-/// Pattern: many endpoints with many requests end at once, behind a link of 10 Mbit/s that calls
-/// need too.
+/// Many endpoints with many requests end at the same time. The reports have to keep to their
+/// budget, as calls share the link of 10 Mbit/s.
 BOOST_AUTO_TEST_CASE(manyEndsKeepToByteBudget)
 {
     Routers f(300);
@@ -128,8 +129,8 @@
 {
     Routers f(300);
     f.routers[0]->sendQuarantine({.request = 1, .leftMs = 1000});
-    BOOST_TEST(f.toldOfQuarantine.size() == 299);
-    f.toldOfQuarantine.clear();
+    BOOST_TEST(f.receivedQuarantines.size() == 299);
+    f.receivedQuarantines.clear();
     for (const auto &router : f.routers) {
         router->quarantined = [] {
             return std::vector<Schema::SharedQuarantine>{{.request = 1, .leftMs = 1000}};
@@ -138,7 +139,8 @@
     }
     f.bytes = 0;
     f.pass(seconds(3));
-    BOOST_TEST(f.toldOfQuarantine.size() >= 290); // Two of 299 others each, three times.
+    // Each router sends to two of 299 peers, three times.
+    BOOST_TEST(f.receivedQuarantines.size() >= 290);
     BOOST_TEST(f.bytes / 300 / 3 < 500U);
 }
 
--- a/tests/auto/fleetsync/tst_drains.cpp
+++ b/tests/auto/fleetsync/tst_drains.cpp
@@ -1,4 +1,4 @@
-/// Drained data centres, as the routers of a fleet tell each other.
+/// Tests how drains of data centres are propagated between routers.
 #define BOOST_TEST_MODULE tst_drains
 #include <boost/test/unit_test.hpp>
 
@@ -18,7 +18,7 @@
 
 const Drained east{Base::DataCentreId("east")};
 
-bool allRouters(const SyncFleet &fleet, const Drained &drained)
+bool allRoutersHave(const SyncFleet &fleet, const Drained &drained)
 {
     return fleet.allRouters(
         [&](const Router &router) { return router.sync->drains().current() == drained; });
@@ -32,10 +32,10 @@
     settle(fleet);
     fleet.drain(east);
     fleet.pass(milliseconds(1000));
-    BOOST_TEST(allRouters(fleet, east));
+    BOOST_TEST(allRoutersHave(fleet, east));
     fleet.drain({});
     fleet.pass(milliseconds(1000));
-    BOOST_TEST(allRouters(fleet, {}));
+    BOOST_TEST(allRoutersHave(fleet, {}));
 }
 
 BOOST_AUTO_TEST_CASE(routerThatStartsWithoutStoreGetsDrainFromPeers)
@@ -50,7 +50,7 @@
     fleet.pass(seconds(1));
     fleet.start(router);
     fleet.pass(seconds(2));
-    BOOST_TEST(allRouters(fleet, east));
+    BOOST_TEST(allRoutersHave(fleet, east));
 }
 
 BOOST_AUTO_TEST_CASE(drainEndsAlsoWhereStoreRefusesAThirdOfRouters)
@@ -63,7 +63,7 @@
         fleet.routers[i]->reachesStore = false;
     fleet.drain({});
     fleet.pass(seconds(3));
-    BOOST_TEST(allRouters(fleet, {}));
+    BOOST_TEST(allRoutersHave(fleet, {}));
 }
 
 BOOST_AUTO_TEST_CASE(reconnectedDataCentreDoesNotRestoreDrain)
@@ -79,8 +79,8 @@
         router->reachesStore = router->dataCentre == "dc0";
     fleet.drain({});
     fleet.pass(seconds(4));
-    BOOST_TEST(!allRouters(fleet, {}));
+    BOOST_TEST(!allRoutersHave(fleet, {}));
     fleet.passes = [](const Router &, const Router &) { return true; };
     fleet.pass(seconds(3));
-    BOOST_TEST(allRouters(fleet, {}));
+    BOOST_TEST(allRoutersHave(fleet, {}));
 }
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -44,8 +44,8 @@
                                         .failed = [this](const Errors::Error &) { ++failures; }});
         BOOST_REQUIRE(opened);
         link = std::move(opened.value());
-        sync.configurationPulled = [this](const FleetSync::StoredConfiguration &received) {
-            packed = received.packed;
+        sync.configurationPulled = [this](const FleetSync::StoredConfiguration &pulled) {
+            packed = pulled.packed;
         };
     }
 
@@ -89,9 +89,9 @@
                                  .packed = std::string(200000, 'c')});
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
     BOOST_TEST(f.runUntil([&] { return f.other.packed.size() == 200000U; }));
-    const Fleet::Endpoint *received = f.other.directory.find(Base::EndpointId("a"));
-    BOOST_REQUIRE(received);
-    BOOST_TEST((*received == *f.one.directory.find(Base::EndpointId("a"))));
+    const Fleet::Endpoint *pulled = f.other.directory.find(Base::EndpointId("a"));
+    BOOST_REQUIRE(pulled);
+    BOOST_TEST((*pulled == *f.one.directory.find(Base::EndpointId("a"))));
     BOOST_TEST(f.other.directory.hash() == f.one.directory.hash());
     BOOST_TEST(f.one.bytes > 200000U);
     BOOST_TEST(f.one.failures + f.other.failures == 0);
@@ -111,7 +111,7 @@
     BOOST_TEST(f.one.sync.peers().empty());
 }
 
-/// Pattern: hundreds of routers start at once and all ask the one that was first to know all.
+/// Hundreds of routers start together and all pull from the first one that has the configuration.
 BOOST_AUTO_TEST_CASE(pullsBeyondRateLimitAreRefused)
 {
     Fixture f;
@@ -119,15 +119,15 @@
         {.revision = Base::Revision(4), .packed = std::string(150000, 'c')});
     const auto body = Schema::encodeMessage(Schema::FleetStateRequest{});
     BOOST_REQUIRE(body);
-    const std::string ask = "POST /fleet/state HTTP/1.1\r\nhost: a\r\ncontent-length: "
+    const std::string request = "POST /fleet/state HTTP/1.1\r\nhost: a\r\ncontent-length: "
         + std::to_string(body.value().size()) + "\r\n\r\n" + body.value();
     const auto statusOfNext = [&] {
-        RawSocket asker({"127.0.0.1", f.one.port});
-        asker.send(ask);
-        BOOST_REQUIRE(f.runUntil([&] { return asker.has("HTTP/1.1 "); }));
-        return asker.has("HTTP/1.1 200") ? 200 : 503;
+        RawSocket puller({"127.0.0.1", f.one.port});
+        puller.send(request);
+        BOOST_REQUIRE(f.runUntil([&] { return puller.has("HTTP/1.1 "); }));
+        return puller.has("HTTP/1.1 200") ? 200 : 503;
     };
-    BOOST_TEST(statusOfNext() == 200); // One may be larger than a second's bytes.
+    BOOST_TEST(statusOfNext() == 200); // A single answer may exceed the rate limit.
     BOOST_TEST(statusOfNext() == 503);
     f.advance(std::chrono::milliseconds(600));
     BOOST_TEST(statusOfNext() == 200);
@@ -136,13 +136,15 @@
 BOOST_AUTO_TEST_CASE(promptsReachKnownPeers)
 {
     Fixture f;
-    std::uint64_t heard = 0;
-    f.other.prompts.received = [&](const Schema::SharedPrompt &prompt) { heard = prompt.prompt; };
+    std::uint64_t receivedId = 0;
+    f.other.prompts.received = [&](const Schema::SharedPrompt &prompt) {
+        receivedId = prompt.prompt;
+    };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
     f.one.prompts.report({.prompt = 42, .endpoint = 5, .tokens = 10000, .readingMs = 100}, true);
     BOOST_TEST(f.runUntil([&] {
         f.clock.advance(std::chrono::milliseconds(1));
-        return heard == 42;
+        return receivedId == 42;
     }));
     BOOST_TEST(f.other.failures == 0);
 }
@@ -150,9 +152,9 @@
 BOOST_AUTO_TEST_CASE(loadsReachPeer)
 {
     Fixture f;
-    std::size_t heard = 0;
-    f.other.loads.received = [&](const Schema::LoadNews &latest, Base::Duration) {
-        heard = latest.loads.size();
+    std::size_t receivedLoads = 0;
+    f.other.loads.received = [&](const Schema::LoadNews &message, Base::Duration) {
+        receivedLoads = message.loads.size();
     };
     f.one.loads.latest = [] {
         return Schema::LoadNews{
@@ -162,7 +164,7 @@
     f.one.loads.start();
     BOOST_TEST(f.runUntil([&] {
         f.clock.advance(std::chrono::milliseconds(10));
-        return heard == 1;
+        return receivedLoads == 1;
     }));
     BOOST_TEST(f.other.failures == 0);
 }
@@ -170,23 +172,24 @@
 BOOST_AUTO_TEST_CASE(endsReachPeer)
 {
     Fixture f;
-    std::uint64_t heard = 0;
-    f.other.crashes.received = [&](const Schema::CrashNews &latest) {
-        heard = latest.ends.empty() ? 0 : latest.ends.front().request;
+    std::uint64_t receivedId = 0;
+    f.other.crashes.received = [&](const Schema::CrashNews &message) {
+        receivedId = message.ends.empty() ? 0 : message.ends.front().request;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
     f.one.crashes.sendEnds({{.request = 42, .endpoint = 5}});
-    BOOST_TEST(f.runUntil([&] { return heard == 42; }));
+    BOOST_TEST(f.runUntil([&] { return receivedId == 42; }));
     BOOST_TEST(f.other.failures == 0);
 }
 
-/// Pattern: the link of a router that others pull from is squeezed, so that its answer flows, but
-/// does not end. A configuration has to be in force within 2 s; a peer that has it is there.
+/// The link of the peer is so slow that its answer arrives byte by byte and never ends. The pull
+/// has to time out early enough to pull from another peer, as a configuration has to be in force
+/// within 2 s.
 BOOST_AUTO_TEST_CASE(slowPullDoesNotPreventPullFromAnotherPeer)
 {
     PausedLoop f;
     Http::Client client{{.loop = &f.loop}};
-    Unit asker(f, client, "asker");
+    Unit puller(f, client, "asker");
     Unit other(f, client, "other");
     other.sync.storeRead();
     other.sync.setConfiguration({.revision = Base::Revision(4),
@@ -194,13 +197,13 @@
                                  .packed = std::string(1000, 'c')});
     Test::RawListener slow;
     const auto beacon = [&](const std::string &router, std::uint16_t port) {
-        asker.sync.receive("127.0.0.1",
-                           {.router = router,
-                            .dataCentre = "dc0",
-                            .port = port,
-                            .isReading = true,
-                            .configuration = 4,
-                            .endpoints = asker.directory.hash()});
+        puller.sync.receive("127.0.0.1",
+                            {.router = router,
+                             .dataCentre = "dc0",
+                             .port = port,
+                             .isReading = true,
+                             .configuration = 4,
+                             .endpoints = puller.directory.hash()});
     };
     f.clock.advance(std::chrono::seconds(10));
     beacon("slow", slow.address.port);
@@ -209,12 +212,12 @@
     RawSocket answer(fd);
     BOOST_REQUIRE(f.runUntil([&] { return answer.has("\r\n\r\n"); }));
     answer.send("HTTP/1.1 200 OK\r\ncontent-length: 200000\r\n\r\n");
-    for (int i = 0; i < 20 && asker.packed.empty(); ++i) {
+    for (int i = 0; i < 20 && puller.packed.empty(); ++i) {
         f.advance(std::chrono::milliseconds(100));
         if (i % 5 == 4)
             answer.send("x");
         beacon("other", other.port);
         f.runTurns(20);
     }
-    BOOST_TEST(asker.packed.size() == 1000U);
+    BOOST_TEST(puller.packed.size() == 1000U);
 }
--- a/tests/auto/fleetsync/tst_fleetpulls.cpp
+++ b/tests/auto/fleetsync/tst_fleetpulls.cpp
@@ -1,4 +1,4 @@
-/// What a router does whose pulls fail or take long.
+/// Tests a router whose pulls fail or take long.
 #define BOOST_TEST_MODULE tst_fleetpulls
 #include <boost/test/unit_test.hpp>
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A router that hears its reader, which is ahead of it, and counts its own pulls.
-struct Hearer
+/// A router that receives beacons of a store reader with a newer state, and counts its own pulls.
+struct Member
 {
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
@@ -19,15 +19,15 @@
         {.id = "hearer", .dataCentre = "dc0", .directory = &directory, .timers = &timers}};
     int pulls = 0;
 
-    Hearer()
+    Member()
     {
         sync.pull = [this](const auto &, const auto &) { ++pulls; };
         sync.start();
         sync.storeRead();
-        hearReader(0);
+        receiveFromReader(0);
         pass(milliseconds(500));
     }
-    void hearReader(std::uint64_t configuration)
+    void receiveFromReader(std::uint64_t configuration)
     {
         sync.receive("10.0.0.1",
                      {.router = "a-reader",
@@ -46,44 +46,44 @@
 
 } // namespace
 
-/// Behind a restart a router has known of an endpoint's leaving 0.5 s too late, as it waited for
-/// its reader's next beacon to find out that its last pull had failed.
+/// After a restart a router got the removal of an endpoint 0.5 s too late, because it noticed only
+/// at the store reader's next beacon that its last pull had failed.
 BOOST_AUTO_TEST_CASE(secondFailedPullCausesStoreReadAtOnce)
 {
-    Hearer hearer;
-    BOOST_TEST(!hearer.sync.readsStore());
+    Member member;
+    BOOST_TEST(!member.sync.readsStore());
     for (int pull = 1; pull <= 2; ++pull) {
-        hearer.hearReader(2);
-        BOOST_TEST(hearer.pulls == pull);
-        hearer.pass(milliseconds(401));
-        hearer.sync.pullFailed();
-        BOOST_TEST(hearer.sync.readsStore() == (pull == 2));
+        member.receiveFromReader(2);
+        BOOST_TEST(member.pulls == pull);
+        member.pass(milliseconds(401));
+        member.sync.pullFailed();
+        BOOST_TEST(member.sync.readsStore() == (pull == 2));
     }
 }
 
-/// Two large configurations one after the other over a slow link.
+/// Two large configurations follow each other over a slow link.
 BOOST_AUTO_TEST_CASE(longSupersededPullCausesStoreRead)
 {
-    Hearer hearer;
-    hearer.hearReader(2);
-    BOOST_TEST(hearer.pulls == 1);
-    hearer.pass(milliseconds(500));
-    hearer.hearReader(3);
-    BOOST_TEST(!hearer.sync.readsStore()); // It may come in a moment.
-    hearer.pass(milliseconds(300));
-    hearer.hearReader(3);
-    BOOST_TEST(hearer.sync.readsStore());
+    Member member;
+    member.receiveFromReader(2);
+    BOOST_TEST(member.pulls == 1);
+    member.pass(milliseconds(500));
+    member.receiveFromReader(3);
+    BOOST_TEST(!member.sync.readsStore()); // The first pull may still end soon.
+    member.pass(milliseconds(300));
+    member.receiveFromReader(3);
+    BOOST_TEST(member.sync.readsStore());
 }
 
-/// It is on its way, however large it is.
+/// However long it takes, the pull in flight already returns the newest configuration.
 BOOST_AUTO_TEST_CASE(longPullOfNewestConfigurationIsAwaited)
 {
-    Hearer hearer;
-    hearer.hearReader(2);
+    Member member;
+    member.receiveFromReader(2);
     for (int beacon = 0; beacon < 3; ++beacon) {
-        hearer.pass(milliseconds(400));
-        hearer.hearReader(2);
+        member.pass(milliseconds(400));
+        member.receiveFromReader(2);
     }
-    BOOST_TEST(hearer.pulls == 1);
-    BOOST_TEST(!hearer.sync.readsStore());
+    BOOST_TEST(member.pulls == 1);
+    BOOST_TEST(!member.sync.readsStore());
 }
--- a/tests/auto/fleetsync/tst_fleetreader.cpp
+++ b/tests/auto/fleetsync/tst_fleetreader.cpp
@@ -1,4 +1,4 @@
-/// One reader of the store for a whole fleet, and what takes its place.
+/// Tests that one router reads the store for the whole fleet, and which routers replace it.
 #define BOOST_TEST_MODULE tst_fleetreader
 #include <boost/test/unit_test.hpp>
 
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The users' largest fleet: the store is asked once for all, and what it tells is nowhere older
-/// than what deputies wait for before they ask it.
+/// In a fleet of six data centres only one router reads the store, and the state of no leader gets
+/// older than the age at which a leader reads the store itself.
 BOOST_AUTO_TEST_CASE(oneOfSixDataCentresReadsTheStore)
 {
     SyncFleet fleet(std::vector<int>(6, 5));
@@ -40,9 +40,9 @@
 
 namespace {
 
-/// A fleet of three data centres in which something happens to the reader, which stands in dc0;
-/// right behind that an endpoint leaves and a configuration comes.
-void checkWithoutReader(const std::function<void(SyncFleet &fleet, Router &reader)> &happens)
+/// Applies \a breakReader to the store reader of a fleet of three data centres, which is in dc0;
+/// right after that an endpoint drains and a new configuration is written.
+void checkWithoutReader(const std::function<void(SyncFleet &fleet, Router &reader)> &breakReader)
 {
     SyncFleet fleet({3, 3, 2});
     settle(fleet);
@@ -53,7 +53,7 @@
     }
     BOOST_REQUIRE(reader);
     BOOST_REQUIRE(reader->dataCentre == "dc0");
-    happens(fleet, *reader);
+    breakReader(fleet, *reader);
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.revision = 2;
     fleet.pass(seconds(2));
@@ -85,7 +85,7 @@
     });
 }
 
-/// It hears the others, and they do not hear it.
+/// The store reader receives messages of the others, but they do not receive its messages.
 BOOST_AUTO_TEST_CASE(anotherReadsWhenTheReaderIsCutOneWay)
 {
     checkWithoutReader([](SyncFleet &fleet, Router &reader) {
@@ -95,7 +95,7 @@
     });
 }
 
-/// The others hear it, and cannot ask it.
+/// The others receive the beacons of the store reader, but cannot pull from it.
 BOOST_AUTO_TEST_CASE(anotherReadsWhenNobodyCanPullFromTheReader)
 {
     checkWithoutReader([](SyncFleet &fleet, Router &reader) {
@@ -103,8 +103,8 @@
     });
 }
 
-/// Pattern: the store is down for some seconds. Leaders and their deputies find out when it is
-/// back; for the rest of a large data centre to ask as well would only be refused.
+/// The store is down for some seconds. Leaders and their standbys notice when it is available
+/// again; reads by the rest of a large data centre would only be refused.
 BOOST_AUTO_TEST_CASE(whileTheStoreIsDownFewRoutersReadIt)
 {
     SyncFleet fleet(std::vector<int>(6, 12));
@@ -125,13 +125,14 @@
     BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "a"); }));
 }
 
-/// A leader and both of its deputies are turned away: its data centre learns from the others.
+/// The store refuses a leader and both of its standbys: their data centre gets changes from the
+/// others.
 BOOST_AUTO_TEST_CASE(dataCentreWithRefusedStandbysGetsChangesFromTheOthers)
 {
     SyncFleet fleet({6, 6});
     settle(fleet);
-    for (const std::size_t turnedAway : {0U, 1U, 2U})
-        fleet.routers[turnedAway]->reachesStore = false;
+    for (const std::size_t refused : {0U, 1U, 2U})
+        fleet.routers[refused]->reachesStore = false;
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.revision = 2;
     fleet.pass(seconds(2));
@@ -139,8 +140,8 @@
         [](const Router &router) { return isDraining(router, "a") && router.configuration == 2; }));
 }
 
-/// Pattern: the store turns the reader away as keys are revoked, so that a leader learns of it 1.25
-/// s late, and one of its 50 hearers misses what it tells.
+/// The store refuses the store reader while keys are revoked, so that a leader gets the revocation
+/// 1.25 s late, and one of the 50 routers of its data centre misses the beacon with it.
 BOOST_AUTO_TEST_CASE(missedConfigurationIsAnnouncedAgain)
 {
     SyncFleet fleet({50});
--- a/tests/auto/fleetsync/tst_fleetsync.cpp
+++ b/tests/auto/fleetsync/tst_fleetsync.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// The users' six routers: two data centres with two, two with one.
-const std::vector<int> usersSizes{2, 2, 1, 1};
+/// Six routers: two data centres with two routers and two with one.
+const std::vector<int> smallFleetSizes{2, 2, 1, 1};
 
 } // namespace
 
@@ -64,15 +64,15 @@
     BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "a"); }));
 }
 
-/// The store turns some routers away at just the moment when endpoints leave and keys are revoked.
+/// The store refuses a router while an endpoint drains and the configuration changes.
 BOOST_AUTO_TEST_CASE(routerRefusedByTheStoreGetsChangesFromPeers)
 {
-    for (const std::size_t turnedAway : {0U, 1U, 2U, 3U, 4U, 5U}) {
-        BOOST_TEST_CONTEXT("router " << turnedAway)
+    for (const std::size_t refused : {0U, 1U, 2U, 3U, 4U, 5U}) {
+        BOOST_TEST_CONTEXT("router " << refused)
         {
-            SyncFleet fleet(usersSizes);
+            SyncFleet fleet(smallFleetSizes);
             settle(fleet);
-            fleet.routers[turnedAway]->reachesStore = false;
+            fleet.routers[refused]->reachesStore = false;
             fleet.pass(seconds(3));
             fleet.put(endpoint("a", Fleet::EndpointState::Draining));
             fleet.revision = 2;
@@ -117,7 +117,7 @@
 
 BOOST_AUTO_TEST_CASE(nothingRevertsWhileTheStoreIsUnavailable)
 {
-    SyncFleet fleet(usersSizes);
+    SyncFleet fleet(smallFleetSizes);
     settle(fleet);
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.revision = 2;
@@ -125,7 +125,7 @@
     for (const auto &router : fleet.routers)
         router->reachesStore = false;
     fleet.pass(seconds(5));
-    // Restarted routers learn the newest from those that were not.
+    // Restarted routers get the newest state from those that were not restarted.
     fleet.kill(*fleet.routers[0]);
     fleet.start(*fleet.routers[0]);
     fleet.kill(*fleet.routers[4]);
@@ -142,7 +142,8 @@
     Router *reader = fleet.routers[0]->isReading ? fleet.routers[0].get() : fleet.routers[1].get();
     reader->sync->leave();
     fleet.pass(milliseconds(700));
-    BOOST_TEST(fleet.leaders("dc0") == 2); // It reads until it ends, for what it has in flight.
+    // The leaving router reads until it ends, for the requests it has in flight.
+    BOOST_TEST(fleet.leaders("dc0") == 2);
     fleet.kill(*reader);
     fleet.put(endpoint("a", Fleet::EndpointState::Draining));
     fleet.pass(milliseconds(1100));
@@ -163,7 +164,7 @@
     BOOST_TEST(fleet.allRouters([](const Router &router) { return router.configuration == 1; }));
 }
 
-/// The target: 330 routers in 13 data centres; control may cost a router 5 KB/s.
+/// Target size: about 330 routers in 13 data centres, with at most 5 KB/s of control traffic each.
 BOOST_AUTO_TEST_CASE(averageControlTrafficStaysInBoundsAtTargetSize)
 {
     SyncFleet fleet(std::vector<int>(13, 25));
@@ -180,7 +181,7 @@
     BOOST_TEST(reads <= 13 * 21);
 }
 
-/// The same for those that have most of it: what a reader sends and gets, at the target's size.
+/// The same for the router with the most control traffic, sent and received, at the target size.
 BOOST_AUTO_TEST_CASE(maximumControlTrafficStaysInBoundsAtTargetSize)
 {
     SyncFleet fleet(std::vector<int>(13, 25));
@@ -189,16 +190,16 @@
     for (const auto &router : fleet.routers)
         router->sentBytes = router->receivedBytes = 0;
     fleet.pass(seconds(20));
-    std::uint64_t most = 0;
+    std::uint64_t maxBytes = 0;
     for (const auto &router : fleet.routers)
-        most = std::max(most, router->sentBytes + router->receivedBytes);
-    BOOST_TEST_MESSAGE("most bytes a second, both ways: " << most / 20);
-    BOOST_TEST(most / 20 < 5000U);
+        maxBytes = std::max(maxBytes, router->sentBytes + router->receivedBytes);
+    BOOST_TEST_MESSAGE("maximum bytes a second, both directions: " << maxBytes / 20);
+    BOOST_TEST(maxBytes / 20 < 5000U);
 }
 
-/// Pattern: every process of a large fleet is killed and starts again. Each reads the store itself,
-/// once; what they tell each other meanwhile must not grow with the square of the fleet or with
-/// each endpoint, or slow links are full for seconds.
+/// Every process of a large fleet is killed and starts again. Each reads the store once by itself.
+/// The traffic between them must not grow with the square of the fleet or with the number of
+/// endpoints, or slow links are saturated for seconds.
 BOOST_AUTO_TEST_CASE(largeFleetThatStartsTogetherSendsLittle)
 {
     SyncFleet fleet(std::vector<int>(5, 30));
@@ -215,7 +216,8 @@
         fleet.start(*router);
     }
     fleet.pass(milliseconds(50));
-    // Callers are there, and nobody else is: none waits for another one.
+    // Callers already send requests while all routers have just started, so none may wait for
+    // another one.
     BOOST_TEST(fleet.allRouters([](const Router &router) {
         return router.sync->hasEndpoints() && router.configuration == 1;
     }));
@@ -228,8 +230,8 @@
     BOOST_TEST(fleet.allRouters([](const Router &router) {
         return router.directory->entries().size() == endpoints + 1 && router.configuration == 1;
     }));
-    // Each tells its 29 neighbours of itself and answers each of theirs; then readers say once or
-    // twice that they read, until the strongest is known to all.
+    // Each sends a beacon to its 29 neighbours and answers each of theirs; then leaders announce
+    // themselves once or twice, until all have a beacon of the strongest.
     const double perRouter = static_cast<double>(fleet.messages - messagesBefore) / 150;
     BOOST_TEST(perRouter < 5 * 29);
     BOOST_TEST(fleet.pulledEndpoints - pulledBefore < 150 * 30U);
@@ -251,16 +253,17 @@
     fleet.passes = [](const Router &, const Router &) { return true; };
     fleet.pass(milliseconds(1000));
     BOOST_TEST(fleet.allRouters([](const Router &router) { return isDraining(router, "e7"); }));
-    BOOST_TEST(fleet.pulledEndpoints - before < 40U); // A bucket of 64 has some ten of them.
+    // Each of the 64 buckets has about ten entries.
+    BOOST_TEST(fleet.pulledEndpoints - before < 40U);
 }
 
-/// Pattern: the reader dies together with the one that would follow it, in a data centre that is
-/// too large for all to be told often; changes have to be in force within 3 s.
+/// The store reader and its first standby die together, in a data centre that is too large for
+/// frequent beacons to all routers. Changes have to be in force within 3 s.
 BOOST_AUTO_TEST_CASE(secondStandbyReadsWhenReaderAndFirstStandbyDie)
 {
     SyncFleet fleet({25, 25});
     settle(fleet);
-    // Of equal strength the least id goes first.
+    // Among routers of equal strength the lowest id comes first.
     std::vector<Router *> inOrder;
     for (const auto &router : fleet.routers) {
         if (router->dataCentre == "dc0")
@@ -292,32 +295,33 @@
     BOOST_TEST(fleet.messages - before < 100U);
 }
 
-/// Pattern: the store turns the strongest router of a data centre away for long. What its peers
-/// tell it does not make it a reader that can be counted on; found by a deployment of one data
-/// centre, whose two routers took turns in not reading.
+/// The store refuses the strongest router of a data centre for a long time. State that this router
+/// gets from its peers must not make it count as a healthy leader. Otherwise, in a fleet of two
+/// routers in one data centre, the two alternate in not reading the store.
 BOOST_AUTO_TEST_CASE(readerWithStateFromPeersOnlyIsNotHealthy)
 {
     SyncFleet fleet({2});
     settle(fleet);
     const bool isFirst = fleet.routers[0]->isReading;
-    Router &turnedAway = *fleet.routers[isFirst ? 0 : 1];
+    Router &refused = *fleet.routers[isFirst ? 0 : 1];
     Router &other = *fleet.routers[isFirst ? 1 : 0];
-    turnedAway.reachesStore = false;
+    refused.reachesStore = false;
     fleet.pass(seconds(3));
     Base::Duration oldest{};
     for (int i = 0; i < 100; ++i) {
         fleet.pass(milliseconds(100));
         BOOST_TEST(other.isReading);
-        oldest = std::max(oldest, turnedAway.sync->stateAge().value());
+        oldest = std::max(oldest, refused.sync->stateAge().value());
     }
     BOOST_TEST((oldest < milliseconds(1200)));
-    turnedAway.reachesStore = true;
+    refused.reachesStore = true;
     fleet.pass(seconds(2));
     BOOST_TEST(fleet.leaders("dc0") == 1);
 }
 
-/// Pattern: a router that was cut off alone comes back while an engine leaves. The store was there
-/// for its peers, so that no entry has lapsed: what is missing is gone at once.
+/// A router that alone was cut off from the store reconnects while an endpoint is removed. The
+/// store was available to its peers, so no entry can have expired: a missing entry is removed at
+/// once.
 BOOST_AUTO_TEST_CASE(entriesExpireOnlyInOutageForAllRouters)
 {
     for (const bool isForAll : {false, true}) {
@@ -346,11 +350,10 @@
     }
 }
 
-/// Seen: while the configuration changed, routers on small links took in two or three copies of
-/// it at once (880 KB each, 0.7 s of 10 Mbit/s), and answers of endpoints waited behind them. Each
-/// beacon that came 400 ms after a pull was a reason for the next one, although the first was still
-/// on its way. Proved by the lines of the pulls, two of the same configuration, and by the bytes
-/// that came in.
+/// While the configuration changed, routers on slow links pulled two or three copies of it at the
+/// same time (880 KB each, 0.7 s on 10 Mbit/s), which delayed the answers of endpoints. Each beacon
+/// that arrived 400 ms after the start of a pull started another one, although the first was still
+/// in flight.
 BOOST_AUTO_TEST_CASE(pullInFlightIsNotRepeated)
 {
     Runtime::ManualClock clock;
@@ -373,9 +376,9 @@
     BOOST_TEST(pulls == 1);
 }
 
-/// Found by the simulation: routers that passed an age back and forth while the store was away took
-/// off the time on the way each time, so that after 2.5 s of outage all of them thought of 2 s, in
-/// which no entry lapses, and gave up endpoints that lived.
+/// Routers that passed an age back and forth during a store outage lost the transit time at each
+/// hop. After an outage of 2.5 s all of them assumed 2 s, in which no entry expires, and removed
+/// living endpoints.
 BOOST_AUTO_TEST_CASE(forwardedAgeDoesNotShrink)
 {
     Runtime::ManualClock clock;
@@ -383,20 +386,20 @@
     Fleet::EndpointDirectory directory({.timers = &timers});
     FleetSync::FleetSync sync(
         {.id = "hearer", .dataCentre = "dc0", .directory = &directory, .timers = &timers});
-    constexpr std::uint32_t toldMs = 1000;
-    constexpr Base::Duration longestWay = milliseconds(45);
+    constexpr std::uint32_t reportedMs = 1000;
+    constexpr Base::Duration maxTransit = milliseconds(45);
     sync.start();
     sync.receive("10.0.0.1",
                  {.router = "far",
                   .dataCentre = "dc1",
                   .port = 7000,
-                  .knowledgeAgeMs = toldMs,
+                  .knowledgeAgeMs = reportedMs,
                   .endpoints = directory.hash()});
-    BOOST_TEST((sync.stateAge().value() >= milliseconds(toldMs) + longestWay));
+    BOOST_TEST((sync.stateAge().value() >= milliseconds(reportedMs) + maxTransit));
 }
 
-/// Found by the simulation: a deputy that the store turned away said for 1.6 s that it read, and
-/// the next deputy left the store to it.
+/// A standby that the store refused claimed for 1.6 s to read the store, so the next standby did
+/// not read it.
 BOOST_AUTO_TEST_CASE(readerIsHealthyOnlyOnceItHasRead)
 {
     Runtime::ManualClock clock;
@@ -404,15 +407,15 @@
     Fleet::EndpointDirectory directory({.timers = &timers});
     FleetSync::FleetSync sync(
         {.id = "reader", .dataCentre = "dc0", .directory = &directory, .timers = &timers});
-    bool saysItReads = false;
+    bool claimsToRead = false;
     sync.send = [&](const auto &, const Schema::FleetBeacon &beacon) {
-        saysItReads = beacon.isReading;
+        claimsToRead = beacon.isReading;
     };
     sync.start();
     sync.allRoutersAdded();
     sync.addRouter("peer", "dc0", {"10.0.0.1", 7000}, 0);
-    BOOST_TEST(!saysItReads);
+    BOOST_TEST(!claimsToRead);
     sync.storeRead();
     sync.leave();
-    BOOST_TEST(saysItReads);
+    BOOST_TEST(claimsToRead);
 }
--- a/tests/auto/fleetsync/tst_loadgossip.cpp
+++ b/tests/auto/fleetsync/tst_loadgossip.cpp
@@ -22,13 +22,13 @@
     {
         for (int i = 0; i < peerCount; ++i)
             peers.push_back({"10.0.0." + std::to_string(i), 7000});
-        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::LoadNews &latest) {
+        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::LoadNews &message) {
             constexpr std::size_t headers = 28;
             ++datagrams;
-            bytes += headers + Schema::encodeMessage(latest).value().size();
-            told.insert(to.ip);
+            bytes += headers + Schema::encodeMessage(message).value().size();
+            receivers.insert(to.ip);
         };
-        gossip.latest = [this] { return known; };
+        gossip.latest = [this] { return localLoads; };
     }
     void pass(Base::Duration duration)
     {
@@ -41,8 +41,8 @@
     std::vector<Runtime::SocketAddress> peers;
     std::size_t datagrams = 0;
     std::size_t bytes = 0;
-    std::set<std::string> told;
-    Schema::LoadNews known;
+    std::set<std::string> receivers;
+    Schema::LoadNews localLoads;
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     LoadGossip gossip{{.timers = &timers, .peers = [this] { return peers; }}};
@@ -50,17 +50,18 @@
 
 } // namespace
 
-/// Of the 5,000 that a router's control traffic may have in all, however large the fleet.
+/// The control traffic of a router is limited to 5,000 bytes a second in all, however large the
+/// fleet.
 BOOST_AUTO_TEST_CASE(routerKeepsToByteLimitInLargeFleet)
 {
     Fixture f;
-    f.known.usual.resize(2);
-    f.known.loads.resize(Gateway::LoadSharing::Options().maximumLoads);
+    f.localLoads.usual.resize(2);
+    f.localLoads.loads.resize(Gateway::LoadSharing::Options().maximumLoads);
     f.gossip.start();
     f.pass(seconds(10));
     BOOST_TEST(f.bytes / 10 < 1500U);
     BOOST_TEST(f.datagrams > 40U);
-    BOOST_TEST(f.told.size() > 30U); // Others each time.
+    BOOST_TEST(f.receivers.size() > 30U); // Different peers each time.
 }
 
 BOOST_AUTO_TEST_CASE(messagesAreRareWhileLoadsAreAverage)
@@ -68,12 +69,12 @@
     Fixture f;
     f.gossip.start();
     f.pass(seconds(5));
-    BOOST_TEST(f.datagrams == 0U); // It knows nothing.
-    f.known.usual.resize(1);
+    BOOST_TEST(f.datagrams == 0U); // There are no loads to send.
+    f.localLoads.usual.resize(1);
     f.pass(seconds(10));
     BOOST_TEST(f.datagrams >= 9U);
     BOOST_TEST(f.datagrams <= 11U);
-    f.known.loads.resize(1);
+    f.localLoads.loads.resize(1);
     f.datagrams = 0;
     f.pass(milliseconds(210));
     BOOST_TEST(f.datagrams >= 1U);
@@ -82,8 +83,8 @@
 BOOST_AUTO_TEST_CASE(routerWithoutPeersSendsNothing)
 {
     Fixture f(0);
-    f.known.usual.resize(1);
-    f.known.loads.resize(1);
+    f.localLoads.usual.resize(1);
+    f.localLoads.loads.resize(1);
     f.gossip.start();
     f.pass(seconds(2));
     BOOST_TEST(f.datagrams == 0U);
@@ -92,8 +93,10 @@
 BOOST_AUTO_TEST_CASE(receivedLoadsArePassedOnWithTheirDelay)
 {
     Fixture f;
-    Base::Duration waited{};
-    f.gossip.received = [&](const Schema::LoadNews &, Base::Duration delay) { waited = delay; };
+    Base::Duration receivedDelay{};
+    f.gossip.received = [&](const Schema::LoadNews &, Base::Duration delay) {
+        receivedDelay = delay;
+    };
     f.gossip.receive({}, milliseconds(700));
-    BOOST_TEST((waited == milliseconds(700)));
+    BOOST_TEST((receivedDelay == milliseconds(700)));
 }
--- a/tests/auto/fleetsync/tst_promptgossip.cpp
+++ b/tests/auto/fleetsync/tst_promptgossip.cpp
@@ -20,14 +20,14 @@
     explicit Fixture(int peers = 7)
         : peerCount(peers)
     {
-        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::PromptNews &news) {
+        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::PromptNews &message) {
             constexpr std::size_t headers = 28;
             ++datagrams;
-            prompts += news.prompts.size();
-            bytes += headers + Schema::encodeMessage(news).value().size();
+            prompts += message.prompts.size();
+            bytes += headers + Schema::encodeMessage(message).value().size();
             lastTo = to.ip;
             lastPrompts.clear();
-            for (const Schema::SharedPrompt &prompt : news.prompts)
+            for (const Schema::SharedPrompt &prompt : message.prompts)
                 lastPrompts.insert(prompt.prompt);
         };
     }
@@ -54,7 +54,7 @@
     std::size_t prompts = 0;
     std::size_t bytes = 0;
     std::string lastTo;
-    std::set<std::uint64_t> lastPrompts; ///< Of the last datagram.
+    std::set<std::uint64_t> lastPrompts; ///< Prompts of the last datagram.
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     PromptGossip gossip{{.timers = &timers, .peers = [this] { return peers(); }}};
@@ -87,7 +87,7 @@
     BOOST_TEST(f.prompts == 21U);
 }
 
-/// Pattern: a fleet starts, or a data centre goes, and all prompts come to new places at once.
+/// A fleet starts or a data centre fails, and all prompts get new holders at the same time.
 BOOST_AUTO_TEST_CASE(budgetIsKeptAndDroppedPromptsAreCounted)
 {
     for (const int peers : {7, 79, 329}) {
@@ -100,12 +100,12 @@
         }
         BOOST_TEST_CONTEXT(peers << " peers")
         {
-            BOOST_TEST_MESSAGE(peers << " peers: " << f.bytes / 60 << " B/s, told "
+            BOOST_TEST_MESSAGE(peers << " peers: " << f.bytes / 60 << " B/s, sent "
                                      << f.prompts / static_cast<std::size_t>(peers) << " of 1200");
             BOOST_TEST(f.bytes < 60 * 1500 + 24000 + 5000U);
-            const std::size_t told = f.prompts / static_cast<std::size_t>(peers);
-            BOOST_TEST(told + f.gossip.dropped() == 1200U);
-            BOOST_TEST(told > 0U);
+            const std::size_t sent = f.prompts / static_cast<std::size_t>(peers);
+            BOOST_TEST(sent + f.gossip.dropped() == 1200U);
+            BOOST_TEST(sent > 0U);
         }
     }
 }
@@ -125,7 +125,7 @@
     BOOST_TEST(f.prompts - before == 140U);
 }
 
-/// A router whose callers come back to many prompts has a whole datagram of them waiting.
+/// A router whose callers reuse many prompts has a full datagram of them waiting.
 BOOST_AUTO_TEST_CASE(newPromptIsSentAlthoughManyAreInUse)
 {
     Fixture f;
@@ -142,19 +142,21 @@
 BOOST_AUTO_TEST_CASE(receivedPromptsArePassedOnOneByOne)
 {
     Fixture f;
-    std::vector<std::uint64_t> heard;
-    f.gossip.received = [&](const Schema::SharedPrompt &prompt) { heard.push_back(prompt.prompt); };
+    std::vector<std::uint64_t> received;
+    f.gossip.received = [&](const Schema::SharedPrompt &prompt) {
+        received.push_back(prompt.prompt);
+    };
     f.gossip.receive({.prompts = {{.prompt = 3}, {.prompt = 4}}});
-    BOOST_TEST(heard == (std::vector<std::uint64_t>{3, 4}), boost::test_tools::per_element());
+    BOOST_TEST(received == (std::vector<std::uint64_t>{3, 4}), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(promptMessageIsDistinguishedFromBeacon)
 {
-    const std::string news = Schema::encodeMessage(Schema::PromptNews{}).value();
+    const std::string prompts = Schema::encodeMessage(Schema::PromptNews{}).value();
     const std::string beacon = Schema::encodeMessage(Schema::FleetBeacon{}).value();
-    BOOST_TEST((Schema::messageVersion(news) == versionOf(Schema::PromptNews{})));
+    BOOST_TEST((Schema::messageVersion(prompts) == versionOf(Schema::PromptNews{})));
     BOOST_TEST((Schema::messageVersion(beacon) == versionOf(Schema::FleetBeacon{})));
-    BOOST_TEST((Schema::messageVersion(news) != Schema::messageVersion(beacon)));
+    BOOST_TEST((Schema::messageVersion(prompts) != Schema::messageVersion(beacon)));
     BOOST_TEST(!Schema::messageVersion("x"));
-    BOOST_TEST(!Schema::decodeMessage<Schema::FleetBeacon>(news));
+    BOOST_TEST(!Schema::decodeMessage<Schema::FleetBeacon>(prompts));
 }
--- a/tests/auto/fleetsync/tst_quarantinelog.cpp
+++ b/tests/auto/fleetsync/tst_quarantinelog.cpp
@@ -28,16 +28,16 @@
         clock.advance(duration);
         timers.runDue();
     }
-    /// Answers the write that is under way.
+    /// Completes the write in flight.
     void answer(bool isWritten)
     {
-        const auto written = std::exchange(pending, nullptr);
+        const auto finished = std::exchange(pending, nullptr);
         if (isWritten)
-            written(boost::outcome_v2::success());
+            finished(boost::outcome_v2::success());
         else
-            written(Errors::makeError(Errors::ErrorKind::LogUnavailable));
+            finished(Errors::makeError(Errors::ErrorKind::LogUnavailable));
     }
-    /// The log's record of a request, as somebody reads it later.
+    /// Passes the log's current record of a key to the QuarantineLog, as a later read does.
     void read(const std::string &key)
     {
         KeyedLog::KeyedRecord record{.key = key};
@@ -75,7 +75,7 @@
     BOOST_TEST(f.received == (std::vector<std::uint64_t>{0xab}), boost::test_tools::per_element());
 }
 
-/// Pattern: the log is out while a request ends endpoints.
+/// The log is unavailable while a request crashes endpoints.
 BOOST_AUTO_TEST_CASE(writeIsRetriedUntilItSucceeds)
 {
     Fixture f;
@@ -88,7 +88,7 @@
         f.pass(seconds(3));
     }
     f.answer(true);
-    BOOST_REQUIRE(f.pending); // The other one.
+    BOOST_REQUIRE(f.pending); // The write of the other request.
     f.answer(true);
     BOOST_TEST(f.writes == 7);
     BOOST_TEST(f.values.size() == 2);
@@ -100,17 +100,17 @@
     f.log.save(0xab);
     f.answer(true);
     f.pass(minutes(59));
-    f.read(key); // Again: its time runs on.
+    f.read(key); // A second read does not extend the time.
     BOOST_TEST(!f.pending);
     f.pass(minutes(1));
     BOOST_REQUIRE(f.pending);
     f.answer(true);
     BOOST_TEST(f.values.at(key).empty());
-    f.read(key); // A dropped key says nothing.
+    f.read(key); // A deleted key has no effect.
     BOOST_TEST(f.received.size() == 1);
 }
 
-/// The routers that saved it may be gone.
+/// The routers that wrote the key may no longer exist.
 BOOST_AUTO_TEST_CASE(routerThatOnlyReadKeyDeletesItToo)
 {
     Fixture f;
--- a/tests/auto/fleetsync/tst_routerregistry.cpp
+++ b/tests/auto/fleetsync/tst_routerregistry.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A keyed log in memory that can fail.
+/// In-memory keyed log that can fail.
 struct FakeLog
 {
     KeyedLog::KeyedSource source()
@@ -21,7 +21,7 @@
             if (isDown) {
                 read(Errors::makeError(Errors::ErrorKind::LogUnavailable));
             } else {
-                // One record a page.
+                // One record per page.
                 const std::size_t next = after.empty() ? 0 : std::stoul(after.substr(1));
                 KeyedLog::NewestPage page{.hasMore = next + 1 < records.size()};
                 if (next < records.size())
@@ -111,12 +111,12 @@
 
 BOOST_AUTO_TEST_CASE(validEntriesAreParsedAndOthersRejected)
 {
-    const auto read = FleetSync::parseRegistryEntry(
+    const auto entry = FleetSync::parseRegistryEntry(
         FleetSync::formatRegistryEntry({"dc0", {"10.0.0.9", 7000}, 20}));
-    BOOST_REQUIRE(read);
-    BOOST_TEST(read.value().dataCentre == "dc0");
-    BOOST_TEST(Runtime::toString(read.value().address) == "10.0.0.9:7000");
-    BOOST_TEST(read.value().strength == 20U);
+    BOOST_REQUIRE(entry);
+    BOOST_TEST(entry.value().dataCentre == "dc0");
+    BOOST_TEST(Runtime::toString(entry.value().address) == "10.0.0.9:7000");
+    BOOST_TEST(entry.value().strength == 20U);
     BOOST_TEST(FleetSync::parseRegistryEntry("dc0 10.0.0.9:7000").value().strength == 0U);
     for (const char *text :
          {"", "dc0", "dc0 ", "dc0 10.0.0.9", "dc0 x:1", "dc0 10.0.0.9:7000 x", "a b c d"})
