--- a/src/libs/fleet/configuration.cpp
+++ b/src/libs/fleet/configuration.cpp
@@ -28,11 +28,11 @@
 
 const Route *Configuration::findRoute(std::string_view host, std::string_view path) const
 {
-    HostAndPrefix place(hostName(host), std::string());
+    HostAndPrefix key(hostName(host), std::string());
     for (std::size_t end = path.rfind('/'); end != std::string_view::npos;
          end = path.rfind('/', end - 1)) {
-        place.second = path.substr(0, end + 1);
-        if (const auto found = m_routes.find(place); found != m_routes.end())
+        key.second = path.substr(0, end + 1);
+        if (const auto found = m_routes.find(key); found != m_routes.end())
             return &m_parts.routes[found->second];
         if (end == 0)
             break;
--- a/src/libs/fleet/configuration.h
+++ b/src/libs/fleet/configuration.h
@@ -15,31 +15,33 @@
 
 namespace Lagoonbank::Fleet {
 
-/// What the model engines of one service can do.
+/// Capacity of one model engine of a service.
 struct EngineCapacity
 {
-    int slots = 0; ///< Requests that run at once.
-    Base::Tokens memory; ///< For running requests and cached prompts together.
-    int tokensPerEvent = 1; ///< In one event of a stream.
+    int slots = 0; ///< Maximum number of concurrent requests.
+    Base::Tokens memory; ///< Shared by running requests and cached prompts.
+    int tokensPerEvent = 1; ///< Output tokens in one event of a stream.
 };
 
-/// How an endpoint begins, after its start or whenever it has become cold again.
+/// Reduced capacity of an endpoint after a cold start or after it has become cold again.
 struct Warmup
 {
-    Base::Duration time{}; ///< For which it is cold; zero if it never is.
-    double requestsPerSecond = 0; ///< That it bears meanwhile, from all callers.
+    Base::Duration time{}; ///< Duration of the warm-up; zero if the service needs none.
+    /// Maximum request rate of one endpoint during the warm-up, summed over all callers.
+    double requestsPerSecond = 0;
 };
 
 struct Service
 {
     Base::ServiceId name;
     std::string healthPath;
-    int maxConnections = 0; ///< One endpoint takes so many from all callers; zero if not known.
+    /// Maximum number of connections to one endpoint, summed over all callers; zero if not known.
+    int maxConnections = 0;
     Warmup warmup;
-    std::optional<EngineCapacity> engine; ///< Nothing for a plain service.
+    std::optional<EngineCapacity> engine; ///< Not set for a service without model engines.
 };
 
-/// What callers may send and how long they may take.
+/// Size and time limits for requests of callers.
 struct CallerLimits
 {
     std::size_t headBytes = 16 * 1024;
@@ -52,20 +54,20 @@
 {
     Base::WorkspaceId name;
     std::vector<std::string> keys;
-    std::optional<int> priority; ///< Goes before that of a route.
+    std::optional<int> priority; ///< Overrides the priority of the route.
 };
 
-/// What a configuration is made of.
+/// The content of a configuration.
 struct ConfigurationParts
 {
     Base::Revision revision;
     std::vector<Route> routes;
     std::vector<Service> services;
     CallerLimits limits;
-    std::vector<Workspace> workspaces; ///< None: no request needs a key.
+    std::vector<Workspace> workspaces; ///< If empty, no request needs a key.
 };
 
-/// One whole configuration of the fleet, ready to be looked things up in. Never changes.
+/// An immutable configuration of the fleet, indexed for lookups.
 class Configuration
 {
 public:
@@ -80,15 +82,15 @@
     bool hasWorkspaces() const { return !m_parts.workspaces.empty(); }
     std::size_t workspaceCount() const { return m_parts.workspaces.size(); }
 
-    /// The route of \a host, with or without a port, with the longest prefix of \a path; null if
-    /// there is none.
+    /// Returns the route of \a host whose prefix is the longest match for \a path, or null if there
+    /// is none. \a host may include a port, which is ignored.
     const Route *findRoute(std::string_view host, std::string_view path) const;
-    /// Null if no workspace has the key.
+    /// Returns null if no workspace has the key.
     const Workspace *findWorkspace(std::string_view key) const;
     const Service *findService(const Base::ServiceId &name) const;
 
 private:
-    using HostAndPrefix = std::pair<std::string, std::string>; ///< Host and prefix.
+    using HostAndPrefix = std::pair<std::string, std::string>;
 
     ConfigurationParts m_parts;
     absl::flat_hash_map<HostAndPrefix, std::size_t> m_routes;
@@ -96,7 +98,8 @@
     absl::flat_hash_map<Base::ServiceId, std::size_t> m_services;
 };
 
-/// The service of \a route for a request with this hash; requests spread by the weights.
+/// Returns the service of \a route for a request with this hash. Requests are distributed in
+/// proportion to the weights of the services.
 const Base::ServiceId &serviceFor(const Route &route, std::uint64_t requestHash);
 
 } // namespace Lagoonbank::Fleet
--- a/src/libs/fleet/datacentredrains.h
+++ b/src/libs/fleet/datacentredrains.h
@@ -7,27 +7,28 @@
 
 namespace Lagoonbank::Fleet {
 
-/// The data centres that the operators have drained: their endpoints get no new requests until the
-/// drain is taken back. The operators' log decides; what is known is true as of a place in it, so
-/// that of two states the one as of the later place holds, whoever tells it.
+/// The set of data centres that the operators have drained. Endpoints of a drained data centre get
+/// no new requests until the drain is removed. The operators' log is authoritative: each state is
+/// valid as of an offset of that log, and the state with the later offset wins, whether it was read
+/// from the log or received from a peer.
 class DataCentreDrains
 {
 public:
     using Set = std::set<Base::DataCentreId>;
 
-    /// The record before \a asOf drains a data centre, or takes that back.
+    /// Applies the record just before \a asOf, which drains a data centre or removes its drain.
     void addDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
     void removeDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
-    /// All drains that there are, as of this place.
+    /// Replaces the whole set by the one as of this offset, unless the known state is as recent.
     void replace(Set dataCentres, Base::LogOffset asOf);
-    /// The log holds nothing else up to this place.
+    /// States that the set is unchanged up to this offset of the log.
     void advanceTo(Base::LogOffset asOf);
 
     const Set &current() const { return m_current; }
-    /// Where the log had been read to; 0 while nothing is known.
+    /// The offset up to which the log is reflected in the set; 0 before the first update.
     Base::LogOffset asOf() const { return m_asOf; }
 
-    /// The set is another one.
+    /// Called after the set has changed.
     std::function<void(const Set &before, const Set &current)> changed;
 
 private:
--- a/src/libs/fleet/endpoint.h
+++ b/src/libs/fleet/endpoint.h
@@ -12,11 +12,11 @@
 
 enum class EndpointState : std::uint8_t {
     Ready,
-    Draining ///< Takes no new work; what it has is finished.
+    Draining ///< Accepts no new requests but finishes those that it has.
 };
 
-/// One start of an endpoint. An address is used again by others; an id only by the same endpoint,
-/// which then holds and knows nothing of before.
+/// One start of an endpoint. An address may be reused by other endpoints. An id is reused only by a
+/// restart of the same endpoint, which has lost its caches and all other state.
 struct Endpoint
 {
     Base::EndpointId id;
@@ -24,18 +24,18 @@
     Runtime::SocketAddress address;
     Base::DataCentreId dataCentre;
     std::string softwareVersion;
-    int slots = 0; ///< Requests that it runs at once; zero if not known.
+    int slots = 0; ///< Maximum number of concurrent requests; zero if not known.
     EndpointState state = EndpointState::Ready;
-    bool isWarmingUp = false; ///< Bears few requests yet, or again.
-    /// When it started, by its own wall clock; nothing if it does not say. Only compared with other
-    /// starts under the same id.
+    bool isWarmingUp = false; ///< Is cold and can run few requests only; see Warmup.
+    /// Time of the start by the endpoint's own wall clock; not set if the endpoint does not report
+    /// it. Compared only with other starts under the same id.
     std::optional<Base::WallTime> startedAt;
 
     bool operator==(const Endpoint &) const = default;
 };
 
-/// Whether \a later is another start than \a earlier under the same id: it says so, or it is at
-/// another address.
+/// Whether \a later is a different start than \a earlier under the same id, that is, whether the
+/// reported start time or the address differs.
 bool isRestart(const Endpoint &earlier, const Endpoint &later);
 
 } // namespace Lagoonbank::Fleet
--- a/src/libs/fleet/endpointdirectory.cpp
+++ b/src/libs/fleet/endpointdirectory.cpp
@@ -25,7 +25,7 @@
     return endpoint.startedAt && known.startedAt && *endpoint.startedAt < *known.startedAt;
 }
 
-/// The same on every router, so no hash that depends on the process.
+/// Routers compare these hashes, so the hash function must not depend on the process.
 std::uint64_t contentHash(const Endpoint &endpoint)
 {
     std::string text = endpoint.id.value();
@@ -130,7 +130,7 @@
             missing.push_back(id);
     }
     m_completeTo = std::max(m_completeTo, end);
-    // The record at the end is not among those that were read; it may be the endpoint's next entry.
+    // The record at \a end is not part of the listing and may be the endpoint's next entry.
     for (const Base::EndpointId &id : missing)
         entryDropped(id, end - Base::LogOffset(1));
 }
@@ -174,14 +174,16 @@
         [&](const GoneEndpoint &one) { return one.id == id && one.version < version; });
 }
 
-/// What comes after the known start's entry was dropped is not late, whatever its clock says.
+/// An entry written after the store dropped that of the known start is not a delayed write,
+/// whatever its start time.
 bool EndpointDirectory::isLateWrite(const Endpoint &endpoint, Base::LogOffset version)
 {
     if (isRemovalPending(endpoint.id, version))
         return false;
-    const auto doubted = m_unconfirmed.find(endpoint.id);
-    if (doubted != m_unconfirmed.end() && doubted->second.endpoint.startedAt == endpoint.startedAt
-        && doubted->second.version < version)
+    const auto unconfirmed = m_unconfirmed.find(endpoint.id);
+    if (unconfirmed != m_unconfirmed.end()
+        && unconfirmed->second.endpoint.startedAt == endpoint.startedAt
+        && unconfirmed->second.version < version)
         return false;
     m_unconfirmed.insert_or_assign(endpoint.id, Entry{endpoint, version});
     return true;
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -16,43 +16,46 @@
 
 namespace Lagoonbank::Fleet {
 
-/// An endpoint that has gone, so that older news of it are not believed.
+/// A tombstone of an endpoint that has gone. Entries up to this version are ignored.
 struct GoneEndpoint
 {
     Base::EndpointId id;
     Base::LogOffset version;
 };
 
-/// Of what is known of all endpoints, whatever the versions: a hash for each bucket of ids, the
-/// same on routers that know the same. Routers compare digests to pass on only what differs; with
-/// 64 buckets one change of 1,500 endpoints costs 24 entries in place of all.
+/// Digest of all known endpoints: one content hash for each bucket of ids. Versions are left out,
+/// so that routers with the same endpoints have the same digest. Routers compare digests and
+/// exchange only the buckets that differ; with 64 buckets and 1,500 endpoints, one change costs 24
+/// entries instead of all.
 using EndpointDigest = std::array<std::uint64_t, 64>;
-/// The bucket of an endpoint; the same on every router.
+/// The digest bucket of an endpoint. It is the same on every router.
 std::size_t digestBucket(const Base::EndpointId &id);
 
-/// The endpoints that are there, as records of the platform's store tell, whether this router read
-/// them or heard of them from another one. A record's offset is its version; older ones change
-/// nothing, whichever way they come.
+/// The running endpoints according to the records of the platform's store, which are either read by
+/// this router or received from a peer. The offset of a record is its version; records with an
+/// older version than the known one are ignored, whatever their source.
 ///
-/// Entries lapse while the store is away, although their endpoints live. So an entry that is
-/// dropped within `rewriteTime` of the store's return is believed gone only after that time, unless
-/// it was draining.
+/// Entries expire during an outage of the store although their endpoints are alive. An entry that
+/// the store drops within `rewriteTime` after an outage is therefore removed only at the end of
+/// that time, unless its endpoint was draining.
 class EndpointDirectory
 {
 public:
     struct Options
     {
         Runtime::TimerQueue *timers = nullptr;
-        /// How long endpoints take to write their entries again after the store's return.
+        /// Time in which endpoints write their entries again after an outage of the store.
         Base::Duration rewriteTime = std::chrono::milliseconds(2200);
-        /// Gone endpoints that are remembered; far more than leave while news are on their way.
+        /// Maximum number of gone endpoints to remember. Far more than can leave while an older
+        /// entry is still being propagated.
         std::size_t maxGoneEndpoints = 256;
     };
     struct Entry
     {
         Endpoint endpoint;
         Base::LogOffset version;
-        /// It came again after one of a later start, so that it is no late write.
+        /// Whether the entry was written repeatedly after that of a later start, which shows that
+        /// it is not a delayed write.
         bool isConfirmed = false;
     };
     using Entries = absl::flat_hash_map<Base::EndpointId, Entry>;
@@ -64,29 +67,33 @@
     EndpointDirectory(const EndpointDirectory &) = delete;
     EndpointDirectory &operator=(const EndpointDirectory &) = delete;
 
-    /// An entry was written. One of a start before the one that is known came late, and changes
-    /// nothing unless it comes again: late writes come once, and a start whose clock was set back
-    /// writes again and again. One that names no start is of the one that is known. \a isConfirmed
-    /// says that a peer has seen it come again.
+    /// Adds or updates an entry. An entry whose start time is earlier than the known one is taken
+    /// for a delayed write and ignored until it is written a second time: a delayed write arrives
+    /// once, whereas an endpoint that restarted with its clock set back keeps writing. An entry
+    /// without a start time is attributed to the known start. \a isConfirmed states that a peer has
+    /// already seen the entry written repeatedly.
     void put(Endpoint endpoint, Base::LogOffset version, bool isConfirmed = false);
-    /// The store has dropped the entry; see the class for when that is believed.
+    /// Handles an entry that the store has dropped. See the class documentation for when the
+    /// endpoint is removed.
     void entryDropped(const Base::EndpointId &id, Base::LogOffset version);
-    /// The endpoint is not to be used: another router, which has waited where that was needed,
-    /// knows that it has gone, or its newest entry cannot be read. Remembered also where the
-    /// endpoint is not known, as an older entry may still come from a peer.
+    /// Removes an endpoint at once, because its newest entry cannot be read or because a peer
+    /// reports that it has gone (the peer has waited for `rewriteTime` if that was needed). An
+    /// unknown endpoint is remembered as gone too, as an older entry may still arrive from a peer.
     void remove(const Base::EndpointId &id, Base::LogOffset version);
-    /// All entries that the store had at \a end were read; others of before have gone.
+    /// Handles a complete listing of the store: entries older than \a end that are not in
+    /// \a present have been dropped.
     void reconcile(const absl::flat_hash_set<Base::EndpointId> &present, Base::LogOffset end);
-    /// The store answers again after it was away.
+    /// Called when the store answers again after an outage.
     void storeReturned();
-    /// The store is away again. Entries that it dropped lately are kept until it has returned.
+    /// Called when the store fails. If that happens within `rewriteTime` after an outage, pending
+    /// removals are held until the store has returned.
     void storeFailed();
-    /// Whether it does so.
+    /// Whether pending removals are held until the store returns.
     bool holdsRemovals() const { return m_holdsRemovals; }
-    /// Whether entries that are dropped now are kept for a while.
+    /// Whether the removal of entries that are dropped now is deferred.
     bool isWaiting() const { return m_rewriteTimer || m_holdsRemovals; }
-    /// Whether entries have been dropped that may still come back, or have come that may be late
-    /// writes; only the store can tell.
+    /// Whether there are pending removals, or entries that may be delayed writes. Only further
+    /// reads of the store can resolve them.
     bool hasUnconfirmedEntries() const
     {
         return !m_pendingRemovals.empty() || !m_unconfirmed.empty();
@@ -96,35 +103,37 @@
     const std::deque<GoneEndpoint> &gone() const { return m_gone; }
     const Endpoint *find(const Base::EndpointId &id) const;
     const EndpointDigest &digest() const { return m_digest; }
-    /// Of the whole digest.
+    /// A hash of the whole digest.
     std::uint64_t hash() const;
 
-    /// An endpoint is new or something of it has changed.
+    /// Called after an endpoint was added or any of its fields has changed.
     std::function<void(const Entry &entry)> changed;
+    /// Called after an endpoint was removed, with its last entry.
     std::function<void(const Entry &last)> removed;
 
 private:
     bool isGone(const Base::EndpointId &id, Base::LogOffset version) const;
     bool isRemovalPending(const Base::EndpointId &id, Base::LogOffset version) const;
-    /// Whether this entry of an earlier start is a write that came late.
+    /// Whether this entry of an earlier start has to be taken for a delayed write.
     bool isLateWrite(const Endpoint &endpoint, Base::LogOffset version);
     void rememberGone(const Base::EndpointId &id, Base::LogOffset version);
-    /// Adds the endpoint to the digest, or takes it out again.
+    /// Adds the endpoint to the digest, or removes it if it is included already.
     void toggleInDigest(const Endpoint &endpoint);
     void removePending();
 
     Options m_options;
     Entries m_entries;
-    std::deque<GoneEndpoint> m_gone; ///< The last one last.
-    /// All entries of before that were there were read, so others have gone. A peer that has not
-    /// heard of that may still tell of one, and the store would never tell again that it has gone.
+    std::deque<GoneEndpoint> m_gone; ///< In order of removal.
+    /// End of the last complete listing. An unknown endpoint with an entry older than this has
+    /// gone. Such an entry may still arrive from a peer that lags behind, and has to be ignored, as
+    /// the store would never report its removal again.
     Base::LogOffset m_completeTo;
     EndpointDigest m_digest{};
-    /// Entries of earlier starts that came last, and changed nothing.
+    /// For each endpoint the last entry that was ignored as a possibly delayed write.
     absl::flat_hash_map<Base::EndpointId, Entry> m_unconfirmed;
-    std::vector<GoneEndpoint> m_pendingRemovals; ///< Dropped by the store, not yet believed.
-    std::optional<Runtime::TimerId> m_rewriteTimer; ///< Runs for rewriteTime after a return.
-    bool m_holdsRemovals = false; ///< The store went away while the timer ran.
+    std::vector<GoneEndpoint> m_pendingRemovals; ///< Dropped by the store, not removed yet.
+    std::optional<Runtime::TimerId> m_rewriteTimer; ///< Runs for rewriteTime after an outage.
+    bool m_holdsRemovals = false; ///< The store failed again while the timer ran.
 };
 
 } // namespace Lagoonbank::Fleet
--- a/src/libs/fleet/route.h
+++ b/src/libs/fleet/route.h
@@ -9,11 +9,13 @@
 
 namespace Lagoonbank::Fleet {
 
-/// What may be done again with the requests of a route.
+/// Whether requests of a route may run more than once.
 enum class RouteKind : std::uint8_t {
-    Idempotent, ///< May run more than once.
-    NonIdempotent, ///< Runs once at most.
-    Stream ///< Answered by a stream of events; runs once at most unless it may be resumed.
+    Idempotent, ///< A request may run more than once.
+    NonIdempotent, ///< A request must not run more than once.
+    /// Answered by a stream of events. A request must not run more than once unless the route is
+    /// resumable.
+    Stream
 };
 
 /// One of the services that share the requests of a route.
@@ -23,7 +25,7 @@
     double weight = 1.0; ///< Relative to the others of the route.
 };
 
-/// Where requests of one host and path prefix go and how they are treated.
+/// Services and request handling options for one host and path prefix.
 struct Route
 {
     std::string name;
@@ -31,16 +33,18 @@
     std::string prefix; ///< Begins and ends with a slash.
     RouteKind kind = RouteKind::NonIdempotent;
     std::vector<WeightedService> services; ///< At least one.
-    int maxEndpoints = 1; ///< Endpoints at which one request may run.
-    Base::Duration timeout{}; ///< Longest time to the end of the answer; zero for none.
-    Base::Duration targetLatency{}; ///< To the answer, or to the first event of a stream.
-    Base::Duration maxEventGap{}; ///< Between two events of a stream in time; zero for none.
-    int priority = 0; ///< 0 is most urgent.
-    bool isAnonymous = false; ///< Needs no key.
-    bool usesPromptCache = false; ///< Goes where the parts of its prompt are cached.
-    bool isResumable = false; ///< A stream may go on at another endpoint.
-
-    /// Whether a request that may have run may be sent to another endpoint.
+    int maxEndpoints = 1; ///< Maximum number of endpoints at which one request may run.
+    Base::Duration timeout{}; ///< Maximum time until the end of the answer; zero for no limit.
+    /// Target for the time until the answer, or until the first event of a stream.
+    Base::Duration targetLatency{};
+    /// Maximum time between two events of a stream that is on time; zero for no limit.
+    Base::Duration maxEventGap{};
+    int priority = 0; ///< 0 is the highest priority.
+    bool isAnonymous = false; ///< Requests need no key.
+    bool usesPromptCache = false; ///< Requests prefer endpoints that cache their prompts.
+    bool isResumable = false; ///< A broken stream may be resumed at another endpoint.
+
+    /// Whether a request that may have run already may be retried at another endpoint.
     bool mayRepeat() const
     {
         return kind == RouteKind::Idempotent || (kind == RouteKind::Stream && isResumable);
--- a/src/libs/keyedlog/keyedsource.h
+++ b/src/libs/keyedlog/keyedsource.h
@@ -12,50 +12,51 @@
 
 namespace Lagoonbank::KeyedLog {
 
-/// One record of a log whose records have keys.
+/// A record of a log with keyed records.
 struct KeyedRecord
 {
     std::string key;
-    std::optional<std::string> value; ///< Nothing: the key is dropped.
+    std::optional<std::string> value; ///< Not set if the record drops the key.
     Base::LogOffset offset;
 };
 
-/// A part of the newest record of each key, in the order of the keys. Several are no snapshot.
+/// One page of a listing of the newest record of each key, in the order of the keys. Pages are read
+/// one after the other, so a listing of several pages is not a consistent snapshot.
 struct NewestPage
 {
     std::vector<KeyedRecord> records;
     bool hasMore = false;
-    Base::LogOffset end; ///< Offset of the next record to be written.
+    Base::LogOffset end; ///< Offset that the next appended record will have.
 };
 
-/// Records from an offset on.
+/// Consecutive records, beginning at the requested offset.
 struct TailPage
 {
-    /// Records at the offset asked for are not kept any more; there are none in the page.
+    /// The record at the requested offset is no longer retained. The page has no records.
     bool isOutOfRange = false;
     std::vector<KeyedRecord> records;
-    Base::LogOffset end; ///< Offset of the next record to be written.
+    Base::LogOffset end; ///< Offset that the next appended record will have.
 };
 
 using ReadId = Base::StrongNumber<struct KeyedReadIdTag, std::uint64_t>;
 
-/// How a keyed log is read. The hooks that are handed in are called once, never from within the
-/// call, and not after a cancel.
+/// Read access to a keyed log. Each callback is called once, never from within the call that it was
+/// passed to, and not after the read was cancelled.
 struct KeyedSource
 {
-    /// Reads keys behind \a after; from the first one if it is empty.
+    /// Lists the newest records of the keys after \a after, or of all keys if it is empty.
     std::function<ReadId(const std::string &after,
                          std::function<void(Errors::Result<NewestPage>)> read)>
         readNewest;
-    /// Waits up to \a wait for a record at or behind \a from.
+    /// Reads records from offset \a from on. Waits up to \a wait if there are none yet.
     std::function<ReadId(Base::LogOffset from, Base::Duration wait,
                          std::function<void(Errors::Result<TailPage>)> read)>
         readTail;
     std::function<void(ReadId read)> cancel;
 };
 
-/// Writes the newest value of a key; the hook that is handed in is called once, later. After an
-/// error the record may have been written or may be written yet.
+/// Appends a new value of a key. The callback is called once, asynchronously. After an error the
+/// record may have been written already or may still be written.
 using KeyedWrite = std::function<void(const std::string &key, const std::string &value,
                                       std::function<void(Errors::Result<void>)> written)>;
 
--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -19,7 +19,7 @@
 void KeyedView::start()
 {
     m_isRunning = true;
-    // The log may have been away since this view was stopped.
+    // The log may have been unavailable while this view was stopped.
     m_hasHealth = false;
     fill();
 }
@@ -98,7 +98,8 @@
         m_after, [this](const Errors::Result<NewestPage> &next) { pageRead(next); });
 }
 
-/// A key that was not among the newest has been dropped, unless its record is newer than the pages.
+/// A key that is missing from the listing has been dropped, unless its record is newer than the
+/// listing.
 void KeyedView::fillEnded()
 {
     std::vector<std::string> dropped;
@@ -108,12 +109,14 @@
     }
     for (const std::string &key : dropped) {
         m_offsets.erase(key);
+        // The offset is the last one of the listing, as the record at the end may be the key's
+        // next.
         if (keyDropped)
-            keyDropped(key, *m_fillEnd - Base::LogOffset(1)); // The next one may be the key's.
+            keyDropped(key, *m_fillEnd - Base::LogOffset(1));
     }
     m_isFilling = false;
     m_isFilled = true;
-    // Records that came while the pages were read are read again, which changes nothing.
+    // Records appended during the listing are read again, which has no effect.
     m_position = std::max(m_position, *m_fillEnd);
     const Keys keys = std::exchange(m_seen, {});
     if (filled)
@@ -138,10 +141,10 @@
         readFailed(&KeyedView::follow);
         return;
     }
-    // After a gap the records tell of what has come and gone meanwhile; only the newest are wanted.
-    const bool isLate = isAnswerOverdue();
+    // The records of a gap include values that are outdated by now; a listing has only the newest.
+    const bool isOverdue = isAnswerOverdue();
     readSucceeded();
-    if (page.value().isOutOfRange || isLate) {
+    if (page.value().isOutOfRange || isOverdue) {
         fill();
         return;
     }
@@ -193,22 +196,22 @@
 void KeyedView::readSucceeded()
 {
     m_backoff.reset();
-    const bool isLate = isAnswerOverdue();
+    const bool isOverdue = isAnswerOverdue();
     m_answeredAt = m_options.timers->clock().now();
-    const bool isNews = !m_hasHealth || !m_isUp || isLate;
+    const bool hasChanged = !m_hasHealth || !m_isUp || isOverdue;
     m_hasHealth = true;
     m_isUp = true;
-    if (isNews && healthChanged)
+    if (hasChanged && healthChanged)
         healthChanged(true);
 }
 
-void KeyedView::readFailed(void (KeyedView::*again)())
+void KeyedView::readFailed(void (KeyedView::*retry)())
 {
-    const bool isNews = !m_hasHealth || m_isUp;
+    const bool hasChanged = !m_hasHealth || m_isUp;
     m_hasHealth = true;
     m_isUp = false;
-    schedule(m_backoff.next(), again);
-    if (isNews && healthChanged)
+    schedule(m_backoff.next(), retry);
+    if (hasChanged && healthChanged)
         healthChanged(false);
 }
 
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -14,9 +14,9 @@
 
 namespace Lagoonbank::KeyedLog {
 
-/// Keeps up with the newest value of each key of a log: fills itself from the newest records, then
-/// follows the tail, and fills itself again when records were lost. A key never goes back to an
-/// older record, however late or stale an answer is.
+/// Tracks the newest value of each key of a log. A view is first filled from a listing of the
+/// newest records, then follows the tail, and is filled again if it has missed records. A key is
+/// never reverted to an older record, however late or stale an answer is.
 class KeyedView
 {
 public:
@@ -24,18 +24,19 @@
     {
         KeyedSource source;
         Runtime::TimerQueue *timers = nullptr;
-        /// Time from one read of the tail to the next; zero to read again at once.
+        /// Delay between two reads of the tail; zero to read again at once.
         Base::Duration interval{};
-        /// How long a read of the tail waits for news.
+        /// Maximum time for which a read of the tail waits for new records.
         Base::Duration wait{};
-        /// Of several records of one key that one read brings only the newest is told. For values
-        /// that take long to read: a small VM takes 0.2 s for a configuration of 4,200 routes. Not
-        /// where what came between tells something, as that an endpoint leaves before it is gone.
+        /// Whether only the newest of several records of one key in one read is reported. Meant for
+        /// values that are expensive to decode: a small VM takes 0.2 s for a configuration of 4,200
+        /// routes. Not for keys whose intermediate values matter, such as an endpoint's entry that
+        /// says that it is draining just before it is dropped.
         bool reportsNewestOnly = false;
-        PlatformClient::Backoff::Options backoff; ///< While the log does not answer.
-        /// An answer that comes so long after the one before is told as the log's return, as nobody
-        /// knows whether it was there meanwhile: a process that stood still has seen no read fail.
-        /// The keys are then listed anew.
+        PlatformClient::Backoff::Options backoff; ///< Between reads while the log does not answer.
+        /// Maximum time between two answers. After a longer gap the next answer is reported as a
+        /// recovery of the log and the keys are listed again: a process that was suspended has seen
+        /// no read fail, so it cannot know whether the log was available in the meantime.
         Base::Duration maxAnswerGap = std::chrono::seconds(2);
     };
 
@@ -48,32 +49,34 @@
 
     void start();
     void stop();
-    /// Gives up a read under way, whose connection may have gone silent, and reads again.
+    /// Cancels the current read, whose connection may no longer respond, and reads again.
     void restart();
-    /// Like start(), where all up to the record \a known has been learnt by other means, with
-    /// \a keys among it: follows the tail, and fills itself only if that has lost records.
+    /// Like start(), for a caller that has obtained all records up to \a known by other means;
+    /// \a keys are the keys present in them. Follows the tail at once, and lists the keys only if
+    /// records after \a known are no longer retained.
     void startAfter(Base::LogOffset known, const Keys &keys = {});
 
-    /// Whether every key has been read once.
+    /// Whether all keys have been read at least once.
     bool isFilled() const { return m_isFilled; }
-    /// Whether keys are being listed; what is told meanwhile is a part of them.
+    /// Whether the keys are being listed. Values reported meanwhile are an incomplete set.
     bool isFilling() const { return m_isFilling; }
-    /// Whether the last read was answered.
+    /// Whether the last read succeeded.
     bool isUp() const { return m_isUp; }
-    /// How old the newest answer is; nothing before the first.
+    /// The time since the last answer; not set before the first one.
     std::optional<Base::Duration> age() const;
     Base::LogOffset position() const { return m_position; }
 
-    /// A key has this value now.
+    /// Called when a key has a new value.
     std::function<void(const KeyedRecord &record)> valueChanged;
     std::function<void(const std::string &key, Base::LogOffset offset)> keyDropped;
-    /// All keys have been read, for the first time or again: these are there. Keys of records
-    /// before \a end that are not among them have been dropped.
+    /// Called when a listing is complete, also for repeated ones. \a keys are all keys present;
+    /// keys with records before \a end that are not among them have been dropped.
     std::function<void(const Keys &keys, Base::LogOffset end)> filled;
-    /// All that the log held when a read was answered has been told. Of a log of several pages that
-    /// is after the last one.
+    /// Called when everything that the log held at the time of an answer has been reported; for a
+    /// listing, after its last page.
     std::function<void()> caughtUp;
-    /// Also told when it was up before, if that is long ago.
+    /// Called when the log becomes available or unavailable, and also when it is available after a
+    /// gap longer than `maxAnswerGap`.
     std::function<void(bool isUp)> healthChanged;
 
 private:
@@ -86,7 +89,7 @@
     void apply(const KeyedRecord &record);
     bool isAnswerOverdue() const;
     void readSucceeded();
-    void readFailed(void (KeyedView::*again)());
+    void readFailed(void (KeyedView::*retry)());
     void schedule(Base::Duration delay, void (KeyedView::*step)());
 
     Options m_options;
@@ -97,10 +100,10 @@
     bool m_isUp = false;
     bool m_hasHealth = false;
     std::optional<Base::MonoTime> m_answeredAt;
-    Base::LogOffset m_position; ///< Of the next record to read from the tail.
-    absl::flat_hash_map<std::string, Base::LogOffset> m_offsets; ///< Of the value of each key.
-    // While it fills itself.
-    std::string m_after;
+    Base::LogOffset m_position; ///< Offset of the next record to read from the tail.
+    absl::flat_hash_map<std::string, Base::LogOffset> m_offsets; ///< Of the newest record per key.
+    // State of the current listing.
+    std::string m_after; ///< Last key of the previous page.
     std::optional<Base::LogOffset> m_fillEnd; ///< End of the log at the first page.
     Keys m_seen;
     std::optional<ReadId> m_read;
--- a/tests/auto/fleet/tst_datacentredrains.cpp
+++ b/tests/auto/fleet/tst_datacentredrains.cpp
@@ -23,15 +23,15 @@
     Fixture()
     {
         drains.changed = [this](const auto &, const auto &current) {
-            told += '[';
+            reported += '[';
             for (const Base::DataCentreId &one : current)
-                told += one.value() + ' ';
-            told += ']';
+                reported += one.value() + ' ';
+            reported += ']';
         };
     }
 
     DataCentreDrains drains;
-    std::string told;
+    std::string reported;
 };
 
 } // namespace
@@ -41,12 +41,12 @@
     Fixture f;
     f.drains.addDrain(east, at(5));
     f.drains.removeDrain(east, at(9));
-    f.drains.replace({east}, at(7)); // A peer that has read less.
-    f.drains.addDrain(west, at(8)); // A record that comes late.
+    f.drains.replace({east}, at(7)); // From a peer that has read less of the log.
+    f.drains.addDrain(west, at(8)); // A delayed record.
     BOOST_TEST(f.drains.current().empty());
     f.drains.replace({west}, at(10));
     BOOST_TEST(f.drains.current().contains(west));
-    BOOST_TEST(f.told == "[east ][][west ]");
+    BOOST_TEST(f.reported == "[east ][][west ]");
 }
 
 BOOST_AUTO_TEST_CASE(unchangedSetIsNotReported)
@@ -55,11 +55,11 @@
     f.drains.addDrain(east, at(5));
     f.drains.addDrain(east, at(6));
     f.drains.replace({east}, at(7));
-    BOOST_TEST(f.told == "[east ]");
+    BOOST_TEST(f.reported == "[east ]");
     BOOST_TEST((f.drains.asOf() == at(7)));
 }
 
-/// Whoever has read a later configuration knows that nothing was drained in between.
+/// A router that has read the log further knows that no data centre was drained in between.
 BOOST_AUTO_TEST_CASE(advancingTheOffsetRejectsOlderStates)
 {
     Fixture f;
--- a/tests/auto/fleet/tst_endpointdirectory.cpp
+++ b/tests/auto/fleet/tst_endpointdirectory.cpp
@@ -23,8 +23,12 @@
 {
     Fixture()
     {
-        directory.changed = [this](const auto &entry) { told += "+" + entry.endpoint.id.value(); };
-        directory.removed = [this](const auto &entry) { told += "-" + entry.endpoint.id.value(); };
+        directory.changed = [this](const auto &entry) {
+            reported += "+" + entry.endpoint.id.value();
+        };
+        directory.removed = [this](const auto &entry) {
+            reported += "-" + entry.endpoint.id.value();
+        };
     }
     void put(const Endpoint &one) { directory.put(one, Base::LogOffset(++version)); }
     void drop(const char *id)
@@ -40,7 +44,7 @@
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     EndpointDirectory directory{{.timers = &timers}};
-    std::string told;
+    std::string reported;
     std::uint64_t version = 0;
 };
 
@@ -54,7 +58,7 @@
     f.put(endpoint("a", EndpointState::Draining));
     f.drop("a");
     f.drop("a");
-    BOOST_TEST(f.told == "+a+a-a");
+    BOOST_TEST(f.reported == "+a+a-a");
     BOOST_TEST(!f.directory.find(Base::EndpointId("a")));
 }
 
@@ -64,17 +68,17 @@
     f.put(endpoint("back"));
     f.put(endpoint("gone"));
     f.put(endpoint("leaving", EndpointState::Draining));
-    f.told.clear();
+    f.reported.clear();
     f.directory.storeReturned();
     f.drop("back");
     f.drop("gone");
     f.drop("leaving");
-    BOOST_TEST(f.told == "-leaving");
+    BOOST_TEST(f.reported == "-leaving");
     f.pass(std::chrono::seconds(2));
     f.put(endpoint("back"));
-    BOOST_TEST(f.told == "-leaving");
+    BOOST_TEST(f.reported == "-leaving");
     f.pass(std::chrono::milliseconds(300));
-    BOOST_TEST(f.told == "-leaving-gone");
+    BOOST_TEST(f.reported == "-leaving-gone");
     BOOST_TEST(f.directory.find(Base::EndpointId("back")));
 }
 
@@ -85,7 +89,7 @@
     f.directory.storeReturned();
     f.pass(std::chrono::seconds(3));
     f.drop("a");
-    BOOST_TEST(f.told == "+a-a");
+    BOOST_TEST(f.reported == "+a-a");
 }
 
 BOOST_AUTO_TEST_CASE(olderVersionsAreIgnored)
@@ -98,7 +102,7 @@
     f.directory.remove(Base::EndpointId("a"), Base::LogOffset(9));
     f.directory.put(endpoint("a"), Base::LogOffset(8));
     BOOST_TEST(!f.directory.find(Base::EndpointId("a")));
-    BOOST_TEST(f.told == "+a-a");
+    BOOST_TEST(f.reported == "+a-a");
 }
 
 BOOST_AUTO_TEST_CASE(reconcileRemovesAbsentEntries)
@@ -108,7 +112,7 @@
     f.directory.put(endpoint("kept"), Base::LogOffset(4));
     f.directory.put(endpoint("newer"), Base::LogOffset(12));
     f.directory.reconcile({Base::EndpointId("kept")}, Base::LogOffset(10));
-    BOOST_TEST(f.told == "+old+kept+newer-old");
+    BOOST_TEST(f.reported == "+old+kept+newer-old");
 }
 
 BOOST_AUTO_TEST_CASE(hashDependsOnContentOnly)
@@ -137,21 +141,21 @@
         const char *what;
         std::optional<Base::WallTime> known;
         std::optional<Base::WallTime> next;
-        const char *told;
+        const char *reported;
         std::optional<Base::WallTime> kept;
     } cases[] = {{"later", startAt(5), startAt(6), "+a+a", startAt(6)},
                  {"equal", startAt(5), startAt(5), "+a", startAt(5)},
                  {"earlier", startAt(5), startAt(4), "+a", startAt(5)},
-                 {"not said any more", startAt(5), {}, "+a", startAt(5)},
-                 {"said at last", {}, startAt(5), "+a+a", startAt(5)}};
-    for (const auto &[what, known, next, told, kept] : cases) {
+                 {"not reported any more", startAt(5), {}, "+a", startAt(5)},
+                 {"reported for the first time", {}, startAt(5), "+a+a", startAt(5)}};
+    for (const auto &[what, known, next, reported, kept] : cases) {
         Fixture f;
         Endpoint one = endpoint("a");
         one.startedAt = known;
         f.put(one);
         one.startedAt = next;
         f.put(one);
-        BOOST_TEST(f.told == told, what);
+        BOOST_TEST(f.reported == reported, what);
         BOOST_TEST((f.directory.find(one.id)->startedAt == kept), what);
     }
 }
@@ -172,17 +176,17 @@
 {
     Fixture f;
     f.directory.remove(Base::EndpointId("a"), Base::LogOffset(9));
-    f.directory.put(endpoint("a"), Base::LogOffset(8)); // Late, from a peer.
+    f.directory.put(endpoint("a"), Base::LogOffset(8)); // Delayed, from a peer.
     BOOST_TEST(!f.directory.find(Base::EndpointId("a")));
-    BOOST_TEST(f.told == "");
+    BOOST_TEST(f.reported == "");
     f.directory.remove(Base::EndpointId("a"), Base::LogOffset(9));
     BOOST_TEST(f.directory.gone().size() == 1U);
     f.directory.put(endpoint("a"), Base::LogOffset(10));
-    BOOST_TEST(f.told == "+a");
+    BOOST_TEST(f.reported == "+a");
 }
 
-/// The record at the end is not among those that were read, so it may be the next one of an
-/// endpoint that was not there; what is older and was not there has gone, whoever tells of it.
+/// The record at the end is not part of the listing, so it may be the next entry of an endpoint
+/// that was missing from it. An older entry of a missing endpoint is ignored, whatever its source.
 BOOST_AUTO_TEST_CASE(reconcileRejectsOlderVersions)
 {
     Fixture f;
@@ -190,7 +194,7 @@
     f.directory.reconcile({}, Base::LogOffset(10));
     f.directory.put(endpoint("back"), Base::LogOffset(10));
     f.directory.put(endpoint("gone"), Base::LogOffset(9));
-    BOOST_TEST(f.told == "+back-back+back");
+    BOOST_TEST(f.reported == "+back-back+back");
 }
 
 BOOST_AUTO_TEST_CASE(pendingRemovalsAreHeldDuringASecondOutage)
@@ -204,10 +208,10 @@
     BOOST_TEST(f.directory.find(Base::EndpointId("a")));
     f.directory.storeReturned();
     f.pass(std::chrono::seconds(3));
-    BOOST_TEST(f.told == "+a-a");
+    BOOST_TEST(f.reported == "+a-a");
 }
 
-/// A late write comes once; a start whose clock was set back writes again and again.
+/// A delayed write arrives once; an endpoint that restarted with its clock set back keeps writing.
 BOOST_AUTO_TEST_CASE(earlierStartWrittenTwiceIsAccepted)
 {
     Fixture f;
@@ -216,13 +220,13 @@
     f.put(one);
     one.startedAt = Base::WallTime(std::chrono::seconds(5));
     f.put(one);
-    BOOST_TEST(f.told == "+a");
+    BOOST_TEST(f.reported == "+a");
     f.put(one);
-    BOOST_TEST(f.told == "+a+a");
+    BOOST_TEST(f.reported == "+a+a");
     BOOST_TEST((f.directory.find(one.id)->startedAt == one.startedAt));
 }
 
-/// News of before the drop that come late do not bring the entry back.
+/// A delayed entry from before the drop must not restore the endpoint.
 BOOST_AUTO_TEST_CASE(olderVersionDoesNotCancelAPendingRemoval)
 {
     Fixture f;
@@ -231,5 +235,5 @@
     f.directory.entryDropped(Base::EndpointId("a"), Base::LogOffset(3));
     f.directory.put(endpoint("a", EndpointState::Draining), Base::LogOffset(2));
     f.pass(std::chrono::seconds(3));
-    BOOST_TEST(f.told == "+a+a-a");
+    BOOST_TEST(f.reported == "+a+a-a");
 }
--- a/tests/auto/keyedlog/tst_keyedview.cpp
+++ b/tests/auto/keyedlog/tst_keyedview.cpp
@@ -27,14 +27,14 @@
     return {.key = key, .offset = Base::LogOffset(offset)};
 }
 
-/// Takes reads in place of a log and answers them when the test says so.
+/// A fake log that keeps reads pending until the test answers them.
 struct FakeLog
 {
     struct Read
     {
         ReadId id;
-        std::string after; ///< Of a read of the newest records.
-        std::optional<Base::LogOffset> from; ///< Of a read of the tail.
+        std::string after; ///< Set for a read of the newest records.
+        std::optional<Base::LogOffset> from; ///< Set for a read of the tail.
         std::function<void(Errors::Result<NewestPage>)> newest;
         std::function<void(Errors::Result<TailPage>)> tail;
     };
@@ -91,13 +91,13 @@
                             .max = std::chrono::milliseconds(800)}})
     {
         view.valueChanged = [this](const KeyedRecord &record) {
-            told += record.key + "=" + *record.value + " ";
+            reported += record.key + "=" + *record.value + " ";
         };
         view.keyDropped = [this](const std::string &key, Base::LogOffset) {
-            told += "-" + key + " ";
+            reported += "-" + key + " ";
         };
-        view.filled = [this](const KeyedView::Keys &, Base::LogOffset) { told += "filled "; };
-        view.healthChanged = [this](bool isUp) { told += isUp ? "up " : "down "; };
+        view.filled = [this](const KeyedView::Keys &, Base::LogOffset) { reported += "filled "; };
+        view.healthChanged = [this](bool isUp) { reported += isUp ? "up " : "down "; };
         view.start();
     }
     void pass(Base::Duration duration)
@@ -105,13 +105,13 @@
         clock.advance(duration);
         timers.runDue();
     }
-    std::string takeTold() { return std::exchange(told, {}); }
+    std::string takeReported() { return std::exchange(reported, {}); }
 
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     FakeLog log;
     KeyedView view;
-    std::string told;
+    std::string reported;
 };
 
 } // namespace
@@ -122,13 +122,13 @@
     f.log.answerNewest({put("a", "1", 3)}, 10, true);
     BOOST_TEST(f.log.reads.front().after == "a");
     f.log.answerNewest({put("b", "2", 9)}, 12);
-    BOOST_TEST(f.takeTold() == "up a=1 b=2 filled ");
+    BOOST_TEST(f.takeReported() == "up a=1 b=2 filled ");
     BOOST_TEST(f.view.isFilled());
     f.pass(std::chrono::milliseconds(500));
-    // From the end of the first page: what came meanwhile may be missing in the pages.
+    // From the end of the first page, as later pages may lack records that were appended meanwhile.
     BOOST_TEST((f.log.reads.front().from == Base::LogOffset(10)));
     f.log.answerTail({put("b", "2", 9), put("c", "3", 10), drop("a", 11)}, 12);
-    BOOST_TEST(f.takeTold() == "c=3 -a ");
+    BOOST_TEST(f.takeReported() == "c=3 -a ");
     f.pass(std::chrono::milliseconds(500));
     BOOST_TEST((f.log.reads.front().from == Base::LogOffset(12)));
 }
@@ -149,10 +149,10 @@
     f.log.answerNewest({put("a", "new", 8)}, 9);
     f.pass(std::chrono::milliseconds(500));
     f.log.take().tail(TailPage{.isOutOfRange = true});
-    f.takeTold();
-    // A stale page: it knows less than was read before.
+    f.takeReported();
+    // A stale page, older than what was read before.
     f.log.answerNewest({put("a", "old", 4)}, 5);
-    BOOST_TEST(f.takeTold() == "filled ");
+    BOOST_TEST(f.takeReported() == "filled ");
     f.pass(std::chrono::milliseconds(500));
     BOOST_TEST((f.log.reads.front().from == Base::LogOffset(9)));
 }
@@ -165,9 +165,9 @@
     f.log.answerTail({put("a", "1", 3)}, 4);
     f.pass(std::chrono::milliseconds(500));
     f.log.take().tail(TailPage{.isOutOfRange = true});
-    f.takeTold();
+    f.takeReported();
     f.log.answerNewest({}, 3);
-    BOOST_TEST(f.takeTold() == "filled ");
+    BOOST_TEST(f.takeReported() == "filled ");
 }
 
 BOOST_AUTO_TEST_CASE(dropsKeysAbsentFromARefill)
@@ -176,12 +176,12 @@
     f.log.answerNewest({put("a", "1", 3), put("b", "2", 4)}, 5);
     f.pass(std::chrono::milliseconds(500));
     f.log.take().tail(TailPage{.isOutOfRange = true});
-    f.takeTold();
+    f.takeReported();
     f.log.answerNewest({put("b", "3", 20)}, 21);
-    BOOST_TEST(f.takeTold() == "b=3 -a filled ");
+    BOOST_TEST(f.takeReported() == "b=3 -a filled ");
 }
 
-/// The record at the end is not among those that were listed; it may be the key's next one.
+/// The record at the end is not part of the listing and may be the key's next one.
 BOOST_AUTO_TEST_CASE(keyAbsentFromAFillIsDroppedBeforeItsEnd)
 {
     Fixture f;
@@ -198,7 +198,7 @@
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 3)}, 5);
-    f.takeTold();
+    f.takeReported();
     f.pass(std::chrono::milliseconds(500));
     int reads = 0;
     for (int ms = 0; ms < 4000; ms += 10) {
@@ -210,12 +210,12 @@
     }
     BOOST_TEST(reads >= 5);
     BOOST_TEST(reads <= 12);
-    BOOST_TEST(f.takeTold() == "down ");
+    BOOST_TEST(f.takeReported() == "down ");
     BOOST_REQUIRE(f.view.age());
     BOOST_TEST((*f.view.age() >= std::chrono::seconds(4)));
     f.pass(std::chrono::seconds(1));
     f.log.answerTail({}, 5);
-    BOOST_TEST(f.takeTold() == "up ");
+    BOOST_TEST(f.takeReported() == "up ");
 }
 
 BOOST_AUTO_TEST_CASE(failedFillStartsOver)
@@ -272,42 +272,43 @@
     BOOST_TEST(caughtUp == 2);
 }
 
-/// Pattern: configurations come in quick succession, each a large text that takes its reader long.
+/// Configurations are written in quick succession, and each is expensive to decode.
 BOOST_AUTO_TEST_CASE(reportsOnlyTheNewestRecordOfAKey)
 {
     for (const bool reportsNewestOnly : {false, true}) {
         Fixture f(reportsNewestOnly);
         f.log.answerNewest({put("a", "1", 1)}, 2);
-        f.takeTold();
+        f.takeReported();
         f.pass(std::chrono::milliseconds(500));
         f.log.answerTail({put("a", "2", 2), put("b", "1", 3), put("a", "3", 4), drop("b", 5),
                           put("c", "1", 6), drop("a", 7), put("a", "4", 8)},
                          9);
-        BOOST_TEST(f.takeTold() == (reportsNewestOnly ? "c=1 a=4 " : "a=2 b=1 a=3 -b c=1 -a a=4 "));
+        BOOST_TEST(f.takeReported()
+                   == (reportsNewestOnly ? "c=1 a=4 " : "a=2 b=1 a=3 -b c=1 -a a=4 "));
     }
 }
 
-/// Pattern: the reader of a data centre dies, and another router takes up its duty. What that has
-/// learnt from its peers, a configuration of 880 KB, is not read again over its small link.
+/// The store reader of a data centre fails and another router takes over its role. That router has
+/// received the configuration of 880 KB from its peers and must not read it again over a slow link.
 BOOST_AUTO_TEST_CASE(startAfterDoesNotRereadKnownRecords)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 1)}, 2);
     f.view.stop();
-    f.takeTold();
+    f.takeReported();
     f.view.startAfter(Base::LogOffset(7));
     BOOST_TEST((f.log.reads.back().from == Base::LogOffset(8)));
     f.log.answerTail({put("a", "2", 8)}, 9);
-    BOOST_TEST(f.takeTold() == "up a=2 ");
+    BOOST_TEST(f.takeReported() == "up a=2 ");
     f.pass(std::chrono::milliseconds(500));
     const FakeLog::Read read = f.log.take();
     read.tail(TailPage{.isOutOfRange = true});
     f.log.answerNewest({put("a", "3", 30)}, 31);
-    BOOST_TEST(f.takeTold() == "a=3 filled ");
+    BOOST_TEST(f.takeReported() == "a=3 filled ");
 }
 
-/// Pattern: one router reads the log, and another goes on where that one was. It has not read the
-/// key that is dropped next.
+/// A router takes over reading the log at the offset that the previous store reader had reached.
+/// The next record drops a key that it has not read itself.
 BOOST_AUTO_TEST_CASE(startAfterReportsDroppedKnownKeys)
 {
     Fixture f;
