--- a/tests/auto/adapter/keyedstore.h
+++ b/tests/auto/adapter/keyedstore.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-/// The platform's store with keyed topics of one part each, as far as routers use it.
+/// A fake of the platform's store, limited to the calls of routers and to keyed topics of one part.
 class KeyedStore
 {
 public:
@@ -39,14 +39,14 @@
         for (const auto &[from, responder] : std::exchange(m_waiting[topic], {}))
             responder->send(200, {}, tail(topic, from));
     }
-    /// A configuration with one route, /p/ of host h, to the service s.
+    /// Writes a configuration with one route, from /p/ of host h to service s.
     void writeRoute()
     {
         write("keyed.op", "config", R"({"version":7,"routes":[{"name":"r","host":"h",
             "prefix":"/p/","kind":"idempotent","service":"s","max_attempts":2,
             "timeout_ms":8000,"target_latency_ms":4000}]})");
     }
-    /// The entry of an endpoint of that service that started at this Unix millisecond.
+    /// Writes the entry of an endpoint of service s that started at this Unix millisecond.
     void writeEndpoint(const std::string &id, const Lagoonbank::Runtime::SocketAddress &address,
                        int startedAt)
     {
--- a/tests/auto/adapter/tst_boundary.cpp
+++ b/tests/auto/adapter/tst_boundary.cpp
@@ -1,4 +1,5 @@
-/// The platform's names stay in platform/, and what decides stays out of it.
+/// Checks that the platform's names are used only in platform/, and that platform/ contains no
+/// decisions.
 #define BOOST_TEST_MODULE tst_boundary
 #include <boost/test/unit_test.hpp>
 
@@ -21,7 +22,7 @@
     return folder;
 }
 
-/// Places in the C++ files below \a folder where \a pattern is found.
+/// Returns file and line of each match of \a pattern in the C++ files below \a folder.
 std::vector<std::string> findings(const std::string &folder, const std::regex &pattern)
 {
     std::vector<std::string> found;
@@ -52,14 +53,14 @@
                            "target_latency_ms|LAGOONBANK_NODE_FILE",
                            std::regex::icase);
     for (const std::string &place : findings("src", names))
-        BOOST_ERROR(place + " names something of the platform; it belongs into platform/");
+        BOOST_ERROR(place + " uses a name of the platform; it belongs into platform/");
 }
 
 BOOST_AUTO_TEST_CASE(adapterContainsNoDecisions)
 {
-    // What decides knows loads, budgets, time and chance.
+    // Code that decides uses loads, budgets, time and random numbers.
     const std::regex deciding("suspicion|retryBudget\\(\\)|\\.load\\(|std::mt19937|rendezvous",
                               std::regex::icase);
     for (const std::string &place : findings("platform", deciding))
-        BOOST_ERROR(place + " decides; it belongs into src/libs");
+        BOOST_ERROR(place + " makes a decision; it belongs into src/libs");
 }
--- a/tests/auto/adapter/tst_crashingrequestfleet.cpp
+++ b/tests/auto/adapter/tst_crashingrequestfleet.cpp
@@ -13,17 +13,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The incident of tst_crashingrequest through a fleet: the request's attempts come to any router,
-// so that each of them saw few of the endpoints that ended under it, and one that had just started
-// saw none.
+// Guards against the failure of tst_crashingrequest in a fleet: a request crashes each endpoint
+// that it reaches. Its attempts arrive at different routers, so each router sees only few of the
+// crashes, and a router that has just started sees none.
 
 namespace {
 
-constexpr int mostEnds = 3;
-constexpr int mostEndsMore = 3; ///< Later than stableTime after the third.
+constexpr int maxCrashes = 3;
+constexpr int maxFurtherCrashes = 3; ///< Later than stableTime after the third one.
 constexpr auto stableTime = seconds(3);
 
-/// An endpoint that ends when a request reaches it.
+/// An endpoint that crashes when a request reaches it.
 struct Engine
 {
     Test::RawListener listener;
@@ -78,7 +78,7 @@
         }
         return true;
     }
-    /// One attempt through a router; what its caller got.
+    /// Sends one attempt through a router and returns the answer.
     std::string attempt(int router, const std::string &path = "/p/1")
     {
         const std::string id = "a" + std::to_string(++attempts);
@@ -87,7 +87,7 @@
                     + "\r\n\r\n");
         BOOST_REQUIRE(runUntil([&] {
             clock.advance(milliseconds(1));
-            ended += static_cast<int>(
+            crashes += static_cast<int>(
                 std::erase_if(engines, [](const auto &engine) { return engine->hasRequest(); }));
             return caller.has("\r\n\r\n");
         }));
@@ -100,7 +100,7 @@
     std::map<int, Schema::GatewaySettings> settingsOf;
     std::map<int, std::unique_ptr<Platform::RouterProcess>> routers;
     int attempts = 0;
-    int ended = 0;
+    int crashes = 0;
 };
 
 } // namespace
@@ -110,29 +110,29 @@
     RouterFleet f(4);
     for (int attempt = 0; attempt < 8; ++attempt)
         f.attempt(attempt % 4);
-    BOOST_TEST(f.ended <= mostEnds);
+    BOOST_TEST(f.crashes <= maxCrashes);
 }
 
 BOOST_AUTO_TEST_CASE(startingRoutersReceiveTheQuarantine)
 {
     RouterFleet f(3);
-    for (int attempt = 0; f.ended < mostEnds; ++attempt)
+    for (int attempt = 0; f.crashes < maxCrashes; ++attempt)
         f.attempt(attempt % 3);
     f.pass(seconds(1));
-    const int before = f.ended;
+    const int before = f.crashes;
     f.routers.at(2).reset();
     f.start(2);
     BOOST_REQUIRE(f.isReady());
     f.pass(stableTime);
     for (int attempt = 0; attempt < 6; ++attempt)
         f.attempt(2);
-    BOOST_TEST(f.ended - before <= mostEndsMore);
-    f.routers.clear(); // All of them: nobody is left to tell.
+    BOOST_TEST(f.crashes - before <= maxFurtherCrashes);
+    f.routers.clear(); // No peer is left, so only the store has the quarantine.
     for (int index = 0; index < 3; ++index)
         f.start(index);
     BOOST_REQUIRE(f.isReady());
     f.pass(stableTime);
     for (int attempt = 0; attempt < 6; ++attempt)
         f.attempt(attempt % 3);
-    BOOST_TEST(f.ended - before <= mostEndsMore);
+    BOOST_TEST(f.crashes - before <= maxFurtherCrashes);
 }
--- a/tests/auto/adapter/tst_endpointselfreport.cpp
+++ b/tests/auto/adapter/tst_endpointselfreport.cpp
@@ -11,20 +11,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Seen: requests went on to an endpoint for 6 s after it had said in its answers that it was
-// leaving, and to full ones that had named the time after which to come back.
-// The store was down, so that its entry, the one thing that a router went by, could not say it.
-// What an endpoint says of itself in an answer was not read. A mend of that alone forgets it when
-// the entry lapses and comes back, as the store's outage makes it do: what is known of an endpoint
-// was made anew with its entry.
-// Proved by the routers' lines, which have the endpoint as a prompt's home all that time and no
-// change of its entry, and by the operators' log, which has the entry written 13 s late.
+// Guards against this failure: routers sent requests to an endpoint for 6 s after its answers had
+// reported that it was leaving, and to full endpoints before the end of their Retry-After time.
+// Routers evaluated only the endpoint's entry in the store, which could not be updated as the store
+// was down (it was written 13 s late), and ignored what endpoints report in their answers. Reading
+// the answers is not enough: the entry expires during the outage and is written again afterwards,
+// and the router then must not discard the reported state together with the old entry.
 
 namespace {
 
-constexpr auto drainTime = seconds(2); ///< From its word to the last request that it gets.
+constexpr auto drainTime = seconds(2); ///< From its report to the last request that it gets.
 
-/// An endpoint that answers all requests at once, in its own words.
+/// An endpoint that answers all requests at once, with a status and headers set by the test.
 struct Engine
 {
     Test::RawListener listener;
@@ -72,7 +70,7 @@
         BOOST_REQUIRE(router->start());
         pass(seconds(1));
     }
-    /// Its entry, of the start at this Unix millisecond.
+    /// Writes the entry of an engine that started at this Unix millisecond.
     void write(std::size_t index, int startedAt)
     {
         store.writeEndpoint("i-" + std::to_string(index), engines[index]->listener.address,
@@ -91,7 +89,7 @@
         }));
         return caller.receive();
     }
-    /// Calls until this endpoint has answered one.
+    /// Sends calls until this endpoint has answered one.
     void reach(const Engine &engine)
     {
         const int before = engine.requests;
@@ -99,7 +97,7 @@
             call();
         BOOST_REQUIRE(engine.requests > before);
     }
-    /// How many of these calls come to the endpoint.
+    /// Sends \a count calls and returns how many of them reach the endpoint.
     int reaching(const Engine &engine, int count)
     {
         const int before = engine.requests;
@@ -128,16 +126,16 @@
     Engine &leaving = *f.engines[0];
     leaving.extraHeaders = "Server-Leaving: 1\r\n";
     f.reach(leaving);
-    f.store.isUp = false; // Its entry cannot say so.
+    f.store.isUp = false; // The endpoint's entry cannot be updated.
     f.pass(drainTime);
     BOOST_TEST(f.reaching(leaving, 20) == 0);
     f.store.isUp = true;
-    f.write(0, 1); // Its entry comes late, from before.
+    f.write(0, 1); // A delayed entry from before the report.
     f.pass(seconds(2));
     BOOST_TEST(f.reaching(leaving, 20) == 0);
 }
 
-/// Pattern: entries lapse while the store is down, and are back after it.
+/// Entries expire while the store is down and are written again after the outage.
 BOOST_AUTO_TEST_CASE(leavingStateOutlastsTheEntryUntilARestart)
 {
     Fixture f(2);
@@ -150,12 +148,12 @@
     f.pass(seconds(2));
     BOOST_TEST(f.reaching(leaving, 20) == 0);
     leaving.extraHeaders.clear();
-    f.write(0, 2); // Another start of it.
+    f.write(0, 2); // The endpoint has restarted.
     f.pass(seconds(2));
     BOOST_TEST(f.reaching(leaving, 20) > 0);
 }
 
-/// Also where nobody else is there: callers are told when to come back.
+/// Even if no other endpoint is available: callers get a Retry-After header instead.
 BOOST_AUTO_TEST_CASE(retryAfterOfAnEndpointIsObserved)
 {
     Fixture f(1);
--- a/tests/auto/adapter/tst_enginecodec.cpp
+++ b/tests/auto/adapter/tst_enginecodec.cpp
@@ -87,7 +87,7 @@
         {"no proof", 200, {id}, false, false, false},
         {"no id", 200, {proof}, false, false, false},
         {"another's", 200, {otherId, proof}, false, false, false},
-        {"encoded by somebody",
+        {"content encoding added",
          200,
          {id, proof, {"content-encoding", "gzip"}},
          false,
@@ -95,9 +95,9 @@
          false},
         {"failure", 500, {id, proof}, true, false, false},
         {"failure without id", 500, {}, true, false, false},
-        {"another's failure", 500, {otherId}, false, false, false},
+        {"failure of another request", 500, {otherId}, false, false, false},
         {"full", 503, {notRun}, true, true, false},
-        {"another's full", 503, {otherId, notRun}, false, false, false},
+        {"full for another request", 503, {otherId, notRun}, false, false, false},
         {"503 without proof", 503, {id}, true, false, false},
         {"other endpoint", 421, {{"lagoonbank-instance-id", "i-02"}}, true, false, true}};
     for (const Row &row : rows) {
@@ -122,17 +122,17 @@
     BOOST_TEST(!f.read(200, {}).isLeaving);
     BOOST_TEST(!f.read(421, {leaving}).isLeaving);
     BOOST_TEST(!f.read(200, {leaving, {"lagoonbank-attempt-id", "another"}}).isLeaving);
-    const auto rest = [&](int status, std::string_view text) {
+    const auto backoffTime = [&](int status, std::string_view text) {
         const auto time = f.read(status, {{"retry-after", std::string(text)}}).backOffTime;
         return time ? Base::toMilliseconds(*time) : -1;
     };
-    BOOST_TEST(rest(503, "3") == 3000);
-    BOOST_TEST(rest(503, "0.25") == 250);
-    BOOST_TEST(rest(503, "1e12") == 24 * 60 * 60 * 1000);
+    BOOST_TEST(backoffTime(503, "3") == 3000);
+    BOOST_TEST(backoffTime(503, "0.25") == 250);
+    BOOST_TEST(backoffTime(503, "1e12") == 24 * 60 * 60 * 1000);
     for (const char *text : {"", "0", "-1", "soon", "nan", "Wed, 21 Oct 2026 07:28:00 GMT"})
-        BOOST_TEST(rest(503, text) == -1, text);
-    BOOST_TEST(rest(429, "3") == -1);
-    BOOST_TEST(rest(200, "3") == -1);
+        BOOST_TEST(backoffTime(503, text) == -1, text);
+    BOOST_TEST(backoffTime(429, "3") == -1);
+    BOOST_TEST(backoffTime(200, "3") == -1);
 }
 
 BOOST_AUTO_TEST_CASE(readsLoadReport)
--- a/tests/auto/adapter/tst_ingress.cpp
+++ b/tests/auto/adapter/tst_ingress.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Keeps what is sent to a caller.
+/// Records the answer that is sent to a caller.
 struct FakeResponder final : Http::Responder
 {
     void send(int sentStatus, const Http::Headers &sentHeaders, std::string sentBody) override
@@ -71,7 +71,7 @@
     BOOST_TEST(request.prompt->parts[1].id == 0x91bd3f06U);
     BOOST_TEST(request.prompt->parts[1].tokens.value() == 410);
     BOOST_TEST(request.body == "body");
-    // What the endpoint has to see goes on unchanged, and the key does not.
+    // Fields for the endpoint are forwarded unchanged; the caller's key is not forwarded.
     BOOST_TEST(request.headers.find("x-own").value_or("") == "kept");
     BOOST_TEST(request.headers.find("lagoonbank-token-count").value_or("") == "1460,80");
     BOOST_TEST(!request.headers.find("api-key"));
@@ -106,13 +106,13 @@
     noHost.headers = {{"lagoonbank-attempt-id", "1"}};
     const auto noHostRead = Platform::readRequest(std::move(noHost));
     BOOST_TEST(!noHostRead);
-    for (const char *patience : {"", "x", "-1", "1.5", "99999999999999999999"}) {
+    for (const char *remaining : {"", "x", "-1", "1.5", "99999999999999999999"}) {
         Http::Request request = exampleRequest();
         request.headers = {{"host", "h"},
                            {"lagoonbank-attempt-id", "1"},
-                           {"lagoonbank-deadline-remaining", patience}};
+                           {"lagoonbank-deadline-remaining", remaining}};
         const auto read = Platform::readRequest(std::move(request));
-        BOOST_TEST(!read, patience);
+        BOOST_TEST(!read, remaining);
     }
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// 429 and 503 promise that the request has not run and never will.
+/// 429 and 503 guarantee that the request has not run and never will.
 BOOST_AUTO_TEST_CASE(statusClaimsNotRunOnlyIfKnown)
 {
     using Errors::ErrorKind;
--- a/tests/auto/adapter/tst_routerprocess.cpp
+++ b/tests/auto/adapter/tst_routerprocess.cpp
@@ -18,8 +18,7 @@
 
 namespace {
 
-/// A store that holds one configuration and one endpoint, and answers with a status of the test's
-/// choice.
+/// A fake store with one configuration and one endpoint. The test sets the status of its answers.
 class FakeStore
 {
 public:
@@ -44,21 +43,21 @@
     int calls = 0;
     std::string configuration;
     std::string endpoint;
-    std::uint64_t end = 2; ///< Of the records.
+    std::uint64_t end = 2; ///< Offset after the last record.
     std::vector<std::string> drained; ///< Data centres that the operators have drained.
     Http::Server server;
-    /// Reads that wait for something new: of endpoints (true) and of the configuration.
+    /// Waiting reads of the tail: of the endpoints (true) and of the operators' records (false).
     std::map<bool, std::shared_ptr<Http::Responder>> waiting;
 
-    /// Tells the router that reads endpoints of a new value under the id of the one that is there.
+    /// Answers the waiting read of the endpoints with a new entry of the only endpoint.
     void writeEndpoint(const std::string &value) { writeRecord(true, "i-1", value); }
-    /// Has the router that reads the operators' records list them anew.
+    /// Answers the waiting read of the operators' records so that the router lists them again.
     void loseHistory()
     {
         waiting.at(false)->send(410, {}, R"({"first":2})");
         waiting.erase(false);
     }
-    /// Tells the router that reads the operators' records that this one has gone.
+    /// Answers the waiting read of the operators' records with one that drops this key.
     void dropOperatorRecord(const std::string &key) { writeRecord(false, key, {}); }
 
 private:
@@ -122,7 +121,7 @@
     {
         return RawSocket(Runtime::parseSocketAddress(address).value());
     }
-    /// Asks the balancer's question until the answer has this status.
+    /// Queries readiness, as the load balancer does, until the answer has this status.
     bool isReadyWith(const std::string &status)
     {
         for (int i = 0; i < 50; ++i) {
@@ -135,7 +134,8 @@
         }
         return false;
     }
-    /// The router lets a new connection to an endpoint settle for 2 ms.
+    /// Like runUntil(), but advances the clock, as the router waits for 2 ms before it uses a new
+    /// connection to an endpoint.
     bool passUntil(const std::function<bool()> &condition)
     {
         return runUntil([&] {
@@ -300,7 +300,8 @@
     BOOST_TEST(f.passUntil([&] { return engine.has("GET /p/1 HTTP/1.1"); }));
 }
 
-/// The records that took them back are lost; all that can be seen is that both have gone.
+/// The records that removed the drains are no longer retained, so the router only sees that both
+/// drains are missing from the next listing.
 BOOST_AUTO_TEST_CASE(drainsAbsentFromARefillEndTogether)
 {
     Fixture f;
--- a/tests/auto/adapter/tst_store.cpp
+++ b/tests/auto/adapter/tst_store.cpp
@@ -27,7 +27,7 @@
     return number(content.size(), 4) + content;
 }
 
-/// A store whose answers the test gives, on a paused clock.
+/// A store with answers set by the test, on a paused clock.
 struct Fixture : PausedLoop
 {
     Fixture()
--- a/tests/auto/adapter/tst_storeobjects.cpp
+++ b/tests/auto/adapter/tst_storeobjects.cpp
@@ -124,10 +124,10 @@
     for (const auto &[name, value] : good) {
         auto without = good;
         without.erase(name);
-        const bool mayMiss = name == "born";
-        BOOST_TEST(Platform::readEndpoint("i-1", text(without)).has_value() == mayMiss, name);
+        const bool isOptional = name == "born";
+        BOOST_TEST(Platform::readEndpoint("i-1", text(without)).has_value() == isOptional, name);
         for (const char *other : {"null", "true", "[]", "{}", "-1", R"("?")"}) {
-            // A time left that is over and a name of any text are good.
+            // A negative remaining time and a name of any text are valid.
             const bool isGood = (name == "warmup_left_ms" && std::string_view(other) == "-1")
                 || (std::string_view(other) == R"("?")"
                     && (name == "service" || name == "zone" || name == "version"));
