--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -127,9 +127,9 @@
         /// short network failure looks the same, so that trials start early and stay frequent.
         Routing::Suspicion::Options suspicion{.breaksToSuspect = 1,
                                               .unreachableToSuspect = 1,
-                                              .firstWait = std::chrono::milliseconds(500),
+                                              .initialBackoff = std::chrono::milliseconds(500),
                                               .longestWait = std::chrono::seconds(4),
-                                              .trialsToTrust = 1,
+                                              .trialsToRecover = 1,
                                               .trialTimeout = std::chrono::seconds(2)};
         /// Age from which a load report is ignored and only this router's requests in flight count.
         Base::Duration reportLifetime = std::chrono::seconds(3);
--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -40,8 +40,8 @@
                                    .urgentBelow =
                                        static_cast<std::uint8_t>(policy.reservePriority + 1)}},
             .suspicion = {.breaksToSuspect = static_cast<int>(policy.suspicionFailures),
-                          .firstWait = policy.suspicionHold,
-                          .trialsToTrust = static_cast<int>(policy.recoverySuccesses)},
+                          .initialBackoff = policy.suspicionHold,
+                          .trialsToRecover = static_cast<int>(policy.recoverySuccesses)},
             .slowStart = {.rampTime = policy.slowStart},
             .tokens = {.currentKey = settings.placementKey}};
 }
--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -83,7 +83,7 @@
         return; // While suspected, an answer to an old request proves little: the trial decides.
     row.trialOut = false;
     ++row.successes;
-    if (row.successes < m_options.trialsToTrust)
+    if (row.successes < m_options.trialsToRecover)
         return;
     row.state = State::Trusted;
     row.successes = 0;
@@ -94,12 +94,12 @@
 {
     const bool first = row.level == 0;
     const bool wellForLong =
-        row.state == State::Trusted && now - row.trustedSince >= m_options.forgiveAfter;
+        row.state == State::Trusted && now - row.trustedSince >= m_options.backoffResetAfter;
     if (first || wellForLong)
         row.level = 1;
     else
         row.level = std::min<std::uint8_t>(row.level + 1, highestLevel);
-    const Base::Duration wait = m_options.firstWait * (std::int64_t{1} << (row.level - 1));
+    const Base::Duration wait = m_options.initialBackoff * (std::int64_t{1} << (row.level - 1));
     row.suspectedSince = now;
     row.until = now + std::min(wait, m_options.longestWait);
     row.state = State::Suspected;
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -25,11 +25,11 @@
     {
         int breaksToSuspect = 3; ///< In a row.
         int unreachableToSuspect = 2; ///< In a row.
-        Base::Duration firstWait = std::chrono::seconds(1);
+        Base::Duration initialBackoff = std::chrono::seconds(1);
         Base::Duration longestWait = std::chrono::seconds(30);
-        int trialsToTrust = 2; ///< Whole answers in a row.
+        int trialsToRecover = 2; ///< Whole answers in a row.
         Base::Duration trialTimeout = std::chrono::seconds(30); ///< A trial not heard of since.
-        Base::Duration forgiveAfter =
+        Base::Duration backoffResetAfter =
             std::chrono::seconds(60); ///< Well for so long: wait is short.
     };
 
--- a/tests/auto/gateway/tst_endpointhealth.cpp
+++ b/tests/auto/gateway/tst_endpointhealth.cpp
@@ -39,7 +39,7 @@
     Logging::DecisionLog log{{.output = &output,
                               .wallNow = [this] { return clock.wallNow(); },
                               .now = [this] { return clock.now(); }}};
-    EndpointRegistry registry{{.suspicion = {.firstWait = milliseconds(500)}}};
+    EndpointRegistry registry{{.suspicion = {.initialBackoff = milliseconds(500)}}};
     EndpointHealth health{{.registry = &registry, .clock = &clock, .log = &log}};
 };
 
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -47,8 +47,8 @@
         return placement.choose({.service = service, .mayRepeat = mayRepeat}, registry, now);
     }
 
-    EndpointRegistry registry{
-        {.suspicion = {.unreachableToSuspect = 1, .firstWait = std::chrono::milliseconds(500)}}};
+    EndpointRegistry registry{{.suspicion = {.unreachableToSuspect = 1,
+                                             .initialBackoff = std::chrono::milliseconds(500)}}};
     Placement placement{{}};
     Base::MonoTime now = start;
 };
