--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -128,7 +128,7 @@
         Routing::Suspicion::Options suspicion{.breaksToSuspect = 1,
                                               .unreachableToSuspect = 1,
                                               .initialBackoff = std::chrono::milliseconds(500),
-                                              .longestWait = std::chrono::seconds(4),
+                                              .maximumBackoff = std::chrono::seconds(4),
                                               .trialsToRecover = 1,
                                               .trialTimeout = std::chrono::seconds(2)};
         /// Age from which a load report is ignored and only this router's requests in flight count.
--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -101,7 +101,7 @@
         row.level = std::min<std::uint8_t>(row.level + 1, highestLevel);
     const Base::Duration wait = m_options.initialBackoff * (std::int64_t{1} << (row.level - 1));
     row.suspectedSince = now;
-    row.until = now + std::min(wait, m_options.longestWait);
+    row.until = now + std::min(wait, m_options.maximumBackoff);
     row.state = State::Suspected;
     row.failures = 0;
     row.successes = 0;
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -26,7 +26,7 @@
         int breaksToSuspect = 3; ///< In a row.
         int unreachableToSuspect = 2; ///< In a row.
         Base::Duration initialBackoff = std::chrono::seconds(1);
-        Base::Duration longestWait = std::chrono::seconds(30);
+        Base::Duration maximumBackoff = std::chrono::seconds(30);
         int trialsToRecover = 2; ///< Whole answers in a row.
         Base::Duration trialTimeout = std::chrono::seconds(30); ///< A trial not heard of since.
         Base::Duration backoffResetAfter =
