--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -20,7 +20,7 @@
     const Base::MonoTime now = m_options.clock->now();
     Routing::Suspicion &suspicion = m_options.registry->suspicion();
     const State before = suspicion.state(endpoint.index);
-    if (!isGood && before == State::Trusted && isInFailureBurst(endpoint, now))
+    if (!isGood && before == State::Healthy && isInFailureBurst(endpoint, now))
         return;
     if (!isGood)
         endpoint.failedAt = now;
@@ -34,7 +34,7 @@
     if (after == before || after == State::OnTrial)
         return;
     m_options.log->event(
-        part, after == State::Trusted ? "An endpoint is healthy again." : "An endpoint is suspect.",
+        part, after == State::Healthy ? "An endpoint is healthy again." : "An endpoint is suspect.",
         {{"endpoint", endpoint.info.id.value()},
          {"request", request.value()},
          {"failure_share", share},
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -177,7 +177,7 @@
         EndpointPtr source = m_endpoints.findByStart(holder.endpoint);
         const bool isUsable = source && source->info.service == target.info.service
             && source.get() != &target && !source->isUnreachable && holder.readUntil <= now
-            && m_endpoints.suspicion().state(source->index) == Routing::Suspicion::State::Trusted;
+            && m_endpoints.suspicion().state(source->index) == Routing::Suspicion::State::Healthy;
         if (isUsable)
             return source;
     }
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -122,7 +122,7 @@
     if (!isAvailable)
         return Eligibility::Excluded;
     const bool isHealthy = !request.excludeSuspected
-        || registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
+        || registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Healthy;
     const bool isTrialDue =
         request.mayRepeat && registry.suspicion().admitsTrial(endpoint->index, now);
     if (!isHealthy && !isTrialDue)
@@ -325,7 +325,7 @@
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
         const bool isUsable = endpoint.get() != &target && !endpoint->isUnreachable
             && !endpoint->notice.isReplaced && isHolder(*endpoint)
-            && registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Trusted;
+            && registry.suspicion().state(endpoint->index) == Routing::Suspicion::State::Healthy;
         const double cost = isUsable ? order.cost(endpoint->hash, 1) : lowest;
         if (cost >= lowest)
             continue;
--- a/src/libs/router/routeradmin.cpp
+++ b/src/libs/router/routeradmin.cpp
@@ -76,7 +76,7 @@
             continue;
         if (routing.endpoints().info(i).state == Routing::EndpointState::Leaving)
             ++leaving;
-        else if (routing.suspicion(i) != Routing::Suspicion::State::Trusted)
+        else if (routing.suspicion(i) != Routing::Suspicion::State::Healthy)
             ++suspected;
         else
             ++usable;
@@ -112,7 +112,7 @@
         if (!routing.endpoints().contains(i))
             continue;
         const Routing::EndpointInfo &info = routing.endpoints().info(i);
-        const bool isTrusted = routing.suspicion(i) == Routing::Suspicion::State::Trusted;
+        const bool isTrusted = routing.suspicion(i) == Routing::Suspicion::State::Healthy;
         endpoints.push_back({{"id", info.id.value()},
                              {"data_centre", info.dataCentre.value()},
                              {"leaving", info.state == Routing::EndpointState::Leaving},
--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -212,7 +212,7 @@
     candidate.local = info.dataCentre == m_options.dataCentre;
     if (!m_table.isLive(endpoint))
         return;
-    if (m_suspicion.state(endpoint) == Suspicion::State::Trusted)
+    if (m_suspicion.state(endpoint) == Suspicion::State::Healthy)
         candidate.use = Candidate::Use::Yes;
     else if (m_suspicion.admitsTrial(endpoint, now))
         candidate.use = Candidate::Use::Trial;
--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -55,7 +55,7 @@
 bool Suspicion::admitsTrial(EndpointIndex endpoint, Base::MonoTime now) const
 {
     const Row &row = m_rows[endpoint];
-    if (row.state == State::Trusted || now < row.until)
+    if (row.state == State::Healthy || now < row.until)
         return false;
     return !row.trialOut || now - row.trialSentAt >= m_options.trialTimeout;
 }
@@ -68,7 +68,7 @@
     case State::OnTrial:
         enterSuspected(row, now);
         return;
-    case State::Trusted:
+    case State::Healthy:
         ++row.failures;
         if (row.failures >= toSuspect)
             enterSuspected(row, now);
@@ -85,16 +85,16 @@
     ++row.successes;
     if (row.successes < m_options.trialsToRecover)
         return;
-    row.state = State::Trusted;
+    row.state = State::Healthy;
     row.successes = 0;
-    row.trustedSince = now;
+    row.healthySince = now;
 }
 
 void Suspicion::enterSuspected(Row &row, Base::MonoTime now)
 {
     const bool first = row.level == 0;
     const bool wellForLong =
-        row.state == State::Trusted && now - row.trustedSince >= m_options.backoffResetAfter;
+        row.state == State::Healthy && now - row.healthySince >= m_options.backoffResetAfter;
     if (first || wellForLong)
         row.level = 1;
     else
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -33,7 +33,7 @@
             std::chrono::seconds(60); ///< Well for so long: wait is short.
     };
 
-    enum class State : std::uint8_t { Trusted, Suspected, OnTrial };
+    enum class State : std::uint8_t { Healthy, Suspected, OnTrial };
 
     explicit Suspicion(Options options)
         : m_options(options)
@@ -64,7 +64,7 @@
 private:
     struct Row
     {
-        State state = State::Trusted;
+        State state = State::Healthy;
         std::uint8_t failures = 0; ///< In a row; while trusted.
         std::uint8_t successes = 0; ///< Trials in a row.
         std::uint8_t level = 0; ///< How often the wait has been doubled.
@@ -72,7 +72,7 @@
         Base::MonoTime suspectedSince;
         Base::MonoTime until; ///< While suspected: when trials begin.
         Base::MonoTime trialSentAt;
-        Base::MonoTime trustedSince;
+        Base::MonoTime healthySince;
     };
 
     void noteFailure(Row &row, int toSuspect, Base::MonoTime now);
--- a/tests/auto/gateway/tst_endpointhealth.cpp
+++ b/tests/auto/gateway/tst_endpointhealth.cpp
@@ -31,7 +31,7 @@
     {
         return registry.suspicion().state(registry.find(id)->index);
     }
-    bool isHealthy() { return state() == Routing::Suspicion::State::Trusted; }
+    bool isHealthy() { return state() == Routing::Suspicion::State::Healthy; }
 
     const Base::EndpointId id{"e"};
     Runtime::ManualClock clock;
--- a/tests/auto/gateway/tst_endpointregistry.cpp
+++ b/tests/auto/gateway/tst_endpointregistry.cpp
@@ -44,7 +44,7 @@
     BOOST_TEST(old->isGone);
     registry.put(endpoint("new"), start);
     const EndpointPtr fresh = registry.find(Base::EndpointId("new"));
-    BOOST_TEST((registry.suspicion().state(fresh->index) == Routing::Suspicion::State::Trusted));
+    BOOST_TEST((registry.suspicion().state(fresh->index) == Routing::Suspicion::State::Healthy));
     BOOST_TEST((registry.findByStart(fresh->startHash) == fresh));
     BOOST_TEST(!registry.findByStart(old->startHash));
 }
@@ -82,7 +82,7 @@
         BOOST_TEST((now != old) == isNew, what);
         BOOST_TEST(registry.endpoints(service).size() == 1U, what);
         const bool isHealthy =
-            registry.suspicion().state(now->index) == Routing::Suspicion::State::Trusted;
+            registry.suspicion().state(now->index) == Routing::Suspicion::State::Healthy;
         BOOST_TEST(isHealthy == isNew, what);
         BOOST_TEST((registry.load(*now, start) == 0) == isNew, what);
         BOOST_TEST(now->hash == old->hash, what); // The home of its prompts does not change.
--- a/tests/auto/routing/tst_router.cpp
+++ b/tests/auto/routing/tst_router.cpp
@@ -119,7 +119,7 @@
     endTrial(3, ExchangeResult::Answered);
     BOOST_TEST((router.suspicion(3) == Suspicion::State::OnTrial));
     endTrial(3, ExchangeResult::Answered);
-    BOOST_TEST((router.suspicion(3) == Suspicion::State::Trusted));
+    BOOST_TEST((router.suspicion(3) == Suspicion::State::Healthy));
     BOOST_TEST(shareOf(3) > 0.05);
 }
 
@@ -134,7 +134,7 @@
         pass(200ms);
         endTrial(2, ExchangeResult::Answered);
         endTrial(2, ExchangeResult::Answered);
-        BOOST_TEST((router.suspicion(2) == Suspicion::State::Trusted));
+        BOOST_TEST((router.suspicion(2) == Suspicion::State::Healthy));
     }
     pass(61s); // Well for long: the wait is short again.
     fail(2, ExchangeResult::Unreachable);
