--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -187,7 +187,7 @@
     if (endpoint >= m_candidates.size())
         return;
     if (sent->trial && m_loads.isCurrent(sent->work))
-        m_suspicion.noteTrialDropped(endpoint);
+        m_suspicion.noteTrialCancelled(endpoint);
     m_loads.noteEnded(&sent->work, now);
     updateCandidate(endpoint, now);
 }
--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -36,13 +36,13 @@
 {
     Row &row = m_rows[endpoint];
     row.state = State::OnTrial;
-    row.trialOut = true;
+    row.trialInFlight = true;
     row.trialSentAt = now;
 }
 
-void Suspicion::noteTrialDropped(EndpointIndex endpoint)
+void Suspicion::noteTrialCancelled(EndpointIndex endpoint)
 {
-    m_rows[endpoint].trialOut = false;
+    m_rows[endpoint].trialInFlight = false;
 }
 
 void Suspicion::suspect(EndpointIndex endpoint, Base::MonoTime now)
@@ -57,7 +57,7 @@
     const Row &row = m_rows[endpoint];
     if (row.state == State::Healthy || now < row.until)
         return false;
-    return !row.trialOut || now - row.trialSentAt >= m_options.trialTimeout;
+    return !row.trialInFlight || now - row.trialSentAt >= m_options.trialTimeout;
 }
 
 void Suspicion::noteFailure(Row &row, int toSuspect, Base::MonoTime now)
@@ -81,7 +81,7 @@
     row.failures = 0;
     if (row.state != State::OnTrial)
         return; // While suspected, an answer to an old request proves little: the trial decides.
-    row.trialOut = false;
+    row.trialInFlight = false;
     ++row.successes;
     if (row.successes < m_options.trialsToRecover)
         return;
@@ -105,7 +105,7 @@
     row.state = State::Suspected;
     row.failures = 0;
     row.successes = 0;
-    row.trialOut = false;
+    row.trialInFlight = false;
 }
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -48,7 +48,7 @@
     /// A request has been sent as a trial.
     void noteTrialSent(EndpointIndex endpoint, Base::MonoTime now);
     /// A trial ended without telling anything, as when the caller left.
-    void noteTrialDropped(EndpointIndex endpoint);
+    void noteTrialCancelled(EndpointIndex endpoint);
     /// Another, such as a probe, has found the endpoint out of order.
     void suspect(EndpointIndex endpoint, Base::MonoTime now);
 
@@ -68,7 +68,7 @@
         std::uint8_t failures = 0; ///< In a row; while trusted.
         std::uint8_t successes = 0; ///< Trials in a row.
         std::uint8_t level = 0; ///< How often the wait has been doubled.
-        bool trialOut = false;
+        bool trialInFlight = false;
         Base::MonoTime suspectedSince;
         Base::MonoTime until; ///< While suspected: when trials begin.
         Base::MonoTime trialSentAt;
