--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -55,7 +55,7 @@
 bool Suspicion::admitsTrial(EndpointIndex endpoint, Base::MonoTime now) const
 {
     const Row &row = m_rows[endpoint];
-    if (row.state == State::Healthy || now < row.until)
+    if (row.state == State::Healthy || now < row.trialsFrom)
         return false;
     return !row.trialInFlight || now - row.trialSentAt >= m_options.trialTimeout;
 }
@@ -101,7 +101,7 @@
         row.level = std::min<std::uint8_t>(row.level + 1, highestLevel);
     const Base::Duration wait = m_options.initialBackoff * (std::int64_t{1} << (row.level - 1));
     row.suspectedSince = now;
-    row.until = now + std::min(wait, m_options.maximumBackoff);
+    row.trialsFrom = now + std::min(wait, m_options.maximumBackoff);
     row.state = State::Suspected;
     row.failures = 0;
     row.successes = 0;
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -70,7 +70,7 @@
         std::uint8_t level = 0; ///< How often the wait has been doubled.
         bool trialInFlight = false;
         Base::MonoTime suspectedSince;
-        Base::MonoTime until; ///< While suspected: when trials begin.
+        Base::MonoTime trialsFrom; ///< While suspected: when trials begin.
         Base::MonoTime trialSentAt;
         Base::MonoTime healthySince;
     };
