--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -347,7 +347,7 @@
     if (tellsHealth(result))
         m_routing.noteEnded(&found->second.sent, healthOf(result), now);
     else
-        m_routing.noteDropped(&found->second.sent, now);
+        m_routing.noteCancelled(&found->second.sent, now);
     m_running.erase(found);
     if (!m_waiting.empty())
         serveLater();
--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -181,7 +181,7 @@
     updateCandidate(endpoint, now);
 }
 
-void Router::noteDropped(Sent *sent, Base::MonoTime now)
+void Router::noteCancelled(Sent *sent, Base::MonoTime now)
 {
     const EndpointIndex endpoint = sent->work.endpoint;
     if (endpoint >= m_candidates.size())
--- a/src/libs/routing/router.h
+++ b/src/libs/routing/router.h
@@ -37,7 +37,7 @@
 /// holds no request and no socket.
 ///
 /// The caller calls choose(), then noteSent() at once for what it sends, noteProgress() now and
-/// then, and noteEnded() or noteDropped() once.
+/// then, and noteEnded() or noteCancelled() once.
 class Router
 {
 public:
@@ -90,7 +90,7 @@
     void noteProgress(Sent *sent, Base::WorkUnits done, Base::MonoTime now);
     void noteEnded(Sent *sent, ExchangeResult result, Base::MonoTime now);
     /// Ended without telling of the endpoint's health, as when the caller left.
-    void noteDropped(Sent *sent, Base::MonoTime now);
+    void noteCancelled(Sent *sent, Base::MonoTime now);
     /// The endpoint has served the chat and now holds so many tokens of it.
     Placement noteServed(std::uint64_t chatHash, EndpointIndex endpoint, Base::Tokens cached);
 
