--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -111,10 +111,10 @@
     if (m_lastPop && now > *m_lastPop)
         pace = std::min(pace, 1.0 / Base::toSeconds(now - *m_lastPop));
     if (pace <= 0.0 || !m_lastPop)
-        return m_items.empty() ? m_options.shortestRetry : m_options.longestRetry;
+        return m_items.empty() ? m_options.minimumRetryAfter : m_options.maximumRetryAfter;
     const double seconds = std::ceil(static_cast<double>(m_items.size() + 1) / pace);
-    const double most = Base::toSeconds(m_options.longestRetry);
-    return std::max(Base::fromSeconds(std::min(seconds, most)), m_options.shortestRetry);
+    const double most = Base::toSeconds(m_options.maximumRetryAfter);
+    return std::max(Base::fromSeconds(std::min(seconds, most)), m_options.minimumRetryAfter);
 }
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -22,8 +22,8 @@
     {
         std::size_t limit = 64;
         Base::Duration longestWait = std::chrono::seconds(2);
-        Base::Duration shortestRetry = std::chrono::seconds(1);
-        Base::Duration longestRetry = std::chrono::seconds(30);
+        Base::Duration minimumRetryAfter = std::chrono::seconds(1);
+        Base::Duration maximumRetryAfter = std::chrono::seconds(30);
     };
 
     /// The caller's name for a request that waits.
