--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -61,7 +61,7 @@
 void ConfigurationApplier::applyPolicy(const Schema::Policy &policy)
 {
     m_parts.placer->setPolicy(routingOptions(*m_parts.settings, policy),
-                              {.limit = policy.maxQueue, .longestWait = policy.maxQueueWait});
+                              {.limit = policy.maxQueue, .maximumWait = policy.maxQueueWait});
     m_parts.retries->setEndpointRatio(policy.retryBudget);
     m_parts.retries->setMaxAttempts(static_cast<int>(policy.maxAttempts));
 }
--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -40,7 +40,7 @@
         return Errors::ErrorKind::QueueFull;
     m_items.push_back({.ticket = entry.ticket,
                        .deadline = entry.deadline,
-                       .giveUpAt = std::min(entry.deadline, now + m_options.longestWait)});
+                       .giveUpAt = std::min(entry.deadline, now + m_options.maximumWait)});
     if (!loser)
         return std::nullopt;
     forget(*loser);
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -21,7 +21,7 @@
     struct Options
     {
         std::size_t limit = 64;
-        Base::Duration longestWait = std::chrono::seconds(2);
+        Base::Duration maximumWait = std::chrono::seconds(2);
         Base::Duration minimumRetryAfter = std::chrono::seconds(1);
         Base::Duration maximumRetryAfter = std::chrono::seconds(30);
     };
--- a/tests/auto/placing/tst_placer.cpp
+++ b/tests/auto/placing/tst_placer.cpp
@@ -77,7 +77,7 @@
     Runtime::Loop loop{{.clock = &clock}};
     Router::Placer placer{{.loop = &loop,
                            .routing = {.dataCentre = Base::DataCentreId("dc")},
-                           .queue = {.limit = 2, .longestWait = std::chrono::seconds(1)}}};
+                           .queue = {.limit = 2, .maximumWait = std::chrono::seconds(1)}}};
     std::uint64_t chat = 0;
     Exchange::Abandon abandon;
     std::optional<Refusal> last;
--- a/tests/auto/routing/tst_waitqueue.cpp
+++ b/tests/auto/routing/tst_waitqueue.cpp
@@ -36,7 +36,7 @@
                     .has_value();
     }
 
-    WaitQueue queue{{.limit = 3, .longestWait = 2s}};
+    WaitQueue queue{{.limit = 3, .maximumWait = 2s}};
     std::vector<std::pair<WaitQueue::Ticket, ErrorKind>> given;
 };
 
@@ -146,7 +146,7 @@
     constexpr WaitQueue::Ticket numbers = 100;
     constexpr int steps = 12'000;
     constexpr int stepsPerSecond = 100;
-    WaitQueue queue{{.limit = 64, .longestWait = 2s}};
+    WaitQueue queue{{.limit = 64, .maximumWait = 2s}};
     Loss others;
     Loss surging;
     const auto lossOf = [&](WaitQueue::Ticket ticket) -> Loss & {
@@ -201,7 +201,7 @@
 
 BOOST_AUTO_TEST_CASE(fullQueueGivesUpOnTheWorkspaceThatWaitsWithMost)
 {
-    WaitQueue queue{{.limit = 3, .longestWait = 2s}};
+    WaitQueue queue{{.limit = 3, .maximumWait = 2s}};
     std::vector<WaitQueue::Ticket> given;
     queue.gaveUp = [&](WaitQueue::Ticket ticket, ErrorKind) { given.push_back(ticket); };
     const auto push = [&](WaitQueue::Ticket ticket, const char *workspace, Base::Duration left) {
