--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -122,7 +122,9 @@
     std::unique_ptr<Routing::WaitQueue> &queue = m_queues[poolOf(query)];
     if (!queue) {
         queue = std::make_unique<Routing::WaitQueue>(m_queueOptions);
-        queue->gaveUp = [this](std::uint64_t ticket, ErrorKind kind) { giveUp(ticket, kind); };
+        queue->requestRejected = [this](std::uint64_t ticket, ErrorKind kind) {
+            giveUp(ticket, kind);
+        };
     }
     return *queue;
 }
--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -44,8 +44,8 @@
     if (!loser)
         return std::nullopt;
     forget(*loser);
-    if (gaveUp)
-        gaveUp(*loser, Errors::ErrorKind::QueueFull);
+    if (requestRejected)
+        requestRejected(*loser, Errors::ErrorKind::QueueFull);
     return std::nullopt;
 }
 
@@ -87,9 +87,10 @@
         const Item item = *over;
         remove(item.ticket);
         const bool isLate = item.deadline <= now;
-        if (gaveUp) {
-            gaveUp(item.ticket,
-                   isLate ? Errors::ErrorKind::DeadlinePassed : Errors::ErrorKind::Overloaded);
+        if (requestRejected) {
+            requestRejected(item.ticket,
+                            isLate ? Errors::ErrorKind::DeadlinePassed
+                                   : Errors::ErrorKind::Overloaded);
         }
     }
 }
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -13,8 +13,8 @@
 namespace Lagoonbank::Routing {
 
 /// Requests that wait for an endpoint under its bound: few, by priority, then fairly between
-/// workspaces, by deadline within one. All that is given up on is told at once through `gaveUp`, as
-/// not run.
+/// workspaces, by deadline within one. All that is given up on is told at once through
+/// `requestRejected`, as not run.
 class WaitQueue
 {
 public:
@@ -44,7 +44,7 @@
     void setOptions(const Options &options);
 
     /// A request is given up on; it did not run.
-    std::function<void(Ticket, Errors::ErrorKind)> gaveUp;
+    std::function<void(Ticket, Errors::ErrorKind)> requestRejected;
 
     /// Queues the request, or returns why not. A full queue gives up on the least urgent request of
     /// the workspace that waits with most, be it the new one or one that waits.
--- a/tests/auto/routing/tst_waitqueue.cpp
+++ b/tests/auto/routing/tst_waitqueue.cpp
@@ -24,7 +24,7 @@
 {
     Fixture()
     {
-        queue.gaveUp = [this](WaitQueue::Ticket ticket, ErrorKind kind) {
+        queue.requestRejected = [this](WaitQueue::Ticket ticket, ErrorKind kind) {
             given.emplace_back(ticket, kind);
         };
     }
@@ -152,7 +152,7 @@
     const auto lossOf = [&](WaitQueue::Ticket ticket) -> Loss & {
         return ticket % numbers == 0 ? surging : others;
     };
-    queue.gaveUp = [&](WaitQueue::Ticket ticket, ErrorKind) { ++lossOf(ticket).lost; };
+    queue.requestRejected = [&](WaitQueue::Ticket ticket, ErrorKind) { ++lossOf(ticket).lost; };
     WaitQueue::Ticket count = 0;
     Base::MonoTime now = start;
     double room = 0.0;
@@ -203,7 +203,7 @@
 {
     WaitQueue queue{{.limit = 3, .maximumWait = 2s}};
     std::vector<WaitQueue::Ticket> given;
-    queue.gaveUp = [&](WaitQueue::Ticket ticket, ErrorKind) { given.push_back(ticket); };
+    queue.requestRejected = [&](WaitQueue::Ticket ticket, ErrorKind) { given.push_back(ticket); };
     const auto push = [&](WaitQueue::Ticket ticket, const char *workspace, Base::Duration left) {
         return !queue
                     .push({.ticket = ticket,
