--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -40,7 +40,7 @@
         return Errors::ErrorKind::QueueFull;
     m_items.push_back({.ticket = entry.ticket,
                        .deadline = entry.deadline,
-                       .giveUpAt = std::min(entry.deadline, now + m_options.maximumWait)});
+                       .expiresAt = std::min(entry.deadline, now + m_options.maximumWait)});
     if (!loser)
         return std::nullopt;
     forget(*loser);
@@ -81,7 +81,7 @@
 {
     for (;;) {
         const auto over = std::find_if(m_items.begin(), m_items.end(),
-                                       [&](const Item &item) { return item.giveUpAt <= now; });
+                                       [&](const Item &item) { return item.expiresAt <= now; });
         if (over == m_items.end())
             return;
         const Item item = *over;
@@ -99,8 +99,8 @@
 {
     std::optional<Base::MonoTime> next;
     for (const Item &item : m_items) {
-        if (!next || item.giveUpAt < *next)
-            next = item.giveUpAt;
+        if (!next || item.expiresAt < *next)
+            next = item.expiresAt;
     }
     return next;
 }
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -70,7 +70,7 @@
     {
         Ticket ticket = 0;
         Base::MonoTime deadline;
-        Base::MonoTime giveUpAt;
+        Base::MonoTime expiresAt;
     };
 
     void forget(Ticket ticket);
