--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -61,7 +61,7 @@
     if (m_lastPop) {
         const Base::Duration gap = std::max(now - *m_lastPop, shortestGap);
         const double pace = 1.0 / Base::toSeconds(gap);
-        m_pace = m_pace > 0.0 ? m_pace + paceGain * (pace - m_pace) : pace;
+        m_popRate = m_popRate > 0.0 ? m_popRate + paceGain * (pace - m_popRate) : pace;
     }
     m_lastPop = now;
 }
@@ -108,7 +108,7 @@
 Base::Duration WaitQueue::retryAfter(Base::MonoTime now) const
 {
     // The pace fades while nothing moves: n seconds without a pop mean at most 1/n a second.
-    double pace = m_pace;
+    double pace = m_popRate;
     if (m_lastPop && now > *m_lastPop)
         pace = std::min(pace, 1.0 / Base::toSeconds(now - *m_lastPop));
     if (pace <= 0.0 || !m_lastPop)
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -78,7 +78,7 @@
     Options m_options;
     FairShare m_order;
     std::vector<Item> m_items; ///< By arrival.
-    double m_pace = 0.0; ///< Pops a second, smoothed.
+    double m_popRate = 0.0; ///< Pops a second, smoothed.
     std::optional<Base::MonoTime> m_lastPop;
 };
 
