--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -43,7 +43,7 @@
                        .expiresAt = std::min(entry.deadline, now + m_options.maximumWait)});
     if (!loser)
         return std::nullopt;
-    forget(*loser);
+    removeItem(*loser);
     if (requestRejected)
         requestRejected(*loser, Errors::ErrorKind::QueueFull);
     return std::nullopt;
@@ -57,7 +57,7 @@
 void WaitQueue::pop(Base::MonoTime now)
 {
     if (const std::optional<Ticket> ticket = m_order.pop())
-        forget(*ticket);
+        removeItem(*ticket);
     if (m_lastPop) {
         const Base::Duration gap = std::max(now - *m_lastPop, shortestGap);
         const double pace = 1.0 / Base::toSeconds(gap);
@@ -68,11 +68,11 @@
 
 bool WaitQueue::remove(Ticket ticket)
 {
-    forget(ticket);
+    removeItem(ticket);
     return m_order.remove(ticket);
 }
 
-void WaitQueue::forget(Ticket ticket)
+void WaitQueue::removeItem(Ticket ticket)
 {
     std::erase_if(m_items, [&](const Item &item) { return item.ticket == ticket; });
 }
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -73,7 +73,7 @@
         Base::MonoTime expiresAt;
     };
 
-    void forget(Ticket ticket);
+    void removeItem(Ticket ticket);
 
     Options m_options;
     FairShare m_order;
