--- a/src/libs/routing/fairshare.cpp
+++ b/src/libs/routing/fairshare.cpp
@@ -22,7 +22,7 @@
 {
     const std::string &workspace = entry.workspace.value();
     Level &level = m_levels[entry.priority];
-    const auto [lane, isNew] = level.lanes.try_emplace(workspace);
+    const auto [lane, isNew] = level.queues.try_emplace(workspace);
     if (isNew) {
         const auto finished = level.finished.extract(workspace);
         const double before = finished.empty() ? 0 : finished.mapped();
@@ -42,9 +42,9 @@
 {
     for (const auto &[priority, level] : m_levels) {
         const auto lane = std::min_element(
-            level.lanes.begin(), level.lanes.end(),
+            level.queues.begin(), level.queues.end(),
             [](const auto &a, const auto &b) { return a.second.start < b.second.start; });
-        if (lane != level.lanes.end())
+        if (lane != level.queues.end())
             return lane->second.entries.front().ticket;
     }
     return std::nullopt;
@@ -57,7 +57,7 @@
         return std::nullopt;
     const auto &[priority, workspace] = m_where.at(*ticket);
     Level &level = m_levels.at(priority);
-    Lane &lane = level.lanes.at(workspace);
+    WorkspaceQueue &lane = level.queues.at(workspace);
     level.now = lane.start;
     lane.start += virtualTime(lane.entries.front());
     remove(*ticket);
@@ -71,10 +71,10 @@
         return false;
     const auto [priority, workspace] = found->second;
     Level &level = m_levels.at(priority);
-    const auto lane = level.lanes.find(workspace);
+    const auto lane = level.queues.find(workspace);
     std::erase_if(lane->second.entries, [&](const Entry &e) { return e.ticket == ticket; });
     if (lane->second.entries.empty())
-        eraseLane(level, lane);
+        eraseQueue(level, lane);
     m_where.erase(found);
     if (--m_waiting[workspace] == 0)
         m_waiting.erase(workspace);
@@ -98,8 +98,8 @@
         });
     const std::string workspace = most->first;
     for (auto level = m_levels.rbegin(); level != m_levels.rend(); ++level) {
-        const auto lane = level->second.lanes.find(workspace);
-        if (lane == level->second.lanes.end())
+        const auto lane = level->second.queues.find(workspace);
+        if (lane == level->second.queues.end())
             continue;
         const Ticket ticket = lane->second.entries.back().ticket;
         remove(ticket);
@@ -109,12 +109,12 @@
 }
 
 // What a workspace used ahead of the others stays charged until they have caught up.
-void FairShare::eraseLane(Level &level, std::map<std::string, Lane>::iterator lane)
+void FairShare::eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator lane)
 {
     if (lane->second.start > level.now)
         level.finished[lane->first] = lane->second.start;
-    level.lanes.erase(lane);
-    if (!level.lanes.empty()) {
+    level.queues.erase(lane);
+    if (!level.queues.empty()) {
         std::erase_if(level.finished, [&](const auto &item) { return item.second <= level.now; });
         return;
     }
--- a/src/libs/routing/fairshare.h
+++ b/src/libs/routing/fairshare.h
@@ -56,20 +56,21 @@
     std::size_t waiting(const Base::WorkspaceId &workspace) const;
 
 private:
-    struct Lane
+    struct WorkspaceQueue
     {
         std::deque<Entry> entries;
         double start = 0; // virtual time at which the front may go
     };
     struct Level
     {
-        std::map<std::string, Lane> lanes; // by workspace; ordered, so that ties fall the same way
+        std::map<std::string, WorkspaceQueue>
+            queues; // by workspace; ordered, so that ties fall the same way
         double now = 0; // virtual time
         std::map<std::string, double> finished; // of workspaces with no lane, if later than now
     };
 
     Ticket giveWay();
-    void eraseLane(Level &level, std::map<std::string, Lane>::iterator lane);
+    void eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator lane);
 
     std::size_t m_limit;
     std::map<int, Level> m_levels; // by priority; only those with entries or a history
