--- a/src/libs/routing/fairshare.cpp
+++ b/src/libs/routing/fairshare.cpp
@@ -35,7 +35,7 @@
     ++m_waiting[workspace];
     if (m_where.size() <= m_limit)
         return std::nullopt;
-    return giveWay();
+    return evict();
 }
 
 std::optional<FairShare::Ticket> FairShare::front() const
@@ -88,7 +88,7 @@
 }
 
 // The latest of the least urgent requests of the workspace that waits with most.
-FairShare::Ticket FairShare::giveWay()
+FairShare::Ticket FairShare::evict()
 {
     const auto most =
         std::max_element(m_waiting.begin(), m_waiting.end(), [](const auto &a, const auto &b) {
--- a/src/libs/routing/fairshare.h
+++ b/src/libs/routing/fairshare.h
@@ -69,7 +69,7 @@
         std::map<std::string, double> finished; // of workspaces with no lane, if later than now
     };
 
-    Ticket giveWay();
+    Ticket evict();
     void eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator lane);
 
     std::size_t m_limit;
