--- a/src/libs/routing/fairshare.cpp
+++ b/src/libs/routing/fairshare.cpp
@@ -31,9 +31,9 @@
     std::deque<Entry> &entries = lane->second.entries;
     const auto isEarlier = [](const Entry &a, const Entry &b) { return a.deadline < b.deadline; };
     entries.insert(std::upper_bound(entries.begin(), entries.end(), entry, isEarlier), entry);
-    m_where.emplace(entry.ticket, std::pair(entry.priority, workspace));
+    m_locations.emplace(entry.ticket, std::pair(entry.priority, workspace));
     ++m_waiting[workspace];
-    if (m_where.size() <= m_limit)
+    if (m_locations.size() <= m_limit)
         return std::nullopt;
     return evict();
 }
@@ -55,7 +55,7 @@
     const std::optional<Ticket> ticket = front();
     if (!ticket)
         return std::nullopt;
-    const auto &[priority, workspace] = m_where.at(*ticket);
+    const auto &[priority, workspace] = m_locations.at(*ticket);
     Level &level = m_levels.at(priority);
     WorkspaceQueue &lane = level.queues.at(workspace);
     level.now = lane.start;
@@ -66,8 +66,8 @@
 
 bool FairShare::remove(Ticket ticket)
 {
-    const auto found = m_where.find(ticket);
-    if (found == m_where.end())
+    const auto found = m_locations.find(ticket);
+    if (found == m_locations.end())
         return false;
     const auto [priority, workspace] = found->second;
     Level &level = m_levels.at(priority);
@@ -75,7 +75,7 @@
     std::erase_if(lane->second.entries, [&](const Entry &e) { return e.ticket == ticket; });
     if (lane->second.entries.empty())
         eraseQueue(level, lane);
-    m_where.erase(found);
+    m_locations.erase(found);
     if (--m_waiting[workspace] == 0)
         m_waiting.erase(workspace);
     return true;
--- a/src/libs/routing/fairshare.h
+++ b/src/libs/routing/fairshare.h
@@ -52,7 +52,7 @@
     /// The caller left or its time is over. False if it does not wait.
     bool remove(Ticket ticket);
 
-    std::size_t size() const { return m_where.size(); }
+    std::size_t size() const { return m_locations.size(); }
     std::size_t waiting(const Base::WorkspaceId &workspace) const;
 
 private:
@@ -74,7 +74,7 @@
 
     std::size_t m_limit;
     std::map<int, Level> m_levels; // by priority; only those with entries or a history
-    absl::flat_hash_map<Ticket, std::pair<int, std::string>> m_where;
+    absl::flat_hash_map<Ticket, std::pair<int, std::string>> m_locations;
     absl::flat_hash_map<std::string, std::size_t> m_waiting;
 };
 
