--- a/bench/routing/policymodel/main.cpp
+++ b/bench/routing/policymodel/main.cpp
@@ -56,7 +56,7 @@
         Base::fromSeconds(absl::GetFlag(FLAGS_warm_wait));
     scenario.router.selector.longestWarmWait =
         Base::fromSeconds(absl::GetFlag(FLAGS_longest_warm_wait));
-    scenario.router.selector.bound.fullAt = absl::GetFlag(FLAGS_full_at);
+    scenario.router.selector.bound.maximumLoadFactor = absl::GetFlag(FLAGS_full_at);
     scenario.router.selector.bound.reserve = absl::GetFlag(FLAGS_reserve);
     scenario.router.slowStart.rampTime = Base::fromSeconds(absl::GetFlag(FLAGS_ramp));
     scenario.router.slowStart.firstShare = absl::GetFlag(FLAGS_first_share);
--- a/src/libs/routing/loadbound.h
+++ b/src/libs/routing/loadbound.h
@@ -18,7 +18,8 @@
 ///   pool's load with the request counted in. After it, the endpoint is over that multiple by at
 ///   most this one request. As the multiple is at least 1, some candidate always meets the rule,
 ///   also when the mean is zero.
-/// - absolute: with the request, the load stays within `fullAt` times the capacity, less the
+/// - absolute: with the request, the load stays within `maximumLoadFactor` times the capacity, less
+/// the
 ///   reserve for ordinary priorities. An idle endpoint may take one request of any size.
 class LoadBound
 {
@@ -30,7 +31,8 @@
         /// For any other endpoint; from 1 to `multiple`. What lies between the two is room for
         /// the chats that live there.
         double overflowMultiple = 1.1;
-        double fullAt = 2.0; ///< Times the capacity; beyond it requests wait or are refused.
+        double maximumLoadFactor =
+            2.0; ///< Times the capacity; beyond it requests wait or are refused.
         double reserve = 0.1; ///< Last part of the absolute bound, for urgent priorities only.
         std::uint8_t urgentBelow = 1; ///< Priorities under this one may use the reserve.
     };
@@ -60,11 +62,11 @@
     }
 
     /// Highest load per capacity that a request of this priority may bring about.
-    double fullAt(std::uint8_t priority) const
+    double maximumLoadFactor(std::uint8_t priority) const
     {
         if (priority < m_options.urgentBelow)
-            return m_options.fullAt;
-        return m_options.fullAt * (1.0 - m_options.reserve);
+            return m_options.maximumLoadFactor;
+        return m_options.maximumLoadFactor * (1.0 - m_options.reserve);
     }
 
     const Options &options() const { return m_options; }
@@ -78,7 +80,7 @@
 
     bool underFull(double load, double capacity, double work, std::uint8_t priority) const
     {
-        return load <= 0.0 || load + work <= capacity * fullAt(priority);
+        return load <= 0.0 || load + work <= capacity * maximumLoadFactor(priority);
     }
 
     Options m_options;
