--- a/src/libs/routing/loadbound.h
+++ b/src/libs/routing/loadbound.h
@@ -46,19 +46,19 @@
     }
 
     /// For the chat's warm endpoint or its home.
-    bool admitsResident(double load, double capacity, double work, const PoolTotals &totals,
-                        std::uint8_t priority) const
+    bool admitsPreferred(double load, double capacity, double work, const PoolTotals &totals,
+                         std::uint8_t priority) const
     {
-        return underMultiple(m_options.multiple, load, capacity, work, totals)
-            && underFull(load, capacity, work, priority);
+        return isWithinRelativeBound(m_options.multiple, load, capacity, work, totals)
+            && isWithinAbsoluteBound(load, capacity, work, priority);
     }
 
     /// For any other endpoint.
     bool admitsOverflow(double load, double capacity, double work, const PoolTotals &totals,
                         std::uint8_t priority) const
     {
-        return underMultiple(m_options.overflowMultiple, load, capacity, work, totals)
-            && underFull(load, capacity, work, priority);
+        return isWithinRelativeBound(m_options.overflowMultiple, load, capacity, work, totals)
+            && isWithinAbsoluteBound(load, capacity, work, priority);
     }
 
     /// Highest load per capacity that a request of this priority may bring about.
@@ -72,13 +72,14 @@
     const Options &options() const { return m_options; }
 
 private:
-    static bool underMultiple(double multiple, double load, double capacity, double work,
-                              const PoolTotals &totals)
+    static bool isWithinRelativeBound(double multiple, double load, double capacity, double work,
+                                      const PoolTotals &totals)
     {
         return load * totals.capacity < multiple * (totals.load + work) * capacity;
     }
 
-    bool underFull(double load, double capacity, double work, std::uint8_t priority) const
+    bool isWithinAbsoluteBound(double load, double capacity, double work,
+                               std::uint8_t priority) const
     {
         return load <= 0.0 || load + work <= capacity * maximumLoadFactor(priority);
     }
--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -190,8 +190,8 @@
 {
     // The prefix may well be cached at the home of a chat that brings no token.
     const Candidate &home = candidates[scan.home];
-    const bool homeAdmits = m_bound.admitsResident(home.load, home.weight, workOf(request, {}),
-                                                   totals, request.priority);
+    const bool homeAdmits = m_bound.admitsPreferred(home.load, home.weight, workOf(request, {}),
+                                                    totals, request.priority);
     if (request.usesCache && homeAdmits)
         return scan.home;
     return m_options.overflowChoices > 1 ? scan.lessLoaded(candidates) : scan.first;
@@ -244,8 +244,8 @@
         if (!usable(candidate) || request.tried.contains(place.endpoint))
             continue;
         const double work = workOf(request, place.cached);
-        if (!m_bound.admitsResident(candidate.load, candidate.weight, work, totals,
-                                    request.priority))
+        if (!m_bound.admitsPreferred(candidate.load, candidate.weight, work, totals,
+                                     request.priority))
             continue;
         *cached = place.cached;
         return place.endpoint;
