--- a/bench/routing/policymodel/fleetmodel.cpp
+++ b/bench/routing/policymodel/fleetmodel.cpp
@@ -335,11 +335,11 @@
     for (const Engine &engine : m_engines) {
         engine.model->forEachDecoding([this](const Job &job, double given) {
             Routing::SentWork &sent = m_flights[job.id].sent.work;
-            const double left =
+            const double remaining =
                 std::max(expectedOutput - given, 0.0) * m_scenario.engine.outputWeight;
-            if (sent.left > left)
-                m_routers[job.router]->noteProgress(&m_flights[job.id].sent,
-                                                    Base::WorkUnits(sent.left - left), mono());
+            if (sent.remaining > remaining)
+                m_routers[job.router]->noteProgress(
+                    &m_flights[job.id].sent, Base::WorkUnits(sent.remaining - remaining), mono());
         });
     }
 }
--- a/src/libs/routing/loadestimator.cpp
+++ b/src/libs/routing/loadestimator.cpp
@@ -49,13 +49,13 @@
     Row &row = m_rows[endpoint];
     row.own.add(work.value(), now);
     update(endpoint);
-    return {.endpoint = endpoint, .generation = row.generation, .left = work.value()};
+    return {.endpoint = endpoint, .generation = row.generation, .remaining = work.value()};
 }
 
 void LoadEstimator::noteProgress(SentWork *sent, Base::WorkUnits done, Base::MonoTime now)
 {
-    const double part = std::clamp(done.value(), 0.0, sent->left);
-    sent->left -= part;
+    const double part = std::clamp(done.value(), 0.0, sent->remaining);
+    sent->remaining -= part;
     if (sent->endpoint >= m_rows.size())
         return;
     Row &row = m_rows[sent->endpoint];
@@ -67,7 +67,7 @@
 
 void LoadEstimator::noteEnded(SentWork *sent, Base::MonoTime now)
 {
-    noteProgress(sent, Base::WorkUnits(sent->left), now);
+    noteProgress(sent, Base::WorkUnits(sent->remaining), now);
     sent->endpoint = noEndpoint;
 }
 
--- a/src/libs/routing/loadestimator.h
+++ b/src/libs/routing/loadestimator.h
@@ -24,7 +24,7 @@
 {
     EndpointIndex endpoint = noEndpoint;
     std::uint32_t generation = 0;
-    double left = 0.0; ///< What still counts as in flight.
+    double remaining = 0.0; ///< What still counts as in flight.
 };
 
 /// Dense number of a peer router.
