--- a/src/libs/routing/loadestimator.cpp
+++ b/src/libs/routing/loadestimator.cpp
@@ -38,8 +38,8 @@
     row.incarnation = report.incarnation;
     row.sampledAt = std::min(report.sampledAt, now);
     row.reportedWork = std::max(report.work.value(), 0.0);
-    row.unexplained = row.reportedWork - row.own.at(row.sampledAt) - row.peers.at(row.sampledAt);
-    row.kept = row.unexplained * weightOf(row, now);
+    row.unattributed = row.reportedWork - row.own.at(row.sampledAt) - row.peers.at(row.sampledAt);
+    row.fadedUnattributed = row.unattributed * weightOf(row, now);
     update(endpoint);
     return true;
 }
@@ -111,26 +111,26 @@
 
 void LoadEstimator::refresh(const EndpointTable &table, Base::MonoTime now)
 {
-    double unexplained = 0.0;
+    double unattributed = 0.0;
     double capacity = 0.0;
     for (EndpointIndex endpoint = 0; endpoint < m_rows.size(); ++endpoint) {
         const Row &row = m_rows[endpoint];
         if (!table.contains(endpoint) || !row.reported)
             continue;
         const double weight = weightOf(row, now);
-        unexplained += weight * row.unexplained;
+        unattributed += weight * row.unattributed;
         capacity += weight * table.capacity(endpoint);
     }
     // An endpoint that nothing fresh is known of is taken to be loaded like the others, so that
     // lost reports neither draw work to it nor keep work away.
-    const double mean = capacity > 0.0 ? std::max(unexplained, 0.0) / capacity : 0.0;
+    const double mean = capacity > 0.0 ? std::max(unattributed, 0.0) / capacity : 0.0;
     for (EndpointIndex endpoint = 0; endpoint < m_rows.size(); ++endpoint) {
         Row &row = m_rows[endpoint];
         if (!table.contains(endpoint))
             continue;
         const double weight = row.reported ? weightOf(row, now) : 0.0;
         const double assumed = mean * table.capacity(endpoint);
-        row.kept = weight * row.unexplained + (1.0 - weight) * assumed;
+        row.fadedUnattributed = weight * row.unattributed + (1.0 - weight) * assumed;
         update(endpoint);
     }
 }
@@ -148,7 +148,7 @@
 void LoadEstimator::update(EndpointIndex endpoint)
 {
     const Row &row = m_rows[endpoint];
-    const double beyond = m_isPeersComplete ? 0.0 : row.kept;
+    const double beyond = m_isPeersComplete ? 0.0 : row.fadedUnattributed;
     m_load[endpoint] = std::max(beyond + row.own.current() + row.peers.current(), 0.0);
 }
 
--- a/src/libs/routing/loadestimator.h
+++ b/src/libs/routing/loadestimator.h
@@ -99,8 +99,8 @@
         WorkHistory own;
         WorkHistory peers;
         double reportedWork = 0.0;
-        double unexplained = 0.0; ///< Reported work that neither own nor peers' digests explain.
-        double kept = 0.0; ///< The unexplained part that still counts after fading.
+        double unattributed = 0.0; ///< Reported work that neither own nor peers' digests explain.
+        double fadedUnattributed = 0.0; ///< The unexplained part that still counts after fading.
         Base::MonoTime sampledAt;
         Base::Incarnation incarnation;
         std::uint32_t generation = 0;
