--- a/bench/routing/policymodel/fleetmodel.cpp
+++ b/bench/routing/policymodel/fleetmodel.cpp
@@ -324,7 +324,8 @@
             const std::size_t known =
                 std::min(m_routers[from]->endpoints().size(), m_routers[to]->endpoints().size());
             for (Routing::EndpointIndex i = 0; i < known; ++i)
-                m_routers[to]->notePeer(from, i, m_routers[from]->loads().ownInFlight(i), mono());
+                m_routers[to]->notePeerInFlight(from, i, m_routers[from]->loads().ownInFlight(i),
+                                                mono());
         }
     }
 }
--- a/src/libs/router/inflightsharing.cpp
+++ b/src/libs/router/inflightsharing.cpp
@@ -122,7 +122,7 @@
     for (const InFlight &entry : *entries) {
         const Routing::EndpointIndex index = m_keys.find(entry.endpoint, routing.endpoints());
         if (index != Routing::noEndpoint)
-            routing.notePeer(peer.index, index, entry.work, now);
+            routing.notePeerInFlight(peer.index, index, entry.work, now);
     }
 }
 
@@ -134,7 +134,7 @@
         if (now - peer.heard <= silence || peer.isForgotten)
             continue;
         peer.isForgotten = true;
-        m_placer.routing().forgetPeer(peer.index, now);
+        m_placer.routing().removePeer(peer.index, now);
     }
     const bool isComplete =
         peers.size() <= mostPeers
--- a/src/libs/routing/loadestimator.cpp
+++ b/src/libs/routing/loadestimator.cpp
@@ -71,8 +71,8 @@
     sent->endpoint = noEndpoint;
 }
 
-void LoadEstimator::notePeer(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
-                             Base::MonoTime now)
+void LoadEstimator::notePeerInFlight(PeerIndex peer, EndpointIndex endpoint,
+                                     Base::WorkUnits inFlight, Base::MonoTime now)
 {
     if (peer >= m_peerWork.size())
         m_peerWork.resize(peer + 1);
@@ -95,7 +95,7 @@
     return true;
 }
 
-void LoadEstimator::forgetPeer(PeerIndex peer, Base::MonoTime now)
+void LoadEstimator::removePeer(PeerIndex peer, Base::MonoTime now)
 {
     if (peer >= m_peerWork.size())
         return;
--- a/src/libs/routing/loadestimator.h
+++ b/src/libs/routing/loadestimator.h
@@ -66,14 +66,14 @@
     void noteEnded(SentWork *sent, Base::MonoTime now);
 
     /// What a peer had in flight at the endpoint by its latest digest; replaces the former.
-    void notePeer(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
-                  Base::MonoTime now);
+    void notePeerInFlight(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
+                          Base::MonoTime now);
     /// Whether peers' work in flight is known of all of them and fresh. All load comes from
     /// routers, so that then it is the sum of their work and late reports add nothing.
     /// False if it was so already.
     bool setPeersComplete(bool complete);
     /// The peer is gone; what it had in flight no longer counts.
-    void forgetPeer(PeerIndex peer, Base::MonoTime now);
+    void removePeer(PeerIndex peer, Base::MonoTime now);
 
     /// Fades old reports; to be called every 100 ms or so. Costs one pass over the endpoints.
     void refresh(const EndpointTable &table, Base::MonoTime now);
--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -73,16 +73,16 @@
     return true;
 }
 
-void Router::notePeer(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
-                      Base::MonoTime now)
+void Router::notePeerInFlight(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
+                              Base::MonoTime now)
 {
-    m_loads.notePeer(peer, endpoint, inFlight, now);
+    m_loads.notePeerInFlight(peer, endpoint, inFlight, now);
     updateLoad(endpoint);
 }
 
-void Router::forgetPeer(PeerIndex peer, Base::MonoTime now)
+void Router::removePeer(PeerIndex peer, Base::MonoTime now)
 {
-    m_loads.forgetPeer(peer, now);
+    m_loads.removePeer(peer, now);
     for (EndpointIndex endpoint = 0; endpoint < m_candidates.size(); ++endpoint)
         updateLoad(endpoint);
 }
--- a/src/libs/routing/router.h
+++ b/src/libs/routing/router.h
@@ -70,9 +70,9 @@
     /// `capacity` of zero leaves it as it is. Returns false for a report that came too late.
     bool noteReport(EndpointIndex endpoint, const LoadReport &report, Base::WorkUnits capacity,
                     Base::MonoTime now);
-    void notePeer(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
-                  Base::MonoTime now);
-    void forgetPeer(PeerIndex peer, Base::MonoTime now);
+    void notePeerInFlight(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
+                          Base::MonoTime now);
+    void removePeer(PeerIndex peer, Base::MonoTime now);
     /// See LoadEstimator::setPeersComplete().
     void setPeersComplete(bool complete);
     /// A probe, or a peer's, has found the endpoint out of order.
--- a/tests/auto/routing/tst_loadestimator.cpp
+++ b/tests/auto/routing/tst_loadestimator.cpp
@@ -99,12 +99,12 @@
 
 BOOST_FIXTURE_TEST_CASE(peersDigestsCountFromTheSampleOn, Fixture)
 {
-    loads.notePeer(0, 0, units(100), start);
+    loads.notePeerInFlight(0, 0, units(100), start);
     loads.noteReport(0, report(150, start + 500ms), start + 1s);
     BOOST_TEST(loads.load(0) == 150.0);
-    loads.notePeer(0, 0, units(180), start + 1100ms);
-    loads.notePeer(1, 0, units(20), start + 1100ms);
+    loads.notePeerInFlight(0, 0, units(180), start + 1100ms);
+    loads.notePeerInFlight(1, 0, units(20), start + 1100ms);
     BOOST_TEST(loads.load(0) == 250.0);
-    loads.forgetPeer(0, start + 1200ms);
+    loads.removePeer(0, start + 1200ms);
     BOOST_TEST(loads.load(0) == 70.0);
 }
