--- a/src/libs/routing/loadestimator.cpp
+++ b/src/libs/routing/loadestimator.cpp
@@ -87,9 +87,9 @@
 
 bool LoadEstimator::setPeersComplete(bool complete)
 {
-    if (complete == m_isPeersComplete)
+    if (complete == m_arePeersComplete)
         return false;
-    m_isPeersComplete = complete;
+    m_arePeersComplete = complete;
     for (EndpointIndex endpoint = 0; endpoint < m_rows.size(); ++endpoint)
         update(endpoint);
     return true;
@@ -148,7 +148,7 @@
 void LoadEstimator::update(EndpointIndex endpoint)
 {
     const Row &row = m_rows[endpoint];
-    const double beyond = m_isPeersComplete ? 0.0 : row.fadedUnattributed;
+    const double beyond = m_arePeersComplete ? 0.0 : row.fadedUnattributed;
     m_load[endpoint] = std::max(beyond + row.own.current() + row.peers.current(), 0.0);
 }
 
--- a/src/libs/routing/loadestimator.h
+++ b/src/libs/routing/loadestimator.h
@@ -111,7 +111,7 @@
     double weightOf(const Row &row, Base::MonoTime now) const;
 
     Options m_options;
-    bool m_isPeersComplete = false;
+    bool m_arePeersComplete = false;
     std::vector<Row> m_rows;
     std::vector<double> m_load;
     std::vector<std::vector<float>> m_peerWork; ///< By peer, then endpoint.
