--- a/bench/routing/decision/decision.cpp
+++ b/bench/routing/decision/decision.cpp
@@ -92,7 +92,7 @@
     for (auto unused : state) {
         (void)unused;
         const Decision decision = router->choose(requestOf(++chat), {});
-        Sent sent = router->noteSent(decision, now);
+        SentRequest sent = router->noteSent(decision, now);
         router->noteEnded(&sent, ExchangeResult::Answered, now);
         benchmark::DoNotOptimize(sent);
     }
--- a/bench/routing/policymodel/fleetmodel.cpp
+++ b/bench/routing/policymodel/fleetmodel.cpp
@@ -208,7 +208,7 @@
 void FleetModel::send(const Job &job, const Routing::Decision &decision)
 {
     Routing::Router &router = *m_routers[job.router];
-    Routing::Sent sent = router.noteSent(decision, mono());
+    Routing::SentRequest sent = router.noteSent(decision, mono());
     Engine &engine = m_engines[decision.endpoint];
     if (!engine.up) {
         router.noteEnded(&sent, Routing::ExchangeResult::Unreachable, mono());
--- a/bench/routing/policymodel/fleetmodel.h
+++ b/bench/routing/policymodel/fleetmodel.h
@@ -76,7 +76,7 @@
     };
     struct Flight
     {
-        Routing::Sent sent;
+        Routing::SentRequest sent;
         std::uint32_t engine = 0;
         std::int64_t cached = 0;
     };
--- a/src/libs/router/placer.h
+++ b/src/libs/router/placer.h
@@ -78,7 +78,7 @@
     };
     struct Running
     {
-        Routing::Sent sent;
+        Routing::SentRequest sent;
         Base::WorkUnits prefill; ///< Part of the work that is done with the first token.
     };
 
--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -148,11 +148,11 @@
                              std::span(warm).first(count));
 }
 
-Sent Router::noteSent(const Decision &decision, Base::MonoTime now)
+SentRequest Router::noteSent(const Decision &decision, Base::MonoTime now)
 {
     const bool trial = decision.why == Why::Trial;
-    const Sent sent{.work = m_loads.noteSent(decision.endpoint, decision.work, now),
-                    .trial = trial};
+    const SentRequest sent{.work = m_loads.noteSent(decision.endpoint, decision.work, now),
+                           .trial = trial};
     if (trial) {
         m_suspicion.noteTrialSent(decision.endpoint, now);
         updateCandidate(decision.endpoint, now);
@@ -162,13 +162,13 @@
     return sent;
 }
 
-void Router::noteProgress(Sent *sent, Base::WorkUnits done, Base::MonoTime now)
+void Router::noteProgress(SentRequest *sent, Base::WorkUnits done, Base::MonoTime now)
 {
     m_loads.noteProgress(&sent->work, done, now);
     updateLoad(sent->work.endpoint);
 }
 
-void Router::noteEnded(Sent *sent, ExchangeResult result, Base::MonoTime now)
+void Router::noteEnded(SentRequest *sent, ExchangeResult result, Base::MonoTime now)
 {
     const EndpointIndex endpoint = sent->work.endpoint;
     if (endpoint >= m_candidates.size())
@@ -181,7 +181,7 @@
     updateCandidate(endpoint, now);
 }
 
-void Router::noteCancelled(Sent *sent, Base::MonoTime now)
+void Router::noteCancelled(SentRequest *sent, Base::MonoTime now)
 {
     const EndpointIndex endpoint = sent->work.endpoint;
     if (endpoint >= m_candidates.size())
--- a/src/libs/routing/router.h
+++ b/src/libs/routing/router.h
@@ -27,7 +27,7 @@
 };
 
 /// A sent request, from choose() to its end.
-struct Sent
+struct SentRequest
 {
     SentWork work;
     bool trial = false;
@@ -86,11 +86,11 @@
     // Requests.
     /// `token` is the place that the caller's token names, if any. Allocates nothing.
     Decision choose(const RouteRequest &request, const std::optional<Placement> &token);
-    Sent noteSent(const Decision &decision, Base::MonoTime now);
-    void noteProgress(Sent *sent, Base::WorkUnits done, Base::MonoTime now);
-    void noteEnded(Sent *sent, ExchangeResult result, Base::MonoTime now);
+    SentRequest noteSent(const Decision &decision, Base::MonoTime now);
+    void noteProgress(SentRequest *sent, Base::WorkUnits done, Base::MonoTime now);
+    void noteEnded(SentRequest *sent, ExchangeResult result, Base::MonoTime now);
     /// Ended without telling of the endpoint's health, as when the caller left.
-    void noteCancelled(Sent *sent, Base::MonoTime now);
+    void noteCancelled(SentRequest *sent, Base::MonoTime now);
     /// The endpoint has served the chat and now holds so many tokens of it.
     Placement noteServed(std::uint64_t chatHash, EndpointIndex endpoint, Base::Tokens cached);
 
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -23,7 +23,7 @@
 
 struct Running
 {
-    Sent sent;
+    SentRequest sent;
     std::size_t router = 0;
     double work = 0.0;
     int endsAt = 0;
@@ -157,7 +157,7 @@
         const double unknown = unknownTo(r, e);
         const double allowed = decision.why == Why::Overflow ? overflowMultiple : multiple;
         const double bound = allowed * (estimated + work) / engineCount + work;
-        const Sent sent = router.noteSent(decision, m_now);
+        const SentRequest sent = router.noteSent(decision, m_now);
         m_load[e] += work;
         BOOST_TEST_REQUIRE(router.candidates()[e].load <= bound + tolerance);
         BOOST_TEST_REQUIRE(m_load[e] <= bound + unknown + tolerance);
--- a/tests/auto/routing/tst_router.cpp
+++ b/tests/auto/routing/tst_router.cpp
@@ -52,7 +52,7 @@
     void fail(EndpointIndex endpoint, ExchangeResult result)
     {
         const Decision decision{.outcome = Outcome::Send, .endpoint = endpoint};
-        Sent sent = router.noteSent(decision, now);
+        SentRequest sent = router.noteSent(decision, now);
         router.noteEnded(&sent, result, now);
     }
 
@@ -66,7 +66,7 @@
     void endTrial(EndpointIndex endpoint, ExchangeResult result)
     {
         const Decision decision{.outcome = Outcome::Send, .endpoint = endpoint, .why = Why::Trial};
-        Sent sent = router.noteSent(decision, now);
+        SentRequest sent = router.noteSent(decision, now);
         BOOST_TEST(shareOf(endpoint) == 0.0); // One trial at a time.
         router.noteEnded(&sent, result, now);
     }
