--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -128,7 +128,7 @@
 
 Decision Router::choose(const RouteRequest &request, const std::optional<Placement> &token)
 {
-    std::array<WarmPlace, 2> warm;
+    std::array<WarmEndpoint, 2> warm;
     std::size_t count = 0;
     if (request.usesCache) {
         const std::optional<Placement> known = m_placements.find(request.chatHash);
--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -29,9 +29,9 @@
     return totals;
 }
 
-Base::Tokens cachedAt(std::span<const WarmPlace> warm, EndpointIndex endpoint)
+Base::Tokens cachedAt(std::span<const WarmEndpoint> warm, EndpointIndex endpoint)
 {
-    for (const WarmPlace &place : warm) {
+    for (const WarmEndpoint &place : warm) {
         if (place.endpoint == endpoint)
             return place.cached;
     }
@@ -113,7 +113,8 @@
 };
 
 Decision Selector::choose(const RouteRequest &request, std::span<const Candidate> candidates,
-                          std::span<const EndpointIndex> members, std::span<const WarmPlace> warm)
+                          std::span<const EndpointIndex> members,
+                          std::span<const WarmEndpoint> warm)
 {
     if (m_options.policy == Policy::Bounded)
         return chooseBounded(request, candidates, members, warm);
@@ -149,7 +150,7 @@
 
 Decision Selector::chooseBounded(const RouteRequest &request, std::span<const Candidate> candidates,
                                  std::span<const EndpointIndex> members,
-                                 std::span<const WarmPlace> warm)
+                                 std::span<const WarmEndpoint> warm)
 {
     const PoolTotals totals = totalsOf(candidates, members);
     Base::Tokens cached;
@@ -234,10 +235,10 @@
 
 EndpointIndex Selector::chooseWarm(const RouteRequest &request,
                                    std::span<const Candidate> candidates,
-                                   std::span<const WarmPlace> warm, const PoolTotals &totals,
+                                   std::span<const WarmEndpoint> warm, const PoolTotals &totals,
                                    Base::Tokens *cached) const
 {
-    for (const WarmPlace &place : warm) {
+    for (const WarmEndpoint &place : warm) {
         if (place.endpoint >= candidates.size() || place.cached.value() <= 0)
             continue;
         const Candidate &candidate = candidates[place.endpoint];
@@ -254,9 +255,9 @@
 }
 
 bool Selector::waitsForWarm(const RouteRequest &request, std::span<const Candidate> candidates,
-                            std::span<const WarmPlace> warm) const
+                            std::span<const WarmEndpoint> warm) const
 {
-    for (const WarmPlace &place : warm) {
+    for (const WarmEndpoint &place : warm) {
         if (place.endpoint >= candidates.size() || !usable(candidates[place.endpoint]))
             continue;
         if (request.tried.contains(place.endpoint))
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -29,7 +29,7 @@
 };
 
 /// A place where the chat's prefix may be cached.
-struct WarmPlace
+struct WarmEndpoint
 {
     EndpointIndex endpoint = noEndpoint;
     Base::Tokens cached;
@@ -123,7 +123,7 @@
     /// `candidates` is indexed by EndpointIndex, `members` are those of the request's pool,
     /// `warm` the places to try first, best first. Allocates nothing.
     Decision choose(const RouteRequest &request, std::span<const Candidate> candidates,
-                    std::span<const EndpointIndex> members, std::span<const WarmPlace> warm);
+                    std::span<const EndpointIndex> members, std::span<const WarmEndpoint> warm);
 
     /// Work of the request where `cached` tokens of its prompt need no prefill.
     double workOf(const RouteRequest &request, Base::Tokens cached) const;
@@ -138,17 +138,18 @@
     struct Scan;
 
     Decision chooseBounded(const RouteRequest &request, std::span<const Candidate> candidates,
-                           std::span<const EndpointIndex> members, std::span<const WarmPlace> warm);
+                           std::span<const EndpointIndex> members,
+                           std::span<const WarmEndpoint> warm);
     Scan scanBounded(const RouteRequest &request, std::span<const Candidate> candidates,
                      std::span<const EndpointIndex> members, const PoolTotals &totals,
                      bool localOnly) const;
     EndpointIndex chooseCold(const RouteRequest &request, std::span<const Candidate> candidates,
                              const PoolTotals &totals, const Scan &scan) const;
     EndpointIndex chooseWarm(const RouteRequest &request, std::span<const Candidate> candidates,
-                             std::span<const WarmPlace> warm, const PoolTotals &totals,
+                             std::span<const WarmEndpoint> warm, const PoolTotals &totals,
                              Base::Tokens *cached) const;
     bool waitsForWarm(const RouteRequest &request, std::span<const Candidate> candidates,
-                      std::span<const WarmPlace> warm) const;
+                      std::span<const WarmEndpoint> warm) const;
     EndpointIndex nextInTurn(const RouteRequest &request, std::span<const Candidate> candidates,
                              std::span<const EndpointIndex> members);
     EndpointIndex leastLoaded(const RouteRequest &request, std::span<const Candidate> candidates,
--- a/tests/auto/routing/tst_selector.cpp
+++ b/tests/auto/routing/tst_selector.cpp
@@ -145,7 +145,7 @@
             RouteRequest request = requestOf(chat);
             if (c.tried)
                 request.tried.add(warm);
-            const std::vector<WarmPlace> places{
+            const std::vector<WarmEndpoint> places{
                 {.endpoint = warm, .cached = Base::Tokens(c.cached)}};
             Selector selector({.warmWaitPerThousand = {}});
             const Decision decision =
