--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -40,24 +40,24 @@
 
 } // namespace
 
-std::string_view toString(Why why)
+std::string_view toString(DecisionReason why)
 {
     switch (why) {
-    case Why::Warm:
+    case DecisionReason::Warm:
         return "warm";
-    case Why::Home:
+    case DecisionReason::Home:
         return "home";
-    case Why::Overflow:
+    case DecisionReason::Overflow:
         return "overflow";
-    case Why::Trial:
+    case DecisionReason::Trial:
         return "trial";
-    case Why::Baseline:
+    case DecisionReason::Baseline:
         return "baseline";
-    case Why::AllFull:
+    case DecisionReason::AllFull:
         return "all_full";
-    case Why::WarmFull:
+    case DecisionReason::WarmFull:
         return "warm_full";
-    case Why::NoneUsable:
+    case DecisionReason::NoneUsable:
         return "none_usable";
     }
     return "none_usable";
@@ -137,7 +137,7 @@
     }
     if (endpoint == noEndpoint)
         return {};
-    return sendTo(request, endpoint, cachedAt(warm, endpoint), Why::Baseline);
+    return sendTo(request, endpoint, cachedAt(warm, endpoint), DecisionReason::Baseline);
 }
 
 double Selector::workOf(const RouteRequest &request, Base::Tokens cached) const
@@ -156,10 +156,10 @@
     Base::Tokens cached;
     const EndpointIndex warmEndpoint = chooseWarm(request, candidates, warm, totals, &cached);
     if (warmEndpoint != noEndpoint)
-        return sendTo(request, warmEndpoint, cached, Why::Warm);
+        return sendTo(request, warmEndpoint, cached, DecisionReason::Warm);
     if (waitsForWarm(request, candidates, warm)) {
         return {.outcome = Outcome::Wait,
-                .why = Why::WarmFull,
+                .why = DecisionReason::WarmFull,
                 .refusal = Errors::ErrorKind::Overloaded};
     }
 
@@ -171,17 +171,18 @@
         scan = scanBounded(request, candidates, members, totals, false);
 
     if (scan.trial != noEndpoint && request.repeatable && scan.trialCost < scan.homeCost)
-        return sendTo(request, scan.trial, {}, Why::Trial);
+        return sendTo(request, scan.trial, {}, DecisionReason::Trial);
     if (scan.home == noEndpoint)
         return {};
     const EndpointIndex taken = chooseCold(request, candidates, totals, scan);
     if (taken == noEndpoint) {
         return {.outcome = Outcome::Wait,
-                .why = Why::AllFull,
+                .why = DecisionReason::AllFull,
                 .refusal = Errors::ErrorKind::Overloaded};
     }
     const bool left = !warm.empty() && warm.front().endpoint != taken;
-    const Why why = taken == scan.home && !left ? Why::Home : Why::Overflow;
+    const DecisionReason why =
+        taken == scan.home && !left ? DecisionReason::Home : DecisionReason::Overflow;
     return sendTo(request, taken, cachedAt(warm, taken), why);
 }
 
@@ -339,7 +340,7 @@
 }
 
 Decision Selector::sendTo(const RouteRequest &request, EndpointIndex endpoint, Base::Tokens cached,
-                          Why why) const
+                          DecisionReason why) const
 {
     return {.outcome = Outcome::Send,
             .endpoint = endpoint,
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -73,7 +73,7 @@
 };
 
 /// Why the endpoint was taken; for time lines and metrics.
-enum class Why : std::uint8_t {
+enum class DecisionReason : std::uint8_t {
     Warm, ///< The chat's prefix is thought to be cached there.
     Home, ///< First in the chat's order.
     Overflow, ///< Endpoints before it in the chat's order, or the warm one, were at their bound.
@@ -84,7 +84,7 @@
     NoneUsable
 };
 
-std::string_view toString(Why why);
+std::string_view toString(DecisionReason why);
 
 struct Decision
 {
@@ -92,7 +92,7 @@
     EndpointIndex endpoint = noEndpoint;
     Base::Tokens expectedCached;
     Base::WorkUnits work; ///< To be counted as sent.
-    Why why = Why::NoneUsable;
+    DecisionReason why = DecisionReason::NoneUsable;
     Errors::ErrorKind refusal = Errors::ErrorKind::NoEndpoint; ///< If the outcome is not Send.
 };
 
@@ -160,7 +160,7 @@
     EndpointIndex firstInOrder(const RouteRequest &request, std::span<const Candidate> candidates,
                                std::span<const EndpointIndex> members) const;
     Decision sendTo(const RouteRequest &request, EndpointIndex endpoint, Base::Tokens cached,
-                    Why why) const;
+                    DecisionReason why) const;
 
     Options m_options;
     LoadBound m_bound;
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -155,7 +155,8 @@
         const EndpointIndex e = decision.endpoint;
         const double work = decision.work.value();
         const double unknown = unknownTo(r, e);
-        const double allowed = decision.why == Why::Overflow ? overflowMultiple : multiple;
+        const double allowed =
+            decision.why == DecisionReason::Overflow ? overflowMultiple : multiple;
         const double bound = allowed * (estimated + work) / engineCount + work;
         const SentRequest sent = router.noteSent(decision, m_now);
         m_load[e] += work;
