--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -217,7 +217,7 @@
 void Placer::settle(std::uint64_t ticket, const Routing::Decision &decision)
 {
     if (decision.outcome == Routing::Outcome::Wait) {
-        if (decision.why == Routing::DecisionReason::WarmFull)
+        if (decision.reason == Routing::DecisionReason::WarmFull)
             waitForWarm(ticket);
         else
             enqueue(ticket);
--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -150,7 +150,7 @@
 
 SentRequest Router::noteSent(const Decision &decision, Base::MonoTime now)
 {
-    const bool trial = decision.why == DecisionReason::Trial;
+    const bool trial = decision.reason == DecisionReason::Trial;
     const SentRequest sent{.work = m_loads.noteSent(decision.endpoint, decision.work, now),
                            .trial = trial};
     if (trial) {
--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -40,9 +40,9 @@
 
 } // namespace
 
-std::string_view toString(DecisionReason why)
+std::string_view toString(DecisionReason reason)
 {
-    switch (why) {
+    switch (reason) {
     case DecisionReason::Warm:
         return "warm";
     case DecisionReason::Home:
@@ -159,7 +159,7 @@
         return sendTo(request, warmEndpoint, cached, DecisionReason::Warm);
     if (waitsForWarm(request, candidates, warm)) {
         return {.outcome = Outcome::Wait,
-                .why = DecisionReason::WarmFull,
+                .reason = DecisionReason::WarmFull,
                 .refusal = Errors::ErrorKind::Overloaded};
     }
 
@@ -177,13 +177,13 @@
     const EndpointIndex taken = chooseCold(request, candidates, totals, scan);
     if (taken == noEndpoint) {
         return {.outcome = Outcome::Wait,
-                .why = DecisionReason::AllFull,
+                .reason = DecisionReason::AllFull,
                 .refusal = Errors::ErrorKind::Overloaded};
     }
     const bool left = !warm.empty() && warm.front().endpoint != taken;
-    const DecisionReason why =
+    const DecisionReason reason =
         taken == scan.home && !left ? DecisionReason::Home : DecisionReason::Overflow;
-    return sendTo(request, taken, cachedAt(warm, taken), why);
+    return sendTo(request, taken, cachedAt(warm, taken), reason);
 }
 
 EndpointIndex Selector::chooseCold(const RouteRequest &request,
@@ -340,13 +340,13 @@
 }
 
 Decision Selector::sendTo(const RouteRequest &request, EndpointIndex endpoint, Base::Tokens cached,
-                          DecisionReason why) const
+                          DecisionReason reason) const
 {
     return {.outcome = Outcome::Send,
             .endpoint = endpoint,
             .expectedCached = cached,
             .work = Base::WorkUnits(workOf(request, cached)),
-            .why = why};
+            .reason = reason};
 }
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -84,7 +84,7 @@
     NoneUsable
 };
 
-std::string_view toString(DecisionReason why);
+std::string_view toString(DecisionReason reason);
 
 struct Decision
 {
@@ -92,7 +92,7 @@
     EndpointIndex endpoint = noEndpoint;
     Base::Tokens expectedCached;
     Base::WorkUnits work; ///< To be counted as sent.
-    DecisionReason why = DecisionReason::NoneUsable;
+    DecisionReason reason = DecisionReason::NoneUsable;
     Errors::ErrorKind refusal = Errors::ErrorKind::NoEndpoint; ///< If the outcome is not Send.
 };
 
@@ -160,7 +160,7 @@
     EndpointIndex firstInOrder(const RouteRequest &request, std::span<const Candidate> candidates,
                                std::span<const EndpointIndex> members) const;
     Decision sendTo(const RouteRequest &request, EndpointIndex endpoint, Base::Tokens cached,
-                    DecisionReason why) const;
+                    DecisionReason reason) const;
 
     Options m_options;
     LoadBound m_bound;
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -156,7 +156,7 @@
         const double work = decision.work.value();
         const double unknown = unknownTo(r, e);
         const double allowed =
-            decision.why == DecisionReason::Overflow ? overflowMultiple : multiple;
+            decision.reason == DecisionReason::Overflow ? overflowMultiple : multiple;
         const double bound = allowed * (estimated + work) / engineCount + work;
         const SentRequest sent = router.noteSent(decision, m_now);
         m_load[e] += work;
--- a/tests/auto/routing/tst_router.cpp
+++ b/tests/auto/routing/tst_router.cpp
@@ -66,7 +66,7 @@
     void endTrial(EndpointIndex endpoint, ExchangeResult result)
     {
         const Decision decision{
-            .outcome = Outcome::Send, .endpoint = endpoint, .why = DecisionReason::Trial};
+            .outcome = Outcome::Send, .endpoint = endpoint, .reason = DecisionReason::Trial};
         SentRequest sent = router.noteSent(decision, now);
         BOOST_TEST(shareOf(endpoint) == 0.0); // One trial at a time.
         router.noteEnded(&sent, result, now);
@@ -170,7 +170,7 @@
     router.noteReport(warm, {.work = Base::WorkUnits(1e5), .sampledAt = now}, {}, now);
     const Decision held = router.choose(request, {});
     BOOST_TEST((held.outcome == Outcome::Wait));
-    BOOST_TEST((held.why == DecisionReason::WarmFull));
+    BOOST_TEST((held.reason == DecisionReason::WarmFull));
     request.waited = 200ms;
     const Decision overflowed = router.choose(request, {});
     BOOST_TEST((overflowed.outcome == Outcome::Send));
@@ -183,8 +183,8 @@
     const EndpointIndex home = router.choose(request, {}).endpoint;
     router.noteReport(home, {.sampledAt = now, .incarnation = Base::Incarnation(1)}, {}, now);
     router.noteServed(request.chatHash, home, Base::Tokens(80));
-    BOOST_TEST((router.choose(request, {}).why == DecisionReason::Warm));
+    BOOST_TEST((router.choose(request, {}).reason == DecisionReason::Warm));
     router.noteReport(home, {.sampledAt = now, .incarnation = Base::Incarnation(2)}, {}, now);
-    BOOST_TEST((router.choose(request, {}).why != DecisionReason::Warm));
+    BOOST_TEST((router.choose(request, {}).reason != DecisionReason::Warm));
     BOOST_TEST(router.candidates()[home].weight < 2e5);
 }
--- a/tests/auto/routing/tst_selector.cpp
+++ b/tests/auto/routing/tst_selector.cpp
@@ -170,7 +170,7 @@
         const Decision decision =
             selector.choose(requestOf(chat), pool.candidates, pool.members, {});
         BOOST_TEST(decision.endpoint == next);
-        BOOST_TEST((decision.why == DecisionReason::Overflow));
+        BOOST_TEST((decision.reason == DecisionReason::Overflow));
     }
 }
 
@@ -189,8 +189,8 @@
             Selector selector({.warmWaitPerThousand = {}});
             const Decision decision = selector.choose(request, pool.candidates, pool.members, {});
             BOOST_TEST((decision.endpoint == suspected) == (ownChat && repeatable));
-            BOOST_TEST((decision.why == DecisionReason::Trial) == (ownChat && repeatable));
-            trials += decision.why == DecisionReason::Trial ? 1 : 0;
+            BOOST_TEST((decision.reason == DecisionReason::Trial) == (ownChat && repeatable));
+            trials += decision.reason == DecisionReason::Trial ? 1 : 0;
         }
     }
     BOOST_TEST(trials > 50);
