--- a/bench/routing/decision/decision.cpp
+++ b/bench/routing/decision/decision.cpp
@@ -48,7 +48,7 @@
 {
     Router::Options options;
     options.selector.policy = policy;
-    options.selector.warmWaitPerThousand = {};
+    options.selector.warmWaitPerThousandTokens = {};
     options.tokens.currentKey = "benchmark";
     return options;
 }
--- a/bench/routing/policymodel/main.cpp
+++ b/bench/routing/policymodel/main.cpp
@@ -52,9 +52,9 @@
     scenario.router.selector.overflowChoices = absl::GetFlag(FLAGS_overflow_choices);
     scenario.router.selector.bound.multiple = absl::GetFlag(FLAGS_multiple);
     scenario.router.selector.bound.overflowMultiple = absl::GetFlag(FLAGS_overflow_multiple);
-    scenario.router.selector.warmWaitPerThousand =
+    scenario.router.selector.warmWaitPerThousandTokens =
         Base::fromSeconds(absl::GetFlag(FLAGS_warm_wait));
-    scenario.router.selector.longestWarmWait =
+    scenario.router.selector.maximumWarmWait =
         Base::fromSeconds(absl::GetFlag(FLAGS_longest_warm_wait));
     scenario.router.selector.bound.maximumLoadFactor = absl::GetFlag(FLAGS_full_at);
     scenario.router.selector.bound.reserve = absl::GetFlag(FLAGS_reserve);
--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -263,8 +263,9 @@
             continue;
         if (request.tried.contains(place.endpoint))
             continue;
-        const Base::Duration pays = m_options.warmWaitPerThousand * place.cached.value() / 1000;
-        if (request.waited < std::min(pays, m_options.longestWarmWait))
+        const Base::Duration pays =
+            m_options.warmWaitPerThousandTokens * place.cached.value() / 1000;
+        if (request.waited < std::min(pays, m_options.maximumWarmWait))
             return true;
     }
     return false;
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -111,8 +111,8 @@
         int overflowChoices = 2;
         /// Bounded only: how long a request may wait for its warm endpoint, for each 1000 tokens
         /// cached there, and at most; zero for never.
-        Base::Duration warmWaitPerThousand = std::chrono::milliseconds(100);
-        Base::Duration longestWarmWait = std::chrono::milliseconds(300);
+        Base::Duration warmWaitPerThousandTokens = std::chrono::milliseconds(100);
+        Base::Duration maximumWarmWait = std::chrono::milliseconds(300);
     };
 
     explicit Selector(Options options)
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -45,7 +45,7 @@
     {
         Router::Options options;
         options.selector.bound = {.multiple = multiple, .overflowMultiple = overflowMultiple};
-        options.selector.warmWaitPerThousand = {};
+        options.selector.warmWaitPerThousandTokens = {};
         for (std::size_t i = 0; i < c.routers; ++i) {
             m_routers.push_back(std::make_unique<Router>(options));
             for (EndpointIndex e = 0; e < engineCount; ++e) {
--- a/tests/auto/routing/tst_selector.cpp
+++ b/tests/auto/routing/tst_selector.cpp
@@ -72,7 +72,7 @@
         BOOST_TEST_CONTEXT(c.name)
         {
             const Pool pool(c.loads);
-            Selector selector({.warmWaitPerThousand = {}});
+            Selector selector({.warmWaitPerThousandTokens = {}});
             for (std::uint64_t chat = 0; chat < 50; ++chat) {
                 const RouteRequest request = requestOf(chat, c.prompt, c.priority);
                 const Decision decision =
@@ -147,7 +147,7 @@
                 request.tried.add(warm);
             const std::vector<WarmEndpoint> places{
                 {.endpoint = warm, .cached = Base::Tokens(c.cached)}};
-            Selector selector({.warmWaitPerThousand = {}});
+            Selector selector({.warmWaitPerThousandTokens = {}});
             const Decision decision =
                 selector.choose(request, pool.candidates, pool.members, places);
             BOOST_TEST((decision.outcome == Outcome::Send));
@@ -166,7 +166,7 @@
         without.candidates[home].use = Candidate::Use::No;
         const EndpointIndex next = homeOf(without, chat);
         pool.candidates[home].load = 500.0;
-        Selector selector({.warmWaitPerThousand = {}});
+        Selector selector({.warmWaitPerThousandTokens = {}});
         const Decision decision =
             selector.choose(requestOf(chat), pool.candidates, pool.members, {});
         BOOST_TEST(decision.endpoint == next);
@@ -186,7 +186,7 @@
         for (const bool repeatable : {true, false}) {
             RouteRequest request = requestOf(chat);
             request.repeatable = repeatable;
-            Selector selector({.warmWaitPerThousand = {}});
+            Selector selector({.warmWaitPerThousandTokens = {}});
             const Decision decision = selector.choose(request, pool.candidates, pool.members, {});
             BOOST_TEST((decision.endpoint == suspected) == (ownChat && repeatable));
             BOOST_TEST((decision.reason == DecisionReason::Trial) == (ownChat && repeatable));
@@ -219,7 +219,7 @@
                 pool.candidates[i].load = c.localLoad;
                 pool.candidates[i].use = c.localUsable ? Candidate::Use::Yes : Candidate::Use::No;
             }
-            Selector selector({.warmWaitPerThousand = {}});
+            Selector selector({.warmWaitPerThousandTokens = {}});
             for (std::uint64_t call = 0; call < 100; ++call) {
                 RouteRequest request = requestOf(call, 1);
                 request.usesCache = false;
