--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -122,7 +122,7 @@
     EndpointIndex endpoint = noEndpoint;
     switch (m_options.policy) {
     case Policy::RoundRobin:
-        endpoint = nextInTurn(request, candidates, members);
+        endpoint = nextRoundRobin(request, candidates, members);
         break;
     case Policy::LeastLoad:
         endpoint = leastLoaded(request, candidates, members);
@@ -157,7 +157,7 @@
     const EndpointIndex warmEndpoint = chooseWarm(request, candidates, warm, totals, &cached);
     if (warmEndpoint != noEndpoint)
         return sendTo(request, warmEndpoint, cached, DecisionReason::Warm);
-    if (waitsForWarm(request, candidates, warm)) {
+    if (shouldWaitForWarm(request, candidates, warm)) {
         return {.outcome = Outcome::Wait,
                 .reason = DecisionReason::WarmFull,
                 .refusal = Errors::ErrorKind::Overloaded};
@@ -255,8 +255,8 @@
     return noEndpoint;
 }
 
-bool Selector::waitsForWarm(const RouteRequest &request, std::span<const Candidate> candidates,
-                            std::span<const WarmEndpoint> warm) const
+bool Selector::shouldWaitForWarm(const RouteRequest &request, std::span<const Candidate> candidates,
+                                 std::span<const WarmEndpoint> warm) const
 {
     for (const WarmEndpoint &place : warm) {
         if (place.endpoint >= candidates.size() || !usable(candidates[place.endpoint]))
@@ -271,9 +271,9 @@
     return false;
 }
 
-EndpointIndex Selector::nextInTurn(const RouteRequest &request,
-                                   std::span<const Candidate> candidates,
-                                   std::span<const EndpointIndex> members)
+EndpointIndex Selector::nextRoundRobin(const RouteRequest &request,
+                                       std::span<const Candidate> candidates,
+                                       std::span<const EndpointIndex> members)
 {
     for (std::size_t step = 0; step < members.size(); ++step) {
         const EndpointIndex index = members[m_turn++ % members.size()];
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -148,10 +148,10 @@
     EndpointIndex chooseWarm(const RouteRequest &request, std::span<const Candidate> candidates,
                              std::span<const WarmEndpoint> warm, const PoolTotals &totals,
                              Base::Tokens *cached) const;
-    bool waitsForWarm(const RouteRequest &request, std::span<const Candidate> candidates,
-                      std::span<const WarmEndpoint> warm) const;
-    EndpointIndex nextInTurn(const RouteRequest &request, std::span<const Candidate> candidates,
-                             std::span<const EndpointIndex> members);
+    bool shouldWaitForWarm(const RouteRequest &request, std::span<const Candidate> candidates,
+                           std::span<const WarmEndpoint> warm) const;
+    EndpointIndex nextRoundRobin(const RouteRequest &request, std::span<const Candidate> candidates,
+                                 std::span<const EndpointIndex> members);
     EndpointIndex leastLoaded(const RouteRequest &request, std::span<const Candidate> candidates,
                               std::span<const EndpointIndex> members) const;
     EndpointIndex lessLoadedOfTwo(const RouteRequest &request,
