--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -276,7 +276,7 @@
                                        std::span<const EndpointIndex> members)
 {
     for (std::size_t step = 0; step < members.size(); ++step) {
-        const EndpointIndex index = members[m_turn++ % members.size()];
+        const EndpointIndex index = members[m_counter++ % members.size()];
         if (usable(candidates[index]) && !request.tried.contains(index))
             return index;
     }
@@ -310,7 +310,7 @@
                                         std::span<const EndpointIndex> members)
 {
     // The turn makes each request draw anew; the pair is the first two of the drawn order.
-    const RendezvousCost order(mixHashes(request.chatHash, ++m_turn));
+    const RendezvousCost order(mixHashes(request.chatHash, ++m_counter));
     Scan scan;
     for (const EndpointIndex index : members) {
         const Candidate &candidate = candidates[index];
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -164,7 +164,7 @@
 
     Options m_options;
     LoadBound m_bound;
-    std::uint64_t m_turn = 0;
+    std::uint64_t m_counter = 0;
 };
 
 } // namespace Lagoonbank::Routing
