--- a/bench/routing/policymodel/main.cpp
+++ b/bench/routing/policymodel/main.cpp
@@ -59,7 +59,7 @@
     scenario.router.selector.bound.maximumLoadFactor = absl::GetFlag(FLAGS_full_at);
     scenario.router.selector.bound.reserve = absl::GetFlag(FLAGS_reserve);
     scenario.router.slowStart.rampTime = Base::fromSeconds(absl::GetFlag(FLAGS_ramp));
-    scenario.router.slowStart.firstShare = absl::GetFlag(FLAGS_first_share);
+    scenario.router.slowStart.initialShare = absl::GetFlag(FLAGS_first_share);
     return scenario;
 }
 
--- a/src/libs/routing/slowstart.h
+++ b/src/libs/routing/slowstart.h
@@ -15,7 +15,7 @@
     struct Options
     {
         Base::Duration rampTime = std::chrono::seconds(30); ///< Zero: whole share at once.
-        double firstShare = 0.1;
+        double initialShare = 0.1;
         int steps = 16;
     };
 
@@ -23,7 +23,7 @@
         : m_options(options)
     { }
 
-    /// Between firstShare and 1.
+    /// Between initialShare and 1.
     double share(Base::MonoTime coldSince, Base::MonoTime now) const
     {
         if (m_options.rampTime <= Base::Duration::zero() || now - coldSince >= m_options.rampTime)
@@ -31,7 +31,7 @@
         const double passed =
             std::max(0.0, Base::toSeconds(now - coldSince) / Base::toSeconds(m_options.rampTime));
         const double step = std::floor(passed * m_options.steps) / m_options.steps;
-        return m_options.firstShare + (1.0 - m_options.firstShare) * step;
+        return m_options.initialShare + (1.0 - m_options.initialShare) * step;
     }
 
 private:
