--- a/src/libs/retry/retrybudget.cpp
+++ b/src/libs/retry/retrybudget.cpp
@@ -6,15 +6,15 @@
 
 using Base::MonoTime;
 
-double RetryBudget::saved(MonoTime now) const
+double RetryBudget::balance(MonoTime now) const
 {
     const double gained = std::max(0.0, Base::toSeconds(now - m_last)) * m_options.perSecond;
-    return std::min(m_options.capacity, m_saved + gained);
+    return std::min(m_options.capacity, m_balance + gained);
 }
 
 void RetryBudget::succeeded(MonoTime now)
 {
-    m_saved = std::min(m_options.capacity, saved(now) + m_options.ratio);
+    m_balance = std::min(m_options.capacity, balance(now) + m_options.ratio);
     m_last = std::max(m_last, now);
 }
 
@@ -22,7 +22,7 @@
 {
     if (!available(now))
         return false;
-    m_saved = saved(now) - 1;
+    m_balance = balance(now) - 1;
     m_last = std::max(m_last, now);
     return true;
 }
--- a/src/libs/retry/retrybudget.h
+++ b/src/libs/retry/retrybudget.h
@@ -22,19 +22,19 @@
     /// Starts whole.
     RetryBudget(Options options, Base::MonoTime now)
         : m_options(options)
-        , m_saved(options.capacity)
+        , m_balance(options.capacity)
         , m_last(now)
     { }
 
     void succeeded(Base::MonoTime now);
-    bool available(Base::MonoTime now) const { return saved(now) >= 1; }
+    bool available(Base::MonoTime now) const { return balance(now) >= 1; }
     /// Takes one retry out; false and nothing taken where none is left.
     bool spend(Base::MonoTime now);
-    double saved(Base::MonoTime now) const;
+    double balance(Base::MonoTime now) const;
 
 private:
     Options m_options;
-    double m_saved;
+    double m_balance;
     Base::MonoTime m_last;
 };
 
--- a/tests/auto/retry/tst_retrybudget.cpp
+++ b/tests/auto/retry/tst_retrybudget.cpp
@@ -38,7 +38,7 @@
     BOOST_TEST(budget.spend(start));
     BOOST_TEST(!budget.available(start + 1s));
     BOOST_TEST(budget.available(start + 2s));
-    BOOST_TEST(budget.saved(start + 1000s) == 2.0);
+    BOOST_TEST(budget.balance(start + 1000s) == 2.0);
 }
 
 BOOST_AUTO_TEST_CASE(backoffIsFullJitterUnderItsCap)
