--- a/src/libs/retry/retrybudget.cpp
+++ b/src/libs/retry/retrybudget.cpp
@@ -12,7 +12,7 @@
     return std::min(m_options.capacity, m_balance + gained);
 }
 
-void RetryBudget::succeeded(MonoTime now)
+void RetryBudget::noteSuccess(MonoTime now)
 {
     m_balance = std::min(m_options.capacity, balance(now) + m_options.ratio);
     m_last = std::max(m_last, now);
--- a/src/libs/retry/retrybudget.h
+++ b/src/libs/retry/retrybudget.h
@@ -26,7 +26,7 @@
         , m_last(now)
     { }
 
-    void succeeded(Base::MonoTime now);
+    void noteSuccess(Base::MonoTime now);
     bool available(Base::MonoTime now) const { return balance(now) >= 1; }
     /// Takes one retry out; false and nothing taken where none is left.
     bool spend(Base::MonoTime now);
--- a/src/libs/router/retrybudgets.cpp
+++ b/src/libs/router/retrybudgets.cpp
@@ -39,8 +39,8 @@
 void RetryBudgets::noteWhole(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
                              Base::MonoTime now)
 {
-    workspaceBudget(workspace, now).succeeded(now);
-    endpointBudget(endpoint, now).succeeded(now);
+    workspaceBudget(workspace, now).noteSuccess(now);
+    endpointBudget(endpoint, now).noteSuccess(now);
 }
 
 Retry::RetryDecision RetryBudgets::decide(const Base::WorkspaceId &workspace,
--- a/tests/auto/retry/tst_retrybudget.cpp
+++ b/tests/auto/retry/tst_retrybudget.cpp
@@ -24,7 +24,7 @@
 
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
-        budget.succeeded(start);
+        budget.noteSuccess(start);
         retries += budget.spend(start) ? 1 : 0;
     }
     BOOST_TEST(retries >= 99);
