--- a/src/libs/retry/retrydecision.cpp
+++ b/src/libs/retry/retrydecision.cpp
@@ -92,7 +92,7 @@
         return decision;
     }
     const Duration wait = backoff.wait(traits.attempts + traits.resumes - 1);
-    if (!traits.deadline.leavesTime(now, wait, limits.leastAttempt)) {
+    if (!traits.deadline.leavesTime(now, wait, limits.minimumAttemptTime)) {
         decision.kind = ErrorKind::DeadlinePassed;
         return decision;
     }
--- a/src/libs/retry/retrydecision.h
+++ b/src/libs/retry/retrydecision.h
@@ -39,7 +39,8 @@
     const RetryBudget *endpoint = nullptr;
     int maxAttempts = 3;
     int maxResumes = 3;
-    Base::Duration leastAttempt = std::chrono::milliseconds(1); ///< Less time left is no time.
+    Base::Duration minimumAttemptTime =
+        std::chrono::milliseconds(1); ///< Less time left is no time.
 };
 
 enum class RetryAction {
