--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -260,7 +260,7 @@
 
 void Exchange::nextStep(const Retry::RetryDecision &decision, const Error &error)
 {
-    if (decision.action == Retry::RetryAction::GiveUp) {
+    if (decision.action == Retry::RetryAction::Fail) {
         if (decision.ran != Ran::No)
             cancelUpstream(*m_target);
         // A refused resume is not why the run before it broke.
--- a/src/libs/retry/retrydecision.cpp
+++ b/src/libs/retry/retrydecision.cpp
@@ -52,7 +52,7 @@
                          const Limits &limits)
 {
     if (!mayGoBetterElsewhere(failure.kind))
-        return RetryAction::GiveUp;
+        return RetryAction::Fail;
 
     // The stream's own run may still be there. A mismatched answer was another request's; an
     // endpoint that proved that nothing ran has nothing to resume.
@@ -62,15 +62,15 @@
         return RetryAction::ResumeSameEndpoint;
 
     if (!traits.idempotent && anyMayHaveRun(failure, traits))
-        return RetryAction::GiveUp;
+        return RetryAction::Fail;
     if (traits.attempts >= limits.maxAttempts)
-        return RetryAction::GiveUp;
+        return RetryAction::Fail;
     if (failure.tokensForwarded.value() > 0)
-        return traits.resumable ? RetryAction::RestartElsewhere : RetryAction::GiveUp;
+        return traits.resumable ? RetryAction::RestartElsewhere : RetryAction::Fail;
     if (failure.bytesForwarded.value() > 0)
-        return RetryAction::GiveUp;
+        return RetryAction::Fail;
     if (failure.headForwarded && !traits.resumable)
-        return RetryAction::GiveUp;
+        return RetryAction::Fail;
     return RetryAction::RetryElsewhere;
 }
 
@@ -85,7 +85,7 @@
         .ran = anyMayHaveRun(failure, traits) ? Ran::Unknown : Ran::No,
     };
     const RetryAction wanted = wantedAction(failure, traits, limits);
-    if (wanted == RetryAction::GiveUp)
+    if (wanted == RetryAction::Fail)
         return decision;
     if (!budgetsAllow(limits, now)) {
         decision.kind = ErrorKind::RetryBudgetSpent;
--- a/src/libs/retry/retrydecision.h
+++ b/src/libs/retry/retrydecision.h
@@ -47,13 +47,13 @@
     RetryElsewhere, ///< A new run on another endpoint; the caller has nothing of the answer.
     ResumeSameEndpoint, ///< The same run from an offset, over a new connection.
     RestartElsewhere, ///< A new run on another endpoint from an offset.
-    GiveUp
+    Fail
 };
 
-/// What to do next. On GiveUp, `kind` and `ran` are what the caller is told.
+/// What to do next. On Fail, `kind` and `ran` are what the caller is told.
 struct RetryDecision
 {
-    RetryAction action = RetryAction::GiveUp;
+    RetryAction action = RetryAction::Fail;
     Base::Duration wait{}; ///< Backoff before the next attempt.
     Base::Tokens from; ///< First token that the caller does not have yet.
     Errors::ErrorKind kind = Errors::ErrorKind::Internal;
--- a/src/libs/router/retrybudgets.cpp
+++ b/src/libs/router/retrybudgets.cpp
@@ -55,7 +55,7 @@
         failure, traits,
         {.workspace = &ofWorkspace, .endpoint = &ofEndpoint, .maxAttempts = m_maxAttempts},
         m_backoff, now);
-    if (decision.action == Retry::RetryAction::GiveUp)
+    if (decision.action == Retry::RetryAction::Fail)
         return decision;
     ofWorkspace.spend(now);
     ofEndpoint.spend(now);
--- a/tests/auto/retry/tst_retrydecision.cpp
+++ b/tests/auto/retry/tst_retrydecision.cpp
@@ -101,7 +101,7 @@
     int wrong = 0;
     forEveryInput([&](const Inputs &in) {
         const RetryDecision decision = decideFor(in);
-        if (decision.action != RetryAction::GiveUp || decision.ran != Ran::No)
+        if (decision.action != RetryAction::Fail || decision.ran != Ran::No)
             return;
         const bool thisSafe = !in.failure.mayHaveLeft || in.failure.provenNotRun;
         if (!thisSafe || in.failure.wasResume || in.traits.earlierMayHaveRun
@@ -116,7 +116,7 @@
     int wrong = 0;
     forEveryInput([&](const Inputs &in) {
         const RetryDecision decision = decideFor(in);
-        if (decision.action == RetryAction::GiveUp)
+        if (decision.action == RetryAction::Fail)
             return;
         const bool hasTokens = in.failure.tokensForwarded.value() > 0;
         const bool hasBytes = in.failure.bytesForwarded.value() > 0;
@@ -135,7 +135,7 @@
     int wrong = 0;
     forEveryInput([&](const Inputs &in) {
         const RetryDecision decision = decideFor(in);
-        if (decision.action == RetryAction::GiveUp)
+        if (decision.action == RetryAction::Fail)
             return;
         const bool inTime = in.traits.deadline.leavesTime(start, decision.wait, 1ms);
         const bool isResume = decision.action == RetryAction::ResumeSameEndpoint;
@@ -186,13 +186,13 @@
         {"booking timed out",
          {.kind = EndpointTimeout},
          once,
-         RetryAction::GiveUp,
+         RetryAction::Fail,
          EndpointTimeout,
          Ran::Unknown},
         {"booking's connection broke",
          {.kind = EndpointBroke},
          once,
-         RetryAction::GiveUp,
+         RetryAction::Fail,
          EndpointBroke,
          Ran::Unknown},
         {"stream broke",
@@ -229,7 +229,7 @@
           .tokensForwarded = Tokens(7),
           .wasResume = true},
          onceStream,
-         RetryAction::GiveUp,
+         RetryAction::Fail,
          EndpointRefused,
          Ran::Unknown},
         {"another's answer",
@@ -241,20 +241,20 @@
         {"attempts used up",
          {.kind = EndpointRefused, .provenNotRun = true},
          triedOut,
-         RetryAction::GiveUp,
+         RetryAction::Fail,
          EndpointRefused,
          Ran::No},
-        {"caller left", {.kind = CallerLeft}, model, RetryAction::GiveUp, CallerLeft, Ran::Unknown},
+        {"caller left", {.kind = CallerLeft}, model, RetryAction::Fail, CallerLeft, Ran::Unknown},
         {"no time",
          {.kind = EndpointRefused, .provenNotRun = true},
          late,
-         RetryAction::GiveUp,
+         RetryAction::Fail,
          DeadlinePassed,
          Ran::No},
         {"plain answer broke in its body",
          {.kind = EndpointBroke, .headForwarded = true, .bytesForwarded = Bytes(10)},
          {.idempotent = true, .deadline = inTime},
-         RetryAction::GiveUp,
+         RetryAction::Fail,
          EndpointBroke,
          Ran::Unknown},
     };
