--- a/src/libs/routing/fairshare.cpp
+++ b/src/libs/routing/fairshare.cpp
@@ -22,13 +22,13 @@
 {
     const std::string &workspace = entry.workspace.value();
     Level &level = m_levels[entry.priority];
-    const auto [lane, isNew] = level.queues.try_emplace(workspace);
+    const auto [queue, isNew] = level.queues.try_emplace(workspace);
     if (isNew) {
-        const auto finished = level.finished.extract(workspace);
-        const double before = finished.empty() ? 0 : finished.mapped();
-        lane->second.start = std::max(level.now, before);
+        const auto finishTimes = level.finishTimes.extract(workspace);
+        const double before = finishTimes.empty() ? 0 : finishTimes.mapped();
+        queue->second.startTime = std::max(level.currentTime, before);
     }
-    std::deque<Entry> &entries = lane->second.entries;
+    std::deque<Entry> &entries = queue->second.entries;
     const auto isEarlier = [](const Entry &a, const Entry &b) { return a.deadline < b.deadline; };
     entries.insert(std::upper_bound(entries.begin(), entries.end(), entry, isEarlier), entry);
     m_locations.emplace(entry.ticket, std::pair(entry.priority, workspace));
@@ -41,11 +41,11 @@
 std::optional<FairShare::Ticket> FairShare::front() const
 {
     for (const auto &[priority, level] : m_levels) {
-        const auto lane = std::min_element(
+        const auto queue = std::min_element(
             level.queues.begin(), level.queues.end(),
-            [](const auto &a, const auto &b) { return a.second.start < b.second.start; });
-        if (lane != level.queues.end())
-            return lane->second.entries.front().ticket;
+            [](const auto &a, const auto &b) { return a.second.startTime < b.second.startTime; });
+        if (queue != level.queues.end())
+            return queue->second.entries.front().ticket;
     }
     return std::nullopt;
 }
@@ -57,9 +57,9 @@
         return std::nullopt;
     const auto &[priority, workspace] = m_locations.at(*ticket);
     Level &level = m_levels.at(priority);
-    WorkspaceQueue &lane = level.queues.at(workspace);
-    level.now = lane.start;
-    lane.start += virtualTime(lane.entries.front());
+    WorkspaceQueue &queue = level.queues.at(workspace);
+    level.currentTime = queue.startTime;
+    queue.startTime += virtualTime(queue.entries.front());
     remove(*ticket);
     return ticket;
 }
@@ -71,10 +71,10 @@
         return false;
     const auto [priority, workspace] = found->second;
     Level &level = m_levels.at(priority);
-    const auto lane = level.queues.find(workspace);
-    std::erase_if(lane->second.entries, [&](const Entry &e) { return e.ticket == ticket; });
-    if (lane->second.entries.empty())
-        eraseQueue(level, lane);
+    const auto queue = level.queues.find(workspace);
+    std::erase_if(queue->second.entries, [&](const Entry &e) { return e.ticket == ticket; });
+    if (queue->second.entries.empty())
+        eraseQueue(level, queue);
     m_locations.erase(found);
     if (--m_waiting[workspace] == 0)
         m_waiting.erase(workspace);
@@ -98,10 +98,10 @@
         });
     const std::string workspace = most->first;
     for (auto level = m_levels.rbegin(); level != m_levels.rend(); ++level) {
-        const auto lane = level->second.queues.find(workspace);
-        if (lane == level->second.queues.end())
+        const auto queue = level->second.queues.find(workspace);
+        if (queue == level->second.queues.end())
             continue;
-        const Ticket ticket = lane->second.entries.back().ticket;
+        const Ticket ticket = queue->second.entries.back().ticket;
         remove(ticket);
         return ticket;
     }
@@ -109,17 +109,18 @@
 }
 
 // What a workspace used ahead of the others stays charged until they have caught up.
-void FairShare::eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator lane)
+void FairShare::eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator queue)
 {
-    if (lane->second.start > level.now)
-        level.finished[lane->first] = lane->second.start;
-    level.queues.erase(lane);
+    if (queue->second.startTime > level.currentTime)
+        level.finishTimes[queue->first] = queue->second.startTime;
+    level.queues.erase(queue);
     if (!level.queues.empty()) {
-        std::erase_if(level.finished, [&](const auto &item) { return item.second <= level.now; });
+        std::erase_if(level.finishTimes,
+                      [&](const auto &item) { return item.second <= level.currentTime; });
         return;
     }
-    level.finished.clear();
-    level.now = 0;
+    level.finishTimes.clear();
+    level.currentTime = 0;
 }
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/fairshare.h
+++ b/src/libs/routing/fairshare.h
@@ -59,18 +59,18 @@
     struct WorkspaceQueue
     {
         std::deque<Entry> entries;
-        double start = 0; // virtual time at which the front may go
+        double startTime = 0; // virtual time at which the front may go
     };
     struct Level
     {
         std::map<std::string, WorkspaceQueue>
             queues; // by workspace; ordered, so that ties fall the same way
-        double now = 0; // virtual time
-        std::map<std::string, double> finished; // of workspaces with no lane, if later than now
+        double currentTime = 0; // virtual time
+        std::map<std::string, double> finishTimes; // of workspaces with no lane, if later than now
     };
 
     Ticket evict();
-    void eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator lane);
+    void eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator queue);
 
     std::size_t m_limit;
     std::map<int, Level> m_levels; // by priority; only those with entries or a history
