--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -188,7 +188,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(loadStaysUnderTheBoundPlusWhatOthersSentSinceTheSample)
+BOOST_AUTO_TEST_CASE(loadExceedsBoundOnlyByWorkOfOthersSinceSample)
 {
     for (const Case &c : {Case{1, 1}, Case{6, 1}, Case{6, 2}, Case{6, 3}, Case{330, 1}}) {
         BOOST_TEST_CONTEXT("routers " << c.routers << " seed " << c.seed)
