--- a/tests/auto/routing/tst_fairshare.cpp
+++ b/tests/auto/routing/tst_fairshare.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(workIsSharedByWeight)
+BOOST_AUTO_TEST_CASE(workIsSharedInProportionToWeight)
 {
     struct Row
     {
@@ -54,7 +54,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(urgentGoesFirstAndOrderStaysWithinAWorkspace)
+BOOST_AUTO_TEST_CASE(servesByPriorityThenInOrderWithinWorkspace)
 {
     FairShare queue(10);
     queue.push(entry(1, 1, 5));
@@ -66,7 +66,7 @@
     BOOST_TEST(!queue.pop().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(surgeWaitsBehindItself)
+BOOST_AUTO_TEST_CASE(surgeDoesNotDelayOtherWorkspaces)
 {
     FairShare queue(1000);
     for (std::uint64_t i = 0; i < 500; ++i)
@@ -78,7 +78,7 @@
     BOOST_TEST((ownerOf(next) == 2 || ownerOf(*queue.pop()) == 2));
 }
 
-BOOST_AUTO_TEST_CASE(fullQueueTakesFromWhoeverHasMost)
+BOOST_AUTO_TEST_CASE(fullQueueEvictsFromLargestWorkspace)
 {
     FairShare queue(10);
     std::map<int, int> refused;
@@ -101,7 +101,7 @@
     BOOST_TEST(queue.waiting(WorkspaceId("3")) >= 3U);
 }
 
-BOOST_AUTO_TEST_CASE(leavingIsForgotten)
+BOOST_AUTO_TEST_CASE(removesRequests)
 {
     FairShare queue(10);
     queue.push(entry(1, 1));
