--- a/tests/auto/routing/tst_loadestimator.cpp
+++ b/tests/auto/routing/tst_loadestimator.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(reportOlderThanOwnSendsDoesNotHideThem, Fixture)
+BOOST_FIXTURE_TEST_CASE(workSentAfterSampleIsAdded, Fixture)
 {
     loads.noteSent(0, units(100), start);
     loads.noteSent(0, units(50), start + 1s);
@@ -52,7 +52,7 @@
     BOOST_TEST(loads.load(0) == 350.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(workThatEndedSinceTheSampleIsTakenOff, Fixture)
+BOOST_FIXTURE_TEST_CASE(workEndedAfterSampleIsSubtracted, Fixture)
 {
     SentWork sent = loads.noteSent(0, units(100), start);
     loads.noteReport(0, report(300, start + 500ms), start + 1s);
@@ -64,14 +64,14 @@
     BOOST_TEST(loads.load(0) == 200.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(outOfOrderReportsAreDropped, Fixture)
+BOOST_FIXTURE_TEST_CASE(outOfOrderReportsAreRejected, Fixture)
 {
     BOOST_TEST(loads.noteReport(0, report(300, start + 2s), start + 2s));
     BOOST_TEST(!loads.noteReport(0, report(900, start + 1s), start + 3s));
     BOOST_TEST(loads.load(0) == 300.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(restartDropsWhatWasInFlight, Fixture)
+BOOST_FIXTURE_TEST_CASE(restartDiscardsWorkInFlight, Fixture)
 {
     SentWork old = loads.noteSent(0, units(100), start);
     loads.noteReport(0, report(300, start + 1s, 1), start + 1s);
@@ -83,7 +83,7 @@
     BOOST_TEST(loads.load(0) == 70.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(lostReportsFadeToTheMeanOfTheOthers, Fixture)
+BOOST_FIXTURE_TEST_CASE(lostReportsFadeToAverageLoad, Fixture)
 {
     loads.noteReport(0, report(900, start), start);
     for (int second = 1; second <= 10; ++second) {
@@ -97,7 +97,7 @@
     BOOST_TEST(loads.load(0) == 300.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(peersDigestsCountFromTheSampleOn, Fixture)
+BOOST_FIXTURE_TEST_CASE(peerDigestsAfterSampleAreAdded, Fixture)
 {
     loads.notePeerInFlight(0, 0, units(100), start);
     loads.noteReport(0, report(150, start + 500ms), start + 1s);
