--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(tokenIsReadByItsKeysOnly)
+BOOST_AUTO_TEST_CASE(tokenIsVerifiedWithItsKeysOnly)
 {
     const PlacementToken old({.currentKey = "first"});
     const PlacementToken rotated({.currentKey = "second", .previousKey = "first"});
@@ -36,7 +36,7 @@
     BOOST_TEST(!none.enabled());
 }
 
-BOOST_AUTO_TEST_CASE(tokensThatAreNotBelieved)
+BOOST_AUTO_TEST_CASE(invalidTokensAreIgnored)
 {
     const PlacementToken token({.currentKey = "key", .lifetime = std::chrono::hours(1)});
     const PlacementToken::Text text = token.write(chat, place, now);
@@ -58,7 +58,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(tableKeepsTheLatelyUsed)
+BOOST_AUTO_TEST_CASE(tableEvictsLeastRecentlyUsed)
 {
     PlacementTable table(64);
     // All in one set: the low bits are the same.
@@ -71,7 +71,7 @@
     BOOST_TEST(table.capacity() == 64U);
 }
 
-BOOST_AUTO_TEST_CASE(tableForgetsAnEndpoint)
+BOOST_AUTO_TEST_CASE(tableDropsPlacementsOfEndpoint)
 {
     PlacementTable table(64);
     table.put(1, place);
