--- a/tests/auto/routing/tst_router.cpp
+++ b/tests/auto/routing/tst_router.cpp
@@ -78,7 +78,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(leavingAndRemovedEndpointsGetNothing, Fixture)
+BOOST_FIXTURE_TEST_CASE(leavingAndRemovedEndpointsGetNoRequests, Fixture)
 {
     router.setState(4, EndpointState::Leaving, now);
     BOOST_TEST(shareOf(4) == 0.0);
@@ -88,7 +88,7 @@
     BOOST_TEST(shareOf(4) == 0.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(slowStartSharesRise, Fixture)
+BOOST_FIXTURE_TEST_CASE(slowStartShareRises, Fixture)
 {
     EndpointInfo joined = infoOf(engineCount);
     joined.coldSince = now;
@@ -105,7 +105,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(failingEndpointIsLeftAloneThenTried, Fixture)
+BOOST_FIXTURE_TEST_CASE(failingEndpointIsSuspectedThenGetsTrials, Fixture)
 {
     fail(3, ExchangeResult::Broke);
     fail(3, ExchangeResult::Answered);
@@ -124,7 +124,7 @@
     BOOST_TEST(shareOf(3) > 0.05);
 }
 
-BOOST_FIXTURE_TEST_CASE(flappingEndpointWaitsLongerEachTime, Fixture)
+BOOST_FIXTURE_TEST_CASE(backoffOfFlappingEndpointGrows, Fixture)
 {
     for (const Base::Duration wait : std::vector<Base::Duration>{1s, 2s, 4s, 8s, 16s, 30s, 30s}) {
         fail(2, ExchangeResult::Unreachable);
@@ -144,7 +144,7 @@
     BOOST_TEST(shareOf(2) > 0.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(chatStaysWhereItIsWarm, Fixture)
+BOOST_FIXTURE_TEST_CASE(chatStaysAtWarmEndpoint, Fixture)
 {
     const RouteRequest request = requestOf(5);
     const EndpointIndex home = router.choose(request, {}).endpoint;
@@ -161,7 +161,7 @@
     BOOST_TEST(decision.work.value() == 20.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(warmChatWaitsBrieflyThenOverflows, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestWaitsBrieflyForWarmEndpointThenOverflows, Fixture)
 {
     RouteRequest request = requestOf(5);
     request.promptTokens = Base::Tokens(2000);
@@ -177,7 +177,7 @@
     BOOST_TEST(overflowed.endpoint != warm);
 }
 
-BOOST_FIXTURE_TEST_CASE(restartedEngineIsCold, Fixture)
+BOOST_FIXTURE_TEST_CASE(restartedEngineStartsCold, Fixture)
 {
     const RouteRequest request = requestOf(5);
     const EndpointIndex home = router.choose(request, {}).endpoint;
