--- a/tests/auto/routing/tst_selector.cpp
+++ b/tests/auto/routing/tst_selector.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(boundTable)
+BOOST_AUTO_TEST_CASE(outcomesAtTheBounds)
 {
     struct Case
     {
@@ -85,7 +85,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(listsThatDifferMoveOnlyTheDifferingEndpointsChats)
+BOOST_AUTO_TEST_CASE(missingEndpointMovesOnlyItsOwnChats)
 {
     const Pool whole(std::vector<double>(10, 0.0));
     Pool shorter = whole;
@@ -103,7 +103,7 @@
     BOOST_TEST(moved < 250);
 }
 
-BOOST_AUTO_TEST_CASE(homesFollowTheWeights)
+BOOST_AUTO_TEST_CASE(homesAreSharedInProportionToWeight)
 {
     Pool pool(std::vector<double>(4, 0.0));
     pool.candidates[0].weight = 3000.0;
@@ -115,7 +115,7 @@
     BOOST_TEST(homes[0] < chats * 0.52);
 }
 
-BOOST_AUTO_TEST_CASE(warmEndpointIsKeptUnderTheBoundOnly)
+BOOST_AUTO_TEST_CASE(warmEndpointIsUsedOnlyBelowBound)
 {
     struct Case
     {
@@ -157,7 +157,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(overflowGoesOnInTheChatsOwnOrder)
+BOOST_AUTO_TEST_CASE(overflowFollowsRendezvousOrder)
 {
     for (std::uint64_t chat = 0; chat < 200; ++chat) {
         Pool pool(std::vector<double>(10, 100.0));
@@ -174,7 +174,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(trialTakesOnlyItsOwnChatsAndOnlyRepeatableRequests)
+BOOST_AUTO_TEST_CASE(trialGetsOnlyRepeatableRequestsOfItsOwnChats)
 {
     Pool pool(std::vector<double>(6, 0.0));
     constexpr EndpointIndex suspected = 2;
@@ -196,7 +196,7 @@
     BOOST_TEST(trials > 50);
 }
 
-BOOST_AUTO_TEST_CASE(servicesStayInTheirDataCentreUnderTheBound)
+BOOST_AUTO_TEST_CASE(servicesPreferLocalDataCentreBelowBound)
 {
     struct Case
     {
@@ -231,7 +231,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(baselines)
+BOOST_AUTO_TEST_CASE(baselinePolicies)
 {
     Pool pool({30, 10, 20, 40});
     pool.candidates[3].use = Candidate::Use::No;
