--- a/tests/auto/routing/tst_waitqueue.cpp
+++ b/tests/auto/routing/tst_waitqueue.cpp
@@ -54,7 +54,7 @@
     BOOST_TEST(!queue.front().has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(fullQueueGivesUpOnTheLeastUrgentAtOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(fullQueueRejectsLeastUrgentRequest, Fixture)
 {
     push(1, 1, 5s);
     push(2, 1, 9s);
@@ -68,7 +68,7 @@
     BOOST_TEST(queue.size() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(timeOver, Fixture)
+BOOST_FIXTURE_TEST_CASE(rejectsExpiredRequests, Fixture)
 {
     BOOST_TEST(!push(1, 1, 0s));
     push(2, 1, 1s);
@@ -83,7 +83,7 @@
     BOOST_TEST((given == expected));
 }
 
-BOOST_FIXTURE_TEST_CASE(callerThatLeftIsForgotten, Fixture)
+BOOST_FIXTURE_TEST_CASE(removedRequestDoesNotExpire, Fixture)
 {
     push(1, 1, 9s);
     BOOST_TEST(queue.remove(1));
@@ -92,7 +92,7 @@
     BOOST_TEST(given.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(retryAfterFollowsThePace, Fixture)
+BOOST_FIXTURE_TEST_CASE(retryAfterFollowsPopRate, Fixture)
 {
     BOOST_TEST((queue.retryAfter(start) == 1s));
     push(1, 1, 9s);
@@ -191,7 +191,7 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(surgeOfOneWorkspaceCostsTheOthersNothing, boost::unit_test::data::make(offers),
+BOOST_DATA_TEST_CASE(surgeOfOneWorkspaceDoesNotAffectOthers, boost::unit_test::data::make(offers),
                      row)
 {
     const auto [others, surging] = offer(row);
@@ -199,7 +199,7 @@
     BOOST_TEST(surging.part() > 0.5); // The endpoints were full all the time.
 }
 
-BOOST_AUTO_TEST_CASE(fullQueueGivesUpOnTheWorkspaceThatWaitsWithMost)
+BOOST_AUTO_TEST_CASE(fullQueueRejectsRequestOfLargestWorkspace)
 {
     WaitQueue queue{{.limit = 3, .maximumWait = 2s}};
     std::vector<WaitQueue::Ticket> given;
