--- a/tests/auto/retry/tst_retrybudget.cpp
+++ b/tests/auto/retry/tst_retrybudget.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(retriesFollowSuccesses)
+BOOST_AUTO_TEST_CASE(retriesAreProportionalToSuccesses)
 {
     RetryBudget budget({.ratio = 0.1, .perSecond = 0, .capacity = 5}, start);
     for (int i = 0; i < 5; ++i)
@@ -31,7 +31,7 @@
     BOOST_TEST(retries <= 100);
 }
 
-BOOST_AUTO_TEST_CASE(quietTimeSavesUpToTheCapacity)
+BOOST_AUTO_TEST_CASE(balanceGrowsOverTimeUpToCapacity)
 {
     RetryBudget budget({.ratio = 0.1, .perSecond = 0.5, .capacity = 2}, start);
     BOOST_TEST(budget.spend(start));
@@ -41,7 +41,7 @@
     BOOST_TEST(budget.balance(start + 1000s) == 2.0);
 }
 
-BOOST_AUTO_TEST_CASE(backoffIsFullJitterUnderItsCap)
+BOOST_AUTO_TEST_CASE(backoffUsesFullJitterUpToCap)
 {
     struct Row
     {
@@ -59,7 +59,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(deadlineKeepsItsReserve)
+BOOST_AUTO_TEST_CASE(deadlineSubtractsReserve)
 {
     const Deadline deadline{.at = start + 100ms, .reserve = 10ms};
     BOOST_TEST(deadline.remaining(start)->count() == Duration(90ms).count());
