--- a/tests/auto/retry/tst_retrydecision.cpp
+++ b/tests/auto/retry/tst_retrydecision.cpp
@@ -79,7 +79,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(neverRunsAgainWhatMayHaveRunAndIsNotIdempotent)
+BOOST_AUTO_TEST_CASE(neverRerunsNonIdempotentRequestThatMayHaveRun)
 {
     int newRuns = 0;
     int broken = 0;
@@ -96,7 +96,7 @@
     BOOST_TEST(broken == 0);
 }
 
-BOOST_AUTO_TEST_CASE(saysNotRunOnlyWhereNothingCanHaveRun)
+BOOST_AUTO_TEST_CASE(reportsNotRunOnlyIfNoAttemptMayHaveRun)
 {
     int wrong = 0;
     forEveryInput([&](const Inputs &in) {
@@ -111,7 +111,7 @@
     BOOST_TEST(wrong == 0);
 }
 
-BOOST_AUTO_TEST_CASE(callerNeverGetsAPartTwice)
+BOOST_AUTO_TEST_CASE(neverForwardsOutputTwice)
 {
     int wrong = 0;
     forEveryInput([&](const Inputs &in) {
@@ -130,7 +130,7 @@
     BOOST_TEST(wrong == 0);
 }
 
-BOOST_AUTO_TEST_CASE(limitsHoldForEveryAttempt)
+BOOST_AUTO_TEST_CASE(limitsApplyToEveryAttempt)
 {
     int wrong = 0;
     forEveryInput([&](const Inputs &in) {
@@ -269,7 +269,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(spentBudgetIsSaidSo)
+BOOST_AUTO_TEST_CASE(reportsSpentRetryBudget)
 {
     Inputs in{.failure = {.kind = ErrorKind::EndpointRefused, .provenNotRun = true},
               .traits = {.idempotent = true, .deadline = {.at = start + 1s}}};
