--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -59,27 +59,27 @@
 
 void Checks::watchEvents()
 {
-    m_world.events.started = [this](Place at) {
+    m_world.events.started = [this](VmIndex at) {
         note(at, 0);
         tell(at, "starts");
         std::erase_if(m_starts, [at](const auto &one) { return one.first.first == at; });
     };
-    m_world.events.configured = [this](Place at, std::uint64_t before, std::uint64_t after) {
+    m_world.events.configured = [this](VmIndex at, std::uint64_t before, std::uint64_t after) {
         note(at, after);
         tell(at, "configuration " + std::to_string(after));
         if (after <= before)
             fail("a configuration goes back", std::to_string(after));
     };
-    m_world.events.changed = [this](Place at, const Fleet::Endpoint &endpoint) {
+    m_world.events.changed = [this](VmIndex at, const Fleet::Endpoint &endpoint) {
         changed(at, endpoint);
     };
-    m_world.events.removed = [this](Place at, const Fleet::Endpoint &endpoint) {
+    m_world.events.removed = [this](VmIndex at, const Fleet::Endpoint &endpoint) {
         removed(at, endpoint);
     };
-    m_world.events.roleChanged = [this](Place at, bool reads) {
+    m_world.events.roleChanged = [this](VmIndex at, bool reads) {
         tell(at, reads ? "reads" : "leaves reading to a peer");
     };
-    m_world.events.pulled = [this](Place at, Place from, std::size_t underWay) {
+    m_world.events.pulled = [this](VmIndex at, VmIndex from, std::size_t underWay) {
         note(at, underWay);
         tell(at, "pulls from router " + std::to_string(from));
         if (underWay > 1)
@@ -87,13 +87,13 @@
     };
 }
 
-void Checks::note(Place at, std::uint64_t what)
+void Checks::note(VmIndex at, std::uint64_t what)
 {
     const auto time = static_cast<std::uint64_t>(m_world.elapsed().count());
     m_fingerprint += RandomSource(time * 31 + at * 7 + what).next();
 }
 
-void Checks::tell(Place at, const std::string &what) const
+void Checks::tell(VmIndex at, const std::string &what) const
 {
     if (trace)
         trace(std::to_string(Base::toMilliseconds(m_world.elapsed())) + " ms, router "
@@ -106,7 +106,7 @@
         m_violation = {rule, detail, Base::toMilliseconds(m_world.elapsed())};
 }
 
-void Checks::changed(Place at, const Fleet::Endpoint &endpoint)
+void Checks::changed(VmIndex at, const Fleet::Endpoint &endpoint)
 {
     note(at, SimulatedEndpoints::numberOf(endpoint.id));
     tell(at, endpoint.id.value() + " is " + toText(endpoint));
@@ -124,7 +124,7 @@
     newest = *endpoint.startedAt;
 }
 
-void Checks::removed(Place at, const Fleet::Endpoint &endpoint)
+void Checks::removed(VmIndex at, const Fleet::Endpoint &endpoint)
 {
     const std::size_t number = SimulatedEndpoints::numberOf(endpoint.id);
     note(at, number);
@@ -173,18 +173,18 @@
 
 bool Checks::isInTouch(const SimulatedRouter &router) const
 {
-    const auto calm = m_world.calmSince(router.place());
-    const auto store = m_world.storeCalmSince();
+    const auto calm = m_world.faultFreeSince(router.vm());
+    const auto store = m_world.storeFaultFreeSince();
     return router.isUp() && calm && store && m_world.now() - *calm >= stableTime + noticeTime
         && m_world.now() - *store >= stableTime;
 }
 
 bool Checks::isDue(Base::MonoTime writtenAt, Duration bound, Duration unstableBound) const
 {
-    const Base::MonoTime stableFrom = *m_world.storeCalmSince() + stableTime;
+    const Base::MonoTime stableFrom = *m_world.storeFaultFreeSince() + stableTime;
     if (writtenAt >= stableFrom)
         return m_world.now() - writtenAt > bound;
-    return m_world.now() - std::max(writtenAt, *m_world.storeCalmSince()) > unstableBound;
+    return m_world.now() - std::max(writtenAt, *m_world.storeFaultFreeSince()) > unstableBound;
 }
 
 void Checks::checkRouter(const SimulatedRouter &router, Duration bound, Duration unstableBound)
@@ -200,7 +200,7 @@
         const std::uint64_t revision = readConfiguration(*newest.value).revision;
         if (isDue(newest.writtenAt, bound, unstableBound) && router.configuration() < revision) {
             fail("a configuration is not in force in time",
-                 "router " + std::to_string(router.place()) + " has "
+                 "router " + std::to_string(router.vm()) + " has "
                      + std::to_string(router.configuration()) + " of " + std::to_string(revision));
         }
     }
@@ -219,7 +219,7 @@
         return;
     const bool isReady = known && known->state == Fleet::EndpointState::Ready;
     const bool mayBeReady = expected && expected->state == Fleet::EndpointState::Ready;
-    const std::string detail = id + " at router " + std::to_string(router.place()) + ": knows "
+    const std::string detail = id + " at router " + std::to_string(router.vm()) + ": knows "
         + describe(known) + ", the store has " + describe(expected ? &*expected : nullptr);
     if (isReady && !mayBeReady)
         fail("an endpoint that left is thought ready", detail);
@@ -235,7 +235,7 @@
     std::optional<std::uint64_t> hash;
     for (const auto &router : m_world.routers()) {
         checkRouter(*router, bound, returnBound);
-        const std::string name = "router " + std::to_string(router->place());
+        const std::string name = "router " + std::to_string(router->vm());
         if (router->directory().hash() != hash.value_or(router->directory().hash()))
             fail("routers disagree for good", name);
         hash = router->directory().hash();
--- a/tests/auto/simulation/checks.h
+++ b/tests/auto/simulation/checks.h
@@ -44,11 +44,11 @@
 
     void watchEvents();
     std::uint64_t state() const;
-    void note(Place at, std::uint64_t what);
-    void tell(Place at, const std::string &what) const;
+    void note(VmIndex at, std::uint64_t what);
+    void tell(VmIndex at, const std::string &what) const;
     void fail(const std::string &rule, const std::string &detail);
-    void removed(Place at, const Lagoonbank::Fleet::Endpoint &endpoint);
-    void changed(Place at, const Lagoonbank::Fleet::Endpoint &endpoint);
+    void removed(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint);
+    void changed(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint);
     /// A router in touch knows what was written so long ago.
     void checkRouter(const SimulatedRouter &router, Duration bound, Duration unstableBound);
     bool isDue(Lagoonbank::Base::MonoTime writtenAt, Duration bound, Duration unstableBound) const;
@@ -66,7 +66,7 @@
     std::uint64_t m_fingerprint = 0;
     std::set<std::uint64_t> m_states;
     /// Newest start that a router knew of an endpoint, until that was removed.
-    std::map<std::pair<Place, std::string>, Lagoonbank::Base::WallTime> m_starts;
+    std::map<std::pair<VmIndex, std::string>, Lagoonbank::Base::WallTime> m_starts;
     std::map<std::string, Duration> m_oneAt; ///< Leaders of each data centre, readers of all.
     std::vector<std::uint64_t> m_bytes; ///< Of each place, when the quiet was settled.
     std::vector<std::uint64_t> m_pulls;
--- a/tests/auto/simulation/simulatednetwork.cpp
+++ b/tests/auto/simulation/simulatednetwork.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void SimulatedNetwork::datagram(Place from, Place to, std::function<void()> arrive)
+void SimulatedNetwork::datagram(VmIndex from, VmIndex to, std::function<void()> arrive)
 {
     RandomSource &link = random(from, to);
     const Base::Duration takes = delay(from, to);
@@ -47,7 +47,7 @@
 
 /// A connection needs both directions. A peer that is down but whose VM lives resets it; one that
 /// is frozen takes the connection and does not answer in time.
-void SimulatedNetwork::pull(Place from, Place to, const Answer &answer, Ended ended)
+void SimulatedNetwork::pull(VmIndex from, VmIndex to, const Answer &answer, Ended ended)
 {
     if (isCut(from, to) || isCut(to, from)) {
         giveUp(from, pullTimeout, std::move(ended));
@@ -78,8 +78,8 @@
 }
 
 /// The rest of an answer waits while the link is cut, for as long as the asker waits.
-void SimulatedNetwork::transfer(Place from, Place to, Schema::FleetStateAnswer state, Ended ended,
-                                Base::Duration silence)
+void SimulatedNetwork::transfer(VmIndex from, VmIndex to, Schema::FleetStateAnswer state,
+                                Ended ended, Base::Duration silence)
 {
     if (isCut(to, from) || isCut(from, to)) {
         if (silence >= progressTimeout) {
@@ -94,33 +94,33 @@
     m_options.post(from, [state = std::move(state), ended = std::move(ended)] { ended(&state); });
 }
 
-void SimulatedNetwork::giveUp(Place from, Base::Duration after, Ended ended)
+void SimulatedNetwork::giveUp(VmIndex from, Base::Duration after, Ended ended)
 {
     m_options.world->start(after, [this, from, ended = std::move(ended)] {
         m_options.post(from, [ended] { ended(nullptr); });
     });
 }
 
-bool SimulatedNetwork::isCut(Place from, Place to) const
+bool SimulatedNetwork::isCut(VmIndex from, VmIndex to) const
 {
     const auto found = m_cuts.find({from, to});
     return found != m_cuts.end() && found->second > 0;
 }
 
-RandomSource &SimulatedNetwork::random(Place from, Place to)
+RandomSource &SimulatedNetwork::random(VmIndex from, VmIndex to)
 {
     constexpr std::uint64_t spread = 1009;
     return m_randoms.try_emplace({from, to}, m_options.seed + spread * (spread * from + to))
         .first->second;
 }
 
-Base::Duration SimulatedNetwork::delay(Place from, Place to)
+Base::Duration SimulatedNetwork::delay(VmIndex from, VmIndex to)
 {
     const bool isNear = m_options.isNear(from, to);
     return random(from, to).between(isNear ? nearest : far, isNear ? near : farthest);
 }
 
-Base::Duration SimulatedNetwork::transferTime(Place from, Place to,
+Base::Duration SimulatedNetwork::transferTime(VmIndex from, VmIndex to,
                                               const Schema::FleetStateAnswer &state)
 {
     const std::size_t bytes =
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -39,7 +39,7 @@
     if (m_run)
         return;
     ++m_runNumber;
-    m_options.events->started(m_options.place);
+    m_options.events->started(m_options.vm);
     m_run = std::make_unique<Run>();
     m_run->directory = std::make_unique<Fleet::EndpointDirectory>(
         Fleet::EndpointDirectory::Options{.timers = &m_timers});
@@ -119,13 +119,13 @@
 
 Runtime::SocketAddress SimulatedRouter::address() const
 {
-    return {"10.0.0." + std::to_string(m_options.place + 1), port};
+    return {"10.0.0." + std::to_string(m_options.vm + 1), port};
 }
 
 std::string SimulatedRouter::id() const
 {
     // As long as the users' names.
-    std::string name = "edge-data-centre-r" + std::to_string(m_options.place);
+    std::string name = "edge-data-centre-r" + std::to_string(m_options.vm);
     if (m_replaced > 0)
         name += "-" + std::to_string(m_replaced);
     return name;
@@ -193,11 +193,11 @@
 {
     Run *run = m_run.get();
     run->directory->changed = [this, run](const Fleet::EndpointDirectory::Entry &entry) {
-        m_options.events->changed(m_options.place, entry.endpoint);
+        m_options.events->changed(m_options.vm, entry.endpoint);
         run->sync->endpointChanged(entry, false);
     };
     run->directory->removed = [this, run](const Fleet::EndpointDirectory::Entry &last) {
-        m_options.events->removed(m_options.place, last.endpoint);
+        m_options.events->removed(m_options.vm, last.endpoint);
         run->sync->endpointChanged(last, true);
     };
 }
@@ -214,9 +214,9 @@
         SimulatedRouter *peer = m_options.find(to);
         if (!peer)
             return;
-        m_options.network->datagram(
-            m_options.place, peer->place(),
-            [peer, ip = address().ip, beacon] { peer->m_run->sync->receive(ip, beacon); });
+        m_options.network->datagram(m_options.vm, peer->vm(), [peer, ip = address().ip, beacon] {
+            peer->m_run->sync->receive(ip, beacon);
+        });
     };
     sync.pull = [this](const auto &peer, const auto &request) { pull(peer, request); };
 }
@@ -226,10 +226,9 @@
 {
     ++m_pulls;
     SimulatedRouter *peer = m_options.find(to);
-    m_options.events->pulled(m_options.place, peer->place(), ++m_run->pullsUnderWay);
+    m_options.events->pulled(m_options.vm, peer->vm(), ++m_run->pullsUnderWay);
     m_options.network->pull(
-        m_options.place, peer->place(),
-        [peer, request] { return peer->m_run->sync->answer(request); },
+        m_options.vm, peer->vm(), [peer, request] { return peer->m_run->sync->answer(request); },
         [this, run = m_runNumber](const Schema::FleetStateAnswer *answer) {
             if (run == m_runNumber)
                 pullEnded(answer);
@@ -262,7 +261,7 @@
 
 void SimulatedRouter::setReading(bool reads)
 {
-    m_options.events->roleChanged(m_options.place, reads);
+    m_options.events->roleChanged(m_options.vm, reads);
     if (!reads) {
         m_run->configurationView->stop();
         m_run->endpointView->stop();
@@ -282,7 +281,7 @@
     const std::uint64_t revision = readConfiguration(text).revision;
     if (revision <= m_run->configuration)
         return;
-    m_options.events->configured(m_options.place, m_run->configuration, revision);
+    m_options.events->configured(m_options.vm, m_run->configuration, revision);
     m_run->configuration = revision;
     m_run->configurationOffset = offset;
     m_run->sync->setConfiguration(
--- a/tests/auto/simulation/simulatedrouter.h
+++ b/tests/auto/simulation/simulatedrouter.h
@@ -18,12 +18,12 @@
 /// What is watched of routers, at the moment when it happens.
 struct RouterEvents
 {
-    std::function<void(Place at)> started;
-    std::function<void(Place at, std::uint64_t before, std::uint64_t after)> configured;
-    std::function<void(Place at, const Lagoonbank::Fleet::Endpoint &endpoint)> changed;
-    std::function<void(Place at, const Lagoonbank::Fleet::Endpoint &endpoint)> removed;
-    std::function<void(Place at, Place from, std::size_t underWay)> pulled;
-    std::function<void(Place at, bool reads)> roleChanged;
+    std::function<void(VmIndex at)> started;
+    std::function<void(VmIndex at, std::uint64_t before, std::uint64_t after)> configured;
+    std::function<void(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint)> changed;
+    std::function<void(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint)> removed;
+    std::function<void(VmIndex at, VmIndex from, std::size_t underWay)> pulled;
+    std::function<void(VmIndex at, bool reads)> roleChanged;
 };
 
 /// A VM with a router: the product's FleetSync, views, directory and registry, wired as
@@ -34,7 +34,7 @@
 public:
     struct Options
     {
-        Place place = 0;
+        VmIndex vm = 0;
         std::string dataCentre;
         std::uint32_t strength = 0;
         std::uint64_t seed = 1;
@@ -67,7 +67,7 @@
     bool isFrozen() const { return m_frozen > 0; }
     bool isReading() const { return m_run && m_run->sync->readsStore(); }
     bool isLeader() const { return m_run && m_run->sync->isLeader(); }
-    Place place() const { return m_options.place; }
+    VmIndex vm() const { return m_options.vm; }
     const std::string &dataCentre() const { return m_options.dataCentre; }
     Lagoonbank::Runtime::SocketAddress address() const;
     /// While it is up.
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -25,9 +25,9 @@
     m_network = std::make_unique<SimulatedNetwork>(SimulatedNetwork::Options{
         .world = &m_timers,
         .seed = history.seed,
-        .isNear = [this](Place a,
-                         Place b) { return router(a).dataCentre() == router(b).dataCentre(); },
-        .post = [this](Place at,
+        .isNear = [this](VmIndex a,
+                         VmIndex b) { return router(a).dataCentre() == router(b).dataCentre(); },
+        .post = [this](VmIndex at,
                        std::function<void()> step) { return router(at).post(std::move(step)); }});
     m_endpoints = std::make_unique<SimulatedEndpoints>(
         SimulatedEndpoints::Options{.store = &m_store,
@@ -53,12 +53,12 @@
     RandomSource random(m_history.seed);
     for (std::size_t dc = 0; dc < m_history.dataCentres.size(); ++dc) {
         for (std::size_t i = 0; i < m_history.dataCentres[dc]; ++i) {
-            const Place place = m_routers.size();
+            const VmIndex vm = m_routers.size();
             m_routers.push_back(std::make_unique<SimulatedRouter>(SimulatedRouter::Options{
-                .place = place,
+                .vm = vm,
                 .dataCentre = "dc" + std::to_string(dc),
                 .strength = static_cast<std::uint32_t>(100 * random.below(2)),
-                .seed = m_history.seed * 31 + place,
+                .seed = m_history.seed * 31 + vm,
                 .store = &m_store,
                 .storeTrouble = &m_storeTrouble,
                 .network = m_network.get(),
@@ -71,7 +71,7 @@
                     return found == m_routers.end() ? nullptr : found->get();
                 }}));
             m_timers.start(random.between(Base::Duration::zero(), startSpread),
-                           [this, place] { router(place).start(); });
+                           [this, vm] { router(vm).start(); });
         }
     }
 }
@@ -102,13 +102,13 @@
     return next;
 }
 
-std::optional<Base::MonoTime> World::calmSince(Place place) const
+std::optional<Base::MonoTime> World::faultFreeSince(VmIndex vm) const
 {
-    const Calm &calm = m_calm.at(place);
+    const Calm &calm = m_calm.at(vm);
     return calm.troubles > 0 ? std::nullopt : std::optional(calm.since);
 }
 
-std::optional<Base::MonoTime> World::storeCalmSince() const
+std::optional<Base::MonoTime> World::storeFaultFreeSince() const
 {
     return m_storeCalm.troubles > 0 ? std::nullopt : std::optional(m_storeCalm.since);
 }
@@ -195,13 +195,13 @@
     for (const auto &inside : m_routers) {
         if (inside->dataCentre() != dataCentre)
             continue;
-        const Place in = inside->place();
+        const VmIndex in = inside->vm();
         if (step.value == 1) {
             duringTroubleOf(m_calm.at(in), step,
                             [this, in](int change) { router(in).storeTrouble.silent += change; });
         }
         for (const auto &outside : m_routers) {
-            const Place out = outside->place();
+            const VmIndex out = outside->vm();
             if (outside->dataCentre() == dataCentre)
                 continue;
             during(step, [this, in, out](int change) {
@@ -233,7 +233,7 @@
         return true;
     case StepKind::KillAll:
         for (const auto &one : m_routers) {
-            duringTroubleOf(m_calm.at(one->place()), step, [raw = one.get()](int change) {
+            duringTroubleOf(m_calm.at(one->vm()), step, [raw = one.get()](int change) {
                 if (change > 0)
                     raw->kill();
                 else
--- a/tests/auto/simulation/world.h
+++ b/tests/auto/simulation/world.h
@@ -32,9 +32,9 @@
     const SimulatedStore &store() const { return m_store; }
     /// Since when nothing was done to this VM, its links, or its way to the store; nothing while
     /// something is. A cut between routers is none: each still reaches the store.
-    std::optional<Lagoonbank::Base::MonoTime> calmSince(Place place) const;
+    std::optional<Lagoonbank::Base::MonoTime> faultFreeSince(VmIndex vm) const;
     /// The same of the store.
-    std::optional<Lagoonbank::Base::MonoTime> storeCalmSince() const;
+    std::optional<Lagoonbank::Base::MonoTime> storeFaultFreeSince() const;
 
     RouterEvents events;
 
@@ -57,7 +57,7 @@
     void duringTroubleOf(Calm &calm, const Step &step, const std::function<void(int)> &change);
     bool isStoreAway() const { return m_storeTrouble.refuses + m_storeTrouble.silent > 0; }
     void configure(std::size_t bytes);
-    SimulatedRouter &router(Place place) { return *m_routers.at(place); }
+    SimulatedRouter &router(VmIndex vm) { return *m_routers.at(vm); }
     Lagoonbank::Base::MonoTime nextDue();
 
     History m_history;
