--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -36,8 +36,8 @@
                                     .seed = history.seed,
                                     .count = history.endpoints});
     addRouters();
-    m_calm.resize(m_routers.size(), {.since = m_clock.now()});
-    m_storeCalm.since = m_clock.now();
+    m_vmFaults.resize(m_routers.size(), {.since = m_clock.now()});
+    m_storeFaultState.since = m_clock.now();
     m_store.appended = [this](Topic topic) {
         for (const auto &one : m_routers)
             one->wake(topic);
@@ -104,25 +104,26 @@
 
 std::optional<Base::MonoTime> World::faultFreeSince(VmIndex vm) const
 {
-    const Calm &calm = m_calm.at(vm);
-    return calm.troubles > 0 ? std::nullopt : std::optional(calm.since);
+    const FaultState &calm = m_vmFaults.at(vm);
+    return calm.activeFaults > 0 ? std::nullopt : std::optional(calm.since);
 }
 
 std::optional<Base::MonoTime> World::storeFaultFreeSince() const
 {
-    return m_storeCalm.troubles > 0 ? std::nullopt : std::optional(m_storeCalm.since);
+    return m_storeFaultState.activeFaults > 0 ? std::nullopt
+                                              : std::optional(m_storeFaultState.since);
 }
 
 void World::begin(const Step &step)
 {
-    if (!beginStoreTrouble(step) && !beginLinkTrouble(step) && !beginProcessTrouble(step))
-        happen(step);
+    if (!beginStoreFault(step) && !beginLinkFault(step) && !beginProcessFault(step))
+        applyInstantStep(step);
 }
 
-bool World::beginStoreTrouble(const Step &step)
+bool World::beginStoreFault(const Step &step)
 {
     const auto everybody = [&](int StoreTrouble::*field) {
-        duringTroubleOf(m_storeCalm, step, [this, field](int change) {
+        applyFault(m_storeFaultState, step, [this, field](int change) {
             const bool wasAway = isStoreAway();
             m_storeTrouble.*field += change;
             if (wasAway && !isStoreAway())
@@ -132,7 +133,7 @@
         });
     };
     const auto one = [&](int StoreTrouble::*field) {
-        duringTroubleOf(m_calm.at(step.who), step, [this, step, field](int change) {
+        applyFault(m_vmFaults.at(step.who), step, [this, step, field](int change) {
             router(step.who).storeTrouble.*field += change;
         });
     };
@@ -160,14 +161,15 @@
     }
 }
 
-bool World::beginLinkTrouble(const Step &step)
+bool World::beginLinkFault(const Step &step)
 {
     switch (step.kind) {
     case StepKind::CutOneWay:
-        during(step, [this, step](int change) { m_network->cut(step.who, step.other, change); });
+        applyDuring(step,
+                    [this, step](int change) { m_network->cut(step.who, step.other, change); });
         return true;
     case StepKind::CutBothWays:
-        during(step, [this, step](int change) {
+        applyDuring(step, [this, step](int change) {
             m_network->cut(step.who, step.other, change);
             m_network->cut(step.other, step.who, change);
         });
@@ -176,13 +178,13 @@
         cutDataCentre(step);
         return true;
     case StepKind::Lossy:
-        duringTroubleOf(m_calm.at(step.who), step, [this, step](int change) {
+        applyFault(m_vmFaults.at(step.who), step, [this, step](int change) {
             m_network->lose(step.who, change * static_cast<int>(step.value));
         });
         return true;
     case StepKind::SlowLink:
-        duringTroubleOf(m_calm.at(step.who), step,
-                        [this, step](int change) { m_network->slowDown(step.who, change); });
+        applyFault(m_vmFaults.at(step.who), step,
+                   [this, step](int change) { m_network->slowDown(step.who, change); });
         return true;
     default:
         return false;
@@ -197,14 +199,14 @@
             continue;
         const VmIndex in = inside->vm();
         if (step.value == 1) {
-            duringTroubleOf(m_calm.at(in), step,
-                            [this, in](int change) { router(in).storeTrouble.silent += change; });
+            applyFault(m_vmFaults.at(in), step,
+                       [this, in](int change) { router(in).storeTrouble.silent += change; });
         }
         for (const auto &outside : m_routers) {
             const VmIndex out = outside->vm();
             if (outside->dataCentre() == dataCentre)
                 continue;
-            during(step, [this, in, out](int change) {
+            applyDuring(step, [this, in, out](int change) {
                 m_network->cut(in, out, change);
                 m_network->cut(out, in, change);
             });
@@ -212,16 +214,16 @@
     }
 }
 
-bool World::beginProcessTrouble(const Step &step)
+bool World::beginProcessFault(const Step &step)
 {
     switch (step.kind) {
     case StepKind::Freeze:
-        duringTroubleOf(m_calm.at(step.who), step,
-                        [this, step](int change) { router(step.who).freeze(change); });
+        applyFault(m_vmFaults.at(step.who), step,
+                   [this, step](int change) { router(step.who).freeze(change); });
         return true;
     case StepKind::Kill:
     case StepKind::Replace:
-        duringTroubleOf(m_calm.at(step.who), step, [this, step](int change) {
+        applyFault(m_vmFaults.at(step.who), step, [this, step](int change) {
             SimulatedRouter &one = router(step.who);
             if (change > 0)
                 one.kill();
@@ -233,7 +235,7 @@
         return true;
     case StepKind::KillAll:
         for (const auto &one : m_routers) {
-            duringTroubleOf(m_calm.at(one->vm()), step, [raw = one.get()](int change) {
+            applyFault(m_vmFaults.at(one->vm()), step, [raw = one.get()](int change) {
                 if (change > 0)
                     raw->kill();
                 else
@@ -246,7 +248,7 @@
     }
 }
 
-void World::happen(const Step &step)
+void World::applyInstantStep(const Step &step)
 {
     switch (step.kind) {
     case StepKind::StoreForgets:
@@ -277,16 +279,16 @@
     }
 }
 
-void World::during(const Step &step, const std::function<void(int change)> &change)
+void World::applyDuring(const Step &step, const std::function<void(int change)> &change)
 {
     change(1);
     m_timers.start(milliseconds(step.lastsMs), [change] { change(-1); });
 }
 
-void World::duringTroubleOf(Calm &calm, const Step &step, const std::function<void(int)> &change)
+void World::applyFault(FaultState &calm, const Step &step, const std::function<void(int)> &change)
 {
-    during(step, [this, &calm, change](int by) {
-        calm.troubles += by;
+    applyDuring(step, [this, &calm, change](int by) {
+        calm.activeFaults += by;
         calm.since = m_clock.now();
         change(by);
     });
--- a/tests/auto/simulation/world.h
+++ b/tests/auto/simulation/world.h
@@ -39,22 +39,22 @@
     RouterEvents events;
 
 private:
-    struct Calm
+    struct FaultState
     {
-        int troubles = 0;
+        int activeFaults = 0;
         Lagoonbank::Base::MonoTime since{};
     };
 
     void addRouters();
     void begin(const Step &step);
-    bool beginStoreTrouble(const Step &step);
-    bool beginLinkTrouble(const Step &step);
-    bool beginProcessTrouble(const Step &step);
-    void happen(const Step &step);
+    bool beginStoreFault(const Step &step);
+    bool beginLinkFault(const Step &step);
+    bool beginProcessFault(const Step &step);
+    void applyInstantStep(const Step &step);
     void cutDataCentre(const Step &step);
     /// Does \a change with 1 now, and with -1 when the step ends.
-    void during(const Step &step, const std::function<void(int change)> &change);
-    void duringTroubleOf(Calm &calm, const Step &step, const std::function<void(int)> &change);
+    void applyDuring(const Step &step, const std::function<void(int change)> &change);
+    void applyFault(FaultState &calm, const Step &step, const std::function<void(int)> &change);
     bool isStoreAway() const { return m_storeTrouble.refuses + m_storeTrouble.silent > 0; }
     void configure(std::size_t bytes);
     SimulatedRouter &router(VmIndex vm) { return *m_routers.at(vm); }
@@ -69,8 +69,8 @@
     std::unique_ptr<SimulatedNetwork> m_network;
     std::unique_ptr<SimulatedEndpoints> m_endpoints;
     std::vector<std::unique_ptr<SimulatedRouter>> m_routers;
-    std::vector<Calm> m_calm; ///< Of each place.
-    Calm m_storeCalm;
+    std::vector<FaultState> m_vmFaults; ///< Of each place.
+    FaultState m_storeFaultState;
     std::uint64_t m_revision = 0;
 };
 
