--- a/tests/auto/simulation/simulatedendpoints.cpp
+++ b/tests/auto/simulation/simulatedendpoints.cpp
@@ -174,7 +174,7 @@
 
 bool SimulatedEndpoints::isStoreThere() const
 {
-    return m_options.storeTrouble->refuses + m_options.storeTrouble->silent == 0;
+    return m_options.storeFaults->refuses + m_options.storeFaults->silent == 0;
 }
 
 void SimulatedEndpoints::beat(std::size_t number, Base::Duration delay)
--- a/tests/auto/simulation/simulatedendpoints.h
+++ b/tests/auto/simulation/simulatedendpoints.h
@@ -22,7 +22,7 @@
     struct Options
     {
         SimulatedStore *store = nullptr;
-        const StoreTrouble *storeTrouble = nullptr;
+        const StoreFaults *storeFaults = nullptr;
         Lagoonbank::Runtime::TimerQueue *world = nullptr;
         std::uint64_t seed = 1;
         std::size_t count = 1;
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -135,8 +135,8 @@
 {
     m_run->link = std::make_unique<StoreLink>(
         StoreLink::Options{.store = m_options.store,
-                           .everybody = m_options.storeTrouble,
-                           .own = &storeTrouble,
+                           .sharedFaults = m_options.storeFaults,
+                           .routerFaults = &storeFaults,
                            .world = m_options.world,
                            .timers = &m_timers,
                            .post = [this](std::function<void()> step) { post(std::move(step)); },
--- a/tests/auto/simulation/simulatedrouter.h
+++ b/tests/auto/simulation/simulatedrouter.h
@@ -39,7 +39,7 @@
         std::uint32_t strength = 0;
         std::uint64_t seed = 1;
         SimulatedStore *store = nullptr;
-        const StoreTrouble *storeTrouble = nullptr;
+        const StoreFaults *storeFaults = nullptr;
         SimulatedNetwork *network = nullptr;
         Lagoonbank::Runtime::TimerQueue *world = nullptr;
         const RouterEvents *events = nullptr;
@@ -77,7 +77,7 @@
     std::uint64_t sentBytes() const { return m_sentBytes; }
     std::uint64_t pulls() const { return m_pulls; }
 
-    StoreTrouble storeTrouble; ///< For this router alone.
+    StoreFaults storeFaults; ///< For this router alone.
 
 private:
     /// What ends with the process. Members are destroyed from the last to the first.
--- a/tests/auto/simulation/storelink.cpp
+++ b/tests/auto/simulation/storelink.cpp
@@ -129,10 +129,11 @@
 
 void StoreLink::reply(std::uint64_t id, Answer answer)
 {
-    const bool isLossy = m_options.everybody->losesAnswers + m_options.own->losesAnswers > 0;
+    const bool isLossy =
+        m_options.sharedFaults->losesAnswers + m_options.routerFaults->losesAnswers > 0;
     if (isLossy && m_random.chance(lostPercent))
         return;
-    const bool isSlow = m_options.everybody->slow + m_options.own->slow > 0;
+    const bool isSlow = m_options.sharedFaults->slow + m_options.routerFaults->slow > 0;
     const Base::Duration delay = m_random.between(nearest, isSlow ? slowest : farthest);
     after(delay, [this, id, answer = std::move(answer)] {
         if (!isSilent())
--- a/tests/auto/simulation/storelink.h
+++ b/tests/auto/simulation/storelink.h
@@ -10,7 +10,7 @@
 namespace Simulation {
 
 /// What is wrong on the way of calls to the store. Counts, since faults may overlap.
-struct StoreTrouble
+struct StoreFaults
 {
     int refuses = 0; ///< Calls are answered that nothing was done.
     int silent = 0; ///< Calls get no answer and do nothing.
@@ -27,8 +27,8 @@
     struct Options
     {
         SimulatedStore *store = nullptr;
-        const StoreTrouble *everybody = nullptr; ///< Trouble of the store.
-        const StoreTrouble *own = nullptr; ///< Trouble for this router alone.
+        const StoreFaults *sharedFaults = nullptr; ///< Trouble of the store.
+        const StoreFaults *routerFaults = nullptr; ///< Trouble for this router alone.
         Lagoonbank::Runtime::TimerQueue *world = nullptr;
         Lagoonbank::Runtime::TimerQueue *timers = nullptr; ///< The router's.
         /// Runs something in the router, now or when it is thawed.
@@ -68,8 +68,14 @@
     void reply(std::uint64_t id, Answer answer);
     void finish(std::uint64_t id, bool isAnswered, const Answer &answer);
     void after(Lagoonbank::Base::Duration delay, std::function<void()> step);
-    bool isRefused() const { return m_options.everybody->refuses + m_options.own->refuses > 0; }
-    bool isSilent() const { return m_options.everybody->silent + m_options.own->silent > 0; }
+    bool isRefused() const
+    {
+        return m_options.sharedFaults->refuses + m_options.routerFaults->refuses > 0;
+    }
+    bool isSilent() const
+    {
+        return m_options.sharedFaults->silent + m_options.routerFaults->silent > 0;
+    }
 
     Options m_options;
     RandomSource m_random;
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -31,7 +31,7 @@
                        std::function<void()> step) { return router(at).post(std::move(step)); }});
     m_endpoints = std::make_unique<SimulatedEndpoints>(
         SimulatedEndpoints::Options{.store = &m_store,
-                                    .storeTrouble = &m_storeTrouble,
+                                    .storeFaults = &m_storeFaults,
                                     .world = &m_timers,
                                     .seed = history.seed,
                                     .count = history.endpoints});
@@ -60,7 +60,7 @@
                 .strength = static_cast<std::uint32_t>(100 * random.below(2)),
                 .seed = m_history.seed * 31 + vm,
                 .store = &m_store,
-                .storeTrouble = &m_storeTrouble,
+                .storeFaults = &m_storeFaults,
                 .network = m_network.get(),
                 .world = &m_timers,
                 .events = &events,
@@ -122,39 +122,39 @@
 
 bool World::beginStoreFault(const Step &step)
 {
-    const auto everybody = [&](int StoreTrouble::*field) {
+    const auto sharedFaults = [&](int StoreFaults::*field) {
         applyFault(m_storeFaultState, step, [this, field](int change) {
             const bool wasAway = isStoreAway();
-            m_storeTrouble.*field += change;
+            m_storeFaults.*field += change;
             if (wasAway && !isStoreAway())
                 m_endpoints->storeReturned();
             else if (!wasAway && isStoreAway())
                 m_endpoints->storeLeft();
         });
     };
-    const auto one = [&](int StoreTrouble::*field) {
+    const auto one = [&](int StoreFaults::*field) {
         applyFault(m_vmFaults.at(step.who), step, [this, step, field](int change) {
-            router(step.who).storeTrouble.*field += change;
+            router(step.who).storeFaults.*field += change;
         });
     };
     switch (step.kind) {
     case StepKind::StoreRefuses:
-        everybody(&StoreTrouble::refuses);
+        sharedFaults(&StoreFaults::refuses);
         return true;
     case StepKind::StoreSilent:
-        everybody(&StoreTrouble::silent);
+        sharedFaults(&StoreFaults::silent);
         return true;
     case StepKind::StoreLosesAnswers:
-        everybody(&StoreTrouble::losesAnswers);
+        sharedFaults(&StoreFaults::losesAnswers);
         return true;
     case StepKind::StoreSlow:
-        everybody(&StoreTrouble::slow);
+        sharedFaults(&StoreFaults::slow);
         return true;
     case StepKind::StoreRefusesOne:
-        one(&StoreTrouble::refuses);
+        one(&StoreFaults::refuses);
         return true;
     case StepKind::StoreSilentForOne:
-        one(&StoreTrouble::silent);
+        one(&StoreFaults::silent);
         return true;
     default:
         return false;
@@ -200,7 +200,7 @@
         const VmIndex in = inside->vm();
         if (step.value == 1) {
             applyFault(m_vmFaults.at(in), step,
-                       [this, in](int change) { router(in).storeTrouble.silent += change; });
+                       [this, in](int change) { router(in).storeFaults.silent += change; });
         }
         for (const auto &outside : m_routers) {
             const VmIndex out = outside->vm();
--- a/tests/auto/simulation/world.h
+++ b/tests/auto/simulation/world.h
@@ -55,7 +55,7 @@
     /// Does \a change with 1 now, and with -1 when the step ends.
     void applyDuring(const Step &step, const std::function<void(int change)> &change);
     void applyFault(FaultState &calm, const Step &step, const std::function<void(int)> &change);
-    bool isStoreAway() const { return m_storeTrouble.refuses + m_storeTrouble.silent > 0; }
+    bool isStoreAway() const { return m_storeFaults.refuses + m_storeFaults.silent > 0; }
     void configure(std::size_t bytes);
     SimulatedRouter &router(VmIndex vm) { return *m_routers.at(vm); }
     Lagoonbank::Base::MonoTime nextDue();
@@ -65,7 +65,7 @@
     Lagoonbank::Base::MonoTime m_startedAt = m_clock.now();
     Lagoonbank::Runtime::TimerQueue m_timers{m_clock};
     SimulatedStore m_store{m_clock};
-    StoreTrouble m_storeTrouble;
+    StoreFaults m_storeFaults;
     std::unique_ptr<SimulatedNetwork> m_network;
     std::unique_ptr<SimulatedEndpoints> m_endpoints;
     std::vector<std::unique_ptr<SimulatedRouter>> m_routers;
