--- a/tests/auto/simulation/history.cpp
+++ b/tests/auto/simulation/history.cpp
@@ -66,19 +66,19 @@
 {
     Step step{.kind = static_cast<StepKind>(random.below(stepKindCount)),
               .atMs = static_cast<std::int64_t>(random.below(lastStepMs)),
-              .lastsMs = 100 + static_cast<std::int64_t>(random.below(longestFaultMs))};
+              .durationMs = 100 + static_cast<std::int64_t>(random.below(longestFaultMs))};
     const bool isEndpoints = step.kind >= StepKind::Drain && step.kind <= StepKind::LateWrite;
-    step.who = random.below(isEndpoints ? history.endpoints : routers);
+    step.target = random.below(isEndpoints ? history.endpoints : routers);
     step.other = isEndpoints ? random.below(2) : random.below(routers);
     step.value = valueOf(step.kind, random);
     if (isEndpoints || step.kind == StepKind::Configure || step.kind == StepKind::StoreForgets)
-        step.lastsMs = 0;
+        step.durationMs = 0;
     return step;
 }
 
 } // namespace
 
-History historyOf(std::uint64_t seed)
+History historyFromSeed(std::uint64_t seed)
 {
     RandomSource random(seed);
     History history{.seed = seed, .dataCentres = {}};
@@ -101,7 +101,7 @@
 {
     std::int64_t end = 0;
     for (const Step &step : history.steps)
-        end = std::max(end, step.atMs + step.lastsMs);
+        end = std::max(end, step.atMs + step.durationMs);
     return end;
 }
 
@@ -115,10 +115,10 @@
     for (const Step &step : history.steps) {
         text << "\n    {.kind = StepKind::" << kindNames.at(static_cast<std::size_t>(step.kind))
              << ", .atMs = " << step.atMs;
-        if (step.lastsMs != 0)
-            text << ", .lastsMs = " << step.lastsMs;
-        if (step.who != 0)
-            text << ", .who = " << step.who;
+        if (step.durationMs != 0)
+            text << ", .lastsMs = " << step.durationMs;
+        if (step.target != 0)
+            text << ", .who = " << step.target;
         if (step.other != 0)
             text << ", .other = " << step.other;
         if (step.value != 0)
--- a/tests/auto/simulation/history.h
+++ b/tests/auto/simulation/history.h
@@ -41,8 +41,8 @@
 {
     StepKind kind = StepKind::Configure;
     std::int64_t atMs = 0; ///< From the start of the history.
-    std::int64_t lastsMs = 0;
-    std::size_t who = 0;
+    std::int64_t durationMs = 0;
+    std::size_t target = 0;
     std::size_t other = 0;
     std::size_t value = 0;
 
@@ -58,7 +58,7 @@
     std::vector<Step> steps;
 };
 
-History historyOf(std::uint64_t seed);
+History historyFromSeed(std::uint64_t seed);
 std::int64_t endOfStepsMs(const History &history);
 /// As an initialiser that can be pasted into a test.
 std::string toText(const History &history);
--- a/tests/auto/simulation/play.cpp
+++ b/tests/auto/simulation/play.cpp
@@ -30,8 +30,8 @@
 {
     const std::size_t routers = routerCount(history);
     for (const Step &step : history.steps) {
-        if (isEndpointStep(step) ? step.who >= history.endpoints
-                                 : step.who >= routers || step.other >= routers)
+        if (isEndpointStep(step) ? step.target >= history.endpoints
+                                 : step.target >= routers || step.other >= routers)
             return false;
     }
     return routers > 0 && history.endpoints > 0;
@@ -99,10 +99,11 @@
     {
         bool isShorter = false;
         for (std::size_t i = 0; i < m_history.steps.size(); ++i) {
-            const std::int64_t lasts = m_history.steps[i].lastsMs / 2 / roundMs * roundMs;
+            const std::int64_t lasts = m_history.steps[i].durationMs / 2 / roundMs * roundMs;
             if (lasts == 0)
                 continue;
-            isShorter = attempt([i, lasts](History &history) { history.steps[i].lastsMs = lasts; })
+            isShorter =
+                attempt([i, lasts](History &history) { history.steps[i].durationMs = lasts; })
                 || isShorter;
         }
         return isShorter;
--- a/tests/auto/simulation/tst_simulatedhistories.cpp
+++ b/tests/auto/simulation/tst_simulatedhistories.cpp
@@ -27,8 +27,8 @@
                 .dataCentres = {3},
                 .endpoints = 1,
                 .steps = {
-                    {.kind = StepKind::StoreRefuses, .atMs = 6413, .lastsMs = 554},
-                    {.kind = StepKind::StoreRefuses, .atMs = 10873, .lastsMs = 4862},
+                    {.kind = StepKind::StoreRefuses, .atMs = 6413, .durationMs = 554},
+                    {.kind = StepKind::StoreRefuses, .atMs = 10873, .durationMs = 4862},
                 }});
 }
 
@@ -40,8 +40,8 @@
                 .dataCentres = {3, 3, 3},
                 .endpoints = 1,
                 .steps = {
-                    {.kind = StepKind::Freeze, .atMs = 894, .lastsMs = 5865, .who = 5},
-                    {.kind = StepKind::StoreRefuses, .atMs = 4335, .lastsMs = 4582},
+                    {.kind = StepKind::Freeze, .atMs = 894, .durationMs = 5865, .target = 5},
+                    {.kind = StepKind::StoreRefuses, .atMs = 4335, .durationMs = 4582},
                 }});
 }
 
@@ -52,9 +52,9 @@
                 .dataCentres = {2},
                 .endpoints = 2,
                 .steps = {
-                    {.kind = StepKind::Freeze, .atMs = 5929, .lastsMs = 6949},
-                    {.kind = StepKind::StoreRefuses, .atMs = 6349, .lastsMs = 4410},
-                    {.kind = StepKind::StoreRefuses, .atMs = 10709, .lastsMs = 400},
+                    {.kind = StepKind::Freeze, .atMs = 5929, .durationMs = 6949},
+                    {.kind = StepKind::StoreRefuses, .atMs = 6349, .durationMs = 4410},
+                    {.kind = StepKind::StoreRefuses, .atMs = 10709, .durationMs = 400},
                 }});
 }
 
@@ -65,7 +65,7 @@
                 .dataCentres = {2, 1, 1},
                 .endpoints = 3,
                 .steps = {
-                    {.kind = StepKind::StoreRefuses, .atMs = 8629, .lastsMs = 2486},
+                    {.kind = StepKind::StoreRefuses, .atMs = 8629, .durationMs = 2486},
                 }});
 }
 
@@ -76,8 +76,8 @@
                 .dataCentres = {2},
                 .endpoints = 1,
                 .steps = {
-                    {.kind = StepKind::StoreRefuses, .atMs = 6523, .lastsMs = 5081},
-                    {.kind = StepKind::StoreSilent, .atMs = 12074, .lastsMs = 1800},
+                    {.kind = StepKind::StoreRefuses, .atMs = 6523, .durationMs = 5081},
+                    {.kind = StepKind::StoreSilent, .atMs = 12074, .durationMs = 1800},
                 }});
 }
 
@@ -88,11 +88,11 @@
                 .dataCentres = {2, 2},
                 .endpoints = 4,
                 .steps = {
-                    {.kind = StepKind::StoreRefuses, .atMs = 196, .lastsMs = 100},
-                    {.kind = StepKind::StoreRefuses, .atMs = 1734, .lastsMs = 100},
-                    {.kind = StepKind::StoreLosesAnswers, .atMs = 5044, .lastsMs = 1500},
-                    {.kind = StepKind::StoreRefuses, .atMs = 6891, .lastsMs = 4489},
-                    {.kind = StepKind::StoreRefuses, .atMs = 12574, .lastsMs = 1882},
+                    {.kind = StepKind::StoreRefuses, .atMs = 196, .durationMs = 100},
+                    {.kind = StepKind::StoreRefuses, .atMs = 1734, .durationMs = 100},
+                    {.kind = StepKind::StoreLosesAnswers, .atMs = 5044, .durationMs = 1500},
+                    {.kind = StepKind::StoreRefuses, .atMs = 6891, .durationMs = 4489},
+                    {.kind = StepKind::StoreRefuses, .atMs = 12574, .durationMs = 1882},
                 }});
 }
 
@@ -104,9 +104,9 @@
                 .dataCentres = {3, 2},
                 .endpoints = 1,
                 .steps = {
-                    {.kind = StepKind::StoreSilent, .atMs = 7039, .lastsMs = 645},
-                    {.kind = StepKind::StoreSilent, .atMs = 11445, .lastsMs = 1553},
-                    {.kind = StepKind::StoreRefuses, .atMs = 13176, .lastsMs = 900},
+                    {.kind = StepKind::StoreSilent, .atMs = 7039, .durationMs = 645},
+                    {.kind = StepKind::StoreSilent, .atMs = 11445, .durationMs = 1553},
+                    {.kind = StepKind::StoreRefuses, .atMs = 13176, .durationMs = 900},
                 }});
 }
 
@@ -120,8 +120,8 @@
                 .steps = {
                     {.kind = StepKind::StoreForgets, .atMs = 693},
                     {.kind = StepKind::Configure, .atMs = 3346, .value = 10300},
-                    {.kind = StepKind::StoreSlow, .atMs = 10437, .lastsMs = 1900},
-                    {.kind = StepKind::StoreSilent, .atMs = 12411, .lastsMs = 6922},
+                    {.kind = StepKind::StoreSlow, .atMs = 10437, .durationMs = 1900},
+                    {.kind = StepKind::StoreSilent, .atMs = 12411, .durationMs = 6922},
                 }});
 }
 
@@ -133,7 +133,7 @@
                 .endpoints = 1,
                 .steps = {
                     {.kind = StepKind::Leave, .atMs = 3922},
-                    {.kind = StepKind::Replace, .atMs = 4129, .lastsMs = 100, .who = 3},
+                    {.kind = StepKind::Replace, .atMs = 4129, .durationMs = 100, .target = 3},
                 }});
 }
 
@@ -144,8 +144,8 @@
                 .dataCentres = {2},
                 .endpoints = 4,
                 .steps = {
-                    {.kind = StepKind::Replace, .atMs = 11108, .lastsMs = 100, .who = 1},
-                    {.kind = StepKind::Leave, .atMs = 11364, .who = 3},
+                    {.kind = StepKind::Replace, .atMs = 11108, .durationMs = 100, .target = 1},
+                    {.kind = StepKind::Leave, .atMs = 11364, .target = 3},
                 }});
 }
 
@@ -156,8 +156,8 @@
                 .dataCentres = {3, 1, 1},
                 .endpoints = 1,
                 .steps = {
-                    {.kind = StepKind::Kill, .atMs = 5498, .lastsMs = 5991, .who = 1},
-                    {.kind = StepKind::StoreLosesAnswers, .atMs = 9495, .lastsMs = 3419},
+                    {.kind = StepKind::Kill, .atMs = 5498, .durationMs = 5991, .target = 1},
+                    {.kind = StepKind::StoreLosesAnswers, .atMs = 9495, .durationMs = 3419},
                     {.kind = StepKind::Leave, .atMs = 11352},
                 }});
 }
@@ -169,35 +169,39 @@
                 .dataCentres = {2},
                 .endpoints = 3,
                 .steps = {
-                    {.kind = StepKind::Drain, .atMs = 4171, .who = 2},
-                    {.kind = StepKind::StoreSilentForOne, .atMs = 7164, .lastsMs = 1642},
+                    {.kind = StepKind::Drain, .atMs = 4171, .target = 2},
+                    {.kind = StepKind::StoreSilentForOne, .atMs = 7164, .durationMs = 1642},
                 }});
 }
 
 /// A deputy that the store turned away said that it read until 1.6 s had passed without an answer.
 BOOST_AUTO_TEST_CASE(aReaderIsCountedOnOnlyOnceItHasRead)
 {
-    checkGreen({.seed = 3642,
-                .dataCentres = {3},
-                .endpoints = 2,
-                .steps = {
-                    {.kind = StepKind::StoreSilentForOne, .atMs = 524, .lastsMs = 5141, .who = 1},
-                    {.kind = StepKind::StoreSilentForOne, .atMs = 3016, .lastsMs = 2800},
-                    {.kind = StepKind::Leave, .atMs = 4843, .who = 1},
-                }});
+    checkGreen(
+        {.seed = 3642,
+         .dataCentres = {3},
+         .endpoints = 2,
+         .steps = {
+             {.kind = StepKind::StoreSilentForOne, .atMs = 524, .durationMs = 5141, .target = 1},
+             {.kind = StepKind::StoreSilentForOne, .atMs = 3016, .durationMs = 2800},
+             {.kind = StepKind::Leave, .atMs = 4843, .target = 1},
+         }});
 }
 
 /// A router hears that its reader has news and cannot ask for them.
 BOOST_AUTO_TEST_CASE(aLinkThatIsCutOneWayKeepsNobodyBehind)
 {
-    checkGreen(
-        {.seed = 3527,
-         .dataCentres = {1, 3},
-         .endpoints = 1,
-         .steps = {
-             {.kind = StepKind::CutOneWay, .atMs = 4797, .lastsMs = 6414, .who = 2, .other = 1},
-             {.kind = StepKind::Configure, .atMs = 6360, .value = 39963},
-         }});
+    checkGreen({.seed = 3527,
+                .dataCentres = {1, 3},
+                .endpoints = 1,
+                .steps = {
+                    {.kind = StepKind::CutOneWay,
+                     .atMs = 4797,
+                     .durationMs = 6414,
+                     .target = 2,
+                     .other = 1},
+                    {.kind = StepKind::Configure, .atMs = 6360, .value = 39963},
+                }});
 }
 
 /// The start whose clock was set back was never believed.
@@ -218,7 +222,7 @@
                 .dataCentres = {2},
                 .endpoints = 2,
                 .steps = {
-                    {.kind = StepKind::StartAgain, .atMs = 12652, .who = 1, .value = 2},
+                    {.kind = StepKind::StartAgain, .atMs = 12652, .target = 1, .value = 2},
                 }});
 }
 
@@ -226,16 +230,17 @@
 /// next.
 BOOST_AUTO_TEST_CASE(anEntryThatIsWrittenRightAfterAListingIsKnown)
 {
-    checkGreen({.seed = 46172,
-                .dataCentres = {3, 2},
-                .endpoints = 1,
-                .steps = {
-                    {.kind = StepKind::Lossy, .atMs = 3450, .lastsMs = 3100, .who = 3, .value = 50},
-                    {.kind = StepKind::Lossy, .atMs = 3503, .lastsMs = 3200, .who = 3, .value = 18},
-                    {.kind = StepKind::Drain, .atMs = 3742},
-                    {.kind = StepKind::Leave, .atMs = 5327},
-                    {.kind = StepKind::StartAgain, .atMs = 6621, .other = 1},
-                }});
+    checkGreen(
+        {.seed = 46172,
+         .dataCentres = {3, 2},
+         .endpoints = 1,
+         .steps = {
+             {.kind = StepKind::Lossy, .atMs = 3450, .durationMs = 3100, .target = 3, .value = 50},
+             {.kind = StepKind::Lossy, .atMs = 3503, .durationMs = 3200, .target = 3, .value = 18},
+             {.kind = StepKind::Drain, .atMs = 3742},
+             {.kind = StepKind::Leave, .atMs = 5327},
+             {.kind = StepKind::StartAgain, .atMs = 6621, .other = 1},
+         }});
 }
 
 /// A router that had not reached the store itself yet left it to one that had just started.
@@ -248,11 +253,11 @@
                     {.kind = StepKind::Crash, .atMs = 4821},
                     {.kind = StepKind::CutDataCentre,
                      .atMs = 5165,
-                     .lastsMs = 6903,
-                     .who = 3,
+                     .durationMs = 6903,
+                     .target = 3,
                      .other = 1,
                      .value = 1},
-                    {.kind = StepKind::Replace, .atMs = 9231, .lastsMs = 2973, .who = 2},
+                    {.kind = StepKind::Replace, .atMs = 9231, .durationMs = 2973, .target = 2},
                 }});
 }
 
@@ -260,28 +265,32 @@
 /// peers that endpoints had gone which had long been back.
 BOOST_AUTO_TEST_CASE(whatHasComeAndGoneInAGapIsNotTold)
 {
-    checkGreen({.seed = 21043,
-                .dataCentres = {3, 3, 1},
-                .endpoints = 4,
-                .steps = {
-                    {.kind = StepKind::Replace, .atMs = 440, .lastsMs = 2500, .who = 1},
-                    {.kind = StepKind::StoreSilent, .atMs = 8117, .lastsMs = 4200},
-                    {.kind = StepKind::StoreRefusesOne, .atMs = 10522, .lastsMs = 7007, .who = 3},
-                }});
+    checkGreen(
+        {.seed = 21043,
+         .dataCentres = {3, 3, 1},
+         .endpoints = 4,
+         .steps = {
+             {.kind = StepKind::Replace, .atMs = 440, .durationMs = 2500, .target = 1},
+             {.kind = StepKind::StoreSilent, .atMs = 8117, .durationMs = 4200},
+             {.kind = StepKind::StoreRefusesOne, .atMs = 10522, .durationMs = 7007, .target = 3},
+         }});
 }
 
 /// A reader that is told only the newest of an endpoint's records does not hear that it leaves
 /// before it is gone, and waits for it to come back.
 BOOST_AUTO_TEST_CASE(thatAnEndpointLeavesIsToldAlsoWhereItHasGone)
 {
-    checkGreen(
-        {.seed = 201705,
-         .dataCentres = {3, 1},
-         .endpoints = 4,
-         .steps = {
-             {.kind = StepKind::StoreRefuses, .atMs = 6630, .lastsMs = 5196, .who = 1, .other = 3},
-             {.kind = StepKind::Drain, .atMs = 11482, .who = 2, .other = 1},
-         }});
+    checkGreen({.seed = 201705,
+                .dataCentres = {3, 1},
+                .endpoints = 4,
+                .steps = {
+                    {.kind = StepKind::StoreRefuses,
+                     .atMs = 6630,
+                     .durationMs = 5196,
+                     .target = 1,
+                     .other = 3},
+                    {.kind = StepKind::Drain, .atMs = 11482, .target = 2, .other = 1},
+                }});
 }
 
 /// A reader on a link of 0.5 Mbit/s sends a configuration for 1.4 s, and the next one after it,
@@ -292,7 +301,7 @@
                 .dataCentres = {3, 2},
                 .endpoints = 1,
                 .steps = {
-                    {.kind = StepKind::SlowLink, .atMs = 1763, .lastsMs = 6413},
+                    {.kind = StepKind::SlowLink, .atMs = 1763, .durationMs = 6413},
                     {.kind = StepKind::Configure, .atMs = 3425, .value = 90557},
                     {.kind = StepKind::Configure, .atMs = 3878, .value = 57788},
                 }});
@@ -305,9 +314,9 @@
                 .dataCentres = {2, 1},
                 .endpoints = 2,
                 .steps = {
-                    {.kind = StepKind::Leave, .atMs = 4000, .who = 1},
-                    {.kind = StepKind::CutOneWay, .atMs = 4050, .lastsMs = 4500, .who = 1},
-                    {.kind = StepKind::Kill, .atMs = 4100, .lastsMs = 300},
+                    {.kind = StepKind::Leave, .atMs = 4000, .target = 1},
+                    {.kind = StepKind::CutOneWay, .atMs = 4050, .durationMs = 4500, .target = 1},
+                    {.kind = StepKind::Kill, .atMs = 4100, .durationMs = 300},
                 }});
 }
 
@@ -320,9 +329,9 @@
          .dataCentres = {2},
          .endpoints = 1,
          .steps = {
-             {.kind = StepKind::Lossy, .atMs = 2115, .lastsMs = 1300, .other = 1, .value = 69},
+             {.kind = StepKind::Lossy, .atMs = 2115, .durationMs = 1300, .other = 1, .value = 69},
              {.kind = StepKind::Leave, .atMs = 4197},
-             {.kind = StepKind::Replace, .atMs = 4471, .lastsMs = 300},
+             {.kind = StepKind::Replace, .atMs = 4471, .durationMs = 300},
          }});
 }
 
@@ -330,14 +339,15 @@
 /// leaders that had missed nothing left the reading to it.
 BOOST_AUTO_TEST_CASE(whoeverHasMissedNothingGoesBeforeAReaderThatWaits)
 {
-    checkGreen({.seed = 791,
-                .dataCentres = {3, 3},
-                .endpoints = 3,
-                .steps = {
-                    {.kind = StepKind::Replace, .atMs = 959, .lastsMs = 300, .who = 1},
-                    {.kind = StepKind::Crash, .atMs = 2748, .who = 1, .other = 1},
-                    {.kind = StepKind::Freeze, .atMs = 3072, .lastsMs = 2647, .who = 1, .other = 5},
-                }});
+    checkGreen(
+        {.seed = 791,
+         .dataCentres = {3, 3},
+         .endpoints = 3,
+         .steps = {
+             {.kind = StepKind::Replace, .atMs = 959, .durationMs = 300, .target = 1},
+             {.kind = StepKind::Crash, .atMs = 2748, .target = 1, .other = 1},
+             {.kind = StepKind::Freeze, .atMs = 3072, .durationMs = 2647, .target = 1, .other = 5},
+         }});
 }
 
 /// The same after two faults, with a store that does not answer the reader alone.
@@ -347,21 +357,22 @@
                 .dataCentres = {2, 1},
                 .endpoints = 2,
                 .steps = {
-                    {.kind = StepKind::Freeze, .atMs = 4000, .lastsMs = 4500},
+                    {.kind = StepKind::Freeze, .atMs = 4000, .durationMs = 4500},
                     {.kind = StepKind::Crash, .atMs = 5700},
-                    {.kind = StepKind::StoreSilentForOne, .atMs = 7400, .lastsMs = 1300},
+                    {.kind = StepKind::StoreSilentForOne, .atMs = 7400, .durationMs = 1300},
                 }});
 }
 
 /// Each router on the way from the reader doubted the start for itself.
 BOOST_AUTO_TEST_CASE(aStartWhoseClockWasSetBackIsBelievedAcrossDataCentres)
 {
-    checkGreen({.seed = 320,
-                .dataCentres = {2, 1},
-                .endpoints = 2,
-                .steps = {
-                    {.kind = StepKind::StartAgain, .atMs = 9109, .who = 1, .other = 1, .value = 2},
-                }});
+    checkGreen(
+        {.seed = 320,
+         .dataCentres = {2, 1},
+         .endpoints = 2,
+         .steps = {
+             {.kind = StepKind::StartAgain, .atMs = 9109, .target = 1, .other = 1, .value = 2},
+         }});
 }
 
 /// A leader on a slow link pulled from the reader, and its data centre then pulled from it.
@@ -372,8 +383,12 @@
          .dataCentres = {2, 2},
          .endpoints = 1,
          .steps = {
-             {.kind = StepKind::SlowLink, .atMs = 4577, .lastsMs = 2267, .who = 2, .other = 3},
-             {.kind = StepKind::Configure, .atMs = 5243, .who = 3, .other = 3, .value = 90557},
+             {.kind = StepKind::SlowLink,
+              .atMs = 4577,
+              .durationMs = 2267,
+              .target = 2,
+              .other = 3},
+             {.kind = StepKind::Configure, .atMs = 5243, .target = 3, .other = 3, .value = 90557},
          }});
 }
 
@@ -385,10 +400,14 @@
          .dataCentres = {2, 2, 2},
          .endpoints = 5,
          .steps = {
-             {.kind = StepKind::Freeze, .atMs = 1230, .lastsMs = 3295, .who = 2, .other = 1},
-             {.kind = StepKind::StoreRefuses, .atMs = 6918, .lastsMs = 3403, .who = 3, .other = 4},
-             {.kind = StepKind::Freeze, .atMs = 10832, .lastsMs = 6229, .who = 2, .other = 5},
-             {.kind = StepKind::CutDataCentre, .atMs = 11194, .lastsMs = 3400, .who = 4},
+             {.kind = StepKind::Freeze, .atMs = 1230, .durationMs = 3295, .target = 2, .other = 1},
+             {.kind = StepKind::StoreRefuses,
+              .atMs = 6918,
+              .durationMs = 3403,
+              .target = 3,
+              .other = 4},
+             {.kind = StepKind::Freeze, .atMs = 10832, .durationMs = 6229, .target = 2, .other = 5},
+             {.kind = StepKind::CutDataCentre, .atMs = 11194, .durationMs = 3400, .target = 4},
          }});
 }
 
@@ -401,6 +420,6 @@
          .dataCentres = {3, 1, 1},
          .endpoints = 1,
          .steps = {
-             {.kind = StepKind::StoreLosesAnswers, .atMs = 2516, .lastsMs = 2600, .other = 1},
+             {.kind = StepKind::StoreLosesAnswers, .atMs = 2516, .durationMs = 2600, .other = 1},
          }});
 }
--- a/tests/auto/simulation/tst_simulatedorders.cpp
+++ b/tests/auto/simulation/tst_simulatedorders.cpp
@@ -33,18 +33,18 @@
 {
     static const std::vector<Step> all{
         {.kind = StepKind::Configure, .value = 5000},
-        {.kind = StepKind::Drain, .who = 0},
-        {.kind = StepKind::Leave, .who = 1},
-        {.kind = StepKind::Crash, .who = 0},
-        {.kind = StepKind::StartAgain, .who = 1},
-        {.kind = StepKind::StoreRefuses, .lastsMs = longMs},
-        {.kind = StepKind::StoreLosesAnswers, .lastsMs = shortMs},
+        {.kind = StepKind::Drain, .target = 0},
+        {.kind = StepKind::Leave, .target = 1},
+        {.kind = StepKind::Crash, .target = 0},
+        {.kind = StepKind::StartAgain, .target = 1},
+        {.kind = StepKind::StoreRefuses, .durationMs = longMs},
+        {.kind = StepKind::StoreLosesAnswers, .durationMs = shortMs},
         {.kind = StepKind::StoreForgets},
-        {.kind = StepKind::StoreSilentForOne, .lastsMs = shortMs, .who = 0},
-        {.kind = StepKind::CutBothWays, .lastsMs = shortMs, .who = 0, .other = 1},
-        {.kind = StepKind::CutOneWay, .lastsMs = longMs, .who = 1, .other = 0},
-        {.kind = StepKind::Kill, .lastsMs = 300, .who = 0},
-        {.kind = StepKind::Freeze, .lastsMs = longMs, .who = 0},
+        {.kind = StepKind::StoreSilentForOne, .durationMs = shortMs, .target = 0},
+        {.kind = StepKind::CutBothWays, .durationMs = shortMs, .target = 0, .other = 1},
+        {.kind = StepKind::CutOneWay, .durationMs = longMs, .target = 1, .other = 0},
+        {.kind = StepKind::Kill, .durationMs = 300, .target = 0},
+        {.kind = StepKind::Freeze, .durationMs = longMs, .target = 0},
     };
     return all;
 }
--- a/tests/auto/simulation/tst_simulation.cpp
+++ b/tests/auto/simulation/tst_simulation.cpp
@@ -44,8 +44,8 @@
 BOOST_AUTO_TEST_CASE(aSeedIsOneHistory)
 {
     for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
-        const Outcome first = play(historyOf(seed));
-        const Outcome second = play(historyOf(seed));
+        const Outcome first = play(historyFromSeed(seed));
+        const Outcome second = play(historyFromSeed(seed));
         BOOST_TEST(first.fingerprint == second.fingerprint, "seed " << seed);
         BOOST_TEST(first.fingerprint != 0U);
     }
@@ -58,7 +58,7 @@
     const auto startedAt = std::chrono::steady_clock::now();
     std::map<std::string, int> red;
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        const History history = historyOf(seed);
+        const History history = historyFromSeed(seed);
         const auto violation = play(history).violation;
         if (violation && ++red[violation->rule] <= mostShown)
             show(history, *violation);
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -133,8 +133,8 @@
         });
     };
     const auto one = [&](int StoreFaults::*field) {
-        applyFault(m_vmFaults.at(step.who), step, [this, step, field](int change) {
-            router(step.who).storeFaults.*field += change;
+        applyFault(m_vmFaults.at(step.target), step, [this, step, field](int change) {
+            router(step.target).storeFaults.*field += change;
         });
     };
     switch (step.kind) {
@@ -166,25 +166,25 @@
     switch (step.kind) {
     case StepKind::CutOneWay:
         applyDuring(step,
-                    [this, step](int change) { m_network->cut(step.who, step.other, change); });
+                    [this, step](int change) { m_network->cut(step.target, step.other, change); });
         return true;
     case StepKind::CutBothWays:
         applyDuring(step, [this, step](int change) {
-            m_network->cut(step.who, step.other, change);
-            m_network->cut(step.other, step.who, change);
+            m_network->cut(step.target, step.other, change);
+            m_network->cut(step.other, step.target, change);
         });
         return true;
     case StepKind::CutDataCentre:
         cutDataCentre(step);
         return true;
     case StepKind::Lossy:
-        applyFault(m_vmFaults.at(step.who), step, [this, step](int change) {
-            m_network->lose(step.who, change * static_cast<int>(step.value));
+        applyFault(m_vmFaults.at(step.target), step, [this, step](int change) {
+            m_network->lose(step.target, change * static_cast<int>(step.value));
         });
         return true;
     case StepKind::SlowLink:
-        applyFault(m_vmFaults.at(step.who), step,
-                   [this, step](int change) { m_network->slowDown(step.who, change); });
+        applyFault(m_vmFaults.at(step.target), step,
+                   [this, step](int change) { m_network->slowDown(step.target, change); });
         return true;
     default:
         return false;
@@ -193,7 +193,7 @@
 
 void World::cutDataCentre(const Step &step)
 {
-    const std::string dataCentre = router(step.who).dataCentre();
+    const std::string dataCentre = router(step.target).dataCentre();
     for (const auto &inside : m_routers) {
         if (inside->dataCentre() != dataCentre)
             continue;
@@ -218,13 +218,13 @@
 {
     switch (step.kind) {
     case StepKind::Freeze:
-        applyFault(m_vmFaults.at(step.who), step,
-                   [this, step](int change) { router(step.who).freeze(change); });
+        applyFault(m_vmFaults.at(step.target), step,
+                   [this, step](int change) { router(step.target).freeze(change); });
         return true;
     case StepKind::Kill:
     case StepKind::Replace:
-        applyFault(m_vmFaults.at(step.who), step, [this, step](int change) {
-            SimulatedRouter &one = router(step.who);
+        applyFault(m_vmFaults.at(step.target), step, [this, step](int change) {
+            SimulatedRouter &one = router(step.target);
             if (change > 0)
                 one.kill();
             else if (step.kind == StepKind::Kill)
@@ -256,22 +256,22 @@
             m_store.trim(topic);
         break;
     case StepKind::Drain:
-        m_endpoints->drain(step.who);
+        m_endpoints->drain(step.target);
         break;
     case StepKind::Leave:
-        m_endpoints->leave(step.who);
+        m_endpoints->leave(step.target);
         break;
     case StepKind::Crash:
-        m_endpoints->crash(step.who);
+        m_endpoints->crash(step.target);
         break;
     case StepKind::StartAgain:
-        m_endpoints->startAgain(step.who, static_cast<NewStart>(step.value), step.other == 1);
+        m_endpoints->startAgain(step.target, static_cast<NewStart>(step.value), step.other == 1);
         break;
     case StepKind::Unreadable:
-        m_endpoints->writeUnreadable(step.who);
+        m_endpoints->writeUnreadable(step.target);
         break;
     case StepKind::LateWrite:
-        m_endpoints->writeLate(step.who);
+        m_endpoints->writeLate(step.target);
         break;
     default:
         configure(step.value);
@@ -282,7 +282,7 @@
 void World::applyDuring(const Step &step, const std::function<void(int change)> &change)
 {
     change(1);
-    m_timers.start(milliseconds(step.lastsMs), [change] { change(-1); });
+    m_timers.start(milliseconds(step.durationMs), [change] { change(-1); });
 }
 
 void World::applyFault(FaultState &calm, const Step &step, const std::function<void(int)> &change)
