--- a/tests/auto/simulation/simulatedendpoints.cpp
+++ b/tests/auto/simulation/simulatedendpoints.cpp
@@ -77,7 +77,7 @@
     m_options.world->cancel(one.end);
 }
 
-void SimulatedEndpoints::startAgain(std::size_t number, NewStart how, bool isAtSameAddress)
+void SimulatedEndpoints::restart(std::size_t number, RestartTime how, bool isAtSameAddress)
 {
     One &one = m_endpoints.at(number);
     crash(number);
@@ -87,12 +87,12 @@
     if (!isAtSameAddress)
         ++one.endpoint.address.port;
     switch (how) {
-    case NewStart::Later:
+    case RestartTime::Later:
         one.endpoint.startedAt = m_options.world->clock().wallNow();
         break;
-    case NewStart::Equal:
+    case RestartTime::Equal:
         break;
-    case NewStart::Earlier:
+    case RestartTime::Earlier:
         *one.endpoint.startedAt -= std::chrono::seconds(3);
         break;
     }
--- a/tests/auto/simulation/simulatedendpoints.h
+++ b/tests/auto/simulation/simulatedendpoints.h
@@ -12,7 +12,7 @@
 namespace Simulation {
 
 /// How an endpoint that starts again under its id says when it started.
-enum class NewStart : std::uint8_t { Later, Equal, Earlier };
+enum class RestartTime : std::uint8_t { Later, Equal, Earlier };
 
 /// The endpoints: each writes its entry now and then, and the store drops one that has not been
 /// written for three such times.
@@ -35,7 +35,7 @@
     /// Has its entry removed and is seen no more.
     void leave(std::size_t number);
     void crash(std::size_t number);
-    void startAgain(std::size_t number, NewStart how, bool isAtSameAddress);
+    void restart(std::size_t number, RestartTime how, bool isAtSameAddress);
     /// Its entry cannot be read until it is written next.
     void writeUnreadable(std::size_t number);
     /// A write of the start before this one arrives now.
--- a/tests/auto/simulation/tst_simulatedhistories.cpp
+++ b/tests/auto/simulation/tst_simulatedhistories.cpp
@@ -118,7 +118,7 @@
                 .dataCentres = {3},
                 .endpoints = 4,
                 .steps = {
-                    {.kind = StepKind::StoreForgets, .atMs = 693},
+                    {.kind = StepKind::StoreTrim, .atMs = 693},
                     {.kind = StepKind::Configure, .atMs = 3346, .value = 10300},
                     {.kind = StepKind::StoreSlow, .atMs = 10437, .durationMs = 1900},
                     {.kind = StepKind::StoreSilent, .atMs = 12411, .durationMs = 6922},
@@ -211,7 +211,7 @@
                 .dataCentres = {1},
                 .endpoints = 1,
                 .steps = {
-                    {.kind = StepKind::StartAgain, .atMs = 9965, .other = 1, .value = 2},
+                    {.kind = StepKind::Restart, .atMs = 9965, .other = 1, .value = 2},
                 }});
 }
 
@@ -222,7 +222,7 @@
                 .dataCentres = {2},
                 .endpoints = 2,
                 .steps = {
-                    {.kind = StepKind::StartAgain, .atMs = 12652, .target = 1, .value = 2},
+                    {.kind = StepKind::Restart, .atMs = 12652, .target = 1, .value = 2},
                 }});
 }
 
@@ -239,7 +239,7 @@
              {.kind = StepKind::Lossy, .atMs = 3503, .durationMs = 3200, .target = 3, .value = 18},
              {.kind = StepKind::Drain, .atMs = 3742},
              {.kind = StepKind::Leave, .atMs = 5327},
-             {.kind = StepKind::StartAgain, .atMs = 6621, .other = 1},
+             {.kind = StepKind::Restart, .atMs = 6621, .other = 1},
          }});
 }
 
@@ -366,13 +366,12 @@
 /// Each router on the way from the reader doubted the start for itself.
 BOOST_AUTO_TEST_CASE(aStartWhoseClockWasSetBackIsBelievedAcrossDataCentres)
 {
-    checkGreen(
-        {.seed = 320,
-         .dataCentres = {2, 1},
-         .endpoints = 2,
-         .steps = {
-             {.kind = StepKind::StartAgain, .atMs = 9109, .target = 1, .other = 1, .value = 2},
-         }});
+    checkGreen({.seed = 320,
+                .dataCentres = {2, 1},
+                .endpoints = 2,
+                .steps = {
+                    {.kind = StepKind::Restart, .atMs = 9109, .target = 1, .other = 1, .value = 2},
+                }});
 }
 
 /// A leader on a slow link pulled from the reader, and its data centre then pulled from it.
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -251,7 +251,7 @@
 void World::applyInstantStep(const Step &step)
 {
     switch (step.kind) {
-    case StepKind::StoreForgets:
+    case StepKind::StoreTrim:
         for (const Topic topic : {Topic::Configuration, Topic::Endpoints, Topic::Routers})
             m_store.trim(topic);
         break;
@@ -264,8 +264,8 @@
     case StepKind::Crash:
         m_endpoints->crash(step.target);
         break;
-    case StepKind::StartAgain:
-        m_endpoints->startAgain(step.target, static_cast<NewStart>(step.value), step.other == 1);
+    case StepKind::Restart:
+        m_endpoints->restart(step.target, static_cast<RestartTime>(step.value), step.other == 1);
         break;
     case StepKind::Unreadable:
         m_endpoints->writeUnreadable(step.target);
