--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -130,7 +130,7 @@
     note(at, number);
     tell(at, endpoint.id.value() + " has gone");
     m_starts.erase({at, endpoint.id.value()});
-    if (m_world.endpoints().isLapsedByOutage(number)) {
+    if (m_world.endpoints().isExpiredByOutage(number)) {
         fail("an endpoint is given up whose entry lapsed while the store was away",
              endpoint.id.value() + " by router " + std::to_string(at));
     }
--- a/tests/auto/simulation/simulatedendpoints.cpp
+++ b/tests/auto/simulation/simulatedendpoints.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr Base::Duration beatInterval = milliseconds(1200);
-constexpr int missedBeats = 3;
+constexpr Base::Duration heartbeatInterval = milliseconds(1200);
+constexpr int maxMissedHeartbeats = 3;
 constexpr Base::Duration lapseStep = milliseconds(100);
 /// In which those that live write again after the store's return.
 constexpr Base::Duration returnTime = milliseconds(1900);
@@ -30,7 +30,7 @@
     , m_random(options.seed)
     , m_endpoints(options.count)
 {
-    m_lapsesWhileAway = m_random.chance(50);
+    m_expiresDuringOutage = m_random.chance(50);
     for (std::size_t i = 0; i < m_endpoints.size(); ++i) {
         Fleet::Endpoint &endpoint = m_endpoints[i].endpoint;
         endpoint.id = Base::EndpointId(id(i));
@@ -44,8 +44,8 @@
 void SimulatedEndpoints::start()
 {
     for (std::size_t i = 0; i < m_endpoints.size(); ++i)
-        beat(i, m_random.between(Base::Duration::zero(), beatInterval));
-    checkLapses();
+        heartbeat(i, m_random.between(Base::Duration::zero(), heartbeatInterval));
+    checkExpiry();
 }
 
 void SimulatedEndpoints::drain(std::size_t number)
@@ -64,7 +64,7 @@
     if (!one.isAlive)
         return;
     crash(number);
-    if (isStoreThere())
+    if (isStoreAvailable())
         m_options.store->append(Topic::Endpoints, id(number), std::nullopt);
 }
 
@@ -72,8 +72,8 @@
 {
     One &one = m_endpoints.at(number);
     one.isAlive = false;
-    one.isLapsed = false;
-    m_options.world->cancel(one.beat);
+    one.isExpired = false;
+    m_options.world->cancel(one.heartbeat);
     m_options.world->cancel(one.end);
 }
 
@@ -97,13 +97,13 @@
         break;
     }
     one.starts.push_back(*one.endpoint.startedAt);
-    beat(number, Base::Duration::zero());
+    heartbeat(number, Base::Duration::zero());
 }
 
 void SimulatedEndpoints::writeUnreadable(std::size_t number)
 {
     One &one = m_endpoints.at(number);
-    if (!one.isAlive || !isStoreThere())
+    if (!one.isAlive || !isStoreAvailable())
         return;
     one.wasUnreadable = true;
     m_options.store->append(Topic::Endpoints, id(number), unreadableEntry);
@@ -113,31 +113,31 @@
 {
     const One &one = m_endpoints.at(number);
     // The start that runs writes again soon.
-    if (one.before && one.isAlive && isStoreThere())
+    if (one.before && one.isAlive && isStoreAvailable())
         m_options.store->append(Topic::Endpoints, id(number), toText(*one.before));
 }
 
 void SimulatedEndpoints::storeLeft()
 {
-    m_storeLeftAt = m_options.world->clock().now();
+    m_storeFailedAt = m_options.world->clock().now();
 }
 
 void SimulatedEndpoints::storeReturned()
 {
     const Base::MonoTime now = m_options.world->clock().now();
-    if (now - m_storeLeftAt >= noticedOutage)
-        m_noticedReturnAt = now;
-    const bool wereAway = !std::exchange(m_lapsesWhileAway, false);
+    if (now - m_storeFailedAt >= noticedOutage)
+        m_noticedRecoveryAt = now;
+    const bool wereAway = !std::exchange(m_expiresDuringOutage, false);
     for (One &one : m_endpoints) {
         const Base::Duration age = now - one.writtenAt;
-        if (wereAway && age > missedBeats * beatInterval)
-            lapse(one, true);
+        if (wereAway && age > maxMissedHeartbeats * heartbeatInterval)
+            expire(one, true);
     }
-    m_lapsesWhileAway = m_random.chance(50);
+    m_expiresDuringOutage = m_random.chance(50);
     for (std::size_t i = 0; i < m_endpoints.size(); ++i) {
         // Others write as they always do.
-        if (m_endpoints[i].isLapsed)
-            beat(i, m_random.between(Base::Duration::zero(), returnTime));
+        if (m_endpoints[i].isExpired)
+            heartbeat(i, m_random.between(Base::Duration::zero(), returnTime));
     }
 }
 
@@ -147,15 +147,15 @@
     return std::stoul(text.substr(text.rfind('-') + 1));
 }
 
-bool SimulatedEndpoints::isLapsedByOutage(std::size_t number) const
+bool SimulatedEndpoints::isExpiredByOutage(std::size_t number) const
 {
     const One &one = m_endpoints.at(number);
-    if (!one.isAlive || !one.isLapsed || one.wasUnreadable
+    if (!one.isAlive || !one.isExpired || one.wasUnreadable
         || one.endpoint.state == Fleet::EndpointState::Draining)
         return false;
     const Base::MonoTime now = m_options.world->clock().now();
-    const bool isAwayLong = !isStoreThere() && now - m_storeLeftAt >= noticedOutage;
-    return isAwayLong || (m_noticedReturnAt && now - *m_noticedReturnAt <= returnTime);
+    const bool isAwayLong = !isStoreAvailable() && now - m_storeFailedAt >= noticedOutage;
+    return isAwayLong || (m_noticedRecoveryAt && now - *m_noticedRecoveryAt <= returnTime);
 }
 
 bool SimulatedEndpoints::isBefore(std::size_t number, Base::WallTime earlier,
@@ -172,50 +172,50 @@
     return *one.endpoint.startedAt < *std::max_element(one.starts.begin(), one.starts.end());
 }
 
-bool SimulatedEndpoints::isStoreThere() const
+bool SimulatedEndpoints::isStoreAvailable() const
 {
     return m_options.storeFaults->refuses + m_options.storeFaults->silent == 0;
 }
 
-void SimulatedEndpoints::beat(std::size_t number, Base::Duration delay)
+void SimulatedEndpoints::heartbeat(std::size_t number, Base::Duration delay)
 {
     One &one = m_endpoints.at(number);
-    m_options.world->cancel(one.beat);
-    one.beat = m_options.world->start(delay, [this, number] {
+    m_options.world->cancel(one.heartbeat);
+    one.heartbeat = m_options.world->start(delay, [this, number] {
         write(m_endpoints.at(number));
-        beat(number, beatInterval);
+        heartbeat(number, heartbeatInterval);
     });
 }
 
 void SimulatedEndpoints::write(One &one)
 {
-    if (!one.isAlive || !isStoreThere())
+    if (!one.isAlive || !isStoreAvailable())
         return;
     one.writtenAt = m_options.world->clock().now();
     m_options.store->append(Topic::Endpoints, one.endpoint.id.value(), toText(one.endpoint));
     // One that was back at once was never missing.
-    one.isLapsed = false;
+    one.isExpired = false;
 }
 
-void SimulatedEndpoints::checkLapses()
+void SimulatedEndpoints::checkExpiry()
 {
     const Base::MonoTime now = m_options.world->clock().now();
     for (One &one : m_endpoints) {
-        const bool isDue = now - one.writtenAt > missedBeats * beatInterval;
-        if (isDue && (isStoreThere() || m_lapsesWhileAway))
-            lapse(one, !isStoreThere());
+        const bool isDue = now - one.writtenAt > maxMissedHeartbeats * heartbeatInterval;
+        if (isDue && (isStoreAvailable() || m_expiresDuringOutage))
+            expire(one, !isStoreAvailable());
     }
-    m_options.world->start(lapseStep, [this] { checkLapses(); });
+    m_options.world->start(lapseStep, [this] { checkExpiry(); });
 }
 
-void SimulatedEndpoints::lapse(One &one, bool isByOutage)
+void SimulatedEndpoints::expire(One &one, bool isByOutage)
 {
     const auto &keys = m_options.store->keys(Topic::Endpoints);
     const auto known = keys.find(one.endpoint.id.value());
     if (known == keys.end() || !known->second.value)
         return;
     // What a start before wrote, or nobody can read, may be given up at once.
-    one.isLapsed = one.isAlive && isByOutage && *known->second.value == toText(one.endpoint);
+    one.isExpired = one.isAlive && isByOutage && *known->second.value == toText(one.endpoint);
     m_options.store->append(Topic::Endpoints, one.endpoint.id.value(), std::nullopt);
 }
 
--- a/tests/auto/simulation/simulatedendpoints.h
+++ b/tests/auto/simulation/simulatedendpoints.h
@@ -49,7 +49,7 @@
     static std::size_t numberOf(const Lagoonbank::Base::EndpointId &id);
     /// It runs and takes work; its entry has lapsed while the store was away, and the time in which
     /// it writes it again is not over.
-    bool isLapsedByOutage(std::size_t number) const;
+    bool isExpiredByOutage(std::size_t number) const;
     /// Whether the start that says \a earlier came before the one that says \a later.
     bool isBefore(std::size_t number, Lagoonbank::Base::WallTime earlier,
                   Lagoonbank::Base::WallTime later) const;
@@ -64,25 +64,25 @@
         std::vector<Lagoonbank::Base::WallTime> starts; ///< In their order, this one the last.
         bool isAlive = true;
         bool wasUnreadable = false; ///< Reads of the log may still come upon that.
-        bool isLapsed = false; ///< Its entry has lapsed while the store was away.
+        bool isExpired = false; ///< Its entry has lapsed while the store was away.
         Lagoonbank::Base::MonoTime writtenAt;
-        Lagoonbank::Runtime::TimerId beat;
+        Lagoonbank::Runtime::TimerId heartbeat;
         Lagoonbank::Runtime::TimerId end; ///< Of one that drains.
     };
 
-    bool isStoreThere() const;
-    void beat(std::size_t number, Lagoonbank::Base::Duration delay);
+    bool isStoreAvailable() const;
+    void heartbeat(std::size_t number, Lagoonbank::Base::Duration delay);
     void write(One &one);
-    void checkLapses();
-    void lapse(One &one, bool isByOutage);
+    void checkExpiry();
+    void expire(One &one, bool isByOutage);
 
     Options m_options;
     RandomSource m_random;
     std::vector<One> m_endpoints;
-    Lagoonbank::Base::MonoTime m_storeLeftAt;
+    Lagoonbank::Base::MonoTime m_storeFailedAt;
     /// From an outage that routers had to see.
-    std::optional<Lagoonbank::Base::MonoTime> m_noticedReturnAt;
-    bool m_lapsesWhileAway = false;
+    std::optional<Lagoonbank::Base::MonoTime> m_noticedRecoveryAt;
+    bool m_expiresDuringOutage = false;
 };
 
 } // namespace Simulation
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -124,11 +124,11 @@
 {
     const auto sharedFaults = [&](int StoreFaults::*field) {
         applyFault(m_storeFaultState, step, [this, field](int change) {
-            const bool wasAway = isStoreAway();
+            const bool wasAway = isStoreUnavailable();
             m_storeFaults.*field += change;
-            if (wasAway && !isStoreAway())
+            if (wasAway && !isStoreUnavailable())
                 m_endpoints->storeReturned();
-            else if (!wasAway && isStoreAway())
+            else if (!wasAway && isStoreUnavailable())
                 m_endpoints->storeLeft();
         });
     };
@@ -297,7 +297,7 @@
 /// The operator's writes wait until the store takes them.
 void World::configure(std::size_t bytes)
 {
-    if (isStoreAway()) {
+    if (isStoreUnavailable()) {
         m_timers.start(milliseconds(100), [this, bytes] { configure(bytes); });
         return;
     }
