--- a/tests/auto/simulation/simulatedendpoints.cpp
+++ b/tests/auto/simulation/simulatedendpoints.cpp
@@ -50,7 +50,7 @@
 
 void SimulatedEndpoints::drain(std::size_t number)
 {
-    One &one = m_endpoints.at(number);
+    Process &one = m_endpoints.at(number);
     if (!one.isAlive || one.endpoint.state == Fleet::EndpointState::Draining)
         return;
     one.endpoint.state = Fleet::EndpointState::Draining;
@@ -60,7 +60,7 @@
 
 void SimulatedEndpoints::leave(std::size_t number)
 {
-    One &one = m_endpoints.at(number);
+    Process &one = m_endpoints.at(number);
     if (!one.isAlive)
         return;
     crash(number);
@@ -70,7 +70,7 @@
 
 void SimulatedEndpoints::crash(std::size_t number)
 {
-    One &one = m_endpoints.at(number);
+    Process &one = m_endpoints.at(number);
     one.isAlive = false;
     one.isExpired = false;
     m_options.world->cancel(one.heartbeat);
@@ -79,9 +79,9 @@
 
 void SimulatedEndpoints::restart(std::size_t number, RestartTime how, bool isAtSameAddress)
 {
-    One &one = m_endpoints.at(number);
+    Process &one = m_endpoints.at(number);
     crash(number);
-    one.before = one.endpoint;
+    one.previous = one.endpoint;
     one.isAlive = true;
     one.endpoint.state = Fleet::EndpointState::Ready;
     if (!isAtSameAddress)
@@ -102,7 +102,7 @@
 
 void SimulatedEndpoints::writeUnreadable(std::size_t number)
 {
-    One &one = m_endpoints.at(number);
+    Process &one = m_endpoints.at(number);
     if (!one.isAlive || !isStoreAvailable())
         return;
     one.wasUnreadable = true;
@@ -111,24 +111,24 @@
 
 void SimulatedEndpoints::writeLate(std::size_t number)
 {
-    const One &one = m_endpoints.at(number);
+    const Process &one = m_endpoints.at(number);
     // The start that runs writes again soon.
-    if (one.before && one.isAlive && isStoreAvailable())
-        m_options.store->append(Topic::Endpoints, id(number), toText(*one.before));
+    if (one.previous && one.isAlive && isStoreAvailable())
+        m_options.store->append(Topic::Endpoints, id(number), toText(*one.previous));
 }
 
-void SimulatedEndpoints::storeLeft()
+void SimulatedEndpoints::storeFailed()
 {
     m_storeFailedAt = m_options.world->clock().now();
 }
 
-void SimulatedEndpoints::storeReturned()
+void SimulatedEndpoints::storeRecovered()
 {
     const Base::MonoTime now = m_options.world->clock().now();
     if (now - m_storeFailedAt >= noticedOutage)
         m_noticedRecoveryAt = now;
     const bool wereAway = !std::exchange(m_expiresDuringOutage, false);
-    for (One &one : m_endpoints) {
+    for (Process &one : m_endpoints) {
         const Base::Duration age = now - one.writtenAt;
         if (wereAway && age > maxMissedHeartbeats * heartbeatInterval)
             expire(one, true);
@@ -149,7 +149,7 @@
 
 bool SimulatedEndpoints::isExpiredByOutage(std::size_t number) const
 {
-    const One &one = m_endpoints.at(number);
+    const Process &one = m_endpoints.at(number);
     if (!one.isAlive || !one.isExpired || one.wasUnreadable
         || one.endpoint.state == Fleet::EndpointState::Draining)
         return false;
@@ -168,7 +168,7 @@
 
 bool SimulatedEndpoints::isClockSetBack(std::size_t number) const
 {
-    const One &one = m_endpoints.at(number);
+    const Process &one = m_endpoints.at(number);
     return *one.endpoint.startedAt < *std::max_element(one.starts.begin(), one.starts.end());
 }
 
@@ -179,7 +179,7 @@
 
 void SimulatedEndpoints::heartbeat(std::size_t number, Base::Duration delay)
 {
-    One &one = m_endpoints.at(number);
+    Process &one = m_endpoints.at(number);
     m_options.world->cancel(one.heartbeat);
     one.heartbeat = m_options.world->start(delay, [this, number] {
         write(m_endpoints.at(number));
@@ -187,7 +187,7 @@
     });
 }
 
-void SimulatedEndpoints::write(One &one)
+void SimulatedEndpoints::write(Process &one)
 {
     if (!one.isAlive || !isStoreAvailable())
         return;
@@ -200,7 +200,7 @@
 void SimulatedEndpoints::checkExpiry()
 {
     const Base::MonoTime now = m_options.world->clock().now();
-    for (One &one : m_endpoints) {
+    for (Process &one : m_endpoints) {
         const bool isDue = now - one.writtenAt > maxMissedHeartbeats * heartbeatInterval;
         if (isDue && (isStoreAvailable() || m_expiresDuringOutage))
             expire(one, !isStoreAvailable());
@@ -208,7 +208,7 @@
     m_options.world->start(lapseStep, [this] { checkExpiry(); });
 }
 
-void SimulatedEndpoints::expire(One &one, bool isByOutage)
+void SimulatedEndpoints::expire(Process &one, bool isByOutage)
 {
     const auto &keys = m_options.store->keys(Topic::Endpoints);
     const auto known = keys.find(one.endpoint.id.value());
--- a/tests/auto/simulation/simulatedendpoints.h
+++ b/tests/auto/simulation/simulatedendpoints.h
@@ -41,8 +41,8 @@
     /// A write of the start before this one arrives now.
     void writeLate(std::size_t number);
     /// The store is away, and answers again.
-    void storeLeft();
-    void storeReturned();
+    void storeFailed();
+    void storeRecovered();
 
     std::size_t count() const { return m_endpoints.size(); }
     static std::string id(std::size_t number) { return "endpoint-" + std::to_string(number); }
@@ -57,10 +57,10 @@
     bool isClockSetBack(std::size_t number) const;
 
 private:
-    struct One
+    struct Process
     {
         Lagoonbank::Fleet::Endpoint endpoint;
-        std::optional<Lagoonbank::Fleet::Endpoint> before; ///< The start before this one.
+        std::optional<Lagoonbank::Fleet::Endpoint> previous; ///< The start before this one.
         std::vector<Lagoonbank::Base::WallTime> starts; ///< In their order, this one the last.
         bool isAlive = true;
         bool wasUnreadable = false; ///< Reads of the log may still come upon that.
@@ -72,13 +72,13 @@
 
     bool isStoreAvailable() const;
     void heartbeat(std::size_t number, Lagoonbank::Base::Duration delay);
-    void write(One &one);
+    void write(Process &one);
     void checkExpiry();
-    void expire(One &one, bool isByOutage);
+    void expire(Process &one, bool isByOutage);
 
     Options m_options;
     RandomSource m_random;
-    std::vector<One> m_endpoints;
+    std::vector<Process> m_endpoints;
     Lagoonbank::Base::MonoTime m_storeFailedAt;
     /// From an outage that routers had to see.
     std::optional<Lagoonbank::Base::MonoTime> m_noticedRecoveryAt;
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -127,9 +127,9 @@
             const bool wasAway = isStoreUnavailable();
             m_storeFaults.*field += change;
             if (wasAway && !isStoreUnavailable())
-                m_endpoints->storeReturned();
+                m_endpoints->storeRecovered();
             else if (!wasAway && isStoreUnavailable())
-                m_endpoints->storeLeft();
+                m_endpoints->storeFailed();
         });
     };
     const auto one = [&](int StoreFaults::*field) {
