--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -158,7 +158,7 @@
     return std::hash<std::string>()(text);
 }
 
-bool Checks::look()
+bool Checks::check()
 {
     m_states.insert(state());
     for (const auto &router : m_world.routers()) {
--- a/tests/auto/simulation/checks.h
+++ b/tests/auto/simulation/checks.h
@@ -27,7 +27,7 @@
     Checks(World &world, const History &history);
 
     /// To be called now and then; false when a rule is broken.
-    bool look();
+    bool check();
     const std::optional<Violation> &violation() const { return m_violation; }
     /// When a history has been watched for long enough.
     Lagoonbank::Base::Duration end() const;
--- a/tests/auto/simulation/play.cpp
+++ b/tests/auto/simulation/play.cpp
@@ -120,7 +120,7 @@
     World world(history);
     Checks checks(world, history);
     checks.trace = trace;
-    world.play(checks.end(), lookInterval, [&checks] { return checks.look(); });
+    world.play(checks.end(), lookInterval, [&checks] { return checks.check(); });
     return {checks.violation(), checks.fingerprint(), checks.states()};
 }
 
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -76,7 +76,7 @@
     }
 }
 
-void World::play(Base::Duration until, Base::Duration interval, const std::function<bool()> &look)
+void World::play(Base::Duration until, Base::Duration interval, const std::function<bool()> &check)
 {
     Base::MonoTime nextLook = m_clock.now();
     const Base::MonoTime end = m_startedAt + until;
@@ -89,7 +89,7 @@
         if (m_clock.now() < nextLook)
             continue;
         nextLook = m_clock.now() + interval;
-        if (!look())
+        if (!check())
             return;
     }
 }
--- a/tests/auto/simulation/world.h
+++ b/tests/auto/simulation/world.h
@@ -22,7 +22,7 @@
 
     /// Lets time pass; \a look is called again and again, \a interval apart.
     void play(Lagoonbank::Base::Duration until, Lagoonbank::Base::Duration interval,
-              const std::function<bool()> &look);
+              const std::function<bool()> &check);
 
     /// Since the start of the history.
     Lagoonbank::Base::Duration elapsed() const { return m_clock.now() - m_startedAt; }
