--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -47,28 +47,28 @@
 
 Checks::Checks(World &world, const History &history)
     : m_world(world)
-    , m_quietFrom(milliseconds(endOfStepsMs(history)) + lapseTime)
+    , m_quietSince(milliseconds(endOfStepsMs(history)) + lapseTime)
 {
     watchEvents();
 }
 
 Base::Duration Checks::end() const
 {
-    return m_quietFrom + agreeBound + quietTime;
+    return m_quietSince + agreeBound + quietTime;
 }
 
 void Checks::watchEvents()
 {
     m_world.events.started = [this](VmIndex at) {
-        note(at, 0);
-        tell(at, "starts");
+        addToFingerprint(at, 0);
+        writeTrace(at, "starts");
         std::erase_if(m_starts, [at](const auto &one) { return one.first.first == at; });
     };
     m_world.events.configured = [this](VmIndex at, std::uint64_t before, std::uint64_t after) {
-        note(at, after);
-        tell(at, "configuration " + std::to_string(after));
+        addToFingerprint(at, after);
+        writeTrace(at, "configuration " + std::to_string(after));
         if (after <= before)
-            fail("a configuration goes back", std::to_string(after));
+            reportViolation("a configuration goes back", std::to_string(after));
     };
     m_world.events.changed = [this](VmIndex at, const Fleet::Endpoint &endpoint) {
         changed(at, endpoint);
@@ -77,30 +77,30 @@
         removed(at, endpoint);
     };
     m_world.events.roleChanged = [this](VmIndex at, bool reads) {
-        tell(at, reads ? "reads" : "leaves reading to a peer");
+        writeTrace(at, reads ? "reads" : "leaves reading to a peer");
     };
     m_world.events.pulled = [this](VmIndex at, VmIndex from, std::size_t underWay) {
-        note(at, underWay);
-        tell(at, "pulls from router " + std::to_string(from));
+        addToFingerprint(at, underWay);
+        writeTrace(at, "pulls from router " + std::to_string(from));
         if (underWay > 1)
-            fail("two pulls at a time", "router " + std::to_string(at));
+            reportViolation("two pulls at a time", "router " + std::to_string(at));
     };
 }
 
-void Checks::note(VmIndex at, std::uint64_t what)
+void Checks::addToFingerprint(VmIndex at, std::uint64_t what)
 {
     const auto time = static_cast<std::uint64_t>(m_world.elapsed().count());
     m_fingerprint += RandomSource(time * 31 + at * 7 + what).next();
 }
 
-void Checks::tell(VmIndex at, const std::string &what) const
+void Checks::writeTrace(VmIndex at, const std::string &what) const
 {
     if (trace)
         trace(std::to_string(Base::toMilliseconds(m_world.elapsed())) + " ms, router "
               + std::to_string(at) + ": " + what);
 }
 
-void Checks::fail(const std::string &rule, const std::string &detail)
+void Checks::reportViolation(const std::string &rule, const std::string &detail)
 {
     if (!m_violation)
         m_violation = {rule, detail, Base::toMilliseconds(m_world.elapsed())};
@@ -108,8 +108,8 @@
 
 void Checks::changed(VmIndex at, const Fleet::Endpoint &endpoint)
 {
-    note(at, SimulatedEndpoints::numberOf(endpoint.id));
-    tell(at, endpoint.id.value() + " is " + toText(endpoint));
+    addToFingerprint(at, SimulatedEndpoints::numberOf(endpoint.id));
+    writeTrace(at, endpoint.id.value() + " is " + toText(endpoint));
     if (!endpoint.startedAt)
         return;
     auto &newest =
@@ -118,8 +118,8 @@
     // Where a clock was set back, a late write of the start before looks like a new start.
     if (!m_world.endpoints().isClockSetBack(number)
         && m_world.endpoints().isBefore(number, *endpoint.startedAt, newest)) {
-        fail("an older start replaces a newer one",
-             endpoint.id.value() + " at router " + std::to_string(at));
+        reportViolation("an older start replaces a newer one",
+                        endpoint.id.value() + " at router " + std::to_string(at));
     }
     newest = *endpoint.startedAt;
 }
@@ -127,12 +127,12 @@
 void Checks::removed(VmIndex at, const Fleet::Endpoint &endpoint)
 {
     const std::size_t number = SimulatedEndpoints::numberOf(endpoint.id);
-    note(at, number);
-    tell(at, endpoint.id.value() + " has gone");
+    addToFingerprint(at, number);
+    writeTrace(at, endpoint.id.value() + " has gone");
     m_starts.erase({at, endpoint.id.value()});
     if (m_world.endpoints().isExpiredByOutage(number)) {
-        fail("an endpoint is given up whose entry lapsed while the store was away",
-             endpoint.id.value() + " by router " + std::to_string(at));
+        reportViolation("an endpoint is given up whose entry lapsed while the store was away",
+                        endpoint.id.value() + " by router " + std::to_string(at));
     }
 }
 
@@ -162,16 +162,16 @@
 {
     m_states.insert(state());
     for (const auto &router : m_world.routers()) {
-        if (isInTouch(*router))
+        if (isStable(*router))
             checkRouter(*router, bound, returnBound);
     }
-    const Base::Duration settledAt = m_quietFrom + agreeBound;
+    const Base::Duration settledAt = m_quietSince + agreeBound;
     if (m_world.elapsed() >= settledAt)
         checkSettled();
     return !m_violation;
 }
 
-bool Checks::isInTouch(const SimulatedRouter &router) const
+bool Checks::isStable(const SimulatedRouter &router) const
 {
     const auto calm = m_world.faultFreeSince(router.vm());
     const auto store = m_world.storeFaultFreeSince();
@@ -199,9 +199,10 @@
     for (const auto &[key, newest] : m_world.store().keys(Topic::Configuration)) {
         const std::uint64_t revision = readConfiguration(*newest.value).revision;
         if (isDue(newest.writtenAt, bound, unstableBound) && router.configuration() < revision) {
-            fail("a configuration is not in force in time",
-                 "router " + std::to_string(router.vm()) + " has "
-                     + std::to_string(router.configuration()) + " of " + std::to_string(revision));
+            reportViolation("a configuration is not in force in time",
+                            "router " + std::to_string(router.vm()) + " has "
+                                + std::to_string(router.configuration()) + " of "
+                                + std::to_string(revision));
         }
     }
 }
@@ -222,11 +223,11 @@
     const std::string detail = id + " at router " + std::to_string(router.vm()) + ": knows "
         + describe(known) + ", the store has " + describe(expected ? &*expected : nullptr);
     if (isReady && !mayBeReady)
-        fail("an endpoint that left is thought ready", detail);
+        reportViolation("an endpoint that left is thought ready", detail);
     else if (expected.has_value() != (known != nullptr))
-        fail("an endpoint is not known in time", detail);
+        reportViolation("an endpoint is not known in time", detail);
     else if (known && !(*known == *expected))
-        fail("an endpoint is known as it was before", detail);
+        reportViolation("an endpoint is known as it was before", detail);
 }
 
 /// All routers know the same, that is what the store holds, and know it as of now.
@@ -237,17 +238,18 @@
         checkRouter(*router, bound, returnBound);
         const std::string name = "router " + std::to_string(router->vm());
         if (router->directory().hash() != hash.value_or(router->directory().hash()))
-            fail("routers disagree for good", name);
+            reportViolation("routers disagree for good", name);
         hash = router->directory().hash();
         const auto age = router->sync().stateAge();
         if (!age || *age > oldestKnowledge) {
-            fail("a router's knowledge stays old",
-                 name + ": " + std::to_string(Base::toMilliseconds(age.value_or(Duration::max())))
-                     + " ms");
+            reportViolation(
+                "a router's knowledge stays old",
+                name + ": " + std::to_string(Base::toMilliseconds(age.value_or(Duration::max())))
+                    + " ms");
         }
     }
     checkLeaders();
-    checkQuiet();
+    checkSteadyState();
 }
 
 void Checks::checkLeaders()
@@ -259,36 +261,36 @@
         readers += router->isReading() ? 1 : 0;
     }
     for (const auto &[dataCentre, count] : leaders)
-        checkOne("a calm data centre has not one leader", dataCentre, count);
-    checkOne("a calm fleet has not one reader", "the fleet", readers);
+        checkUnique("a calm data centre has not one leader", dataCentre, count);
+    checkUnique("a calm fleet has not one reader", "the fleet", readers);
 }
 
-void Checks::checkOne(const char *rule, const std::string &where, int count)
+void Checks::checkUnique(const char *rule, const std::string &where, int count)
 {
-    const Duration since = m_oneAt.try_emplace(where, m_world.elapsed()).first->second;
+    const Duration since = m_lastUniqueAt.try_emplace(where, m_world.elapsed()).first->second;
     if (count == 1)
-        m_oneAt[where] = m_world.elapsed();
+        m_lastUniqueAt[where] = m_world.elapsed();
     else if (m_world.elapsed() - since > takeoverTime)
-        fail(rule, where + " has " + std::to_string(count));
+        reportViolation(rule, where + " has " + std::to_string(count));
 }
 
-void Checks::checkQuiet()
+void Checks::checkSteadyState()
 {
     const auto &routers = m_world.routers();
-    if (m_bytes.empty()) {
+    if (m_baselineBytes.empty()) {
         for (const auto &router : routers) {
-            m_bytes.push_back(router->sentBytes());
-            m_pulls.push_back(router->pulls());
+            m_baselineBytes.push_back(router->sentBytes());
+            m_baselinePulls.push_back(router->pulls());
         }
     }
-    const Base::Duration watched = m_world.elapsed() - m_quietFrom - agreeBound;
+    const Base::Duration watched = m_world.elapsed() - m_quietSince - agreeBound;
     const auto seconds = static_cast<std::uint64_t>(1 + Base::toSeconds(watched));
     for (std::size_t i = 0; i < routers.size(); ++i) {
-        if (routers[i]->pulls() != m_pulls[i])
-            fail("a calm router pulls", "router " + std::to_string(i));
-        const std::uint64_t bytes = routers[i]->sentBytes() - m_bytes[i];
+        if (routers[i]->pulls() != m_baselinePulls[i])
+            reportViolation("a calm router pulls", "router " + std::to_string(i));
+        const std::uint64_t bytes = routers[i]->sentBytes() - m_baselineBytes[i];
         if (bytes > bytesPerSecond * seconds)
-            fail("a calm router sends too much", std::to_string(bytes) + " bytes");
+            reportViolation("a calm router sends too much", std::to_string(bytes) + " bytes");
     }
 }
 
--- a/tests/auto/simulation/checks.h
+++ b/tests/auto/simulation/checks.h
@@ -44,32 +44,33 @@
 
     void watchEvents();
     std::uint64_t state() const;
-    void note(VmIndex at, std::uint64_t what);
-    void tell(VmIndex at, const std::string &what) const;
-    void fail(const std::string &rule, const std::string &detail);
+    void addToFingerprint(VmIndex at, std::uint64_t what);
+    void writeTrace(VmIndex at, const std::string &what) const;
+    void reportViolation(const std::string &rule, const std::string &detail);
     void removed(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint);
     void changed(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint);
     /// A router in touch knows what was written so long ago.
     void checkRouter(const SimulatedRouter &router, Duration bound, Duration unstableBound);
     bool isDue(Lagoonbank::Base::MonoTime writtenAt, Duration bound, Duration unstableBound) const;
-    bool isInTouch(const SimulatedRouter &router) const;
+    bool isStable(const SimulatedRouter &router) const;
     void checkEndpoint(const SimulatedRouter &router, const std::string &id,
                        const SimulatedStore::Newest &newest);
     void checkSettled();
     void checkLeaders();
-    void checkOne(const char *rule, const std::string &where, int count);
-    void checkQuiet();
+    void checkUnique(const char *rule, const std::string &where, int count);
+    void checkSteadyState();
 
     World &m_world;
-    Duration m_quietFrom; ///< From here on nothing happens to anybody.
+    Duration m_quietSince; ///< From here on nothing happens to anybody.
     std::optional<Violation> m_violation;
     std::uint64_t m_fingerprint = 0;
     std::set<std::uint64_t> m_states;
     /// Newest start that a router knew of an endpoint, until that was removed.
     std::map<std::pair<VmIndex, std::string>, Lagoonbank::Base::WallTime> m_starts;
-    std::map<std::string, Duration> m_oneAt; ///< Leaders of each data centre, readers of all.
-    std::vector<std::uint64_t> m_bytes; ///< Of each place, when the quiet was settled.
-    std::vector<std::uint64_t> m_pulls;
+    std::map<std::string, Duration>
+        m_lastUniqueAt; ///< Leaders of each data centre, readers of all.
+    std::vector<std::uint64_t> m_baselineBytes; ///< Of each place, when the quiet was settled.
+    std::vector<std::uint64_t> m_baselinePulls;
 };
 
 } // namespace Simulation
