--- a/tests/auto/simulation/randomsource.h
+++ b/tests/auto/simulation/randomsource.h
@@ -27,12 +27,12 @@
     std::uint64_t below(std::uint64_t limit) { return limit == 0 ? 0 : next() % limit; }
     bool chance(int percent) { return below(100) < static_cast<std::uint64_t>(percent); }
     /// In whole microseconds, both ends included.
-    Lagoonbank::Base::Duration between(Lagoonbank::Base::Duration least,
-                                       Lagoonbank::Base::Duration most)
+    Lagoonbank::Base::Duration between(Lagoonbank::Base::Duration min,
+                                       Lagoonbank::Base::Duration max)
     {
         using std::chrono::microseconds;
-        const auto span = std::chrono::duration_cast<microseconds>(most - least).count();
-        return least + microseconds(below(static_cast<std::uint64_t>(span) + 1));
+        const auto span = std::chrono::duration_cast<microseconds>(max - min).count();
+        return min + microseconds(below(static_cast<std::uint64_t>(span) + 1));
     }
 
 private:
