--- a/tests/auto/simulation/simulatednetwork.cpp
+++ b/tests/auto/simulation/simulatednetwork.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void SimulatedNetwork::datagram(VmIndex from, VmIndex to, std::function<void()> arrive)
+void SimulatedNetwork::sendDatagram(VmIndex from, VmIndex to, std::function<void()> arrive)
 {
     RandomSource &link = random(from, to);
     const Base::Duration takes = delay(from, to);
@@ -47,10 +47,10 @@
 
 /// A connection needs both directions. A peer that is down but whose VM lives resets it; one that
 /// is frozen takes the connection and does not answer in time.
-void SimulatedNetwork::pull(VmIndex from, VmIndex to, const Answer &answer, Ended ended)
+void SimulatedNetwork::pull(VmIndex from, VmIndex to, const Answer &answer, PullCallback ended)
 {
     if (isCut(from, to) || isCut(to, from)) {
-        giveUp(from, pullTimeout, std::move(ended));
+        failPull(from, pullTimeout, std::move(ended));
         return;
     }
     const Base::Duration takes = delay(from, to) + delay(to, from) + delay(from, to);
@@ -68,22 +68,22 @@
         });
         if (!isThere) {
             *isAnswered = true;
-            giveUp(from, delay(to, from), ended);
+            failPull(from, delay(to, from), ended);
         }
     });
     m_options.world->start(takes + pullTimeout, [this, from, ended, isAnswered] {
         if (!*isAnswered)
-            giveUp(from, Base::Duration::zero(), ended);
+            failPull(from, Base::Duration::zero(), ended);
     });
 }
 
 /// The rest of an answer waits while the link is cut, for as long as the asker waits.
 void SimulatedNetwork::transfer(VmIndex from, VmIndex to, Schema::FleetStateAnswer state,
-                                Ended ended, Base::Duration silence)
+                                PullCallback ended, Base::Duration silence)
 {
     if (isCut(to, from) || isCut(from, to)) {
         if (silence >= progressTimeout) {
-            giveUp(from, Base::Duration::zero(), std::move(ended));
+            failPull(from, Base::Duration::zero(), std::move(ended));
             return;
         }
         m_options.world->start(transferStep, [this, from, to, state, ended, silence] {
@@ -94,7 +94,7 @@
     m_options.post(from, [state = std::move(state), ended = std::move(ended)] { ended(&state); });
 }
 
-void SimulatedNetwork::giveUp(VmIndex from, Base::Duration after, Ended ended)
+void SimulatedNetwork::failPull(VmIndex from, Base::Duration after, PullCallback ended)
 {
     m_options.world->start(after, [this, from, ended = std::move(ended)] {
         m_options.post(from, [ended] { ended(nullptr); });
@@ -116,8 +116,9 @@
 
 Base::Duration SimulatedNetwork::delay(VmIndex from, VmIndex to)
 {
-    const bool isNear = m_options.isNear(from, to);
-    return random(from, to).between(isNear ? nearest : far, isNear ? near : farthest);
+    const bool isSameDataCentre = m_options.isSameDataCentre(from, to);
+    return random(from, to).between(isSameDataCentre ? nearest : far,
+                                    isSameDataCentre ? near : farthest);
 }
 
 Base::Duration SimulatedNetwork::transferTime(VmIndex from, VmIndex to,
--- a/tests/auto/simulation/simulatednetwork.h
+++ b/tests/auto/simulation/simulatednetwork.h
@@ -26,25 +26,25 @@
         Lagoonbank::Runtime::TimerQueue *world = nullptr;
         std::uint64_t seed = 1;
         /// Whether two places are in one data centre, where links are short.
-        std::function<bool(VmIndex a, VmIndex b)> isNear;
+        std::function<bool(VmIndex a, VmIndex b)> isSameDataCentre;
         /// Runs something in the router at a place, now or when it is thawed; not at all if it is
         /// down or restarts before. Gives back whether the VM's router is there.
         std::function<bool(VmIndex at, std::function<void()> step)> post;
     };
     using Answer = std::function<Lagoonbank::Schema::FleetStateAnswer()>;
-    using Ended = std::function<void(const Lagoonbank::Schema::FleetStateAnswer *answer)>;
+    using PullCallback = std::function<void(const Lagoonbank::Schema::FleetStateAnswer *answer)>;
 
     explicit SimulatedNetwork(Options options)
         : m_options(std::move(options))
     { }
 
-    void datagram(VmIndex from, VmIndex to, std::function<void()> arrive);
+    void sendDatagram(VmIndex from, VmIndex to, std::function<void()> arrive);
     /// \a answer runs at the peer; \a ended in the asker, without an answer if there was none.
-    void pull(VmIndex from, VmIndex to, const Answer &answer, Ended ended);
+    void pull(VmIndex from, VmIndex to, const Answer &answer, PullCallback ended);
 
     // Faults; counts and sums, since they may overlap.
     void cut(VmIndex from, VmIndex to, int change) { m_cuts[{from, to}] += change; }
-    void lose(VmIndex at, int percent) { m_lossPercent[at] += percent; }
+    void addLoss(VmIndex at, int percent) { m_lossPercent[at] += percent; }
     void slowDown(VmIndex at, int change) { m_slow[at] += change; }
 
 private:
@@ -53,9 +53,9 @@
     Lagoonbank::Base::Duration delay(VmIndex from, VmIndex to);
     Lagoonbank::Base::Duration transferTime(VmIndex from, VmIndex to,
                                             const Lagoonbank::Schema::FleetStateAnswer &state);
-    void transfer(VmIndex from, VmIndex to, Lagoonbank::Schema::FleetStateAnswer state, Ended ended,
-                  Lagoonbank::Base::Duration silence);
-    void giveUp(VmIndex from, Lagoonbank::Base::Duration after, Ended ended);
+    void transfer(VmIndex from, VmIndex to, Lagoonbank::Schema::FleetStateAnswer state,
+                  PullCallback ended, Lagoonbank::Base::Duration silence);
+    void failPull(VmIndex from, Lagoonbank::Base::Duration after, PullCallback ended);
 
     Options m_options;
     std::map<std::pair<VmIndex, VmIndex>, int> m_cuts;
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -214,9 +214,9 @@
         SimulatedRouter *peer = m_options.find(to);
         if (!peer)
             return;
-        m_options.network->datagram(m_options.vm, peer->vm(), [peer, ip = address().ip, beacon] {
-            peer->m_run->sync->receive(ip, beacon);
-        });
+        m_options.network->sendDatagram(
+            m_options.vm, peer->vm(),
+            [peer, ip = address().ip, beacon] { peer->m_run->sync->receive(ip, beacon); });
     };
     sync.pull = [this](const auto &peer, const auto &request) { pull(peer, request); };
 }
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -25,8 +25,10 @@
     m_network = std::make_unique<SimulatedNetwork>(SimulatedNetwork::Options{
         .world = &m_timers,
         .seed = history.seed,
-        .isNear = [this](VmIndex a,
-                         VmIndex b) { return router(a).dataCentre() == router(b).dataCentre(); },
+        .isSameDataCentre =
+            [this](VmIndex a, VmIndex b) {
+                return router(a).dataCentre() == router(b).dataCentre();
+            },
         .post = [this](VmIndex at,
                        std::function<void()> step) { return router(at).post(std::move(step)); }});
     m_endpoints = std::make_unique<SimulatedEndpoints>(
@@ -179,7 +181,7 @@
         return true;
     case StepKind::Lossy:
         applyFault(m_vmFaults.at(step.target), step, [this, step](int change) {
-            m_network->lose(step.target, change * static_cast<int>(step.value));
+            m_network->addLoss(step.target, change * static_cast<int>(step.value));
         });
         return true;
     case StepKind::SlowLink:
