--- a/tests/auto/simulation/simulatedendpoints.cpp
+++ b/tests/auto/simulation/simulatedendpoints.cpp
@@ -36,7 +36,7 @@
         endpoint.id = Base::EndpointId(id(i));
         endpoint.service = Base::ServiceId("service");
         endpoint.address = {"10.1.0." + std::to_string(i + 1), firstPort};
-        endpoint.startedAt = options.world->clock().wallNow();
+        endpoint.startedAt = options.worldTimers->clock().wallNow();
         m_endpoints[i].starts.push_back(*endpoint.startedAt);
     }
 }
@@ -55,7 +55,7 @@
         return;
     one.endpoint.state = Fleet::EndpointState::Draining;
     write(one);
-    one.end = m_options.world->start(drainTime, [this, number] { leave(number); });
+    one.end = m_options.worldTimers->start(drainTime, [this, number] { leave(number); });
 }
 
 void SimulatedEndpoints::leave(std::size_t number)
@@ -73,8 +73,8 @@
     Process &one = m_endpoints.at(number);
     one.isAlive = false;
     one.isExpired = false;
-    m_options.world->cancel(one.heartbeat);
-    m_options.world->cancel(one.end);
+    m_options.worldTimers->cancel(one.heartbeat);
+    m_options.worldTimers->cancel(one.end);
 }
 
 void SimulatedEndpoints::restart(std::size_t number, RestartTime how, bool isAtSameAddress)
@@ -88,7 +88,7 @@
         ++one.endpoint.address.port;
     switch (how) {
     case RestartTime::Later:
-        one.endpoint.startedAt = m_options.world->clock().wallNow();
+        one.endpoint.startedAt = m_options.worldTimers->clock().wallNow();
         break;
     case RestartTime::Equal:
         break;
@@ -119,12 +119,12 @@
 
 void SimulatedEndpoints::storeFailed()
 {
-    m_storeFailedAt = m_options.world->clock().now();
+    m_storeFailedAt = m_options.worldTimers->clock().now();
 }
 
 void SimulatedEndpoints::storeRecovered()
 {
-    const Base::MonoTime now = m_options.world->clock().now();
+    const Base::MonoTime now = m_options.worldTimers->clock().now();
     if (now - m_storeFailedAt >= noticedOutage)
         m_noticedRecoveryAt = now;
     const bool wereAway = !std::exchange(m_expiresDuringOutage, false);
@@ -153,7 +153,7 @@
     if (!one.isAlive || !one.isExpired || one.wasUnreadable
         || one.endpoint.state == Fleet::EndpointState::Draining)
         return false;
-    const Base::MonoTime now = m_options.world->clock().now();
+    const Base::MonoTime now = m_options.worldTimers->clock().now();
     const bool isAwayLong = !isStoreAvailable() && now - m_storeFailedAt >= noticedOutage;
     return isAwayLong || (m_noticedRecoveryAt && now - *m_noticedRecoveryAt <= returnTime);
 }
@@ -180,8 +180,8 @@
 void SimulatedEndpoints::heartbeat(std::size_t number, Base::Duration delay)
 {
     Process &one = m_endpoints.at(number);
-    m_options.world->cancel(one.heartbeat);
-    one.heartbeat = m_options.world->start(delay, [this, number] {
+    m_options.worldTimers->cancel(one.heartbeat);
+    one.heartbeat = m_options.worldTimers->start(delay, [this, number] {
         write(m_endpoints.at(number));
         heartbeat(number, heartbeatInterval);
     });
@@ -191,7 +191,7 @@
 {
     if (!one.isAlive || !isStoreAvailable())
         return;
-    one.writtenAt = m_options.world->clock().now();
+    one.writtenAt = m_options.worldTimers->clock().now();
     m_options.store->append(Topic::Endpoints, one.endpoint.id.value(), toText(one.endpoint));
     // One that was back at once was never missing.
     one.isExpired = false;
@@ -199,13 +199,13 @@
 
 void SimulatedEndpoints::checkExpiry()
 {
-    const Base::MonoTime now = m_options.world->clock().now();
+    const Base::MonoTime now = m_options.worldTimers->clock().now();
     for (Process &one : m_endpoints) {
         const bool isDue = now - one.writtenAt > maxMissedHeartbeats * heartbeatInterval;
         if (isDue && (isStoreAvailable() || m_expiresDuringOutage))
             expire(one, !isStoreAvailable());
     }
-    m_options.world->start(lapseStep, [this] { checkExpiry(); });
+    m_options.worldTimers->start(lapseStep, [this] { checkExpiry(); });
 }
 
 void SimulatedEndpoints::expire(Process &one, bool isByOutage)
--- a/tests/auto/simulation/simulatedendpoints.h
+++ b/tests/auto/simulation/simulatedendpoints.h
@@ -23,7 +23,7 @@
     {
         SimulatedStore *store = nullptr;
         const StoreFaults *storeFaults = nullptr;
-        Lagoonbank::Runtime::TimerQueue *world = nullptr;
+        Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
         std::uint64_t seed = 1;
         std::size_t count = 1;
     };
--- a/tests/auto/simulation/simulatednetwork.cpp
+++ b/tests/auto/simulation/simulatednetwork.cpp
@@ -41,8 +41,8 @@
         link.chance(m_lossPercent[from] + m_lossPercent[to]) || link.below(calmLossOneIn) == 0;
     if (isLost || isCut(from, to))
         return;
-    m_options.world->start(takes,
-                           [this, to, arrive = std::move(arrive)] { m_options.post(to, arrive); });
+    m_options.worldTimers->start(
+        takes, [this, to, arrive = std::move(arrive)] { m_options.post(to, arrive); });
 }
 
 /// A connection needs both directions. A peer that is down but whose VM lives resets it; one that
@@ -54,24 +54,25 @@
         return;
     }
     const Base::Duration takes = delay(from, to) + delay(to, from) + delay(from, to);
-    const Base::MonoTime limit = m_options.world->clock().now() + takes + pullTimeout;
+    const Base::MonoTime limit = m_options.worldTimers->clock().now() + takes + pullTimeout;
     const auto isAnswered = std::make_shared<bool>(false);
-    m_options.world->start(takes, [this, from, to, answer, ended, limit, isAnswered] {
+    m_options.worldTimers->start(takes, [this, from, to, answer, ended, limit, isAnswered] {
         const bool isThere = m_options.post(to, [this, from, to, answer, ended, limit, isAnswered] {
-            if (m_options.world->clock().now() >= limit)
+            if (m_options.worldTimers->clock().now() >= limit)
                 return; // The asker has gone.
             *isAnswered = true;
             Schema::FleetStateAnswer state = answer();
-            m_options.world->start(transferTime(from, to, state), [this, from, to, state, ended] {
-                transfer(from, to, state, ended, Base::Duration::zero());
-            });
+            m_options.worldTimers->start(
+                transferTime(from, to, state), [this, from, to, state, ended] {
+                    transfer(from, to, state, ended, Base::Duration::zero());
+                });
         });
         if (!isThere) {
             *isAnswered = true;
             failPull(from, delay(to, from), ended);
         }
     });
-    m_options.world->start(takes + pullTimeout, [this, from, ended, isAnswered] {
+    m_options.worldTimers->start(takes + pullTimeout, [this, from, ended, isAnswered] {
         if (!*isAnswered)
             failPull(from, Base::Duration::zero(), ended);
     });
@@ -86,7 +87,7 @@
             failPull(from, Base::Duration::zero(), std::move(ended));
             return;
         }
-        m_options.world->start(transferStep, [this, from, to, state, ended, silence] {
+        m_options.worldTimers->start(transferStep, [this, from, to, state, ended, silence] {
             transfer(from, to, state, ended, silence + transferStep);
         });
         return;
@@ -96,7 +97,7 @@
 
 void SimulatedNetwork::failPull(VmIndex from, Base::Duration after, PullCallback ended)
 {
-    m_options.world->start(after, [this, from, ended = std::move(ended)] {
+    m_options.worldTimers->start(after, [this, from, ended = std::move(ended)] {
         m_options.post(from, [ended] { ended(nullptr); });
     });
 }
--- a/tests/auto/simulation/simulatednetwork.h
+++ b/tests/auto/simulation/simulatednetwork.h
@@ -23,7 +23,7 @@
 public:
     struct Options
     {
-        Lagoonbank::Runtime::TimerQueue *world = nullptr;
+        Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
         std::uint64_t seed = 1;
         /// Whether two places are in one data centre, where links are short.
         std::function<bool(VmIndex a, VmIndex b)> isSameDataCentre;
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -26,7 +26,7 @@
 
 SimulatedRouter::SimulatedRouter(Options options)
     : m_options(std::move(options))
-    , m_timers(m_options.world->clock())
+    , m_timers(m_options.worldTimers->clock())
 { }
 
 SimulatedRouter::~SimulatedRouter()
@@ -137,7 +137,7 @@
         StoreLink::Options{.store = m_options.store,
                            .sharedFaults = m_options.storeFaults,
                            .routerFaults = &storeFaults,
-                           .world = m_options.world,
+                           .worldTimers = m_options.worldTimers,
                            .timers = &m_timers,
                            .post = [this](std::function<void()> step) { post(std::move(step)); },
                            .seed = m_options.seed + m_runNumber});
--- a/tests/auto/simulation/simulatedrouter.h
+++ b/tests/auto/simulation/simulatedrouter.h
@@ -41,7 +41,7 @@
         SimulatedStore *store = nullptr;
         const StoreFaults *storeFaults = nullptr;
         SimulatedNetwork *network = nullptr;
-        Lagoonbank::Runtime::TimerQueue *world = nullptr;
+        Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
         const RouterEvents *events = nullptr;
         /// The router at an address; null if none ever was there.
         std::function<SimulatedRouter *(const Lagoonbank::Runtime::SocketAddress &address)> find;
--- a/tests/auto/simulation/storelink.cpp
+++ b/tests/auto/simulation/storelink.cpp
@@ -157,11 +157,11 @@
 
 void StoreLink::after(Base::Duration delay, std::function<void()> step)
 {
-    m_options.world->start(delay,
-                           [step = std::move(step), isAlive = std::weak_ptr<bool>(m_isAlive)] {
-                               if (!isAlive.expired())
-                                   step();
-                           });
+    m_options.worldTimers->start(
+        delay, [step = std::move(step), isAlive = std::weak_ptr<bool>(m_isAlive)] {
+            if (!isAlive.expired())
+                step();
+        });
 }
 
 } // namespace Simulation
--- a/tests/auto/simulation/storelink.h
+++ b/tests/auto/simulation/storelink.h
@@ -29,7 +29,7 @@
         SimulatedStore *store = nullptr;
         const StoreFaults *sharedFaults = nullptr; ///< Trouble of the store.
         const StoreFaults *routerFaults = nullptr; ///< Trouble for this router alone.
-        Lagoonbank::Runtime::TimerQueue *world = nullptr;
+        Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
         Lagoonbank::Runtime::TimerQueue *timers = nullptr; ///< The router's.
         /// Runs something in the router, now or when it is thawed.
         std::function<void(std::function<void()>)> post;
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -23,7 +23,7 @@
     : m_history(history)
 {
     m_network = std::make_unique<SimulatedNetwork>(SimulatedNetwork::Options{
-        .world = &m_timers,
+        .worldTimers = &m_timers,
         .seed = history.seed,
         .isSameDataCentre =
             [this](VmIndex a, VmIndex b) {
@@ -34,7 +34,7 @@
     m_endpoints = std::make_unique<SimulatedEndpoints>(
         SimulatedEndpoints::Options{.store = &m_store,
                                     .storeFaults = &m_storeFaults,
-                                    .world = &m_timers,
+                                    .worldTimers = &m_timers,
                                     .seed = history.seed,
                                     .count = history.endpoints});
     addRouters();
@@ -64,7 +64,7 @@
                 .store = &m_store,
                 .storeFaults = &m_storeFaults,
                 .network = m_network.get(),
-                .world = &m_timers,
+                .worldTimers = &m_timers,
                 .events = &events,
                 .find = [this](const Runtime::SocketAddress &address) -> SimulatedRouter * {
                     const auto found =
