--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -79,10 +79,10 @@
     m_world.events.roleChanged = [this](VmIndex at, bool reads) {
         writeTrace(at, reads ? "reads" : "leaves reading to a peer");
     };
-    m_world.events.pulled = [this](VmIndex at, VmIndex from, std::size_t underWay) {
-        addToFingerprint(at, underWay);
+    m_world.events.pulled = [this](VmIndex at, VmIndex from, std::size_t inFlight) {
+        addToFingerprint(at, inFlight);
         writeTrace(at, "pulls from router " + std::to_string(from));
-        if (underWay > 1)
+        if (inFlight > 1)
             reportViolation("two pulls at a time", "router " + std::to_string(at));
     };
 }
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -70,24 +70,24 @@
     m_run->directory->changed = nullptr;
     m_run->directory->removed = nullptr;
     m_run.reset();
-    m_held.clear();
+    m_pendingSteps.clear();
 }
 
 void SimulatedRouter::replace()
 {
     kill();
-    ++m_replaced;
+    ++m_replacements;
     start();
 }
 
 void SimulatedRouter::freeze(int change)
 {
-    m_frozen += change;
+    m_freezeCount += change;
     if (isFrozen())
         return;
     // The loop looks at timers that are due first.
     runDue();
-    for (const std::function<void()> &step : std::exchange(m_held, {}))
+    for (const std::function<void()> &step : std::exchange(m_pendingSteps, {}))
         step();
 }
 
@@ -101,8 +101,8 @@
     };
     if (!isFrozen())
         inThisRun();
-    else if (m_held.size() < mostHeld)
-        m_held.emplace_back(std::move(inThisRun));
+    else if (m_pendingSteps.size() < mostHeld)
+        m_pendingSteps.emplace_back(std::move(inThisRun));
     return true;
 }
 
@@ -126,8 +126,8 @@
 {
     // As long as the users' names.
     std::string name = "edge-data-centre-r" + std::to_string(m_options.vm);
-    if (m_replaced > 0)
-        name += "-" + std::to_string(m_replaced);
+    if (m_replacements > 0)
+        name += "-" + std::to_string(m_replacements);
     return name;
 }
 
@@ -159,7 +159,7 @@
     run->configurationView = std::make_unique<KeyedLog::KeyedView>(std::move(options));
     run->configurationView->valueChanged = [this](const KeyedLog::KeyedRecord &record) {
         if (record.key == configurationKey)
-            putInForce(*record.value, record.offset);
+            applyConfiguration(*record.value, record.offset);
     };
     options = viewOptions(Topic::Endpoints);
     options.interval = endpointInterval;
@@ -207,7 +207,7 @@
     FleetSync::FleetSync &sync = *m_run->sync;
     sync.roleChanged = [this](bool reads) { setReading(reads); };
     sync.configurationPulled = [this](const FleetSync::StoredConfiguration &told) {
-        putInForce(told.packed, told.offset);
+        applyConfiguration(told.packed, told.offset);
     };
     sync.send = [this](const Runtime::SocketAddress &to, const Schema::FleetBeacon &beacon) {
         m_sentBytes += datagramHeaders + Schema::encodeMessage(beacon).value().size();
@@ -226,7 +226,7 @@
 {
     ++m_pulls;
     SimulatedRouter *peer = m_options.find(to);
-    m_options.events->pulled(m_options.vm, peer->vm(), ++m_run->pullsUnderWay);
+    m_options.events->pulled(m_options.vm, peer->vm(), ++m_run->pullsInFlight);
     m_options.network->pull(
         m_options.vm, peer->vm(), [peer, request] { return peer->m_run->sync->answer(request); },
         [this, run = m_runNumber](const Schema::FleetStateAnswer *answer) {
@@ -237,7 +237,7 @@
 
 void SimulatedRouter::pullEnded(const Schema::FleetStateAnswer *answer)
 {
-    --m_run->pullsUnderWay;
+    --m_run->pullsInFlight;
     if (answer)
         m_run->sync->pullSucceeded(*answer);
     else
@@ -274,7 +274,7 @@
     m_run->endpointView->start();
 }
 
-void SimulatedRouter::putInForce(const std::string &text, Base::LogOffset offset)
+void SimulatedRouter::applyConfiguration(const std::string &text, Base::LogOffset offset)
 {
     if (m_run->configurationOffset && offset <= *m_run->configurationOffset)
         return;
--- a/tests/auto/simulation/simulatedrouter.h
+++ b/tests/auto/simulation/simulatedrouter.h
@@ -22,7 +22,7 @@
     std::function<void(VmIndex at, std::uint64_t before, std::uint64_t after)> configured;
     std::function<void(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint)> changed;
     std::function<void(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint)> removed;
-    std::function<void(VmIndex at, VmIndex from, std::size_t underWay)> pulled;
+    std::function<void(VmIndex at, VmIndex from, std::size_t inFlight)> pulled;
     std::function<void(VmIndex at, bool reads)> roleChanged;
 };
 
@@ -64,7 +64,7 @@
     std::optional<Lagoonbank::Base::MonoTime> nextDue();
 
     bool isUp() const { return m_run != nullptr; }
-    bool isFrozen() const { return m_frozen > 0; }
+    bool isFrozen() const { return m_freezeCount > 0; }
     bool isReading() const { return m_run && m_run->sync->readsStore(); }
     bool isLeader() const { return m_run && m_run->sync->isLeader(); }
     VmIndex vm() const { return m_options.vm; }
@@ -91,7 +91,7 @@
         std::unique_ptr<Lagoonbank::FleetSync::RouterRegistry> registry;
         std::uint64_t configuration = 0;
         std::optional<Lagoonbank::Base::LogOffset> configurationOffset;
-        std::size_t pullsUnderWay = 0;
+        std::size_t pullsInFlight = 0;
     };
 
     Lagoonbank::KeyedLog::KeyedView::Options viewOptions(Topic topic);
@@ -105,7 +105,7 @@
               const Lagoonbank::Schema::FleetStateRequest &request);
     void pullEnded(const Lagoonbank::Schema::FleetStateAnswer *answer);
     void setReading(bool reads);
-    void putInForce(const std::string &text, Lagoonbank::Base::LogOffset offset);
+    void applyConfiguration(const std::string &text, Lagoonbank::Base::LogOffset offset);
     void endpointWritten(const Lagoonbank::KeyedLog::KeyedRecord &record);
     std::string id() const;
 
@@ -113,9 +113,9 @@
     Lagoonbank::Runtime::TimerQueue m_timers;
     std::unique_ptr<Run> m_run;
     std::uint64_t m_runNumber = 0;
-    int m_replaced = 0;
-    int m_frozen = 0;
-    std::vector<std::function<void()>> m_held; ///< What came while it was frozen.
+    int m_replacements = 0;
+    int m_freezeCount = 0;
+    std::vector<std::function<void()>> m_pendingSteps; ///< What came while it was frozen.
     std::uint64_t m_sentBytes = 0; ///< In beacons, with the headers of UDP and IP.
     std::uint64_t m_pulls = 0;
 };
