--- a/tests/auto/simulation/storelink.cpp
+++ b/tests/auto/simulation/storelink.cpp
@@ -49,9 +49,9 @@
                 [this, topic, store](Base::LogOffset from, Base::Duration wait, auto read) {
                     return start({.topic = topic,
                                   .wait = wait,
-                                  .perform = [store, topic, from, read](bool isLast) -> Answer {
+                                  .perform = [store, topic, from, read](bool isWaitOver) -> Answer {
                                       auto page = store->tail(topic, from);
-                                      if (!page && isLast)
+                                      if (!page && isWaitOver)
                                           page = store->emptyTail(topic);
                                       if (!page)
                                           return nullptr;
@@ -90,7 +90,7 @@
 {
     const std::uint64_t id = ++m_lastId;
     const Base::Duration limit =
-        m_distrustsConnections && isSilent() ? connectTimeout : call.wait + answerTimeout;
+        m_usesConnectTimeout && isSilent() ? connectTimeout : call.wait + answerTimeout;
     call.timeout = m_options.timers->start(limit, [this, id] { finish(id, false, nullptr); });
     m_calls.emplace(id, std::move(call));
     after(m_random.between(nearest, farthest), [this, id] { arrive(id, false); });
@@ -106,20 +106,20 @@
     m_calls.erase(found);
 }
 
-void StoreLink::arrive(std::uint64_t id, bool isLast)
+void StoreLink::arrive(std::uint64_t id, bool isWaitOver)
 {
     const auto found = m_calls.find(id);
     if (found == m_calls.end() || isSilent())
         return;
     Call &call = found->second;
-    if (isLast && !call.isWaiting)
+    if (isWaitOver && !call.isWaiting)
         return;
-    if (isRefused()) {
+    if (isRefusing()) {
         call.isWaiting = false;
         reply(id, nullptr);
         return;
     }
-    Answer answer = call.perform(isLast || call.wait == Base::Duration::zero());
+    Answer answer = call.perform(isWaitOver || call.wait == Base::Duration::zero());
     const bool isFirst = !std::exchange(call.isWaiting, !answer);
     if (answer)
         reply(id, std::move(answer));
@@ -148,7 +148,7 @@
         return;
     const Answer fail = found->second.fail;
     cancel(id);
-    m_distrustsConnections = !isAnswered;
+    m_usesConnectTimeout = !isAnswered;
     if (answer)
         answer();
     else
--- a/tests/auto/simulation/storelink.h
+++ b/tests/auto/simulation/storelink.h
@@ -56,7 +56,7 @@
         Topic topic = Topic::Configuration;
         Lagoonbank::Base::Duration wait{};
         /// Done at the store; nothing if the call has to wait, which it need not when it is last.
-        std::function<Answer(bool isLast)> perform;
+        std::function<Answer(bool isWaitOver)> perform;
         Answer fail;
         bool isWaiting = false;
         Lagoonbank::Runtime::TimerId timeout;
@@ -64,11 +64,11 @@
 
     Lagoonbank::KeyedLog::ReadId start(Call call);
     void cancel(std::uint64_t id);
-    void arrive(std::uint64_t id, bool isLast);
+    void arrive(std::uint64_t id, bool isWaitOver);
     void reply(std::uint64_t id, Answer answer);
     void finish(std::uint64_t id, bool isAnswered, const Answer &answer);
     void after(Lagoonbank::Base::Duration delay, std::function<void()> step);
-    bool isRefused() const
+    bool isRefusing() const
     {
         return m_options.sharedFaults->refuses + m_options.routerFaults->refuses > 0;
     }
@@ -81,7 +81,7 @@
     RandomSource m_random;
     std::uint64_t m_lastId = 0;
     std::map<std::uint64_t, Call> m_calls;
-    bool m_distrustsConnections = false; ///< Since a call was lost.
+    bool m_usesConnectTimeout = false; ///< Since a call was lost.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
