--- a/tests/auto/simulation/play.cpp
+++ b/tests/auto/simulation/play.cpp
@@ -40,8 +40,8 @@
 class Shrinker
 {
 public:
-    Shrinker(const History &red, const std::string &rule)
-        : m_history(red)
+    Shrinker(const History &failing, const std::string &rule)
+        : m_history(failing)
         , m_rule(rule)
     { }
 
@@ -124,9 +124,9 @@
     return {checks.violation(), checks.fingerprint(), checks.states()};
 }
 
-History shrink(const History &red, const Violation &violation)
+History shrink(const History &failing, const Violation &violation)
 {
-    return Shrinker(red, violation.rule).run();
+    return Shrinker(failing, violation.rule).run();
 }
 
 } // namespace Simulation
--- a/tests/auto/simulation/play.h
+++ b/tests/auto/simulation/play.h
@@ -24,6 +24,6 @@
 
 /// The shortest history that is found to break the same rule as \a red does, by leaving out steps,
 /// routers and endpoints, and by making faults shorter.
-History shrink(const History &red, const Violation &violation);
+History shrink(const History &failing, const Violation &violation);
 
 } // namespace Simulation
--- a/tests/auto/simulation/tst_simulatedorders.cpp
+++ b/tests/auto/simulation/tst_simulatedorders.cpp
@@ -53,7 +53,7 @@
 {
     std::size_t histories = 0;
     std::set<std::uint64_t> states;
-    std::map<std::string, int> red;
+    std::map<std::string, int> failing;
 };
 
 void playOne(const std::vector<std::size_t> &order, std::int64_t distanceMs, Tally &tally)
@@ -67,7 +67,7 @@
     const Outcome outcome = play(history);
     ++tally.histories;
     tally.states.insert(outcome.states.begin(), outcome.states.end());
-    if (outcome.violation && ++tally.red[outcome.violation->rule] == 1) {
+    if (outcome.violation && ++tally.failing[outcome.violation->rule] == 1) {
         std::cout << outcome.violation->rule << ": " << outcome.violation->detail << " after "
                   << outcome.violation->atMs << " ms\n"
                   << toText(history) << std::endl;
@@ -99,6 +99,6 @@
     std::vector<std::size_t> order;
     playOrders(order, text ? std::stoul(text) : eventsInCi, tally);
     std::cout << tally.histories << " histories, " << tally.states.size() << " states" << std::endl;
-    for (const auto &[rule, times] : tally.red)
+    for (const auto &[rule, times] : tally.failing)
         BOOST_TEST(times == 0, rule << ": " << times << " histories");
 }
--- a/tests/auto/simulation/tst_simulation.cpp
+++ b/tests/auto/simulation/tst_simulation.cpp
@@ -27,11 +27,11 @@
     return text ? std::stoull(text) : otherwise;
 }
 
-void show(const History &red, const Violation &violation)
+void show(const History &failing, const Violation &violation)
 {
-    const History shortest = shrink(red, violation);
+    const History shortest = shrink(failing, violation);
     const Outcome outcome = play(shortest);
-    std::cout << "seed " << red.seed << ": " << violation.rule << ": " << violation.detail
+    std::cout << "seed " << failing.seed << ": " << violation.rule << ": " << violation.detail
               << " after " << violation.atMs << " ms\nshortest: " << outcome.violation->detail
               << " after " << outcome.violation->atMs << " ms\n"
               << toText(shortest) << std::endl;
@@ -56,15 +56,15 @@
     const std::uint64_t first = numberFrom("LAGOONBANK_SIMULATION_FIRST", 1);
     const std::uint64_t count = numberFrom("LAGOONBANK_SIMULATION_COUNT", countInCi);
     const auto startedAt = std::chrono::steady_clock::now();
-    std::map<std::string, int> red;
+    std::map<std::string, int> failing;
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
         const History history = historyFromSeed(seed);
         const auto violation = play(history).violation;
-        if (violation && ++red[violation->rule] <= mostShown)
+        if (violation && ++failing[violation->rule] <= mostShown)
             show(history, *violation);
     }
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - startedAt;
     std::cout << count << " histories in " << took.count() << " s" << std::endl;
-    for (const auto &[rule, times] : red)
+    for (const auto &[rule, times] : failing)
         BOOST_TEST(times == 0, rule << ": " << times << " histories");
 }
