--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -72,10 +72,10 @@
     m_dataCentres = std::move(dataCentres);
     const auto self =
         std::lower_bound(m_dataCentres.begin(), m_dataCentres.end(), m_options.dataCentre);
-    m_place.dataCentre = static_cast<std::uint16_t>(self - m_dataCentres.begin());
-    m_place.dataCentres = static_cast<std::uint16_t>(m_dataCentres.size());
-    m_place.dataCentresHash = hashOf(m_dataCentres);
-    placesChanged(now);
+    m_topology.dataCentre = static_cast<std::uint16_t>(self - m_dataCentres.begin());
+    m_topology.dataCentres = static_cast<std::uint16_t>(m_dataCentres.size());
+    m_topology.dataCentresHash = hashOf(m_dataCentres);
+    applyTopology(now);
 }
 
 void ShareAllocator::setRouters(std::vector<ShareMember> routers, MonoTime now)
@@ -89,16 +89,16 @@
     std::copy_if(m_members.begin(), m_members.end(), std::back_inserter(m_routers),
                  [this](const ShareMember &m) { return m.dataCentre == m_options.dataCentre; });
     const auto self = std::find_if(m_routers.begin(), m_routers.end(), isSelf);
-    m_place.self = static_cast<std::uint16_t>(self - m_routers.begin());
-    m_place.routers = static_cast<std::uint16_t>(m_routers.size());
-    m_place.routersHash = hashOf(m_routers);
-    placesChanged(now);
+    m_topology.self = static_cast<std::uint16_t>(self - m_routers.begin());
+    m_topology.routers = static_cast<std::uint16_t>(m_routers.size());
+    m_topology.routersHash = hashOf(m_routers);
+    applyTopology(now);
 }
 
-void ShareAllocator::placesChanged(MonoTime now)
+void ShareAllocator::applyTopology(MonoTime now)
 {
     for (auto &[workspace, shares] : m_workspaces)
-        shares.setPlace(m_place, now);
+        shares.setTopology(m_topology, now);
 }
 
 void ShareAllocator::advance(const WorkspaceId &workspace, double demandedShare, MonoTime now)
@@ -163,8 +163,9 @@
     const auto found = m_workspaces.find(workspace);
     if (found != m_workspaces.end())
         return found->second.share(now);
-    const std::int64_t router = ShareLedger::base(m_place.routers, m_place.self);
-    const std::int64_t dataCentre = ShareLedger::base(m_place.dataCentres, m_place.dataCentre);
+    const std::int64_t router = ShareLedger::base(m_topology.routers, m_topology.self);
+    const std::int64_t dataCentre =
+        ShareLedger::base(m_topology.dataCentres, m_topology.dataCentre);
     return static_cast<double>(router * dataCentre)
         / static_cast<double>(ShareLedger::whole * ShareLedger::whole);
 }
@@ -197,7 +198,7 @@
     const Internal::ShareTiming timing{.settleTime = m_options.settleTime,
                                        .demandAge = m_options.demandAge,
                                        .linkAge = m_options.linkAge};
-    return m_workspaces.try_emplace(workspace, m_place, timing).first->second;
+    return m_workspaces.try_emplace(workspace, m_topology, timing).first->second;
 }
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -78,13 +78,13 @@
     std::vector<std::string> receivers(const Base::WorkspaceId &workspace,
                                        bool isRepresentative) const;
     Internal::WorkspaceShares &sharesOf(const Base::WorkspaceId &workspace);
-    void placesChanged(Base::MonoTime now);
+    void applyTopology(Base::MonoTime now);
 
     ShareOptions m_options;
     std::vector<ShareMember> m_members; // of all data centres
     std::vector<ShareMember> m_routers; // of this one
     std::vector<Base::DataCentreId> m_dataCentres;
-    Internal::SharePlace m_place;
+    Internal::ShareTopology m_topology;
     absl::flat_hash_map<Base::WorkspaceId, Internal::WorkspaceShares> m_workspaces;
     std::vector<Base::WorkspaceId> m_turns; // workspaces whose digests wait
 };
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -29,22 +29,22 @@
 
 } // namespace
 
-WorkspaceShares::WorkspaceShares(const SharePlace &place, const ShareTiming &timing)
-    : m_place(place)
+WorkspaceShares::WorkspaceShares(const ShareTopology &place, const ShareTiming &timing)
+    : m_topology(place)
     , m_timing(timing)
     , m_routerLedger(place.routers, Duration::zero())
     , m_dataCentreLedger(place.dataCentres, timing.settleTime)
 { }
 
-void WorkspaceShares::setPlace(const SharePlace &place, MonoTime now)
+void WorkspaceShares::setTopology(const ShareTopology &place, MonoTime now)
 {
-    const bool newRouters = place.routersHash != m_place.routersHash;
-    const bool newDataCentres = place.dataCentresHash != m_place.dataCentresHash;
+    const bool newRouters = place.routersHash != m_topology.routersHash;
+    const bool newDataCentres = place.dataCentresHash != m_topology.dataCentresHash;
     if (!newRouters && !newDataCentres)
         return;
     m_capShare = share(now);
     m_capUntil = now + m_timing.settleTime;
-    m_place = place;
+    m_topology = place;
     m_routerLedger = ShareLedger(place.routers, Duration::zero());
     m_routerDemands.clear();
     m_division.reset();
@@ -56,12 +56,12 @@
 
 double WorkspaceShares::dataCentrePart(MonoTime now) const
 {
-    return static_cast<double>(m_dataCentreLedger.units(m_place.dataCentre, now));
+    return static_cast<double>(m_dataCentreLedger.units(m_topology.dataCentre, now));
 }
 
 double WorkspaceShares::ownPart(MonoTime now) const
 {
-    return static_cast<double>(m_routerLedger.units(m_place.self, now)) / whole;
+    return static_cast<double>(m_routerLedger.units(m_topology.self, now)) / whole;
 }
 
 double WorkspaceShares::share(MonoTime now) const
@@ -87,7 +87,7 @@
 // From parts of the fleet's limit to parts of the data centre's.
 double WorkspaceShares::scaledDemand(double demand, MonoTime now) const
 {
-    const double idle = idlePart * whole / m_place.routers;
+    const double idle = idlePart * whole / m_topology.routers;
     const double part = dataCentrePart(now);
     if (part <= 0)
         return idle;
@@ -97,7 +97,7 @@
 FairDivision WorkspaceShares::ownDivision(MonoTime now) const
 {
     std::vector<double> demands;
-    for (std::uint16_t i = 0; i < m_place.routers; ++i) {
+    for (std::uint16_t i = 0; i < m_topology.routers; ++i) {
         demands.push_back(scaledDemand(routerDemand(i, now), now));
     }
     return divideFairly(std::move(demands), whole);
@@ -108,33 +108,33 @@
     if (!m_division || m_division->author != m_representative
         || now - m_division->at > m_timing.demandAge)
         return;
-    const auto holding = static_cast<double>(m_routerLedger.units(m_place.self, now));
+    const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - m_division->division.shareOf(scaledDemand(m_demand, now));
     const double amount = gain * surplus;
-    if (amount >= std::max(1.0, leastGift * whole / m_place.routers))
-        m_routerLedger.give({m_place.self, m_representative}, std::llround(amount), now);
+    if (amount >= std::max(1.0, leastGift * whole / m_topology.routers))
+        m_routerLedger.give({m_topology.self, m_representative}, std::llround(amount), now);
 }
 
 void WorkspaceShares::giveToRouters(MonoTime now)
 {
     const FairDivision division = ownDivision(now);
-    std::vector<double> lacks(m_place.routers);
+    std::vector<double> lacks(m_topology.routers);
     double missing = 0;
-    for (std::uint16_t i = 0; i < m_place.routers; ++i) {
-        if (i == m_place.self)
+    for (std::uint16_t i = 0; i < m_topology.routers; ++i) {
+        if (i == m_topology.self)
             continue;
         const double asked = scaledDemand(routerDemand(i, now), now);
         const auto holding = static_cast<double>(m_routerLedger.units(i, now));
         lacks[i] = std::max(0.0, division.shareOf(asked) - holding);
         missing += lacks[i];
     }
-    const auto holding = static_cast<double>(m_routerLedger.units(m_place.self, now));
+    const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - division.shareOf(scaledDemand(m_demand, now));
     if (surplus <= 0 || missing <= 0)
         return;
     const double part = std::min(1.0, surplus / missing);
-    for (std::uint16_t i = 0; i < m_place.routers; ++i)
-        m_routerLedger.give({m_place.self, i}, std::llround(lacks[i] * part), now);
+    for (std::uint16_t i = 0; i < m_topology.routers; ++i)
+        m_routerLedger.give({m_topology.self, i}, std::llround(lacks[i] * part), now);
 }
 
 // A data centre that was not heard of lately is left out: it keeps what it holds and gets nothing.
@@ -145,9 +145,9 @@
     std::vector<std::uint16_t> places;
     std::vector<double> demands;
     double total = 0;
-    const double idle = idlePart * whole / m_place.dataCentres;
-    for (std::uint16_t i = 0; i < m_place.dataCentres; ++i) {
-        const bool isSelf = i == m_place.dataCentre;
+    const double idle = idlePart * whole / m_topology.dataCentres;
+    for (std::uint16_t i = 0; i < m_topology.dataCentres; ++i) {
+        const bool isSelf = i == m_topology.dataCentre;
         if (!isSelf && !isFresh(m_dataCentreDemands, i, m_timing.linkAge, now))
             continue;
         const double asked = isSelf ? dataCentreDemand(now) : m_dataCentreDemands.at(i).demand;
@@ -165,33 +165,33 @@
         const double over = holding - division.shareOf(demands[i]);
         lacks.push_back(std::max(0.0, -over));
         missing += lacks.back();
-        if (places[i] == m_place.dataCentre)
+        if (places[i] == m_topology.dataCentre)
             surplus = over;
     }
     if (surplus <= 0 || missing <= 0)
         return;
     const double most = std::min(gain * surplus, mostOfDataCentre * dataCentrePart(now));
-    if (most < std::max(1.0, leastGift * whole / m_place.dataCentres))
+    if (most < std::max(1.0, leastGift * whole / m_topology.dataCentres))
         return;
     for (std::size_t i = 0; i < places.size(); ++i) {
         const double amount = most * lacks[i] / missing;
-        m_dataCentreLedger.give({m_place.dataCentre, places[i]}, std::llround(amount), now);
+        m_dataCentreLedger.give({m_topology.dataCentre, places[i]}, std::llround(amount), now);
     }
     m_gaveToDataCentres = now;
 }
 
 void WorkspaceShares::receive(const ShareDigest &digest, MonoTime now)
 {
-    if (digest.dataCentres != m_place.dataCentresHash)
+    if (digest.dataCentres != m_topology.dataCentresHash)
         return;
     for (const ShareCell &cell : digest.dataCentreCells)
         m_dataCentreLedger.merge({cell.from, cell.to}, cell.given, now);
-    if (digest.representative && digest.dataCentre != m_place.dataCentre)
+    if (digest.representative && digest.dataCentre != m_topology.dataCentre)
         note(m_dataCentreDemands, digest.dataCentre,
              {digest.author, digest.version, static_cast<double>(digest.dataCentreDemand), now});
-    if (digest.routers != m_place.routersHash || digest.dataCentre != m_place.dataCentre)
+    if (digest.routers != m_topology.routersHash || digest.dataCentre != m_topology.dataCentre)
         return;
-    if (digest.author == m_place.self)
+    if (digest.author == m_topology.self)
         return;
     for (const ShareCell &cell : digest.routerCells)
         m_routerLedger.merge({digest.author, cell.to}, cell.given, now);
@@ -217,11 +217,11 @@
         return std::nullopt;
 
     const FairDivision division = isRepresentative() ? ownDivision(now) : FairDivision{};
-    ShareDigest digest{.routers = m_place.routersHash,
-                       .dataCentres = m_place.dataCentresHash,
+    ShareDigest digest{.routers = m_topology.routersHash,
+                       .dataCentres = m_topology.dataCentresHash,
                        .version = ++m_version,
-                       .author = m_place.self,
-                       .dataCentre = m_place.dataCentre,
+                       .author = m_topology.self,
+                       .dataCentre = m_topology.dataCentre,
                        .demand = static_cast<std::uint32_t>(std::min(m_demand, 1e9)),
                        .representative = isRepresentative(),
                        .dataCentreDemand =
@@ -230,7 +230,7 @@
                        .extra = asUnits(division.extra)};
     std::vector<ShareCell> routerCells;
     m_routerLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t given) {
-        if (cell.from == m_place.self)
+        if (cell.from == m_topology.self)
             routerCells.push_back({cell.from, cell.to, given});
     });
     std::vector<ShareCell> dataCentreCells;
@@ -245,7 +245,7 @@
 
 double WorkspaceShares::routerDemand(std::uint16_t router, MonoTime now) const
 {
-    if (router == m_place.self)
+    if (router == m_topology.self)
         return m_demand;
     return isFresh(m_routerDemands, router, m_timing.demandAge, now)
         ? m_routerDemands.at(router).demand
@@ -261,7 +261,7 @@
 double WorkspaceShares::dataCentreDemand(MonoTime now) const
 {
     double demand = 0;
-    for (std::uint16_t i = 0; i < m_place.routers; ++i)
+    for (std::uint16_t i = 0; i < m_topology.routers; ++i)
         demand += routerDemand(i, now);
     return demand;
 }
@@ -281,7 +281,7 @@
     const auto holding = static_cast<double>(m_dataCentreLedger.units(dataCentre, now));
     if (std::abs(holding - base) > nearPart * base)
         return true;
-    if (dataCentre == m_place.dataCentre)
+    if (dataCentre == m_topology.dataCentre)
         return dataCentreDemand(now) >= nearPart * holding;
     return isFresh(m_dataCentreDemands, dataCentre, m_timing.demandAge, now)
         && m_dataCentreDemands.at(dataCentre).demand >= nearPart * holding;
@@ -291,12 +291,12 @@
 bool WorkspaceShares::isActive(MonoTime now) const
 {
     if (!isRepresentative())
-        return isRouterActive(m_place.self, now);
-    for (std::uint16_t i = 0; i < m_place.routers; ++i) {
+        return isRouterActive(m_topology.self, now);
+    for (std::uint16_t i = 0; i < m_topology.routers; ++i) {
         if (isRouterActive(i, now))
             return true;
     }
-    for (std::uint16_t i = 0; i < m_place.dataCentres; ++i) {
+    for (std::uint16_t i = 0; i < m_topology.dataCentres; ++i) {
         if (isDataCentreActive(i, now))
             return true;
     }
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -13,7 +13,7 @@
 namespace Lagoonbank::Admission::Internal {
 
 /// Where this router stands among those that share the limits.
-struct SharePlace
+struct ShareTopology
 {
     std::uint32_t routersHash = 0;
     std::uint32_t dataCentresHash = 0;
@@ -35,11 +35,11 @@
 class WorkspaceShares
 {
 public:
-    WorkspaceShares(const SharePlace &place, const ShareTiming &timing);
+    WorkspaceShares(const ShareTopology &place, const ShareTiming &timing);
 
     /// The routers or the data centres changed. A router that was here before takes the smaller of
     /// its old and new share until others have had the time to learn of the change.
-    void setPlace(const SharePlace &place, Base::MonoTime now);
+    void setTopology(const ShareTopology &place, Base::MonoTime now);
     double share(Base::MonoTime now) const;
 
     /// Takes note of this router's demand and gives away what others need more. `demand` is in
@@ -49,7 +49,7 @@
     void receive(const ShareDigest &digest, Base::MonoTime now);
     /// Nothing while there is nothing that others need to know.
     std::optional<ShareDigest> digest(Base::MonoTime now);
-    bool isRepresentative() const { return m_representative == m_place.self; }
+    bool isRepresentative() const { return m_representative == m_topology.self; }
 
 private:
     struct Heard
@@ -85,7 +85,7 @@
     static std::vector<ShareCell> nextCells(const std::vector<ShareCell> &all, std::size_t most,
                                             std::size_t &turn);
 
-    SharePlace m_place;
+    ShareTopology m_topology;
     ShareTiming m_timing;
     ShareLedger m_routerLedger;
     ShareLedger m_dataCentreLedger;
