--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -196,8 +196,8 @@
 WorkspaceShares &ShareAllocator::sharesOf(const WorkspaceId &workspace)
 {
     const Internal::ShareTiming timing{.settleTime = m_options.settleTime,
-                                       .demandAge = m_options.demandAge,
-                                       .linkAge = m_options.linkAge};
+                                       .demandMaxAge = m_options.demandMaxAge,
+                                       .dataCentreMaxAge = m_options.dataCentreMaxAge};
     return m_workspaces.try_emplace(workspace, m_topology, timing).first->second;
 }
 
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -30,9 +30,9 @@
     /// rests on it; see docs/design/admission.md.
     Base::Duration settleTime = std::chrono::seconds(2);
     /// What was heard of others' demand counts for this long.
-    Base::Duration demandAge = std::chrono::seconds(6);
+    Base::Duration demandMaxAge = std::chrono::seconds(6);
     /// Nothing is given to a data centre that was not heard of for this long: it may be cut off.
-    Base::Duration linkAge = std::chrono::milliseconds(2500);
+    Base::Duration dataCentreMaxAge = std::chrono::milliseconds(2500);
 };
 
 /// Splits each workspace's limits over data centres and their routers, and moves parts to where
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -106,7 +106,7 @@
 void WorkspaceShares::giveToRepresentative(MonoTime now)
 {
     if (!m_division || m_division->author != m_representative
-        || now - m_division->at > m_timing.demandAge)
+        || now - m_division->at > m_timing.demandMaxAge)
         return;
     const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - m_division->division.shareOf(scaledDemand(m_demand, now));
@@ -148,7 +148,7 @@
     const double idle = idlePart * whole / m_topology.dataCentres;
     for (std::uint16_t i = 0; i < m_topology.dataCentres; ++i) {
         const bool isSelf = i == m_topology.dataCentre;
-        if (!isSelf && !isFresh(m_dataCentreDemands, i, m_timing.linkAge, now))
+        if (!isSelf && !isFresh(m_dataCentreDemands, i, m_timing.dataCentreMaxAge, now))
             continue;
         const double asked = isSelf ? dataCentreDemand(now) : m_dataCentreDemands.at(i).demand;
         places.push_back(i);
@@ -247,7 +247,7 @@
 {
     if (router == m_topology.self)
         return m_demand;
-    return isFresh(m_routerDemands, router, m_timing.demandAge, now)
+    return isFresh(m_routerDemands, router, m_timing.demandMaxAge, now)
         ? m_routerDemands.at(router).demand
         : 0;
 }
@@ -283,7 +283,7 @@
         return true;
     if (dataCentre == m_topology.dataCentre)
         return dataCentreDemand(now) >= nearPart * holding;
-    return isFresh(m_dataCentreDemands, dataCentre, m_timing.demandAge, now)
+    return isFresh(m_dataCentreDemands, dataCentre, m_timing.demandMaxAge, now)
         && m_dataCentreDemands.at(dataCentre).demand >= nearPart * holding;
 }
 
@@ -308,7 +308,7 @@
 {
     const auto known = heard.find(from);
     if (known != heard.end() && known->second.author == entry.author
-        && isFresh(heard, from, m_timing.demandAge, entry.at)
+        && isFresh(heard, from, m_timing.demandMaxAge, entry.at)
         && entry.version <= known->second.version)
         return false;
     heard[from] = entry;
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -26,8 +26,8 @@
 struct ShareTiming
 {
     Base::Duration settleTime{};
-    Base::Duration demandAge{};
-    Base::Duration linkAge{};
+    Base::Duration demandMaxAge{};
+    Base::Duration dataCentreMaxAge{};
 };
 
 /// The shares of one workspace as one router knows them: one ledger of the data centres over the
