--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -195,7 +195,7 @@
 
 WorkspaceShares &ShareAllocator::sharesOf(const WorkspaceId &workspace)
 {
-    const Internal::ShareTiming timing{.settleTime = m_options.settleTime,
+    const Internal::ShareTiming timing{.propagationTime = m_options.propagationTime,
                                        .demandMaxAge = m_options.demandMaxAge,
                                        .dataCentreMaxAge = m_options.dataCentreMaxAge};
     return m_workspaces.try_emplace(workspace, m_topology, timing).first->second;
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -28,7 +28,7 @@
     Base::DataCentreId dataCentre; ///< Its data centre.
     /// Time in which news reach every router of a data centre. The bound on the sum of all shares
     /// rests on it; see docs/design/admission.md.
-    Base::Duration settleTime = std::chrono::seconds(2);
+    Base::Duration propagationTime = std::chrono::seconds(2);
     /// What was heard of others' demand counts for this long.
     Base::Duration demandMaxAge = std::chrono::seconds(6);
     /// Nothing is given to a data centre that was not heard of for this long: it may be cut off.
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -33,7 +33,7 @@
     : m_topology(place)
     , m_timing(timing)
     , m_routerLedger(place.routers, Duration::zero())
-    , m_dataCentreLedger(place.dataCentres, timing.settleTime)
+    , m_dataCentreLedger(place.dataCentres, timing.propagationTime)
 { }
 
 void WorkspaceShares::setTopology(const ShareTopology &place, MonoTime now)
@@ -43,14 +43,14 @@
     if (!newRouters && !newDataCentres)
         return;
     m_capShare = share(now);
-    m_capUntil = now + m_timing.settleTime;
+    m_capUntil = now + m_timing.propagationTime;
     m_topology = place;
     m_routerLedger = ShareLedger(place.routers, Duration::zero());
     m_routerDemands.clear();
     m_division.reset();
     if (!newDataCentres)
         return;
-    m_dataCentreLedger = ShareLedger(place.dataCentres, m_timing.settleTime);
+    m_dataCentreLedger = ShareLedger(place.dataCentres, m_timing.propagationTime);
     m_dataCentreDemands.clear();
 }
 
@@ -140,7 +140,7 @@
 // A data centre that was not heard of lately is left out: it keeps what it holds and gets nothing.
 void WorkspaceShares::giveToDataCentres(MonoTime now)
 {
-    if (now - m_gaveToDataCentres < m_timing.settleTime)
+    if (now - m_gaveToDataCentres < m_timing.propagationTime)
         return;
     std::vector<std::uint16_t> places;
     std::vector<double> demands;
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -25,7 +25,7 @@
 
 struct ShareTiming
 {
-    Base::Duration settleTime{};
+    Base::Duration propagationTime{};
     Base::Duration demandMaxAge{};
     Base::Duration dataCentreMaxAge{};
 };
