--- a/src/libs/admission/sharedigest.cpp
+++ b/src/libs/admission/sharedigest.cpp
@@ -43,12 +43,12 @@
     serializeHead(archive, digest);
     serializeCells(archive, digest.routerCells, [&](ShareCell &cell) {
         cell.from = digest.author;
-        archive(cell.to, cell.given);
+        archive(cell.to, cell.transferred);
     });
     serializeCells(archive, digest.dataCentreCells, [&](ShareCell &cell) {
         auto from = static_cast<std::uint8_t>(cell.from);
         auto to = static_cast<std::uint8_t>(cell.to);
-        archive(from, to, cell.given);
+        archive(from, to, cell.transferred);
         cell.from = from;
         cell.to = to;
     });
--- a/src/libs/admission/sharedigest.h
+++ b/src/libs/admission/sharedigest.h
@@ -14,7 +14,7 @@
 {
     std::uint16_t from = 0;
     std::uint16_t to = 0;
-    std::uint32_t given = 0;
+    std::uint32_t transferred = 0;
 
     bool operator==(const ShareCell &) const = default;
 };
--- a/src/libs/admission/shareledger.cpp
+++ b/src/libs/admission/shareledger.cpp
@@ -33,18 +33,18 @@
     return std::max<std::int64_t>(0, units);
 }
 
-bool ShareLedger::merge(Cell cell, std::uint32_t given, MonoTime now)
+bool ShareLedger::merge(Cell cell, std::uint32_t transferred, MonoTime now)
 {
     if (cell.from >= m_participants || cell.to >= m_participants || cell.from == cell.to)
         return false;
     Count &count = m_cells[{cell.from, cell.to}];
-    if (given <= count.latest)
+    if (transferred <= count.latest)
         return false;
-    raise(count, given, now);
+    raise(count, transferred, now);
     return true;
 }
 
-std::int64_t ShareLedger::give(Cell cell, std::int64_t amount, MonoTime now)
+std::int64_t ShareLedger::transferUnits(Cell cell, std::int64_t amount, MonoTime now)
 {
     const std::int64_t most = std::min(amount, units(cell.from, now));
     if (most <= 0)
@@ -56,18 +56,18 @@
     return merge(cell, static_cast<std::uint32_t>(before + most), now) ? most : 0;
 }
 
-void ShareLedger::raise(Count &count, std::uint32_t given, MonoTime now) const
+void ShareLedger::raise(Count &count, std::uint32_t transferred, MonoTime now) const
 {
-    count.latest = given;
+    count.latest = transferred;
     if (m_raiseDelay == Base::Duration::zero()) {
-        count.counted = given;
+        count.counted = transferred;
         return;
     }
     count.counted = countedAt(count, now);
     std::erase_if(count.raises, [&](const Raise &raise) { return raise.countsAt <= now; });
     if (count.raises.size() >= mostRaises)
         count.raises.pop_back();
-    count.raises.push_back({given, now + m_raiseDelay});
+    count.raises.push_back({transferred, now + m_raiseDelay});
 }
 
 std::uint32_t ShareLedger::countedAt(const Count &count, MonoTime now)
@@ -75,7 +75,7 @@
     std::uint32_t counted = count.counted;
     for (const Raise &raise : count.raises) {
         if (raise.countsAt <= now)
-            counted = std::max(counted, raise.given);
+            counted = std::max(counted, raise.transferred);
     }
     return counted;
 }
--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -42,9 +42,9 @@
     std::int64_t units(std::size_t participant, Base::MonoTime now) const;
 
     /// Takes a cell's count over if it is higher. False if it is not, or names no participant.
-    bool merge(Cell cell, std::uint32_t given, Base::MonoTime now);
+    bool merge(Cell cell, std::uint32_t transferred, Base::MonoTime now);
     /// Gives at most what `from` holds; returns what was given.
-    std::int64_t give(Cell cell, std::int64_t amount, Base::MonoTime now);
+    std::int64_t transferUnits(Cell cell, std::int64_t amount, Base::MonoTime now);
 
     template<typename Visitor>
     void forEach(Visitor visitor) const
@@ -56,7 +56,7 @@
 private:
     struct Raise
     {
-        std::uint32_t given = 0;
+        std::uint32_t transferred = 0;
         Base::MonoTime countsAt{};
     };
     struct Count
@@ -66,7 +66,7 @@
         std::vector<Raise> raises; // will count; in rising order
     };
 
-    void raise(Count &count, std::uint32_t given, Base::MonoTime now) const;
+    void raise(Count &count, std::uint32_t transferred, Base::MonoTime now) const;
     static std::uint32_t countedAt(const Count &count, Base::MonoTime now);
 
     std::size_t m_participants = 1;
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -112,7 +112,8 @@
     const double surplus = holding - m_division->division.shareOf(scaledDemand(m_demand, now));
     const double amount = gain * surplus;
     if (amount >= std::max(1.0, leastGift * whole / m_topology.routers))
-        m_routerLedger.give({m_topology.self, m_representative}, std::llround(amount), now);
+        m_routerLedger.transferUnits({m_topology.self, m_representative}, std::llround(amount),
+                                     now);
 }
 
 void WorkspaceShares::giveToRouters(MonoTime now)
@@ -134,7 +135,7 @@
         return;
     const double part = std::min(1.0, surplus / missing);
     for (std::uint16_t i = 0; i < m_topology.routers; ++i)
-        m_routerLedger.give({m_topology.self, i}, std::llround(lacks[i] * part), now);
+        m_routerLedger.transferUnits({m_topology.self, i}, std::llround(lacks[i] * part), now);
 }
 
 // A data centre that was not heard of lately is left out: it keeps what it holds and gets nothing.
@@ -175,7 +176,8 @@
         return;
     for (std::size_t i = 0; i < places.size(); ++i) {
         const double amount = most * lacks[i] / missing;
-        m_dataCentreLedger.give({m_topology.dataCentre, places[i]}, std::llround(amount), now);
+        m_dataCentreLedger.transferUnits({m_topology.dataCentre, places[i]}, std::llround(amount),
+                                         now);
     }
     m_gaveToDataCentres = now;
 }
@@ -185,7 +187,7 @@
     if (digest.dataCentres != m_topology.dataCentresHash)
         return;
     for (const ShareCell &cell : digest.dataCentreCells)
-        m_dataCentreLedger.merge({cell.from, cell.to}, cell.given, now);
+        m_dataCentreLedger.merge({cell.from, cell.to}, cell.transferred, now);
     if (digest.representative && digest.dataCentre != m_topology.dataCentre)
         note(m_dataCentreDemands, digest.dataCentre,
              {digest.author, digest.version, static_cast<double>(digest.dataCentreDemand), now});
@@ -194,7 +196,7 @@
     if (digest.author == m_topology.self)
         return;
     for (const ShareCell &cell : digest.routerCells)
-        m_routerLedger.merge({digest.author, cell.to}, cell.given, now);
+        m_routerLedger.merge({digest.author, cell.to}, cell.transferred, now);
     const bool isNews =
         note(m_routerDemands, digest.author,
              {digest.author, digest.version, static_cast<double>(digest.demand), now});
@@ -229,13 +231,13 @@
                        .level = asUnits(division.level),
                        .extra = asUnits(division.extra)};
     std::vector<ShareCell> routerCells;
-    m_routerLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t given) {
+    m_routerLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t transferred) {
         if (cell.from == m_topology.self)
-            routerCells.push_back({cell.from, cell.to, given});
+            routerCells.push_back({cell.from, cell.to, transferred});
     });
     std::vector<ShareCell> dataCentreCells;
-    m_dataCentreLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t given) {
-        dataCentreCells.push_back({cell.from, cell.to, given});
+    m_dataCentreLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t transferred) {
+        dataCentreCells.push_back({cell.from, cell.to, transferred});
     });
     digest.dataCentreCells = nextCells(dataCentreCells, mostDataCentreCells, m_dataCentreTurn);
     digest.routerCells =
--- a/tests/auto/admission/tst_shareallocator.cpp
+++ b/tests/auto/admission/tst_shareallocator.cpp
@@ -207,11 +207,11 @@
 BOOST_AUTO_TEST_CASE(ledgerNeverGivesMoreThanItHolds)
 {
     ShareLedger ledger(4, 2s);
-    BOOST_TEST(ledger.give({0, 1}, 99'999, start) == 2500);
+    BOOST_TEST(ledger.transferUnits({0, 1}, 99'999, start) == 2500);
     BOOST_TEST(ledger.units(0, start) == 0);
     BOOST_TEST(ledger.units(1, start + 1s) == 2500);
     BOOST_TEST(ledger.units(1, start + 2s) == 5000);
-    BOOST_TEST(ledger.give({0, 2}, 1, start) == 0);
+    BOOST_TEST(ledger.transferUnits({0, 2}, 1, start) == 0);
     BOOST_TEST(!ledger.merge({0, 1}, 2000, start)); // an old count
     BOOST_TEST(!ledger.merge({0, 9}, 1, start));
     BOOST_TEST(!ledger.merge({1, 1}, 1, start));
