--- a/src/libs/admission/shareledger.cpp
+++ b/src/libs/admission/shareledger.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Raises of one cell that wait apart; a later one joins the last.
-constexpr std::size_t mostRaises = 8;
+constexpr std::size_t maxPendingCredits = 8;
 
 } // namespace
 
@@ -28,7 +28,7 @@
         if (cell.first == participant)
             units -= count.latest;
         if (cell.second == participant)
-            units += countedAt(count, now);
+            units += creditedUnits(count, now);
     }
     return std::max<std::int64_t>(0, units);
 }
@@ -37,10 +37,10 @@
 {
     if (cell.from >= m_participants || cell.to >= m_participants || cell.from == cell.to)
         return false;
-    Count &count = m_cells[{cell.from, cell.to}];
+    CellState &count = m_cells[{cell.from, cell.to}];
     if (transferred <= count.latest)
         return false;
-    raise(count, transferred, now);
+    addCredit(count, transferred, now);
     return true;
 }
 
@@ -56,28 +56,29 @@
     return merge(cell, static_cast<std::uint32_t>(before + most), now) ? most : 0;
 }
 
-void ShareLedger::raise(Count &count, std::uint32_t transferred, MonoTime now) const
+void ShareLedger::addCredit(CellState &count, std::uint32_t transferred, MonoTime now) const
 {
     count.latest = transferred;
-    if (m_raiseDelay == Base::Duration::zero()) {
-        count.counted = transferred;
+    if (m_creditDelay == Base::Duration::zero()) {
+        count.credited = transferred;
         return;
     }
-    count.counted = countedAt(count, now);
-    std::erase_if(count.raises, [&](const Raise &raise) { return raise.countsAt <= now; });
-    if (count.raises.size() >= mostRaises)
-        count.raises.pop_back();
-    count.raises.push_back({transferred, now + m_raiseDelay});
+    count.credited = creditedUnits(count, now);
+    std::erase_if(count.pendingCredits,
+                  [&](const PendingCredit &addCredit) { return addCredit.effectiveAt <= now; });
+    if (count.pendingCredits.size() >= maxPendingCredits)
+        count.pendingCredits.pop_back();
+    count.pendingCredits.push_back({transferred, now + m_creditDelay});
 }
 
-std::uint32_t ShareLedger::countedAt(const Count &count, MonoTime now)
+std::uint32_t ShareLedger::creditedUnits(const CellState &count, MonoTime now)
 {
-    std::uint32_t counted = count.counted;
-    for (const Raise &raise : count.raises) {
-        if (raise.countsAt <= now)
-            counted = std::max(counted, raise.transferred);
+    std::uint32_t credited = count.credited;
+    for (const PendingCredit &addCredit : count.pendingCredits) {
+        if (addCredit.effectiveAt <= now)
+            credited = std::max(credited, addCredit.transferred);
     }
-    return counted;
+    return credited;
 }
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -27,11 +27,11 @@
     };
 
     ShareLedger() = default;
-    /// A gift counts for its receiver only `raiseDelay` after this process heard of it; for its
+    /// A gift counts for its receiver only `creditDelay` after this process heard of it; for its
     /// giver at once. It covers the time in which other processes of the giver learn of the gift.
-    ShareLedger(std::size_t participants, Base::Duration raiseDelay)
+    ShareLedger(std::size_t participants, Base::Duration creditDelay)
         : m_participants(participants)
-        , m_raiseDelay(raiseDelay)
+        , m_creditDelay(creditDelay)
     { }
 
     std::size_t participants() const { return m_participants; }
@@ -54,24 +54,24 @@
     }
 
 private:
-    struct Raise
+    struct PendingCredit
     {
         std::uint32_t transferred = 0;
-        Base::MonoTime countsAt{};
+        Base::MonoTime effectiveAt{};
     };
-    struct Count
+    struct CellState
     {
         std::uint32_t latest = 0;
-        std::uint32_t counted = 0; // counts for the receiver
-        std::vector<Raise> raises; // will count; in rising order
+        std::uint32_t credited = 0; // counts for the receiver
+        std::vector<PendingCredit> pendingCredits; // will count; in rising order
     };
 
-    void raise(Count &count, std::uint32_t transferred, Base::MonoTime now) const;
-    static std::uint32_t countedAt(const Count &count, Base::MonoTime now);
+    void addCredit(CellState &count, std::uint32_t transferred, Base::MonoTime now) const;
+    static std::uint32_t creditedUnits(const CellState &count, Base::MonoTime now);
 
     std::size_t m_participants = 1;
-    Base::Duration m_raiseDelay{};
-    std::map<std::pair<std::uint16_t, std::uint16_t>, Count> m_cells; // by giver and receiver
+    Base::Duration m_creditDelay{};
+    std::map<std::pair<std::uint16_t, std::uint16_t>, CellState> m_cells; // by giver and receiver
 };
 
 } // namespace Lagoonbank::Admission
