--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -103,7 +103,8 @@
 
 void ShareAllocator::advance(const WorkspaceId &workspace, double demandedShare, MonoTime now)
 {
-    const double demand = std::max(0.0, demandedShare) * static_cast<double>(ShareLedger::whole);
+    const double demand =
+        std::max(0.0, demandedShare) * static_cast<double>(ShareLedger::totalUnits);
     sharesOf(workspace).advance(demand, ownRepresentative(workspace), now);
 }
 
@@ -163,11 +164,11 @@
     const auto found = m_workspaces.find(workspace);
     if (found != m_workspaces.end())
         return found->second.share(now);
-    const std::int64_t router = ShareLedger::base(m_topology.routers, m_topology.self);
+    const std::int64_t router = ShareLedger::initialUnits(m_topology.routers, m_topology.self);
     const std::int64_t dataCentre =
-        ShareLedger::base(m_topology.dataCentres, m_topology.dataCentre);
+        ShareLedger::initialUnits(m_topology.dataCentres, m_topology.dataCentre);
     return static_cast<double>(router * dataCentre)
-        / static_cast<double>(ShareLedger::whole * ShareLedger::whole);
+        / static_cast<double>(ShareLedger::totalUnits * ShareLedger::totalUnits);
 }
 
 // One router speaks for its data centre, another one for each workspace so that the work spreads.
--- a/src/libs/admission/shareledger.cpp
+++ b/src/libs/admission/shareledger.cpp
@@ -14,16 +14,16 @@
 
 } // namespace
 
-std::int64_t ShareLedger::base(std::size_t participants, std::size_t participant)
+std::int64_t ShareLedger::initialUnits(std::size_t participants, std::size_t participant)
 {
     const auto count = static_cast<std::int64_t>(participants);
-    const std::int64_t extra = static_cast<std::int64_t>(participant) < whole % count ? 1 : 0;
-    return whole / count + extra;
+    const std::int64_t extra = static_cast<std::int64_t>(participant) < totalUnits % count ? 1 : 0;
+    return totalUnits / count + extra;
 }
 
 std::int64_t ShareLedger::units(std::size_t participant, MonoTime now) const
 {
-    std::int64_t units = base(participant);
+    std::int64_t units = initialUnits(participant);
     for (const auto &[cell, count] : m_cells) {
         if (cell.first == participant)
             units -= count.latest;
--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -18,7 +18,7 @@
 {
 public:
     /// The whole.
-    static constexpr std::int64_t whole = 10'000;
+    static constexpr std::int64_t totalUnits = 10'000;
 
     struct Cell
     {
@@ -36,8 +36,11 @@
 
     std::size_t participants() const { return m_participants; }
     /// Equal parts of the whole; the first ones get what does not divide.
-    std::int64_t base(std::size_t participant) const { return base(m_participants, participant); }
-    static std::int64_t base(std::size_t participants, std::size_t participant);
+    std::int64_t initialUnits(std::size_t participant) const
+    {
+        return initialUnits(m_participants, participant);
+    }
+    static std::int64_t initialUnits(std::size_t participants, std::size_t participant);
     /// What the participant holds now by what is known here; never negative.
     std::int64_t units(std::size_t participant, Base::MonoTime now) const;
 
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr auto whole = static_cast<double>(ShareLedger::whole);
+constexpr auto totalUnits = static_cast<double>(ShareLedger::totalUnits);
 constexpr double headroom = 1.2; ///< Demand is taken for this much more, so that it can grow.
 constexpr double idlePart = 0.125; ///< Of the equal part: what a router without demand keeps.
 constexpr double nearPart = 0.5; ///< Of the share: more demand than this is told to others.
@@ -24,7 +24,7 @@
 
 std::uint16_t asUnits(double amount)
 {
-    return static_cast<std::uint16_t>(std::clamp(amount, 0.0, whole));
+    return static_cast<std::uint16_t>(std::clamp(amount, 0.0, totalUnits));
 }
 
 } // namespace
@@ -61,12 +61,12 @@
 
 double WorkspaceShares::ownPart(MonoTime now) const
 {
-    return static_cast<double>(m_routerLedger.units(m_topology.self, now)) / whole;
+    return static_cast<double>(m_routerLedger.units(m_topology.self, now)) / totalUnits;
 }
 
 double WorkspaceShares::share(MonoTime now) const
 {
-    const double share = ownPart(now) * dataCentrePart(now) / whole;
+    const double share = ownPart(now) * dataCentrePart(now) / totalUnits;
     if (m_capShare && now < m_capUntil)
         return std::min(share, *m_capShare);
     return share;
@@ -87,11 +87,11 @@
 // From parts of the fleet's limit to parts of the data centre's.
 double WorkspaceShares::scaledDemand(double demand, MonoTime now) const
 {
-    const double idle = idlePart * whole / m_topology.routers;
+    const double idle = idlePart * totalUnits / m_topology.routers;
     const double part = dataCentrePart(now);
     if (part <= 0)
         return idle;
-    return std::max(idle, headroom * demand * whole / part);
+    return std::max(idle, headroom * demand * totalUnits / part);
 }
 
 FairDivision WorkspaceShares::ownDivision(MonoTime now) const
@@ -100,7 +100,7 @@
     for (std::uint16_t i = 0; i < m_topology.routers; ++i) {
         demands.push_back(scaledDemand(routerDemand(i, now), now));
     }
-    return divideFairly(std::move(demands), whole);
+    return divideFairly(std::move(demands), totalUnits);
 }
 
 void WorkspaceShares::giveToRepresentative(MonoTime now)
@@ -111,7 +111,7 @@
     const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - m_division->division.shareOf(scaledDemand(m_demand, now));
     const double amount = gain * surplus;
-    if (amount >= std::max(1.0, leastGift * whole / m_topology.routers))
+    if (amount >= std::max(1.0, leastGift * totalUnits / m_topology.routers))
         m_routerLedger.transferUnits({m_topology.self, m_representative}, std::llround(amount),
                                      now);
 }
@@ -146,7 +146,7 @@
     std::vector<std::uint16_t> places;
     std::vector<double> demands;
     double total = 0;
-    const double idle = idlePart * whole / m_topology.dataCentres;
+    const double idle = idlePart * totalUnits / m_topology.dataCentres;
     for (std::uint16_t i = 0; i < m_topology.dataCentres; ++i) {
         const bool isSelf = i == m_topology.dataCentre;
         if (!isSelf && !isFresh(m_dataCentreDemands, i, m_timing.dataCentreMaxAge, now))
@@ -172,7 +172,7 @@
     if (surplus <= 0 || missing <= 0)
         return;
     const double most = std::min(gain * surplus, mostOfDataCentre * dataCentrePart(now));
-    if (most < std::max(1.0, leastGift * whole / m_topology.dataCentres))
+    if (most < std::max(1.0, leastGift * totalUnits / m_topology.dataCentres))
         return;
     for (std::size_t i = 0; i < places.size(); ++i) {
         const double amount = most * lacks[i] / missing;
@@ -270,18 +270,18 @@
 
 bool WorkspaceShares::isRouterActive(std::uint16_t router, MonoTime now) const
 {
-    const auto base = static_cast<double>(m_routerLedger.base(router));
+    const auto initialUnits = static_cast<double>(m_routerLedger.initialUnits(router));
     const auto holding = static_cast<double>(m_routerLedger.units(router, now));
-    if (std::abs(holding - base) > nearPart * base)
+    if (std::abs(holding - initialUnits) > nearPart * initialUnits)
         return true;
-    return routerDemand(router, now) >= nearPart * holding * dataCentrePart(now) / whole;
+    return routerDemand(router, now) >= nearPart * holding * dataCentrePart(now) / totalUnits;
 }
 
 bool WorkspaceShares::isDataCentreActive(std::uint16_t dataCentre, MonoTime now) const
 {
-    const auto base = static_cast<double>(m_dataCentreLedger.base(dataCentre));
+    const auto initialUnits = static_cast<double>(m_dataCentreLedger.initialUnits(dataCentre));
     const auto holding = static_cast<double>(m_dataCentreLedger.units(dataCentre, now));
-    if (std::abs(holding - base) > nearPart * base)
+    if (std::abs(holding - initialUnits) > nearPart * initialUnits)
         return true;
     if (dataCentre == m_topology.dataCentre)
         return dataCentreDemand(now) >= nearPart * holding;
