--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -254,7 +254,8 @@
         : 0;
 }
 
-bool WorkspaceShares::isFresh(const HeardMap &heard, std::uint16_t from, Duration age, MonoTime now)
+bool WorkspaceShares::isFresh(const DemandReports &heard, std::uint16_t from, Duration age,
+                              MonoTime now)
 {
     const auto found = heard.find(from);
     return found != heard.end() && now - found->second.at <= age;
@@ -306,7 +307,8 @@
 }
 
 // Versions of one author rise; those of another one, or after a restart, cannot be compared.
-bool WorkspaceShares::note(HeardMap &heard, std::uint16_t from, const Heard &entry) const
+bool WorkspaceShares::note(DemandReports &heard, std::uint16_t from,
+                           const DemandReport &entry) const
 {
     const auto known = heard.find(from);
     if (known != heard.end() && known->second.author == entry.author
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -52,7 +52,7 @@
     bool isRepresentative() const { return m_representative == m_topology.self; }
 
 private:
-    struct Heard
+    struct DemandReport
     {
         std::uint16_t author = 0;
         std::uint32_t version = 0;
@@ -65,12 +65,12 @@
         FairDivision division;
         Base::MonoTime at{};
     };
-    using HeardMap = std::map<std::uint16_t, Heard>;
+    using DemandReports = std::map<std::uint16_t, DemandReport>;
 
     double ownPart(Base::MonoTime now) const;
     double dataCentrePart(Base::MonoTime now) const;
     double routerDemand(std::uint16_t router, Base::MonoTime now) const;
-    static bool isFresh(const HeardMap &heard, std::uint16_t from, Base::Duration age,
+    static bool isFresh(const DemandReports &heard, std::uint16_t from, Base::Duration age,
                         Base::MonoTime now);
     double dataCentreDemand(Base::MonoTime now) const;
     double scaledDemand(double demand, Base::MonoTime now) const;
@@ -81,7 +81,7 @@
     bool isRouterActive(std::uint16_t router, Base::MonoTime now) const;
     bool isDataCentreActive(std::uint16_t dataCentre, Base::MonoTime now) const;
     bool isActive(Base::MonoTime now) const;
-    bool note(HeardMap &heard, std::uint16_t from, const Heard &entry) const;
+    bool note(DemandReports &heard, std::uint16_t from, const DemandReport &entry) const;
     static std::vector<ShareCell> nextCells(const std::vector<ShareCell> &all, std::size_t most,
                                             std::size_t &turn);
 
@@ -89,8 +89,8 @@
     ShareTiming m_timing;
     ShareLedger m_routerLedger;
     ShareLedger m_dataCentreLedger;
-    HeardMap m_routerDemands;
-    HeardMap m_dataCentreDemands;
+    DemandReports m_routerDemands;
+    DemandReports m_dataCentreDemands;
     double m_demand = 0;
     std::uint16_t m_representative = 0;
     std::optional<Division> m_division; // as the representative said
