--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -189,8 +189,9 @@
     for (const ShareCell &cell : digest.dataCentreCells)
         m_dataCentreLedger.merge({cell.from, cell.to}, cell.transferred, now);
     if (digest.representative && digest.dataCentre != m_topology.dataCentre)
-        note(m_dataCentreDemands, digest.dataCentre,
-             {digest.author, digest.version, static_cast<double>(digest.dataCentreDemand), now});
+        recordReport(
+            m_dataCentreDemands, digest.dataCentre,
+            {digest.author, digest.version, static_cast<double>(digest.dataCentreDemand), now});
     if (digest.routers != m_topology.routersHash || digest.dataCentre != m_topology.dataCentre)
         return;
     if (digest.author == m_topology.self)
@@ -198,8 +199,8 @@
     for (const ShareCell &cell : digest.routerCells)
         m_routerLedger.merge({digest.author, cell.to}, cell.transferred, now);
     const bool isNews =
-        note(m_routerDemands, digest.author,
-             {digest.author, digest.version, static_cast<double>(digest.demand), now});
+        recordReport(m_routerDemands, digest.author,
+                     {digest.author, digest.version, static_cast<double>(digest.demand), now});
     if (digest.representative && isNews) {
         const FairDivision division{static_cast<double>(digest.level),
                                     static_cast<double>(digest.extra)};
@@ -307,8 +308,8 @@
 }
 
 // Versions of one author rise; those of another one, or after a restart, cannot be compared.
-bool WorkspaceShares::note(DemandReports &heard, std::uint16_t from,
-                           const DemandReport &entry) const
+bool WorkspaceShares::recordReport(DemandReports &heard, std::uint16_t from,
+                                   const DemandReport &entry) const
 {
     const auto known = heard.find(from);
     if (known != heard.end() && known->second.author == entry.author
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -81,7 +81,7 @@
     bool isRouterActive(std::uint16_t router, Base::MonoTime now) const;
     bool isDataCentreActive(std::uint16_t dataCentre, Base::MonoTime now) const;
     bool isActive(Base::MonoTime now) const;
-    bool note(DemandReports &heard, std::uint16_t from, const DemandReport &entry) const;
+    bool recordReport(DemandReports &heard, std::uint16_t from, const DemandReport &entry) const;
     static std::vector<ShareCell> nextCells(const std::vector<ShareCell> &all, std::size_t most,
                                             std::size_t &turn);
 
