--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -77,11 +77,11 @@
     m_demand = demand;
     m_representative = representative;
     if (!isRepresentative()) {
-        giveToRepresentative(now);
+        transferToRepresentative(now);
         return;
     }
-    giveToRouters(now);
-    giveToDataCentres(now);
+    transferToRouters(now);
+    transferToDataCentres(now);
 }
 
 // From parts of the fleet's limit to parts of the data centre's.
@@ -103,7 +103,7 @@
     return divideFairly(std::move(demands), totalUnits);
 }
 
-void WorkspaceShares::giveToRepresentative(MonoTime now)
+void WorkspaceShares::transferToRepresentative(MonoTime now)
 {
     if (!m_division || m_division->author != m_representative
         || now - m_division->at > m_timing.demandMaxAge)
@@ -116,7 +116,7 @@
                                      now);
 }
 
-void WorkspaceShares::giveToRouters(MonoTime now)
+void WorkspaceShares::transferToRouters(MonoTime now)
 {
     const FairDivision division = ownDivision(now);
     std::vector<double> lacks(m_topology.routers);
@@ -139,9 +139,9 @@
 }
 
 // A data centre that was not heard of lately is left out: it keeps what it holds and gets nothing.
-void WorkspaceShares::giveToDataCentres(MonoTime now)
+void WorkspaceShares::transferToDataCentres(MonoTime now)
 {
-    if (now - m_gaveToDataCentres < m_timing.propagationTime)
+    if (now - m_lastDataCentreTransfer < m_timing.propagationTime)
         return;
     std::vector<std::uint16_t> places;
     std::vector<double> demands;
@@ -179,7 +179,7 @@
         m_dataCentreLedger.transferUnits({m_topology.dataCentre, places[i]}, std::llround(amount),
                                          now);
     }
-    m_gaveToDataCentres = now;
+    m_lastDataCentreTransfer = now;
 }
 
 void WorkspaceShares::receive(const ShareDigest &digest, MonoTime now)
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -75,9 +75,9 @@
     double dataCentreDemand(Base::MonoTime now) const;
     double scaledDemand(double demand, Base::MonoTime now) const;
     FairDivision ownDivision(Base::MonoTime now) const;
-    void giveToRepresentative(Base::MonoTime now);
-    void giveToRouters(Base::MonoTime now);
-    void giveToDataCentres(Base::MonoTime now);
+    void transferToRepresentative(Base::MonoTime now);
+    void transferToRouters(Base::MonoTime now);
+    void transferToDataCentres(Base::MonoTime now);
     bool isRouterActive(std::uint16_t router, Base::MonoTime now) const;
     bool isDataCentreActive(std::uint16_t dataCentre, Base::MonoTime now) const;
     bool isActive(Base::MonoTime now) const;
@@ -99,7 +99,7 @@
     std::size_t m_dataCentreTurn = 0;
     std::optional<double> m_capShare; // holds until m_capUntil
     Base::MonoTime m_capUntil{};
-    Base::MonoTime m_gaveToDataCentres{};
+    Base::MonoTime m_lastDataCentreTransfer{};
     std::optional<Base::MonoTime> m_quietSince;
 };
 
