--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -42,8 +42,8 @@
     const bool newDataCentres = place.dataCentresHash != m_topology.dataCentresHash;
     if (!newRouters && !newDataCentres)
         return;
-    m_capShare = share(now);
-    m_capUntil = now + m_timing.propagationTime;
+    m_shareCap = share(now);
+    m_shareCapUntil = now + m_timing.propagationTime;
     m_topology = place;
     m_routerLedger = ShareLedger(place.routers, Duration::zero());
     m_routerDemands.clear();
@@ -67,8 +67,8 @@
 double WorkspaceShares::share(MonoTime now) const
 {
     const double share = ownPart(now) * dataCentrePart(now) / totalUnits;
-    if (m_capShare && now < m_capUntil)
-        return std::min(share, *m_capShare);
+    if (m_shareCap && now < m_shareCapUntil)
+        return std::min(share, *m_shareCap);
     return share;
 }
 
@@ -211,12 +211,12 @@
 std::optional<ShareDigest> WorkspaceShares::digest(MonoTime now)
 {
     if (isActive(now))
-        m_quietSince.reset();
-    else if (!m_quietSince)
-        m_quietSince = now;
-    if (m_version == 0 && m_quietSince)
+        m_inactiveSince.reset();
+    else if (!m_inactiveSince)
+        m_inactiveSince = now;
+    if (m_version == 0 && m_inactiveSince)
         return std::nullopt;
-    if (m_quietSince && now - *m_quietSince > quietTime)
+    if (m_inactiveSince && now - *m_inactiveSince > quietTime)
         return std::nullopt;
 
     const FairDivision division = isRepresentative() ? ownDivision(now) : FairDivision{};
@@ -240,9 +240,9 @@
     m_dataCentreLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t transferred) {
         dataCentreCells.push_back({cell.from, cell.to, transferred});
     });
-    digest.dataCentreCells = nextCells(dataCentreCells, mostDataCentreCells, m_dataCentreTurn);
+    digest.dataCentreCells = nextCells(dataCentreCells, mostDataCentreCells, m_nextDataCentreCell);
     digest.routerCells =
-        nextCells(routerCells, maxShareCells - digest.dataCentreCells.size(), m_routerTurn);
+        nextCells(routerCells, maxShareCells - digest.dataCentreCells.size(), m_nextRouterCell);
     return digest;
 }
 
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -95,12 +95,12 @@
     std::uint16_t m_representative = 0;
     std::optional<Division> m_division; // as the representative said
     std::uint32_t m_version = 0;
-    std::size_t m_routerTurn = 0;
-    std::size_t m_dataCentreTurn = 0;
-    std::optional<double> m_capShare; // holds until m_capUntil
-    Base::MonoTime m_capUntil{};
+    std::size_t m_nextRouterCell = 0;
+    std::size_t m_nextDataCentreCell = 0;
+    std::optional<double> m_shareCap; // holds until m_shareCapUntil
+    Base::MonoTime m_shareCapUntil{};
     Base::MonoTime m_lastDataCentreTransfer{};
-    std::optional<Base::MonoTime> m_quietSince;
+    std::optional<Base::MonoTime> m_inactiveSince;
 };
 
 } // namespace Lagoonbank::Admission::Internal
