--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -118,15 +118,15 @@
 std::vector<ShareAllocator::Outgoing> ShareAllocator::digests(MonoTime now, Base::Bytes most,
                                                               Base::Bytes perDatagram)
 {
-    if (m_turns.empty()) {
+    if (m_pendingWorkspaces.empty()) {
         for (const auto &[workspace, shares] : m_workspaces)
-            m_turns.push_back(workspace);
+            m_pendingWorkspaces.push_back(workspace);
     }
     std::vector<Outgoing> outgoing;
     std::uint64_t used = 0;
-    while (!m_turns.empty() && used < most.value()) {
-        const WorkspaceId workspace = std::move(m_turns.back());
-        m_turns.pop_back();
+    while (!m_pendingWorkspaces.empty() && used < most.value()) {
+        const WorkspaceId workspace = std::move(m_pendingWorkspaces.back());
+        m_pendingWorkspaces.pop_back();
         const auto found = m_workspaces.find(workspace);
         if (found == m_workspaces.end())
             continue;
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -86,7 +86,7 @@
     std::vector<Base::DataCentreId> m_dataCentres;
     Internal::ShareTopology m_topology;
     absl::flat_hash_map<Base::WorkspaceId, Internal::WorkspaceShares> m_workspaces;
-    std::vector<Base::WorkspaceId> m_turns; // workspaces whose digests wait
+    std::vector<Base::WorkspaceId> m_pendingWorkspaces; // workspaces whose digests wait
 };
 
 } // namespace Lagoonbank::Admission
