--- a/src/libs/admission/workspacegate.cpp
+++ b/src/libs/admission/workspacegate.cpp
@@ -76,7 +76,7 @@
     const std::shared_ptr<WorkspaceGate> gate = m_held ? m_gate.lock() : nullptr;
     if (gate) {
         gate->chargeTokens(static_cast<double>((actual - m_estimate).value()), now);
-        gate->noteHolding(now - m_admitted);
+        gate->recordSlotTime(now - m_admitted);
     }
     drop();
 }
@@ -85,7 +85,7 @@
 {
     const std::shared_ptr<WorkspaceGate> gate = m_held ? m_gate.lock() : nullptr;
     if (gate)
-        gate->giveBack(m_estimate, now);
+        gate->refundCharges(m_estimate, now);
     drop();
 }
 
@@ -100,7 +100,7 @@
 WorkspaceGate::WorkspaceGate(WorkspaceLimits limits, MonoTime now)
     : m_limits(std::move(limits))
     , m_origin(now)
-    , m_lastOffer(now)
+    , m_lastArrival(now)
 {
     applyShare(now);
 }
@@ -137,7 +137,7 @@
     if (auto refusal = chooseDeadline(call, now, admitted))
         return std::move(*refusal);
 
-    noteOffer(call, now);
+    recordArrival(call, now);
     if (auto refusal = checkConcurrency(now))
         return std::move(*refusal);
     if (auto refusal = checkRequests(now))
@@ -206,7 +206,7 @@
     if (!m_limits.concurrency || m_running < slots())
         return std::nullopt;
     return Refusal{ErrorKind::ConcurrencyLimited, "concurrency", m_limits.concurrency->source,
-                   slotWait(now)};
+                   estimatedSlotWait(now)};
 }
 
 std::optional<Refusal> WorkspaceGate::checkRequests(MonoTime now) const
@@ -234,12 +234,12 @@
 
 // Slots come free at the rate running / mean holding time; before the first call has ended, the
 // running calls' mean age stands in for it.
-Duration WorkspaceGate::slotWait(MonoTime now) const
+Duration WorkspaceGate::estimatedSlotWait(MonoTime now) const
 {
     if (m_running == 0)
         return Duration::zero();
     const Duration meanAge = (now - m_origin) - m_startSum / m_running;
-    const double hold = m_meanHoldSeconds > 0 ? m_meanHoldSeconds : Base::toSeconds(meanAge);
+    const double hold = m_meanSlotSeconds > 0 ? m_meanSlotSeconds : Base::toSeconds(meanAge);
     return std::max(shortestSlotWait, Base::fromSeconds(hold / m_running));
 }
 
@@ -249,15 +249,15 @@
     m_startSum -= admitted - m_origin;
 }
 
-void WorkspaceGate::noteHolding(Duration held)
+void WorkspaceGate::recordSlotTime(Duration held)
 {
     const double seconds = Base::toSeconds(held);
-    m_meanHoldSeconds = m_meanHoldSeconds > 0
-        ? m_meanHoldSeconds + holdSmoothing * (seconds - m_meanHoldSeconds)
+    m_meanSlotSeconds = m_meanSlotSeconds > 0
+        ? m_meanSlotSeconds + holdSmoothing * (seconds - m_meanSlotSeconds)
         : seconds;
 }
 
-void WorkspaceGate::giveBack(Tokens estimate, MonoTime now)
+void WorkspaceGate::refundCharges(Tokens estimate, MonoTime now)
 {
     if (m_limits.requestsPerSecond)
         m_requests.charge(-1, now);
@@ -272,16 +272,16 @@
 
 double WorkspaceGate::decayed(double rate, MonoTime now) const
 {
-    return rate * std::exp(-Base::toSeconds(now - m_lastOffer) / demandWindowSeconds);
+    return rate * std::exp(-Base::toSeconds(now - m_lastArrival) / demandWindowSeconds);
 }
 
-void WorkspaceGate::noteOffer(const Call &call, MonoTime now)
+void WorkspaceGate::recordArrival(const Call &call, MonoTime now)
 {
     m_requestRate = decayed(m_requestRate, now) + 1 / demandWindowSeconds;
     m_tokenRate = decayed(m_tokenRate, now)
         + static_cast<double>(call.estimatedTokens.value()) / demandWindowSeconds;
     m_peakSlots = std::max(decayed(m_peakSlots, now), m_running + 1.0);
-    m_lastOffer = now;
+    m_lastArrival = now;
 }
 
 Demand WorkspaceGate::demand(MonoTime now) const
--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -98,7 +98,7 @@
     friend class Ticket;
 
     void applyShare(Base::MonoTime now);
-    void noteOffer(const Call &call, Base::MonoTime now);
+    void recordArrival(const Call &call, Base::MonoTime now);
     double decayed(double rate, Base::MonoTime now) const;
     std::optional<Refusal> checkService(const Call &call) const;
     std::optional<Refusal> choosePriority(const Call &call, Admitted &admitted) const;
@@ -107,10 +107,10 @@
     std::optional<Refusal> checkConcurrency(Base::MonoTime now) const;
     std::optional<Refusal> checkRequests(Base::MonoTime now) const;
     std::optional<Refusal> checkTokens(const Call &call, Base::MonoTime now) const;
-    Base::Duration slotWait(Base::MonoTime now) const;
+    Base::Duration estimatedSlotWait(Base::MonoTime now) const;
     void ended(Base::MonoTime admitted);
-    void noteHolding(Base::Duration held);
-    void giveBack(Base::Tokens estimate, Base::MonoTime now);
+    void recordSlotTime(Base::Duration held);
+    void refundCharges(Base::Tokens estimate, Base::MonoTime now);
     void chargeTokens(double tokens, Base::MonoTime now);
 
     WorkspaceLimits m_limits;
@@ -120,11 +120,11 @@
     int m_running = 0;
     Base::Duration m_startSum{}; // sum of the running calls' start times since m_origin
     Base::MonoTime m_origin{};
-    double m_meanHoldSeconds = 0;
+    double m_meanSlotSeconds = 0;
     double m_requestRate = 0;
     double m_tokenRate = 0;
     double m_peakSlots = 0;
-    Base::MonoTime m_lastOffer{};
+    Base::MonoTime m_lastArrival{};
 };
 
 } // namespace Lagoonbank::Admission
