--- a/src/libs/admission/workspacegate.cpp
+++ b/src/libs/admission/workspacegate.cpp
@@ -94,7 +94,7 @@
     if (!std::exchange(m_held, false))
         return;
     if (const std::shared_ptr<WorkspaceGate> gate = m_gate.lock())
-        gate->ended(m_admitted);
+        gate->releaseSlot(m_admitted);
 }
 
 WorkspaceGate::WorkspaceGate(WorkspaceLimits limits, MonoTime now)
@@ -243,7 +243,7 @@
     return std::max(shortestSlotWait, Base::fromSeconds(hold / m_running));
 }
 
-void WorkspaceGate::ended(MonoTime admitted)
+void WorkspaceGate::releaseSlot(MonoTime admitted)
 {
     --m_running;
     m_startSum -= admitted - m_origin;
--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -108,7 +108,7 @@
     std::optional<Refusal> checkRequests(Base::MonoTime now) const;
     std::optional<Refusal> checkTokens(const Call &call, Base::MonoTime now) const;
     Base::Duration estimatedSlotWait(Base::MonoTime now) const;
-    void ended(Base::MonoTime admitted);
+    void releaseSlot(Base::MonoTime admitted);
     void recordSlotTime(Base::Duration held);
     void refundCharges(Base::Tokens estimate, Base::MonoTime now);
     void chargeTokens(double tokens, Base::MonoTime now);
