--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -105,7 +105,7 @@
     if (settle(id))
         return;
     // Another request holds it; its outcome may come before the deadline.
-    if (standing(m_pending.at(id).claim) != Standing::Free)
+    if (claimStatus(m_pending.at(id).claim) != ClaimStatus::Free)
         return;
     if (!m_isLogUsable)
         return withoutLog(id);
@@ -130,7 +130,7 @@
     if (state != AppendState::NotAppended || !m_pending.contains(id))
         return;
     m_pending.at(id).isSent = false;
-    if (standing(m_pending.at(id).claim) == Standing::Free)
+    if (claimStatus(m_pending.at(id).claim) == ClaimStatus::Free)
         withoutLog(id);
 }
 
@@ -148,7 +148,7 @@
     if (settle(id))
         return;
     const Pending &pending = m_pending.at(id);
-    if (standing(pending.claim) == Standing::Free)
+    if (claimStatus(pending.claim) == ClaimStatus::Free)
         return decide(id, {.verdict = Verdict::Unavailable});
     decide(id,
            {.verdict = Verdict::Running, .holder = m_table.find(pending.claim.key)->claim.request});
@@ -160,21 +160,21 @@
     const Claim &claim = m_pending.at(id).claim;
     const ClaimTable::Entry *entry = m_table.find(claim.key);
     Decision decision;
-    switch (standing(claim)) {
-    case Standing::Free:
-    case Standing::Running:
+    switch (claimStatus(claim)) {
+    case ClaimStatus::Free:
+    case ClaimStatus::Running:
         return false;
-    case Standing::Held:
+    case ClaimStatus::Held:
         decision.verdict = Verdict::Granted;
         break;
-    case Standing::Ended:
+    case ClaimStatus::Ended:
         decision.verdict = Verdict::Ended;
         decision.outcome = *entry->outcome;
         break;
-    case Standing::Unknown:
+    case ClaimStatus::Unknown:
         decision.verdict = Verdict::Unknown;
         break;
-    case Standing::OtherCall:
+    case ClaimStatus::OtherCall:
         decision.verdict = Verdict::OtherCall;
         break;
     }
@@ -193,7 +193,7 @@
         const auto found = m_pending.find(id);
         if (found == m_pending.end() || settle(id))
             continue;
-        if (standing(found->second.claim) == Standing::Free)
+        if (claimStatus(found->second.claim) == ClaimStatus::Free)
             released(id);
     }
 }
@@ -258,9 +258,9 @@
         m_options.timers->start(m_backoff.next(), [this, id] { sendOutcome(id); });
 }
 
-Standing Claimer::standing(const Claim &claim) const
+ClaimStatus Claimer::claimStatus(const Claim &claim) const
 {
-    return m_table.standing(claim, now(), m_options.isGone);
+    return m_table.claimStatus(claim, now(), m_options.isGone);
 }
 
 } // namespace Lagoonbank::Claims
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -115,7 +115,7 @@
     void release(const Pending &pending);
     void sendOutcome(std::uint64_t id);
     void outcomeAppended(std::uint64_t id, PlatformClient::AppendState state);
-    Standing standing(const Claim &claim) const;
+    ClaimStatus claimStatus(const Claim &claim) const;
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
 
     Options m_options;
--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -37,22 +37,23 @@
         insert(end.claim, end.outcome, now);
 }
 
-Standing ClaimTable::standing(const Claim &claim, Base::MonoTime now, const IsGone &isGone) const
+ClaimStatus ClaimTable::claimStatus(const Claim &claim, Base::MonoTime now,
+                                    const IsGone &isGone) const
 {
     const Entry *entry = find(claim.key);
     if (entry == nullptr)
-        return Standing::Free;
+        return ClaimStatus::Free;
     const bool isOwn = entry->claim.request == claim.request;
     if (entry->outcome && entry->outcome->ran == Ran::No)
-        return isOwn ? Standing::Unknown : Standing::Free;
+        return isOwn ? ClaimStatus::Unknown : ClaimStatus::Free;
     if (entry->claim.call != claim.call)
-        return Standing::OtherCall;
+        return ClaimStatus::OtherCall;
     if (entry->outcome)
-        return entry->outcome->ran == Ran::Yes ? Standing::Ended : Standing::Unknown;
+        return entry->outcome->ran == Ran::Yes ? ClaimStatus::Ended : ClaimStatus::Unknown;
     if (isOwn)
-        return Standing::Held;
+        return ClaimStatus::Held;
     const bool isLate = now - entry->since > m_options.longestRun;
-    return isLate || isGone(entry->claim.router) ? Standing::Unknown : Standing::Running;
+    return isLate || isGone(entry->claim.router) ? ClaimStatus::Unknown : ClaimStatus::Running;
 }
 
 const ClaimTable::Entry *ClaimTable::find(const ClaimKey &key) const
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -14,7 +14,7 @@
 namespace Lagoonbank::Claims {
 
 /// What a request that wants to run a matter finds.
-enum class Standing : std::uint8_t {
+enum class ClaimStatus : std::uint8_t {
     Free, ///< Nobody holds it.
     Held, ///< This request holds it.
     Running, ///< Another request holds it and may be running.
@@ -57,7 +57,7 @@
     /// The first outcome of a request stays, except that a known one replaces an unknown one.
     void apply(const ClaimEnd &end, Base::MonoTime now);
 
-    Standing standing(const Claim &claim, Base::MonoTime now, const IsGone &isGone) const;
+    ClaimStatus claimStatus(const Claim &claim, Base::MonoTime now, const IsGone &isGone) const;
     /// The holder of \a key; null if there is none.
     const Entry *find(const ClaimKey &key) const;
     std::size_t size() const { return m_entries.size(); }
--- a/tests/auto/claims/tst_claimtable.cpp
+++ b/tests/auto/claims/tst_claimtable.cpp
@@ -27,48 +27,51 @@
     std::uint64_t call = 1;
 };
 
-struct StandingCase
+struct StatusCase
 {
     const char *name;
     std::vector<Step> steps;
     Claim asked;
-    Standing standing;
+    ClaimStatus claimStatus;
     bool holderIsGone = false;
 };
 
-const StandingCase standingCases[] = {
-    {"nobody asked before", {}, claimOf("a"), Standing::Free},
-    {"the first claim holds", {{"a"}, {"b"}}, claimOf("a"), Standing::Held},
-    {"the second claim waits", {{"a"}, {"b"}}, claimOf("b"), Standing::Running},
-    {"router crashed before the outcome", {{"a"}}, claimOf("b"), Standing::Unknown, true},
+const StatusCase statusCases[] = {
+    {"nobody asked before", {}, claimOf("a"), ClaimStatus::Free},
+    {"the first claim holds", {{"a"}, {"b"}}, claimOf("a"), ClaimStatus::Held},
+    {"the second claim waits", {{"a"}, {"b"}}, claimOf("b"), ClaimStatus::Running},
+    {"router crashed before the outcome", {{"a"}}, claimOf("b"), ClaimStatus::Unknown, true},
     {"router crashed after the outcome",
      {{"a"}, {"a", Ran::Yes}},
      claimOf("b"),
-     Standing::Ended,
+     ClaimStatus::Ended,
      true},
-    {"outcome unknown", {{"a"}, {"a", Ran::Unknown}}, claimOf("b"), Standing::Unknown},
+    {"outcome unknown", {{"a"}, {"a", Ran::Unknown}}, claimOf("b"), ClaimStatus::Unknown},
     {"outcome found out later",
      {{"a"}, {"a", Ran::Unknown}, {"a", Ran::Yes}},
      claimOf("b"),
-     Standing::Ended},
-    {"an outcome stays", {{"a"}, {"a", Ran::Yes}, {"a", Ran::No}}, claimOf("b"), Standing::Ended},
-    {"did not run", {{"a"}, {"a", Ran::No}}, claimOf("b"), Standing::Free},
+     ClaimStatus::Ended},
+    {"an outcome stays",
+     {{"a"}, {"a", Ran::Yes}, {"a", Ran::No}},
+     claimOf("b"),
+     ClaimStatus::Ended},
+    {"did not run", {{"a"}, {"a", Ran::No}}, claimOf("b"), ClaimStatus::Free},
     {"claimed again after it did not run",
      {{"a"}, {"a", Ran::No}, {"b"}},
      claimOf("b"),
-     Standing::Held},
-    {"claim read after it was given up", {{"a", Ran::No}, {"a"}}, claimOf("b"), Standing::Free},
+     ClaimStatus::Held},
+    {"claim read after it was given up", {{"a", Ran::No}, {"a"}}, claimOf("b"), ClaimStatus::Free},
     {"outcome of a loser is none of the holder's",
      {{"a"}, {"b"}, {"b", Ran::No}},
      claimOf("c"),
-     Standing::Running},
-    {"ran without a claim on the log", {{"a", Ran::Yes}}, claimOf("b"), Standing::Ended},
-    {"another call under the key", {{"a"}}, claimOf("b", "k", 2), Standing::OtherCall},
+     ClaimStatus::Running},
+    {"ran without a claim on the log", {{"a", Ran::Yes}}, claimOf("b"), ClaimStatus::Ended},
+    {"another call under the key", {{"a"}}, claimOf("b", "k", 2), ClaimStatus::OtherCall},
     {"another call after the end",
      {{"a"}, {"a", Ran::Yes}},
      claimOf("b", "k", 2),
-     Standing::OtherCall},
-    {"another key", {{"a"}}, claimOf("b", "l"), Standing::Free},
+     ClaimStatus::OtherCall},
+    {"another key", {{"a"}}, claimOf("b", "l"), ClaimStatus::Free},
 };
 
 } // namespace
@@ -76,7 +79,7 @@
 BOOST_AUTO_TEST_CASE(theFirstClaimOnTheLogWins)
 {
     const Runtime::ManualClock clock;
-    for (const StandingCase &row : standingCases) {
+    for (const StatusCase &row : statusCases) {
         BOOST_TEST_CONTEXT(row.name)
         {
             ClaimTable table({});
@@ -88,7 +91,7 @@
                     table.apply(claim, clock.now());
             }
             const auto isGone = [&](const RouterRun &) { return row.holderIsGone; };
-            BOOST_TEST((table.standing(row.asked, clock.now(), isGone) == row.standing));
+            BOOST_TEST((table.claimStatus(row.asked, clock.now(), isGone) == row.claimStatus));
         }
     }
 }
@@ -119,7 +122,7 @@
     table.apply(claimOf("a"), clock.now());
     const auto isGone = [](const RouterRun &) { return false; };
     clock.advance(59s);
-    BOOST_TEST((table.standing(claimOf("b"), clock.now(), isGone) == Standing::Running));
+    BOOST_TEST((table.claimStatus(claimOf("b"), clock.now(), isGone) == ClaimStatus::Running));
     clock.advance(2s);
-    BOOST_TEST((table.standing(claimOf("b"), clock.now(), isGone) == Standing::Unknown));
+    BOOST_TEST((table.claimStatus(claimOf("b"), clock.now(), isGone) == ClaimStatus::Unknown));
 }
