--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -17,7 +17,7 @@
         return ErrorKind::DuplicateRunning;
     case Verdict::Unknown:
         return ErrorKind::DuplicateUnknown;
-    case Verdict::OtherCall:
+    case Verdict::KeyReused:
         return ErrorKind::BadRequest;
     case Verdict::Unavailable:
         return ErrorKind::ClaimUnavailable;
@@ -174,8 +174,8 @@
     case ClaimStatus::Unknown:
         decision.verdict = Verdict::Unknown;
         break;
-    case ClaimStatus::OtherCall:
-        decision.verdict = Verdict::OtherCall;
+    case ClaimStatus::KeyReused:
+        decision.verdict = Verdict::KeyReused;
         break;
     }
     decision.holder = entry->claim.request;
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -29,7 +29,7 @@
     Running, ///< Another request of the same matter may be running; this one did not.
     Ended, ///< Another request ran; its outcome is given.
     Unknown, ///< Another request may have run; nobody knows.
-    OtherCall, ///< The key belongs to a different call; this one did not run.
+    KeyReused, ///< The key belongs to a different call; this one did not run.
     Unavailable ///< No claim could be made; this one did not run.
 };
 
@@ -37,7 +37,7 @@
 {
     Verdict verdict = Verdict::Unavailable;
     Outcome outcome; ///< With Ended.
-    Base::RequestId holder; ///< With Running, Ended, Unknown and OtherCall.
+    Base::RequestId holder; ///< With Running, Ended, Unknown and KeyReused.
 };
 
 /// The error kind for a verdict that is neither a grant nor Ended.
--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -47,7 +47,7 @@
     if (entry->outcome && entry->outcome->ran == Ran::No)
         return isOwn ? ClaimStatus::Unknown : ClaimStatus::Free;
     if (entry->claim.call != claim.call)
-        return ClaimStatus::OtherCall;
+        return ClaimStatus::KeyReused;
     if (entry->outcome)
         return entry->outcome->ran == Ran::Yes ? ClaimStatus::Ended : ClaimStatus::Unknown;
     if (isOwn)
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -20,7 +20,7 @@
     Running, ///< Another request holds it and may be running.
     Ended, ///< It ran; its outcome is known.
     Unknown, ///< Another request held it and it cannot be known whether it ran.
-    OtherCall ///< The key was used for a different call.
+    KeyReused ///< The key was used for a different call.
 };
 
 /// The claims of the log's stream, applied in the order of their offsets. Pure: the same records
--- a/src/libs/router/claimdesk.cpp
+++ b/src/libs/router/claimdesk.cpp
@@ -80,7 +80,7 @@
         break;
     case Verdict::Running:
     case Verdict::Unknown:
-    case Verdict::OtherCall:
+    case Verdict::KeyReused:
     case Verdict::Unavailable:
         break;
     }
--- a/tests/auto/claims/tst_claimer.cpp
+++ b/tests/auto/claims/tst_claimer.cpp
@@ -207,7 +207,7 @@
     a.claim("a1");
     spread();
     b.claim("b1", LogOutPolicy::Refuse, 2);
-    BOOST_TEST((b.verdict() == Verdict::OtherCall));
+    BOOST_TEST((b.verdict() == Verdict::KeyReused));
 }
 
 BOOST_FIXTURE_TEST_CASE(aRunThatDidNotStartLetsTheWaitingOneIn, Fixture)
--- a/tests/auto/claims/tst_claimtable.cpp
+++ b/tests/auto/claims/tst_claimtable.cpp
@@ -66,11 +66,11 @@
      claimOf("c"),
      ClaimStatus::Running},
     {"ran without a claim on the log", {{"a", Ran::Yes}}, claimOf("b"), ClaimStatus::Ended},
-    {"another call under the key", {{"a"}}, claimOf("b", "k", 2), ClaimStatus::OtherCall},
+    {"another call under the key", {{"a"}}, claimOf("b", "k", 2), ClaimStatus::KeyReused},
     {"another call after the end",
      {{"a"}, {"a", Ran::Yes}},
      claimOf("b", "k", 2),
-     ClaimStatus::OtherCall},
+     ClaimStatus::KeyReused},
     {"another key", {{"a"}}, claimOf("b", "l"), ClaimStatus::Free},
 };
 
