--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -52,7 +52,7 @@
         return entry->outcome->ran == Ran::Yes ? ClaimStatus::Ended : ClaimStatus::Unknown;
     if (isOwn)
         return ClaimStatus::Held;
-    const bool isLate = now - entry->since > m_options.longestRun;
+    const bool isLate = now - entry->since > m_options.maxRunTime;
     return isLate || isGone(entry->claim.router) ? ClaimStatus::Unknown : ClaimStatus::Running;
 }
 
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -32,11 +32,11 @@
     {
         Base::Duration window = std::chrono::hours(1); ///< For which a claim is remembered.
         /// New claims should be refused above this many.
-        std::size_t fullAt = 200'000;
+        std::size_t fullThreshold = 200'000;
         /// The oldest claims are forgotten above this many, whatever their age.
         std::size_t capacity = 400'000;
         /// After which a claim without an outcome is Unknown, though its router may be alive.
-        Base::Duration longestRun = std::chrono::minutes(15);
+        Base::Duration maxRunTime = std::chrono::minutes(15);
     };
     struct Entry
     {
@@ -61,7 +61,7 @@
     /// The holder of \a key; null if there is none.
     const Entry *find(const ClaimKey &key) const;
     std::size_t size() const { return m_entries.size(); }
-    bool isFull() const { return m_entries.size() >= m_options.fullAt; }
+    bool isFull() const { return m_entries.size() >= m_options.fullThreshold; }
 
 private:
     struct Place
--- a/tests/auto/claims/tst_claimtable.cpp
+++ b/tests/auto/claims/tst_claimtable.cpp
@@ -99,7 +99,7 @@
 BOOST_AUTO_TEST_CASE(forgetsAfterTheWindowAndStaysBounded)
 {
     Runtime::ManualClock clock;
-    ClaimTable table({.window = 10s, .fullAt = 3, .capacity = 5});
+    ClaimTable table({.window = 10s, .fullThreshold = 3, .capacity = 5});
     for (int i = 0; i < 100; ++i)
         table.apply(claimOf("r", std::to_string(i)), clock.now());
     BOOST_TEST(table.size() == 5);
@@ -118,7 +118,7 @@
 BOOST_AUTO_TEST_CASE(aRunThatNeverEndsBecomesUnknown)
 {
     Runtime::ManualClock clock;
-    ClaimTable table({.longestRun = 60s});
+    ClaimTable table({.maxRunTime = 60s});
     table.apply(claimOf("a"), clock.now());
     const auto isGone = [](const RouterRun &) { return false; };
     clock.advance(59s);
