--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -8,7 +8,7 @@
 
 void ClaimTable::apply(const Claim &claim, Base::MonoTime now)
 {
-    forgetOld(now);
+    evictExpired(now);
     const auto found = m_entries.find(claim.key);
     if (found == m_entries.end())
         return insert(claim, std::nullopt, now);
@@ -21,7 +21,7 @@
 
 void ClaimTable::apply(const ClaimEnd &end, Base::MonoTime now)
 {
-    forgetOld(now);
+    evictExpired(now);
     const auto found = m_entries.find(end.claim.key);
     if (found == m_entries.end())
         return insert(end.claim, end.outcome, now);
@@ -68,18 +68,18 @@
     m_order.push_back({claim.key, sequence, now});
     m_entries.insert_or_assign(claim.key, Entry{claim, now, sequence, std::move(outcome)});
     while (m_entries.size() > m_options.capacity || m_order.size() > 2 * m_options.capacity)
-        forgetOldest();
+        evictOldest();
 }
 
-void ClaimTable::forgetOld(Base::MonoTime now)
+void ClaimTable::evictExpired(Base::MonoTime now)
 {
     while (!m_order.empty() && now - m_order.front().since > m_options.window)
-        forgetOldest();
+        evictOldest();
 }
 
-void ClaimTable::forgetOldest()
+void ClaimTable::evictOldest()
 {
-    const Place place = std::move(m_order.front());
+    const EvictionEntry place = std::move(m_order.front());
     m_order.pop_front();
     const auto found = m_entries.find(place.key);
     if (found != m_entries.end() && found->second.sequence == place.sequence)
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -64,7 +64,7 @@
     bool isFull() const { return m_entries.size() >= m_options.fullThreshold; }
 
 private:
-    struct Place
+    struct EvictionEntry
     {
         ClaimKey key;
         std::uint64_t sequence;
@@ -72,12 +72,13 @@
     };
 
     void insert(const Claim &claim, std::optional<Outcome> outcome, Base::MonoTime now);
-    void forgetOld(Base::MonoTime now);
-    void forgetOldest();
+    void evictExpired(Base::MonoTime now);
+    void evictOldest();
 
     Options m_options;
     absl::flat_hash_map<ClaimKey, Entry> m_entries;
-    std::deque<Place> m_order; ///< By age; places of entries that were replaced stay until then.
+    std::deque<EvictionEntry>
+        m_order; ///< By age; places of entries that were replaced stay until then.
     std::uint64_t m_lastSequence = 0;
 };
 
