--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -52,7 +52,7 @@
     }
     if (const auto *end = std::get_if<ClaimEnd>(&parsed.value())) {
         m_table.apply(*end, now());
-        return settleAll(end->claim.key);
+        return decideWaiting(end->claim.key);
     }
     const Claim &claim = std::get<Claim>(parsed.value());
     m_table.apply(claim, now());
@@ -63,7 +63,7 @@
         Pending &pending = m_pending.at(id);
         pending.isRead = pending.isRead || pending.claim.request == claim.request;
     }
-    settleAll(claim.key);
+    decideWaiting(claim.key);
 }
 
 Claimer::PendingId Claimer::claim(const Claim &claim, LogOutPolicy policy, Base::Duration timeout,
@@ -75,7 +75,7 @@
     m_pendingByKey[claim.key].push_back(id);
     pending.deadline = m_options.timers->start({}, [this, id, timeout] {
         m_pending.at(id).deadline = m_options.timers->start(timeout, [this, id] { expire(id); });
-        begin(id);
+        startClaim(id);
     });
     return id;
 }
@@ -83,38 +83,38 @@
 void Claimer::cancel(PendingId pending)
 {
     if (m_pending.contains(pending))
-        release(take(pending));
+        release(removePending(pending));
 }
 
 void Claimer::finish(const Claim &claim, Outcome outcome)
 {
     const ClaimEnd end{claim, std::move(outcome)};
     m_table.apply(end, now());
-    settleAll(claim.key);
+    decideWaiting(claim.key);
     if (m_unrecorded.size() >= m_options.maxUnrecorded) {
         ++m_lostOutcomes;
         return;
     }
     const std::uint64_t id = ++m_lastId;
     m_unrecorded[id].record = toRecord(end);
-    sendOutcome(id);
+    appendOutcome(id);
 }
 
-void Claimer::begin(PendingId id)
+void Claimer::startClaim(PendingId id)
 {
-    if (settle(id))
+    if (decideFromTable(id))
         return;
     // Another request holds it; its outcome may come before the deadline.
     if (claimStatus(m_pending.at(id).claim) != ClaimStatus::Free)
         return;
     if (!m_isLogUsable)
-        return withoutLog(id);
+        return decideWithoutLog(id);
     if (m_table.isFull() || m_pending.size() > m_options.maxPending)
         return decide(id, {.verdict = Verdict::Unavailable});
-    send(id);
+    appendClaim(id);
 }
 
-void Claimer::send(PendingId id)
+void Claimer::appendClaim(PendingId id)
 {
     Pending &pending = m_pending.at(id);
     pending.isSent = m_options.append(
@@ -131,10 +131,10 @@
         return;
     m_pending.at(id).isSent = false;
     if (claimStatus(m_pending.at(id).claim) == ClaimStatus::Free)
-        withoutLog(id);
+        decideWithoutLog(id);
 }
 
-void Claimer::withoutLog(PendingId id)
+void Claimer::decideWithoutLog(PendingId id)
 {
     const Pending &pending = m_pending.at(id);
     if (pending.policy == LogOutPolicy::Refuse || m_table.isFull())
@@ -145,7 +145,7 @@
 
 void Claimer::expire(PendingId id)
 {
-    if (settle(id))
+    if (decideFromTable(id))
         return;
     const Pending &pending = m_pending.at(id);
     if (claimStatus(pending.claim) == ClaimStatus::Free)
@@ -155,7 +155,7 @@
 }
 
 /// Decides the request if the table says enough.
-bool Claimer::settle(PendingId id)
+bool Claimer::decideFromTable(PendingId id)
 {
     const Claim &claim = m_pending.at(id).claim;
     const ClaimTable::Entry *entry = m_table.find(claim.key);
@@ -183,7 +183,7 @@
     return true;
 }
 
-void Claimer::settleAll(const ClaimKey &key)
+void Claimer::decideWaiting(const ClaimKey &key)
 {
     const auto waiting = m_pendingByKey.find(key);
     if (waiting == m_pendingByKey.end())
@@ -191,32 +191,32 @@
     const std::vector<PendingId> ids = waiting->second;
     for (const PendingId id : ids) {
         const auto found = m_pending.find(id);
-        if (found == m_pending.end() || settle(id))
+        if (found == m_pending.end() || decideFromTable(id))
             continue;
         if (claimStatus(found->second.claim) == ClaimStatus::Free)
-            released(id);
+            holderReleased(id);
     }
 }
 
 /// The holder that the request waited for has ended without having run.
-void Claimer::released(PendingId id)
+void Claimer::holderReleased(PendingId id)
 {
     const Pending &pending = m_pending.at(id);
     if (pending.isRead)
         return decide(id, {.verdict = Verdict::Running});
     if (!pending.isSent)
-        begin(id);
+        startClaim(id);
 }
 
 void Claimer::decide(PendingId id, const Decision &decision)
 {
-    const Pending pending = take(id);
+    const Pending pending = removePending(id);
     if (decision.verdict != Verdict::Granted)
         release(pending);
     pending.decided(decision);
 }
 
-Claimer::Pending Claimer::take(PendingId id)
+Claimer::Pending Claimer::removePending(PendingId id)
 {
     const auto found = m_pending.find(id);
     Pending pending = std::move(found->second);
@@ -236,7 +236,7 @@
         finish(pending.claim, {.ran = Errors::Ran::No});
 }
 
-void Claimer::sendOutcome(std::uint64_t id)
+void Claimer::appendOutcome(std::uint64_t id)
 {
     const bool isQueued = m_options.append(
         m_unrecorded.at(id).record, [this, id](const PlatformClient::AppendOutcome &outcome) {
@@ -255,7 +255,7 @@
     }
     // Appending an outcome again is harmless: its record's id is the same and the first counts.
     m_unrecorded.at(id).retry =
-        m_options.timers->start(m_backoff.next(), [this, id] { sendOutcome(id); });
+        m_options.timers->start(m_backoff.next(), [this, id] { appendOutcome(id); });
 }
 
 ClaimStatus Claimer::claimStatus(const Claim &claim) const
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -102,18 +102,18 @@
         bool isRead = false; ///< Its claim came back from the log.
     };
 
-    void begin(PendingId id);
-    void send(PendingId id);
+    void startClaim(PendingId id);
+    void appendClaim(PendingId id);
     void appended(PendingId id, PlatformClient::AppendState state);
     void expire(PendingId id);
-    void withoutLog(PendingId id);
-    bool settle(PendingId id);
-    void settleAll(const ClaimKey &key);
-    void released(PendingId id);
+    void decideWithoutLog(PendingId id);
+    bool decideFromTable(PendingId id);
+    void decideWaiting(const ClaimKey &key);
+    void holderReleased(PendingId id);
     void decide(PendingId id, const Decision &decision);
-    Pending take(PendingId id);
+    Pending removePending(PendingId id);
     void release(const Pending &pending);
-    void sendOutcome(std::uint64_t id);
+    void appendOutcome(std::uint64_t id);
     void outcomeAppended(std::uint64_t id, PlatformClient::AppendState state);
     ClaimStatus claimStatus(const Claim &claim) const;
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
