--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -83,7 +83,7 @@
 void Claimer::cancel(PendingId pending)
 {
     if (m_pending.contains(pending))
-        release(removePending(pending));
+        abandon(removePending(pending));
 }
 
 void Claimer::finish(const Claim &claim, Outcome outcome)
@@ -212,7 +212,7 @@
 {
     const Pending pending = removePending(id);
     if (decision.verdict != Verdict::Granted)
-        release(pending);
+        abandon(pending);
     pending.decided(decision);
 }
 
@@ -230,7 +230,7 @@
 }
 
 /// Gives up a claim that may still show up on the log.
-void Claimer::release(const Pending &pending)
+void Claimer::abandon(const Pending &pending)
 {
     if (pending.isSent && !pending.isRead)
         finish(pending.claim, {.ran = Errors::Ran::No});
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -112,7 +112,7 @@
     void holderReleased(PendingId id);
     void decide(PendingId id, const Decision &decision);
     Pending removePending(PendingId id);
-    void release(const Pending &pending);
+    void abandon(const Pending &pending);
     void appendOutcome(std::uint64_t id);
     void outcomeAppended(std::uint64_t id, PlatformClient::AppendState state);
     ClaimStatus claimStatus(const Claim &claim) const;
