--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -92,7 +92,7 @@
     m_table.apply(end, now());
     decideWaiting(claim.key);
     if (m_unrecorded.size() >= m_options.maxUnrecorded) {
-        ++m_lostOutcomes;
+        ++m_droppedOutcomes;
         return;
     }
     const std::uint64_t id = ++m_lastId;
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -89,7 +89,7 @@
     std::size_t unrecorded() const { return m_unrecorded.size(); }
     /// Records that could not be read and outcomes that were given up, since the start.
     std::uint64_t skippedRecords() const { return m_skippedRecords; }
-    std::uint64_t lostOutcomes() const { return m_lostOutcomes; }
+    std::uint64_t droppedOutcomes() const { return m_droppedOutcomes; }
 
 private:
     struct Pending
@@ -132,7 +132,7 @@
     };
     absl::flat_hash_map<std::uint64_t, Unrecorded> m_unrecorded;
     std::uint64_t m_skippedRecords = 0;
-    std::uint64_t m_lostOutcomes = 0;
+    std::uint64_t m_droppedOutcomes = 0;
 };
 
 } // namespace Lagoonbank::Claims
