--- a/src/libs/claims/claim.h
+++ b/src/libs/claims/claim.h
@@ -59,7 +59,7 @@
 };
 
 /// Record of an outcome; repeats the claim so that it stands for itself where the claim is gone.
-struct ClaimEnd
+struct ClaimOutcome
 {
     Claim claim;
     Outcome outcome;
--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -50,7 +50,7 @@
         ++m_skippedRecords;
         return;
     }
-    if (const auto *end = std::get_if<ClaimEnd>(&parsed.value())) {
+    if (const auto *end = std::get_if<ClaimOutcome>(&parsed.value())) {
         m_table.apply(*end, now());
         return decideWaiting(end->claim.key);
     }
@@ -88,7 +88,7 @@
 
 void Claimer::finish(const Claim &claim, Outcome outcome)
 {
-    const ClaimEnd end{claim, std::move(outcome)};
+    const ClaimOutcome end{claim, std::move(outcome)};
     m_table.apply(end, now());
     decideWaiting(claim.key);
     if (m_unrecorded.size() >= m_options.maxUnrecorded) {
--- a/src/libs/claims/claimrecord.cpp
+++ b/src/libs/claims/claimrecord.cpp
@@ -84,16 +84,16 @@
     return {.id = "claim:" + claim.request.value(), .data = toJson(claim).dump()};
 }
 
-PlatformClient::Record toRecord(const ClaimEnd &end)
+PlatformClient::Record toRecord(const ClaimOutcome &end)
 {
     Json json = toJson(end.claim);
     json["outcome"] = toJson(end.outcome);
     return {.id = "outcome:" + end.claim.request.value(), .data = json.dump()};
 }
 
-Errors::Result<std::variant<Claim, ClaimEnd>> parseRecord(std::string_view data)
+Errors::Result<std::variant<Claim, ClaimOutcome>> parseRecord(std::string_view data)
 {
-    using Record = std::variant<Claim, ClaimEnd>;
+    using Record = std::variant<Claim, ClaimOutcome>;
     try {
         const Json json = Json::parse(data);
         if (json.at("version").get<int>() > version)
@@ -101,7 +101,7 @@
                                      "A claim is of a newer version.");
         if (!json.contains("outcome"))
             return Record(readClaim(json));
-        return Record(ClaimEnd{readClaim(json), readOutcome(json.at("outcome"))});
+        return Record(ClaimOutcome{readClaim(json), readOutcome(json.at("outcome"))});
     } catch (const std::exception &) {
         // Any way of being malformed: not JSON, a member that lacks or has another type.
         return Errors::makeError(Errors::ErrorKind::BadMessage, "A record of claims is malformed.");
--- a/src/libs/claims/claimrecord.h
+++ b/src/libs/claims/claimrecord.h
@@ -15,8 +15,8 @@
 inline constexpr std::size_t maxKeptBody = 16 * 1024;
 
 PlatformClient::Record toRecord(const Claim &claim);
-PlatformClient::Record toRecord(const ClaimEnd &end);
+PlatformClient::Record toRecord(const ClaimOutcome &end);
 /// An error for a malformed record or one of a newer version; readers skip it.
-Errors::Result<std::variant<Claim, ClaimEnd>> parseRecord(std::string_view data);
+Errors::Result<std::variant<Claim, ClaimOutcome>> parseRecord(std::string_view data);
 
 } // namespace Lagoonbank::Claims
--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -19,7 +19,7 @@
         insert(claim, std::nullopt, now);
 }
 
-void ClaimTable::apply(const ClaimEnd &end, Base::MonoTime now)
+void ClaimTable::apply(const ClaimOutcome &end, Base::MonoTime now)
 {
     evictExpired(now);
     const auto found = m_entries.find(end.claim.key);
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -55,7 +55,7 @@
     /// A claim loses to an earlier one of the same key, unless that ended without having run.
     void apply(const Claim &claim, Base::MonoTime now);
     /// The first outcome of a request stays, except that a known one replaces an unknown one.
-    void apply(const ClaimEnd &end, Base::MonoTime now);
+    void apply(const ClaimOutcome &end, Base::MonoTime now);
 
     ClaimStatus claimStatus(const Claim &claim, Base::MonoTime now, const IsGone &isGone) const;
     /// The holder of \a key; null if there is none.
--- a/src/libs/operations/logoutcomes.cpp
+++ b/src/libs/operations/logoutcomes.cpp
@@ -94,7 +94,7 @@
         return;
     if (const auto *claim = std::get_if<Claims::Claim>(&parsed.value()))
         return add(*claim, std::nullopt);
-    const auto &end = std::get<Claims::ClaimEnd>(parsed.value());
+    const auto &end = std::get<Claims::ClaimOutcome>(parsed.value());
     add(end.claim, end.outcome);
 }
 
--- a/tests/auto/claims/tst_claimrecord.cpp
+++ b/tests/auto/claims/tst_claimrecord.cpp
@@ -18,9 +18,9 @@
 BOOST_AUTO_TEST_CASE(bringsAnyBytesBack)
 {
     const std::string body("\0\xfe\n", 3);
-    const auto record = toRecord(ClaimEnd{
+    const auto record = toRecord(ClaimOutcome{
         booking, {.ran = Errors::Ran::Yes, .status = 201, .contentType = "a/b", .body = body}});
-    const auto end = std::get<ClaimEnd>(parseRecord(record.data).value());
+    const auto end = std::get<ClaimOutcome>(parseRecord(record.data).value());
     BOOST_TEST((end.claim.key == booking.key));
     BOOST_TEST((end.claim.router == booking.router));
     BOOST_TEST(end.claim.call == booking.call);
@@ -32,9 +32,9 @@
 
 BOOST_AUTO_TEST_CASE(leavesOutALargeBodyAndSaysSo)
 {
-    const auto record = toRecord(
-        ClaimEnd{booking, {.ran = Errors::Ran::Yes, .body = std::string(maxKeptBody + 1, 'x')}});
-    const auto end = std::get<ClaimEnd>(parseRecord(record.data).value());
+    const auto record = toRecord(ClaimOutcome{
+        booking, {.ran = Errors::Ran::Yes, .body = std::string(maxKeptBody + 1, 'x')}});
+    const auto end = std::get<ClaimOutcome>(parseRecord(record.data).value());
     BOOST_TEST(!end.outcome.isBodyKept);
     BOOST_TEST(end.outcome.body.empty());
 }
@@ -49,7 +49,7 @@
         without.replace(without.find(member), 2, "\"_");
         bad.push_back(without);
     }
-    std::string end = toRecord(ClaimEnd{booking, {}}).data;
+    std::string end = toRecord(ClaimOutcome{booking, {}}).data;
     end.replace(end.find("unknown"), 7, "perhaps");
     bad.push_back(end);
     for (const std::string &data : bad)
--- a/tests/auto/claims/tst_claimtable.cpp
+++ b/tests/auto/claims/tst_claimtable.cpp
@@ -86,7 +86,7 @@
             for (const Step &step : row.steps) {
                 const Claim claim = claimOf(step.request, "k", step.call);
                 if (step.ran)
-                    table.apply(ClaimEnd{claim, {.ran = *step.ran}}, clock.now());
+                    table.apply(ClaimOutcome{claim, {.ran = *step.ran}}, clock.now());
                 else
                     table.apply(claim, clock.now());
             }
@@ -109,7 +109,7 @@
     table.apply(claimOf("r", "new"), clock.now());
     BOOST_TEST(table.size() == 1);
     for (int i = 0; i < 100; ++i) {
-        table.apply(ClaimEnd{claimOf(std::to_string(i), "new"), {.ran = Ran::No}}, clock.now());
+        table.apply(ClaimOutcome{claimOf(std::to_string(i), "new"), {.ran = Ran::No}}, clock.now());
         table.apply(claimOf(std::to_string(i + 1), "new"), clock.now());
     }
     BOOST_TEST(table.size() == 1);
--- a/tests/auto/operations/tst_requestcommand.cpp
+++ b/tests/auto/operations/tst_requestcommand.cpp
@@ -131,7 +131,8 @@
     const std::string outcomeRecord = Timeline::toJson(whole()).dump();
     const std::string claimRecord = Claims::toRecord(claim()).data;
     const auto claimEnd = [](Errors::Ran ran) {
-        return Claims::toRecord(Claims::ClaimEnd{.claim = claim(), .outcome = {.ran = ran}}).data;
+        return Claims::toRecord(Claims::ClaimOutcome{.claim = claim(), .outcome = {.ran = ran}})
+            .data;
     };
     const std::vector<Case> cases{
         {"outcome", {{"outcomes", outcomeRecord}}, "The request ran whole on endpoint b1 in 9 ms."},
