--- a/src/libs/claims/claim.h
+++ b/src/libs/claims/claim.h
@@ -31,12 +31,12 @@
 CallHash hashCall(std::string_view method, std::string_view target, std::string_view body);
 
 /// One start of a router.
-struct RouterRun
+struct RouterInstance
 {
     Base::VmId vm;
     Base::Incarnation incarnation;
 
-    bool operator==(const RouterRun &) const = default;
+    bool operator==(const RouterInstance &) const = default;
 };
 
 /// Says that one request wants to run the matter; the first on the log may.
@@ -44,7 +44,7 @@
 {
     ClaimKey key;
     Base::RequestId request;
-    RouterRun router;
+    RouterInstance router;
     CallHash call;
 };
 
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -46,7 +46,7 @@
         std::optional<Outcome> outcome;
     };
     /// Whether that run of a router has ended for sure.
-    using IsGone = std::function<bool(const RouterRun &)>;
+    using IsGone = std::function<bool(const RouterInstance &)>;
 
     explicit ClaimTable(const Options &options)
         : m_options(options)
--- a/src/libs/router/claimdesk.h
+++ b/src/libs/router/claimdesk.h
@@ -22,7 +22,7 @@
     {
         Runtime::Loop *loop = nullptr;
         PlatformClient::LogClient *log = nullptr;
-        Claims::RouterRun run; ///< This start of this router.
+        Claims::RouterInstance run; ///< This start of this router.
         Claims::ClaimTable::IsGone isGone;
         PlatformClient::Backoff::Options backoff; ///< While the log does not answer.
     };
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -84,12 +84,12 @@
                                                .stream = outcomesStream,
                                                .interval = std::chrono::milliseconds(500),
                                                .backoff = m_backoff});
-    m_claims = std::make_unique<ClaimDesk>(
-        ClaimDesk::Options{.loop = &m_loop,
-                           .log = m_log.get(),
-                           .run = {m_settings.vm, m_incarnation},
-                           .isGone = [this](const Claims::RouterRun &run) { return isGone(run); },
-                           .backoff = m_backoff});
+    m_claims = std::make_unique<ClaimDesk>(ClaimDesk::Options{
+        .loop = &m_loop,
+        .log = m_log.get(),
+        .run = {m_settings.vm, m_incarnation},
+        .isGone = [this](const Claims::RouterInstance &run) { return isGone(run); },
+        .backoff = m_backoff});
     m_claims->start();
     m_vmList->setChanged(
         [this](const PlatformClient::VmChanges &) { m_peers->setVms(m_vmList->vms()); });
@@ -273,7 +273,7 @@
                     m_loop.clock().wallNow());
 }
 
-bool RouterProcess::isGone(const Claims::RouterRun &run) const
+bool RouterProcess::isGone(const Claims::RouterInstance &run) const
 {
     const Membership::Member *member =
         m_peers->membership().table().find(run.vm.value() + "/router");
--- a/src/libs/router/routerprocess.h
+++ b/src/libs/router/routerprocess.h
@@ -68,7 +68,7 @@
     void configurationChanged();
     void noteMember(const Membership::Member &member, Membership::MemberEvent event);
     void noteEvent(Timeline::EventType type, std::string subject, std::string detail = {});
-    bool isGone(const Claims::RouterRun &run) const;
+    bool isGone(const Claims::RouterInstance &run) const;
     void makeStop();
     bool isIdle() const;
 
--- a/tests/auto/claims/tst_claimer.cpp
+++ b/tests/auto/claims/tst_claimer.cpp
@@ -67,14 +67,15 @@
 
     Claimer::Options options()
     {
-        return {.timers = &log.timers,
-                .append =
-                    [this](PlatformClient::Record record, auto appended) {
-                        if (!log.isQueueFull)
-                            log.appends.push_back({std::move(record), std::move(appended)});
-                        return !log.isQueueFull;
-                    },
-                .isGone = [this](const RouterRun &run) { return gone.contains(run.vm.value()); }};
+        return {
+            .timers = &log.timers,
+            .append =
+                [this](PlatformClient::Record record, auto appended) {
+                    if (!log.isQueueFull)
+                        log.appends.push_back({std::move(record), std::move(appended)});
+                    return !log.isQueueFull;
+                },
+            .isGone = [this](const RouterInstance &run) { return gone.contains(run.vm.value()); }};
     }
     Claim claimOf(const std::string &request, std::uint64_t call = 1) const
     {
--- a/tests/auto/claims/tst_claimtable.cpp
+++ b/tests/auto/claims/tst_claimtable.cpp
@@ -90,7 +90,7 @@
                 else
                     table.apply(claim, clock.now());
             }
-            const auto isGone = [&](const RouterRun &) { return row.holderIsGone; };
+            const auto isGone = [&](const RouterInstance &) { return row.holderIsGone; };
             BOOST_TEST((table.claimStatus(row.asked, clock.now(), isGone) == row.claimStatus));
         }
     }
@@ -120,7 +120,7 @@
     Runtime::ManualClock clock;
     ClaimTable table({.maxRunTime = 60s});
     table.apply(claimOf("a"), clock.now());
-    const auto isGone = [](const RouterRun &) { return false; };
+    const auto isGone = [](const RouterInstance &) { return false; };
     clock.advance(59s);
     BOOST_TEST((table.claimStatus(claimOf("b"), clock.now(), isGone) == ClaimStatus::Running));
     clock.advance(2s);
