--- a/src/libs/claims/claimrecord.cpp
+++ b/src/libs/claims/claimrecord.cpp
@@ -40,7 +40,7 @@
 
 Json toJson(const Outcome &outcome)
 {
-    const bool isBodyKept = outcome.isBodyKept && outcome.body.size() <= maxKeptBody;
+    const bool isBodyKept = outcome.isBodyKept && outcome.body.size() <= maxKeptBodyBytes;
     return {{"ran", Errors::toString(outcome.ran)},
             {"status", outcome.status},
             {"content_type", encode(outcome.contentType)},
--- a/src/libs/claims/claimrecord.h
+++ b/src/libs/claims/claimrecord.h
@@ -12,7 +12,7 @@
 
 inline constexpr std::string_view claimsStream = "claims";
 /// Bodies above it are not kept with the outcome.
-inline constexpr std::size_t maxKeptBody = 16 * 1024;
+inline constexpr std::size_t maxKeptBodyBytes = 16 * 1024;
 
 PlatformClient::Record toRecord(const Claim &claim);
 PlatformClient::Record toRecord(const ClaimOutcome &end);
--- a/tests/auto/claims/tst_claimrecord.cpp
+++ b/tests/auto/claims/tst_claimrecord.cpp
@@ -33,7 +33,7 @@
 BOOST_AUTO_TEST_CASE(leavesOutALargeBodyAndSaysSo)
 {
     const auto record = toRecord(ClaimOutcome{
-        booking, {.ran = Errors::Ran::Yes, .body = std::string(maxKeptBody + 1, 'x')}});
+        booking, {.ran = Errors::Ran::Yes, .body = std::string(maxKeptBodyBytes + 1, 'x')}});
     const auto end = std::get<ClaimOutcome>(parseRecord(record.data).value());
     BOOST_TEST(!end.outcome.isBodyKept);
     BOOST_TEST(end.outcome.body.empty());
