--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -67,7 +67,7 @@
 }
 
 Claimer::PendingId Claimer::claim(const Claim &claim, LogOutPolicy policy, Base::Duration timeout,
-                                  Decided decided)
+                                  DecisionCallback decided)
 {
     const PendingId id{++m_lastId};
     Pending &pending = m_pending[id];
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -62,7 +62,7 @@
         std::size_t maxUnrecorded = 20'000; ///< Outcomes that wait for the log.
         PlatformClient::Backoff::Options backoff; ///< For outcomes that the log did not take.
     };
-    using Decided = std::function<void(const Decision &)>;
+    using DecisionCallback = std::function<void(const Decision &)>;
     using PendingId = Base::StrongNumber<struct PendingClaimTag, std::uint64_t>;
 
     explicit Claimer(const Options &options);
@@ -78,7 +78,7 @@
     /// Asks for \a claim; waits up to \a timeout for the log and for the outcome of another
     /// request that holds it. \a decided is called once, later.
     PendingId claim(const Claim &claim, LogOutPolicy policy, Base::Duration timeout,
-                    Decided decided);
+                    DecisionCallback decided);
     /// The caller left before a decision; \a decided is not called any more.
     void cancel(PendingId pending);
     /// Records what became of a granted request, also where it did not run after all.
@@ -96,7 +96,7 @@
     {
         Claim claim;
         LogOutPolicy policy = LogOutPolicy::Refuse;
-        Decided decided;
+        DecisionCallback decided;
         Runtime::TimerId deadline;
         bool isSent = false;
         bool isRead = false; ///< Its claim came back from the log.
