--- a/src/libs/controller/leasedesk.cpp
+++ b/src/libs/controller/leasedesk.cpp
@@ -13,7 +13,7 @@
     , m_keeper(options.lease, options.timers->clock().now())
     , m_tailer({.log = options.log, .timers = options.timers, .stream = streamName})
 {
-    m_keeper.appendWanted = [this](const std::string &id, const Orders::LeaseRecord &record) {
+    m_keeper.appendRequested = [this](const std::string &id, const Orders::LeaseRecord &record) {
         append(id, record);
     };
     m_keeper.gained = [this](Base::FencingNumber fencing) {
--- a/src/libs/orders/lease.cpp
+++ b/src/libs/orders/lease.cpp
@@ -147,7 +147,7 @@
             m_pendingId.clear();
         } else if (now - m_triedAt >= m_options.retryPeriod) {
             m_triedAt = now;
-            appendWanted(m_pendingId, m_pending);
+            appendRequested(m_pendingId, m_pending);
         }
         return;
     }
@@ -191,7 +191,7 @@
     m_pendingId = m_options.holder + '/' + std::to_string(++m_appends);
     m_pendingSince = now;
     m_triedAt = now;
-    appendWanted(m_pendingId, m_pending);
+    appendRequested(m_pendingId, m_pending);
 }
 
 } // namespace Lagoonbank::Orders
--- a/src/libs/orders/lease.h
+++ b/src/libs/orders/lease.h
@@ -81,7 +81,7 @@
     LeaseKeeper(Options options, Base::MonoTime now);
 
     /// A record is to be appended with this id; the same id may be asked for again.
-    std::function<void(const std::string &id, const LeaseRecord &record)> appendWanted;
+    std::function<void(const std::string &id, const LeaseRecord &record)> appendRequested;
     std::function<void(Base::FencingNumber fencing)> gained;
     std::function<void()> lost;
 
--- a/tests/auto/orders/tst_lease.cpp
+++ b/tests/auto/orders/tst_lease.cpp
@@ -49,7 +49,7 @@
         : log(shared)
         , keeper({.dataCentre = gulberg, .holder = name}, now)
     {
-        keeper.appendWanted = [this](const std::string &id, const LeaseRecord &record) {
+        keeper.appendRequested = [this](const std::string &id, const LeaseRecord &record) {
             if (!log.isOut)
                 log.inFlight.insert({turnedAt + log.delay, {id, record}});
         };
