--- a/src/libs/controller/orderdesk.h
+++ b/src/libs/controller/orderdesk.h
@@ -61,7 +61,7 @@
         Base::Duration retryPeriod = std::chrono::seconds(1);
         Base::Duration checkPeriod = std::chrono::seconds(30); ///< Of engines that are as wanted.
         std::size_t mostRunning = 8; ///< Engines that are dealt with at a time.
-        Orders::WeightLoads::Options weightLoads;
+        Orders::WeightLoadLimiter::Options weightLoads;
         Base::Duration longestMove = std::chrono::seconds(2); ///< See CacheMover.
         std::size_t mostMovedChats = 64;
     };
@@ -136,7 +136,7 @@
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
 
     Options m_options;
-    Orders::WeightLoads m_weightLoads;
+    Orders::WeightLoadLimiter m_weightLoads;
     std::map<Base::EndpointId, Entry> m_entries;
     std::set<Base::EndpointId> m_loading; ///< Engines that load weights, or are about to.
     std::size_t m_underWay = 0;
--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -44,21 +44,21 @@
     return order;
 }
 
-bool WeightLoads::mayStart(Base::MonoTime now)
+bool WeightLoadLimiter::mayStart(Base::MonoTime now)
 {
     std::erase_if(m_running,
                   [&](const auto &load) { return now - load.second > m_options.longest; });
     return now >= m_nextAt && m_running.size() < m_options.maxRunning;
 }
 
-void WeightLoads::started(const Base::EndpointId &endpoint, Base::MonoTime now)
+void WeightLoadLimiter::started(const Base::EndpointId &endpoint, Base::MonoTime now)
 {
     m_running[endpoint] = now;
     m_nextAt = std::max(m_nextAt, now + m_options.spacing);
 }
 
-void WeightLoads::refused(const Base::EndpointId &endpoint, Base::Duration retryAfter,
-                          Base::MonoTime now)
+void WeightLoadLimiter::refused(const Base::EndpointId &endpoint, Base::Duration retryAfter,
+                                Base::MonoTime now)
 {
     m_running.erase(endpoint);
     m_nextAt = std::max(m_nextAt, now + retryAfter);
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -39,7 +39,7 @@
                                const EndpointSettings &seen, Base::Revision revision);
 
 /// Lets few loads of weights run at a time, spaced, and holds back after the store refused one.
-class WeightLoads
+class WeightLoadLimiter
 {
 public:
     struct Options
@@ -49,7 +49,7 @@
         Base::Duration longest = std::chrono::minutes(10); ///< Then a load counts as lost.
     };
 
-    explicit WeightLoads(const Options &options)
+    explicit WeightLoadLimiter(const Options &options)
         : m_options(options)
     { }
 
