--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -47,7 +47,7 @@
 bool WeightLoadLimiter::mayStart(Base::MonoTime now)
 {
     std::erase_if(m_running,
-                  [&](const auto &load) { return now - load.second > m_options.longest; });
+                  [&](const auto &load) { return now - load.second > m_options.loadTimeout; });
     return now >= m_nextAt && m_running.size() < m_options.maxRunning;
 }
 
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -46,7 +46,7 @@
     {
         std::size_t maxRunning = 2;
         Base::Duration spacing = std::chrono::seconds(1);
-        Base::Duration longest = std::chrono::minutes(10); ///< Then a load counts as lost.
+        Base::Duration loadTimeout = std::chrono::minutes(10); ///< Then a load counts as lost.
     };
 
     explicit WeightLoadLimiter(const Options &options)
