--- a/src/libs/orders/lease.cpp
+++ b/src/libs/orders/lease.cpp
@@ -67,7 +67,7 @@
     if (record.dataCentre != m_dataCentre || (m_last && offset <= *m_last))
         return false;
     if (record.step == LeaseStep::Claim) {
-        if (!claims(record))
+        if (!isValidClaim(record))
             return false;
         m_holder = record.holder;
         m_fencing = Base::FencingNumber(offset.value());
@@ -83,7 +83,7 @@
     return true;
 }
 
-bool LeaseState::claims(const LeaseRecord &record) const
+bool LeaseState::isValidClaim(const LeaseRecord &record) const
 {
     // A renewal that the claimant had not read makes the claim stale.
     return !m_last || record.base == m_last || *m_last < record.logFirst;
@@ -93,7 +93,7 @@
     : m_options(std::move(options))
     , m_state(m_options.dataCentre)
     // Whoever held the lease before this process started reading may hold it for a whole term.
-    , m_freeAt(now + m_options.term)
+    , m_claimableAt(now + m_options.term)
 { }
 
 void LeaseKeeper::recordRead(Base::LogOffset offset, const std::string &id,
@@ -105,18 +105,18 @@
         m_pendingId.clear();
     if (!m_state.apply(offset, record))
         return;
-    m_freeAt = record.step == LeaseStep::Release ? now : now + m_options.term;
+    m_claimableAt = record.step == LeaseStep::Release ? now : now + m_options.term;
     if (isPending && isHolder()) {
         m_heldUntil = sentAt + m_options.term - m_options.margin;
         if (record.step == LeaseStep::Claim) {
-            m_uncheckedFrom = now + m_options.longestOrder;
-            m_wasHolder = true;
+            m_uncheckedOrdersFrom = now + m_options.longestOrder;
+            m_isGained = true;
             if (gained)
                 gained(*m_state.fencing());
         }
     }
-    if (m_wasHolder && !isHolder()) {
-        m_wasHolder = false;
+    if (m_isGained && !isHolder()) {
+        m_isGained = false;
         m_heldUntil = {};
         if (lost)
             lost();
@@ -133,8 +133,8 @@
 
 void LeaseKeeper::advance(bool isCandidate, Base::MonoTime now)
 {
-    if (m_wasHolder && now >= m_heldUntil) {
-        m_wasHolder = false;
+    if (m_isGained && now >= m_heldUntil) {
+        m_isGained = false;
         if (lost)
             lost();
     }
@@ -145,18 +145,18 @@
         const bool isStale = now - m_pendingSince >= m_options.term - m_options.margin;
         if (isStale) {
             m_pendingId.clear();
-        } else if (now - m_triedAt >= m_options.retryPeriod) {
-            m_triedAt = now;
+        } else if (now - m_lastAttemptAt >= m_options.retryPeriod) {
+            m_lastAttemptAt = now;
             appendRequested(m_pendingId, m_pending);
         }
         return;
     }
-    if (isHolder() && m_wasHolder) {
+    if (isHolder() && m_isGained) {
         if (now - m_pendingSince >= m_options.renewPeriod)
             append({.step = LeaseStep::Renew, .fencing = *m_state.fencing()}, now);
         return;
     }
-    if (isCandidate && now >= m_freeAt)
+    if (isCandidate && now >= m_claimableAt)
         append({.step = LeaseStep::Claim, .base = m_state.last(), .logFirst = m_logFirst}, now);
 }
 
@@ -173,7 +173,7 @@
 {
     if (!isHolder() || now >= m_heldUntil)
         return std::nullopt;
-    if (!endpointChecksFencing && now < m_uncheckedFrom)
+    if (!endpointChecksFencing && now < m_uncheckedOrdersFrom)
         return std::nullopt;
     return m_state.fencing();
 }
@@ -188,9 +188,9 @@
     record.dataCentre = m_options.dataCentre;
     record.holder = m_options.holder;
     m_pending = std::move(record);
-    m_pendingId = m_options.holder + '/' + std::to_string(++m_appends);
+    m_pendingId = m_options.holder + '/' + std::to_string(++m_appendCount);
     m_pendingSince = now;
-    m_triedAt = now;
+    m_lastAttemptAt = now;
     appendRequested(m_pendingId, m_pending);
 }
 
--- a/src/libs/orders/lease.h
+++ b/src/libs/orders/lease.h
@@ -50,7 +50,7 @@
     std::optional<Base::LogOffset> last() const { return m_last; }
 
 private:
-    bool claims(const LeaseRecord &record) const;
+    bool isValidClaim(const LeaseRecord &record) const;
 
     Base::DataCentreId m_dataCentre;
     std::string m_holder;
@@ -111,15 +111,15 @@
     LeaseState m_state;
     Base::LogOffset m_logFirst;
     bool m_isCaughtUp = false;
-    bool m_wasHolder = false;
-    Base::MonoTime m_freeAt; ///< When a follower may claim.
+    bool m_isGained = false;
+    Base::MonoTime m_claimableAt; ///< When a follower may claim.
     Base::MonoTime m_heldUntil{}; ///< By this process's clock, less the margin.
-    Base::MonoTime m_uncheckedFrom{}; ///< For endpoints that ignore fencing numbers.
-    Base::MonoTime m_triedAt{};
+    Base::MonoTime m_uncheckedOrdersFrom{}; ///< For endpoints that ignore fencing numbers.
+    Base::MonoTime m_lastAttemptAt{};
     std::string m_pendingId; ///< Of the record whose fate is not known.
     LeaseRecord m_pending;
     Base::MonoTime m_pendingSince{};
-    std::uint64_t m_appends = 0;
+    std::uint64_t m_appendCount = 0;
 };
 
 } // namespace Lagoonbank::Orders
