--- a/tests/auto/admission/tst_admission.cpp
+++ b/tests/auto/admission/tst_admission.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(refusalsNameTheirLimitAndLine)
+BOOST_AUTO_TEST_CASE(refusalsNameLimitAndContractLine)
 {
     struct Row
     {
@@ -207,7 +207,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(slotWaitFollowsHowLongCallsTake)
+BOOST_AUTO_TEST_CASE(slotWaitFollowsMeanCallDuration)
 {
     AdmissionControl admission = withQila();
     admission.admit(qila, {}, start).value().ticket.settle(Tokens(0), start + 2s);
@@ -219,7 +219,7 @@
     BOOST_TEST(toMilliseconds(refused.error().retryAfter) == 500);
 }
 
-BOOST_AUTO_TEST_CASE(surgeLeavesOthersWhole)
+BOOST_AUTO_TEST_CASE(surgeDoesNotAffectOtherWorkspaces)
 {
     AdmissionControl admission = withQila();
     const WorkspaceId lipat("lipat-damit");
@@ -252,7 +252,7 @@
     BOOST_TEST(demanded < 11.0);
 }
 
-BOOST_AUTO_TEST_CASE(changedLimitsHoldAtOnce)
+BOOST_AUTO_TEST_CASE(changedLimitsApplyImmediately)
 {
     AdmissionControl admission = withQila();
     for (int i = 0; i < 5; ++i)
--- a/tests/auto/admission/tst_gcra.cpp
+++ b/tests/auto/admission/tst_gcra.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(passesItsRateAndBurst)
+BOOST_AUTO_TEST_CASE(admitsRateAndBurst)
 {
     struct Row
     {
@@ -48,7 +48,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(waitIsExactlyWhenItPasses)
+BOOST_AUTO_TEST_CASE(waitTimeIsExact)
 {
     Gcra gcra({.rate = 7, .burst = 3});
     for (int i = 0; i < 3; ++i)
@@ -59,7 +59,7 @@
     BOOST_TEST(passes(gcra, 1, start + *wait));
 }
 
-BOOST_AUTO_TEST_CASE(longCostGoesIntoBoundedDebt)
+BOOST_AUTO_TEST_CASE(largeCostCreatesBoundedDebt)
 {
     Gcra gcra({.rate = 100, .burst = 200, .debt = 300});
     BOOST_TEST(!gcra.waitFor(501, start).has_value());
@@ -72,7 +72,7 @@
     BOOST_TEST(gcra.used(start) == 500, boost::test_tools::tolerance(1e-6));
 }
 
-BOOST_AUTO_TEST_CASE(givesBackAndTakesNewRatesOver)
+BOOST_AUTO_TEST_CASE(refundsAndOptionChangesKeepUsage)
 {
     Gcra gcra({.rate = 10, .burst = 10});
     gcra.charge(8, start);
