--- a/src/libs/router/claimdesk.cpp
+++ b/src/libs/router/claimcoordinator.cpp
@@ -1,4 +1,4 @@
-#include "router/claimdesk.h"
+#include "router/claimcoordinator.h"
 
 #include "claims/claimrecord.h"
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-ClaimDesk::ClaimDesk(const Options &options)
+ClaimCoordinator::ClaimCoordinator(const Options &options)
     : m_options(options)
     , m_appender({.log = options.log,
                   .timers = &options.loop->timers(),
@@ -51,12 +51,12 @@
     m_tailer.setCaughtUp(updateUsable);
 }
 
-void ClaimDesk::start()
+void ClaimCoordinator::start()
 {
     m_tailer.start();
 }
 
-Claims::Claim ClaimDesk::claimOf(const ClaimRequest &request) const
+Claims::Claim ClaimCoordinator::claimOf(const ClaimRequest &request) const
 {
     return {.key = {request.info.workspace, *request.info.key},
             .request = request.info.id,
@@ -64,7 +64,7 @@
             .call = request.call};
 }
 
-ClaimVerdict ClaimDesk::verdictOf(const Claims::Decision &decision)
+ClaimVerdict ClaimCoordinator::verdictOf(const Claims::Decision &decision)
 {
     using Claims::Verdict;
     switch (decision.verdict) {
@@ -93,7 +93,7 @@
     return {.kind = ClaimVerdict::Kind::Refused, .refusal = std::move(refusal)};
 }
 
-void ClaimDesk::claim(const ClaimRequest &request, std::function<void(ClaimVerdict)> claimed)
+void ClaimCoordinator::claim(const ClaimRequest &request, std::function<void(ClaimVerdict)> claimed)
 {
     const Claims::Claim claim = claimOf(request);
     const Base::Duration left = request.deadline - m_options.loop->clock().now();
@@ -106,7 +106,7 @@
                     });
 }
 
-void ClaimDesk::finish(const RequestInfo &info, Claims::Outcome outcome)
+void ClaimCoordinator::finish(const RequestInfo &info, Claims::Outcome outcome)
 {
     const auto found = m_granted.find(info.id);
     if (found == m_granted.end())
@@ -115,7 +115,7 @@
     m_granted.erase(found);
 }
 
-void ClaimDesk::answered(const RequestInfo &info, const Exchange::ServiceAnswer &answer)
+void ClaimCoordinator::answered(const RequestInfo &info, const Exchange::ServiceAnswer &answer)
 {
     finish(info,
            {.ran = Errors::Ran::Yes,
@@ -124,7 +124,7 @@
             .body = answer.body});
 }
 
-void ClaimDesk::failed(const RequestInfo &info, Errors::Ran ran)
+void ClaimCoordinator::failed(const RequestInfo &info, Errors::Ran ran)
 {
     finish(info, {.ran = ran});
 }
--- a/src/libs/router/claimdesk.h
+++ b/src/libs/router/claimcoordinator.h
@@ -15,7 +15,7 @@
 namespace Lagoonbank::Router {
 
 /// Claims idempotency keys on the platform's log for the calls of this router.
-class ClaimDesk
+class ClaimCoordinator
 {
 public:
     struct Options
@@ -27,7 +27,7 @@
         PlatformClient::Backoff::Options backoff; ///< While the log does not answer.
     };
 
-    explicit ClaimDesk(const Options &options);
+    explicit ClaimCoordinator(const Options &options);
 
     void start();
     void claim(const ClaimRequest &request, std::function<void(ClaimVerdict)> claimed);
--- a/src/libs/router/routeradmin.h
+++ b/src/libs/router/routeradmin.h
@@ -3,7 +3,7 @@
 #include "node/adminport.h"
 #include "node/configurationfollower.h"
 #include "node/peerlink.h"
-#include "router/claimdesk.h"
+#include "router/claimcoordinator.h"
 #include "router/placer.h"
 #include "router/requestrecorder.h"
 #include "router/routermetrics.h"
@@ -28,7 +28,7 @@
         Node::PeerLink *peers = nullptr;
         const Placer *placer = nullptr;
         const CallerApi *callerApi = nullptr;
-        const ClaimDesk *claims = nullptr; ///< Null without a platform.
+        const ClaimCoordinator *claims = nullptr; ///< Null without a platform.
         std::string process;
     };
 
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -84,7 +84,7 @@
                                                .stream = outcomesStream,
                                                .interval = std::chrono::milliseconds(500),
                                                .backoff = m_backoff});
-    m_claims = std::make_unique<ClaimDesk>(ClaimDesk::Options{
+    m_claims = std::make_unique<ClaimCoordinator>(ClaimCoordinator::Options{
         .loop = &m_loop,
         .log = m_log.get(),
         .run = {m_settings.vm, m_incarnation},
--- a/src/libs/router/routerprocess.h
+++ b/src/libs/router/routerprocess.h
@@ -12,7 +12,7 @@
 #include "platformclient/logclient.h"
 #include "platformclient/vmlistclient.h"
 #include "router/callerapi.h"
-#include "router/claimdesk.h"
+#include "router/claimcoordinator.h"
 #include "router/configurationapplier.h"
 #include "router/inflightsharing.h"
 #include "router/loadsharing.h"
@@ -86,7 +86,7 @@
     std::unique_ptr<PlatformClient::BatchAppender> m_outcomeAppender;
     std::unique_ptr<Node::ConfigurationFollower> m_configuration;
     std::unique_ptr<Node::PeerLink> m_peers;
-    std::unique_ptr<ClaimDesk> m_claims;
+    std::unique_ptr<ClaimCoordinator> m_claims;
     Admission::AdmissionControl m_admission;
     RetryBudgets m_retries;
     std::unique_ptr<Placer> m_placer;
