--- a/tests/auto/admission/tst_shareallocator.cpp
+++ b/tests/auto/admission/tst_shareallocator.cpp
@@ -204,7 +204,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ledgerNeverGivesMoreThanItHolds)
+BOOST_AUTO_TEST_CASE(ledgerNeverTransfersMoreThanHeld)
 {
     ShareLedger ledger(4, 2s);
     BOOST_TEST(ledger.transferUnits({0, 1}, 99'999, start) == 2500);
@@ -217,7 +217,7 @@
     BOOST_TEST(!ledger.merge({1, 1}, 1, start));
 }
 
-BOOST_AUTO_TEST_CASE(digestsSurviveTheWireAndBadBytesDoNot)
+BOOST_AUTO_TEST_CASE(digestsRoundTripAndTruncatedBytesAreRejected)
 {
     ShareDigest digest{.routers = 1,
                        .dataCentres = 2,
@@ -272,7 +272,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(sharesComeBackWhenTheDemandMoves)
+BOOST_AUTO_TEST_CASE(sharesMoveWhenDemandMoves)
 {
     Fleet fleet(2, 2, {}, 3);
     fleet[0].demand = 1;
@@ -300,7 +300,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(sumHoldsWhileNewsSettleInTime)
+BOOST_AUTO_TEST_CASE(sumIsBoundedWithinPropagationTime)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         Fleet fleet(3, 4, {}, seed);
@@ -315,7 +315,7 @@
 
 // News later than the settle time: a router may use a part of its data centre that was given away
 // meanwhile; at most one step of each representative, half of the data centre's part.
-BOOST_AUTO_TEST_CASE(lateNewsStayUnderTheStatedBound)
+BOOST_AUTO_TEST_CASE(lateDigestsStayWithinDocumentedBound)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         Fleet fleet(3, 4, {.loss = 0.5, .longest = Duration(3s)}, seed);
@@ -329,7 +329,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(cutOffDataCentreKeepsItsShareAndRejoins)
+BOOST_AUTO_TEST_CASE(partitionedDataCentreKeepsShareAndRejoins)
 {
     Fleet fleet(4, 2, {}, 11);
     fleet[0].demand = 0.6;
@@ -354,7 +354,7 @@
     BOOST_TEST(fleet.highestSum <= 1 + rounding);
 }
 
-BOOST_AUTO_TEST_CASE(replacedRouterGetsItsPart)
+BOOST_AUTO_TEST_CASE(replacedRouterGetsShare)
 {
     Fleet fleet(2, 3, {}, 5);
     fleet[0].demand = 1;
@@ -375,7 +375,7 @@
 }
 
 // Two routers that do not know of each other each take themselves for all of the data centre.
-BOOST_AUTO_TEST_CASE(differingListsStayUnderTheStatedBound)
+BOOST_AUTO_TEST_CASE(differingRouterListsStayWithinDocumentedBound)
 {
     Fleet fleet(2, 3, {}, 5);
     for (std::size_t i = 0; i < 3; ++i) {
@@ -394,7 +394,7 @@
     BOOST_TEST(fleet.highestSum <= 1 + rounding);
 }
 
-BOOST_AUTO_TEST_CASE(quietWorkspaceCostsNothing)
+BOOST_AUTO_TEST_CASE(idleWorkspaceSendsNoDigests)
 {
     Fleet fleet(3, 3, {}, 1);
     fleet.run(20s);
@@ -414,7 +414,7 @@
 
 // 13 data centres of 25 routers, and a workspace that asks for more than it has everywhere. Ten
 // such workspaces at a time have to fit into the 5 KB a second of a router, with room to spare.
-BOOST_AUTO_TEST_CASE(costAtTheLargestSize)
+BOOST_AUTO_TEST_CASE(digestTrafficAtMaximumFleetSize)
 {
     constexpr int dataCentres = 13;
     constexpr int routersEach = 25;
