--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -125,7 +125,7 @@
     std::vector<Base::DataCentreId> dataCentres;
     objects.each<Schema::DataCentre>(
         [&](const Schema::DataCentre &dataCentre) { dataCentres.push_back(dataCentre.name); });
-    m_parts.shareSharing->setDataCentres(std::move(dataCentres));
+    m_parts.quotaSharing->setDataCentres(std::move(dataCentres));
 }
 
 void ConfigurationApplier::updateWorkspaces(const Configuration::ObjectTable &objects)
@@ -142,7 +142,7 @@
             m_parts.admission->remove(old);
     }
     m_knownWorkspaces = known;
-    m_parts.shareSharing->setWorkspaces(std::move(known));
+    m_parts.quotaSharing->setWorkspaces(std::move(known));
 }
 
 } // namespace Lagoonbank::Router
--- a/src/libs/router/configurationapplier.h
+++ b/src/libs/router/configurationapplier.h
@@ -6,8 +6,8 @@
 #include "router/inflightsharing.h"
 #include "router/loadsharing.h"
 #include "router/placer.h"
+#include "router/quotasharing.h"
 #include "router/retrybudgets.h"
-#include "router/sharesharing.h"
 #include "schema/generated/settings.h"
 #include "timeline/event.h"
 
@@ -34,7 +34,7 @@
         RetryBudgets *retries = nullptr;
         LoadSharing *loadSharing = nullptr;
         InFlightSharing *inFlightSharing = nullptr;
-        ShareSharing *shareSharing = nullptr;
+        QuotaSharing *quotaSharing = nullptr;
         /// An endpoint came, drains or went.
         std::function<void(Timeline::EventType type, const Base::EndpointId &endpoint)> noted;
     };
--- a/src/libs/router/sharesharing.cpp
+++ b/src/libs/router/quotasharing.cpp
@@ -1,4 +1,4 @@
-#include "router/sharesharing.h"
+#include "router/quotasharing.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,7 @@
 
 } // namespace
 
-ShareSharing::ShareSharing(const Options &options)
+QuotaSharing::QuotaSharing(const Options &options)
     : m_options(options)
     , m_allocator({.self = options.membership->self().id, .dataCentre = options.dataCentre})
 {
@@ -25,17 +25,17 @@
     m_timer = m_options.loop->timers().start(interval, [this] { advance(); });
 }
 
-ShareSharing::~ShareSharing()
+QuotaSharing::~QuotaSharing()
 {
     m_options.loop->timers().cancel(m_timer);
 }
 
-void ShareSharing::setDataCentres(std::vector<Base::DataCentreId> dataCentres)
+void QuotaSharing::setDataCentres(std::vector<Base::DataCentreId> dataCentres)
 {
     m_allocator.setDataCentres(std::move(dataCentres), m_options.loop->clock().now());
 }
 
-void ShareSharing::setWorkspaces(std::vector<Base::WorkspaceId> workspaces)
+void QuotaSharing::setWorkspaces(std::vector<Base::WorkspaceId> workspaces)
 {
     for (const Base::WorkspaceId &old : m_workspaces) {
         if (std::find(workspaces.begin(), workspaces.end(), old) == workspaces.end())
@@ -45,7 +45,7 @@
     advance();
 }
 
-std::vector<Admission::ShareMember> ShareSharing::routers(Base::MonoTime now) const
+std::vector<Admission::ShareMember> QuotaSharing::routers(Base::MonoTime now) const
 {
     std::vector<Admission::ShareMember> routers;
     for (const Membership::MemberUpdate &member : m_options.membership->usableMembers(now)) {
@@ -57,7 +57,7 @@
     return routers;
 }
 
-void ShareSharing::advance()
+void QuotaSharing::advance()
 {
     m_options.loop->timers().cancel(m_timer);
     const Base::MonoTime now = m_options.loop->clock().now();
--- a/src/libs/router/sharesharing.h
+++ b/src/libs/router/quotasharing.h
@@ -10,7 +10,7 @@
 namespace Lagoonbank::Router {
 
 /// Moves this router's shares of the contracts' limits with the demand, by digests over gossip.
-class ShareSharing
+class QuotaSharing
 {
 public:
     struct Options
@@ -21,10 +21,10 @@
         Base::DataCentreId dataCentre;
     };
 
-    explicit ShareSharing(const Options &options);
-    ~ShareSharing();
-    ShareSharing(const ShareSharing &) = delete;
-    ShareSharing &operator=(const ShareSharing &) = delete;
+    explicit QuotaSharing(const Options &options);
+    ~QuotaSharing();
+    QuotaSharing(const QuotaSharing &) = delete;
+    QuotaSharing &operator=(const QuotaSharing &) = delete;
 
     /// The data centres and workspaces of the configuration.
     void setDataCentres(std::vector<Base::DataCentreId> dataCentres);
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -109,8 +109,8 @@
     m_peers->memberChanged = [this](const Membership::Member &member,
                                     Membership::MemberEvent event) { noteMember(member, event); };
     m_loadSharing = std::make_unique<LoadSharing>(m_loop, *m_placer, m_peers->membership());
-    m_shareSharing =
-        std::make_unique<ShareSharing>(ShareSharing::Options{.loop = &m_loop,
+    m_quotaSharing =
+        std::make_unique<QuotaSharing>(QuotaSharing::Options{.loop = &m_loop,
                                                              .admission = &m_admission,
                                                              .membership = &m_peers->membership(),
                                                              .dataCentre = m_settings.dataCentre});
@@ -125,7 +125,7 @@
         .retries = &m_retries,
         .loadSharing = m_loadSharing.get(),
         .inFlightSharing = m_inFlightSharing.get(),
-        .shareSharing = m_shareSharing.get(),
+        .quotaSharing = m_quotaSharing.get(),
         .noted = [this](EventType type, const Base::EndpointId &endpoint) {
             m_events.record(type, {.endpoint = endpoint}, m_loop.clock().wallNow());
         }});
--- a/src/libs/router/routerprocess.h
+++ b/src/libs/router/routerprocess.h
@@ -17,11 +17,11 @@
 #include "router/inflightsharing.h"
 #include "router/loadsharing.h"
 #include "router/placer.h"
+#include "router/quotasharing.h"
 #include "router/requestrecorder.h"
 #include "router/retrybudgets.h"
 #include "router/routeradmin.h"
 #include "router/routermetrics.h"
-#include "router/sharesharing.h"
 #include "runtime/gracefulstop.h"
 #include "runtime/loop.h"
 #include "schema/generated/settings.h"
@@ -94,7 +94,7 @@
     std::unique_ptr<CallerApi> m_callerApi;
     std::unique_ptr<LoadSharing> m_loadSharing;
     std::unique_ptr<InFlightSharing> m_inFlightSharing;
-    std::unique_ptr<ShareSharing> m_shareSharing;
+    std::unique_ptr<QuotaSharing> m_quotaSharing;
     std::unique_ptr<ConfigurationApplier> m_applier;
     std::unique_ptr<Http::Server> m_callerServer;
     std::unique_ptr<Node::AdminPort> m_adminPort;
