--- a/tests/auto/admission/tst_shareallocator.cpp
+++ b/tests/auto/admission/tst_shareallocator.cpp
@@ -64,7 +64,7 @@
             for (int r = 0; r < routersEach; ++r)
                 add(m_dataCentres[static_cast<std::size_t>(d)], absl::StrCat("r", d, "-", r));
         }
-        tellMembers();
+        updateMembers();
     }
 
     std::size_t add(const DataCentreId &dataCentre, const std::string &name)
@@ -87,7 +87,7 @@
         return members;
     }
 
-    void tellMembers()
+    void updateMembers()
     {
         for (Router &router : m_routers)
             router.shares->setRouters(living(), m_now);
@@ -362,9 +362,9 @@
     fleet[0].alive = false;
     fleet[1].demand = 1;
     fleet.run(2s);
-    fleet.tellMembers();
+    fleet.updateMembers();
     const std::size_t fresh = fleet.add(fleet.dataCentre(0), "r0-3");
-    fleet.tellMembers();
+    fleet.updateMembers();
     fleet.highestSum = 0;
     fleet.run(40s);
     BOOST_TEST(fleet.share(fresh) > 0.01);
@@ -387,7 +387,7 @@
     fleet.run(10s);
     // Lists of 2 where there are 3: 3/2 of the data centre's part.
     BOOST_TEST(fleet.highestSum <= 0.5 * 3 / 2 + 0.5 + rounding);
-    fleet.tellMembers();
+    fleet.updateMembers();
     fleet.run(2s);
     fleet.highestSum = 0;
     fleet.run(30s);
