--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -250,28 +250,28 @@
                                     .call = Claims::hashCall(call.method, call.target, call.body),
                                     .whenLogIsOut = context->contract->whenLogIsOut,
                                     .deadline = route.deadline};
-    claim(claimRequest, [this, context, call = std::move(call)](ClaimVerdict verdict) mutable {
+    claim(claimRequest, [this, context, call = std::move(call)](ClaimResult verdict) mutable {
         claimed(context, std::move(call), std::move(verdict));
     });
 }
 
-void CallerApi::claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimVerdict verdict)
+void CallerApi::claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult verdict)
 {
     if (context->responder->isGone()) {
-        if (verdict.kind == ClaimVerdict::Kind::Run)
+        if (verdict.kind == ClaimResult::Kind::Run)
             claimFailed(context->info, Ran::No);
         finished(context,
                  {.refusal = Exchange::Refusal{.error = {ErrorKind::CallerLeft, {}, Ran::No}}});
         return;
     }
     switch (verdict.kind) {
-    case ClaimVerdict::Kind::Run:
+    case ClaimResult::Kind::Run:
         runServiceCall(context, std::move(call), true);
         return;
-    case ClaimVerdict::Kind::Refused:
+    case ClaimResult::Kind::Refused:
         refuse(context, std::move(verdict.refusal));
         return;
-    case ClaimVerdict::Kind::Recorded:
+    case ClaimResult::Kind::Recorded:
         break;
     }
     Http::Headers headers{{"x-request-id", context->info.id.value()}, {"x-recorded", "yes"}};
--- a/src/libs/router/callerapi.h
+++ b/src/libs/router/callerapi.h
@@ -34,7 +34,7 @@
 };
 
 /// What a claim of an idempotency key came to.
-struct ClaimVerdict
+struct ClaimResult
 {
     enum class Kind : std::uint8_t {
         Run, ///< The key is this request's; the outcome is to be recorded.
@@ -91,7 +91,7 @@
     std::function<void(const RequestInfo &info, const Exchange::AttemptResult &result)>
         attemptEnded;
     /// Claims the key of a non-idempotent call; \a claimed is called once, at once or later.
-    std::function<void(const ClaimRequest &claim, std::function<void(ClaimVerdict)> claimed)> claim;
+    std::function<void(const ClaimRequest &claim, std::function<void(ClaimResult)> claimed)> claim;
     /// The answer of a call whose key was claimed.
     std::function<void(const RequestInfo &info, const Exchange::ServiceAnswer &answer)>
         claimAnswered;
@@ -106,7 +106,7 @@
     void handleModelCall(const ContextPtr &context);
     void handleServiceCall(const ContextPtr &context);
     void runServiceCall(const ContextPtr &context, Exchange::ServiceCall call, bool claimed);
-    void claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimVerdict verdict);
+    void claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult verdict);
     bool identify(const ContextPtr &context);
     void announce(const ContextPtr &context);
     bool admit(const ContextPtr &context, const Admission::Call &call);
--- a/src/libs/router/claimcoordinator.cpp
+++ b/src/libs/router/claimcoordinator.cpp
@@ -64,16 +64,16 @@
             .call = request.call};
 }
 
-ClaimVerdict ClaimCoordinator::verdictOf(const Claims::Decision &decision)
+ClaimResult ClaimCoordinator::toClaimResult(const Claims::Decision &decision)
 {
     using Claims::Verdict;
     switch (decision.verdict) {
     case Verdict::Granted:
     case Verdict::GrantedLocally:
-        return {.kind = ClaimVerdict::Kind::Run};
+        return {.kind = ClaimResult::Kind::Run};
     case Verdict::Ended:
         if (decision.outcome.ran == Errors::Ran::Yes && decision.outcome.isBodyKept)
-            return {.kind = ClaimVerdict::Kind::Recorded,
+            return {.kind = ClaimResult::Kind::Recorded,
                     .answer = {.status = decision.outcome.status,
                                .contentType = decision.outcome.contentType,
                                .body = decision.outcome.body}};
@@ -90,17 +90,17 @@
         refusal.error.detail = "The earlier call is " + decision.holder.value() + ".";
     if (Errors::errorRow(refusal.error.kind).retryable)
         refusal.retryAfter = runningWait;
-    return {.kind = ClaimVerdict::Kind::Refused, .refusal = std::move(refusal)};
+    return {.kind = ClaimResult::Kind::Refused, .refusal = std::move(refusal)};
 }
 
-void ClaimCoordinator::claim(const ClaimRequest &request, std::function<void(ClaimVerdict)> claimed)
+void ClaimCoordinator::claim(const ClaimRequest &request, std::function<void(ClaimResult)> claimed)
 {
     const Claims::Claim claim = claimOf(request);
     const Base::Duration left = request.deadline - m_options.loop->clock().now();
     m_claimer.claim(claim, policyOf(request.whenLogIsOut), std::min(left, longestClaim),
                     [this, claim, claimed = std::move(claimed)](const Claims::Decision &decision) {
-                        ClaimVerdict verdict = verdictOf(decision);
-                        if (verdict.kind == ClaimVerdict::Kind::Run)
+                        ClaimResult verdict = toClaimResult(decision);
+                        if (verdict.kind == ClaimResult::Kind::Run)
                             m_granted.emplace(claim.request, claim);
                         claimed(std::move(verdict));
                     });
--- a/src/libs/router/claimcoordinator.h
+++ b/src/libs/router/claimcoordinator.h
@@ -30,7 +30,7 @@
     explicit ClaimCoordinator(const Options &options);
 
     void start();
-    void claim(const ClaimRequest &request, std::function<void(ClaimVerdict)> claimed);
+    void claim(const ClaimRequest &request, std::function<void(ClaimResult)> claimed);
     void answered(const RequestInfo &info, const Exchange::ServiceAnswer &answer);
     void failed(const RequestInfo &info, Errors::Ran ran);
     std::size_t pending() const { return m_claimer.pending(); }
@@ -39,7 +39,7 @@
 
 private:
     Claims::Claim claimOf(const ClaimRequest &request) const;
-    static ClaimVerdict verdictOf(const Claims::Decision &decision);
+    static ClaimResult toClaimResult(const Claims::Decision &decision);
     void finish(const RequestInfo &info, Claims::Outcome outcome);
 
     Options m_options;
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -165,7 +165,7 @@
     };
     if (!m_claims)
         return;
-    api.claim = [this](const ClaimRequest &request, std::function<void(ClaimVerdict)> claimed) {
+    api.claim = [this](const ClaimRequest &request, std::function<void(ClaimResult)> claimed) {
         m_claims->claim(request, std::move(claimed));
     };
     api.claimAnswered = [this](const RequestInfo &info, const Exchange::ServiceAnswer &answer) {
