--- a/tests/auto/claims/tst_claimer.cpp
+++ b/tests/auto/claims/tst_claimer.cpp
@@ -122,7 +122,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(twoRoutersAtTheSameMomentRunItOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(concurrentClaimsOfTwoRoutersRunOnce, Fixture)
 {
     b.claim("b1");
     a.claim("a1");
@@ -139,7 +139,7 @@
     BOOST_TEST(b.claimer->unrecorded() == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(twoRequestsOfOneRouterRunItOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(concurrentRequestsOfOneRouterRunOnce, Fixture)
 {
     a.claim("a1");
     a.claim("a2");
@@ -152,7 +152,7 @@
     BOOST_TEST((a.verdict(2) == Verdict::Running));
 }
 
-BOOST_FIXTURE_TEST_CASE(aCrashBetweenClaimAndOutcomeIsUnknown, Fixture)
+BOOST_FIXTURE_TEST_CASE(crashBetweenClaimAndOutcomeIsUnknown, Fixture)
 {
     a.claim("a1");
     spread();
@@ -163,7 +163,7 @@
     BOOST_TEST(log.appends.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(aLostAppendAnswerIsSettledByTheLog, Fixture)
+BOOST_FIXTURE_TEST_CASE(lostAppendResponseIsResolvedByReadingLog, Fixture)
 {
     a.claim("a1");
     log.take(true, AppendState::Unknown);
@@ -172,7 +172,7 @@
     BOOST_TEST((a.verdict() == Verdict::Granted));
 }
 
-BOOST_FIXTURE_TEST_CASE(aLostAnswerAndARetryThroughAnotherRouterRunOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(lostResponseAndRetryThroughAnotherRouterRunOnce, Fixture)
 {
     a.claim("a1");
     log.take(true, AppendState::Unknown);
@@ -188,7 +188,7 @@
     BOOST_TEST(a.decisions.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aClaimThatNeverShowsIsRefusedAndGivenUpForGood, Fixture)
+BOOST_FIXTURE_TEST_CASE(claimNotReadBackIsRefusedAndAbandoned, Fixture)
 {
     a.claim("a1");
     const auto late = log.appends.front();
@@ -203,7 +203,7 @@
     BOOST_TEST(a.decisions.size() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(anotherCallUnderTheKeyIsRefused, Fixture)
+BOOST_FIXTURE_TEST_CASE(reusedKeyForDifferentCallIsRefused, Fixture)
 {
     a.claim("a1");
     spread();
@@ -211,7 +211,7 @@
     BOOST_TEST((b.verdict() == Verdict::KeyReused));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRunThatDidNotStartLetsTheWaitingOneIn, Fixture)
+BOOST_FIXTURE_TEST_CASE(waitingRequestIsGrantedWhenHolderDidNotRun, Fixture)
 {
     a.claim("a1");
     spread();
@@ -222,7 +222,7 @@
     BOOST_TEST((b.verdict() == Verdict::Granted));
 }
 
-BOOST_FIXTURE_TEST_CASE(logOutFollowsTheContract, Fixture)
+BOOST_FIXTURE_TEST_CASE(logOutageFollowsContract, Fixture)
 {
     a.claimer->setLogUsable(false);
     a.claim("a1");
@@ -239,7 +239,7 @@
     BOOST_TEST((b.verdict() == Verdict::Ended));
 }
 
-BOOST_FIXTURE_TEST_CASE(aLogThatTakesNoClaimFollowsTheContract, Fixture)
+BOOST_FIXTURE_TEST_CASE(failedClaimAppendFollowsContract, Fixture)
 {
     a.claim("a1");
     log.take(false, AppendState::NotAppended);
@@ -252,7 +252,7 @@
     BOOST_TEST((b.verdict() == Verdict::Unavailable));
 }
 
-BOOST_FIXTURE_TEST_CASE(aCallerThatLeavesGivesItsClaimUp, Fixture)
+BOOST_FIXTURE_TEST_CASE(cancelledClaimIsAbandoned, Fixture)
 {
     const auto id = a.claim("a1");
     a.claimer->cancel(id);
--- a/tests/auto/claims/tst_claimrecord.cpp
+++ b/tests/auto/claims/tst_claimrecord.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(bringsAnyBytesBack)
+BOOST_AUTO_TEST_CASE(recordsRoundTripArbitraryBytes)
 {
     const std::string body("\0\xfe\n", 3);
     const auto record = toRecord(ClaimOutcome{
@@ -30,7 +30,7 @@
     BOOST_TEST(claim.request == booking.request);
 }
 
-BOOST_AUTO_TEST_CASE(leavesOutALargeBodyAndSaysSo)
+BOOST_AUTO_TEST_CASE(largeBodyIsOmittedAndFlagged)
 {
     const auto record = toRecord(ClaimOutcome{
         booking, {.ran = Errors::Ran::Yes, .body = std::string(maxKeptBodyBytes + 1, 'x')}});
@@ -39,7 +39,7 @@
     BOOST_TEST(end.outcome.body.empty());
 }
 
-BOOST_AUTO_TEST_CASE(refusesMalformedRecords)
+BOOST_AUTO_TEST_CASE(rejectsMalformedClaimRecords)
 {
     const std::string good = toRecord(booking).data;
     std::vector<std::string> bad{
--- a/tests/auto/claims/tst_claimtable.cpp
+++ b/tests/auto/claims/tst_claimtable.cpp
@@ -76,7 +76,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(theFirstClaimOnTheLogWins)
+BOOST_AUTO_TEST_CASE(firstClaimOnLogWins)
 {
     const Runtime::ManualClock clock;
     for (const StatusCase &row : statusCases) {
@@ -96,7 +96,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(forgetsAfterTheWindowAndStaysBounded)
+BOOST_AUTO_TEST_CASE(evictsAfterWindowAndStaysBounded)
 {
     Runtime::ManualClock clock;
     ClaimTable table({.window = 10s, .fullThreshold = 3, .capacity = 5});
@@ -115,7 +115,7 @@
     BOOST_TEST(table.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aRunThatNeverEndsBecomesUnknown)
+BOOST_AUTO_TEST_CASE(runWithoutOutcomeBecomesUnknown)
 {
     Runtime::ManualClock clock;
     ClaimTable table({.maxRunTime = 60s});
