--- a/src/libs/router/claimcoordinator.cpp
+++ b/src/libs/router/claimcoordinator.cpp
@@ -56,7 +56,7 @@
     m_tailer.start();
 }
 
-Claims::Claim ClaimCoordinator::claimOf(const ClaimRequest &request) const
+Claims::Claim ClaimCoordinator::makeClaim(const ClaimRequest &request) const
 {
     return {.key = {request.info.workspace, *request.info.key},
             .request = request.info.id,
@@ -95,7 +95,7 @@
 
 void ClaimCoordinator::claim(const ClaimRequest &request, std::function<void(ClaimResult)> claimed)
 {
-    const Claims::Claim claim = claimOf(request);
+    const Claims::Claim claim = makeClaim(request);
     const Base::Duration left = request.deadline - m_options.loop->clock().now();
     m_claimer.claim(claim, policyOf(request.whenLogIsOut), std::min(left, longestClaim),
                     [this, claim, claimed = std::move(claimed)](const Claims::Decision &decision) {
--- a/src/libs/router/claimcoordinator.h
+++ b/src/libs/router/claimcoordinator.h
@@ -38,7 +38,7 @@
     std::size_t unrecorded() const { return m_claimer.unrecorded(); }
 
 private:
-    Claims::Claim claimOf(const ClaimRequest &request) const;
+    Claims::Claim makeClaim(const ClaimRequest &request) const;
     static ClaimResult toClaimResult(const Claims::Decision &decision);
     void finish(const RequestInfo &info, Claims::Outcome outcome);
 
