--- a/tests/auto/orders/tst_lease.cpp
+++ b/tests/auto/orders/tst_lease.cpp
@@ -113,7 +113,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(oneOfTwoHoldsIt)
+BOOST_AUTO_TEST_CASE(oneOfTwoControllersHoldsLease)
 {
     Bench bench;
     bench.add("a/1");
@@ -156,7 +156,7 @@
 
 // Endpoints that ignore fencing numbers get no order of the new holder until the last one of the
 // old, sent at the end of its term, has run out.
-BOOST_AUTO_TEST_CASE(uncheckedEndpointsWaitForTheLongestOrder)
+BOOST_AUTO_TEST_CASE(uncheckedEndpointsWaitForLongestOrder)
 {
     Bench bench;
     Controller &a = bench.add("a/1");
@@ -177,7 +177,7 @@
     BOOST_TEST((firstNew - lastOld >= LeaseKeeper::Options().longestOrder));
 }
 
-BOOST_AUTO_TEST_CASE(logOutForLongerThanATerm)
+BOOST_AUTO_TEST_CASE(logOutageLongerThanTerm)
 {
     Bench bench;
     Controller &a = bench.add("a/1");
@@ -195,7 +195,7 @@
     BOOST_TEST(bench.holders(true) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(releaseHandsOverAtOnce)
+BOOST_AUTO_TEST_CASE(releaseHandsOverImmediately)
 {
     Bench bench;
     Controller &a = bench.add("a/1");
@@ -301,7 +301,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(recordsComeBackWhole)
+BOOST_AUTO_TEST_CASE(leaseRecordsRoundTrip)
 {
     const LeaseRecord record{.step = LeaseStep::Renew,
                              .dataCentre = gulberg,
--- a/tests/auto/orders/tst_orderplan.cpp
+++ b/tests/auto/orders/tst_orderplan.cpp
@@ -11,7 +11,7 @@
 using namespace Lagoonbank::Base;
 using namespace Lagoonbank::Orders;
 
-BOOST_AUTO_TEST_CASE(ordersSetOnlyWhatDiffers)
+BOOST_AUTO_TEST_CASE(ordersSetOnlyDifferingFields)
 {
     struct Row
     {
@@ -42,7 +42,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(weightLoadsKeepTheRate)
+BOOST_AUTO_TEST_CASE(weightLoadsAreLimited)
 {
     WeightLoadLimiter loads({.maxRunning = 2, .spacing = 1s});
     MonoTime now{std::chrono::hours(1)};
