--- a/src/libs/router/inflightsharing.cpp
+++ b/src/libs/router/inflightsharing.cpp
@@ -38,12 +38,12 @@
                                                  std::string_view body) {
         received(sender.id, body);
     };
-    tell();
+    sendBeacons();
 }
 
 void InFlightSharing::endpointsChanged()
 {
-    m_told.work.clear();
+    m_lastSent.work.clear();
     m_keys.update(m_placer.routing().endpoints());
 }
 
@@ -58,25 +58,25 @@
     return peers;
 }
 
-void InFlightSharing::tell()
+void InFlightSharing::sendBeacons()
 {
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<Membership::MemberUpdate> peers = regionPeers(now);
     Base::Duration wait = longestInterval;
-    if (!peers.empty() && peers.size() <= mostPeers)
-        wait = tellAll(peers);
-    judgePeers(peers, now);
-    m_timer = m_loop.timers().start(wait, [this] { tell(); });
+    if (!peers.empty() && peers.size() <= maxPeers)
+        wait = sendToPeers(peers);
+    updatePeerStates(peers, now);
+    m_timer = m_loop.timers().start(wait, [this] { sendBeacons(); });
 }
 
 /// Returns when the next beacons may follow within their part of the budget.
-Base::Duration InFlightSharing::tellAll(const std::vector<Membership::MemberUpdate> &peers)
+Base::Duration InFlightSharing::sendToPeers(const std::vector<Membership::MemberUpdate> &peers)
 {
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<InFlight> changed = changedWork();
-    if (changed.empty() && now - m_told.at < idleInterval)
+    if (changed.empty() && now - m_lastSent.at < idleInterval)
         return shortestInterval;
-    m_told.at = now;
+    m_lastSent.at = now;
     const std::string body = encodeBeacon(Membership::PeerTransport::directMark, changed);
     for (const Membership::MemberUpdate &peer : peers)
         m_peers.transport()->sendDirect(Membership::toSocketAddress(peer), body);
@@ -90,19 +90,19 @@
 {
     const Routing::Router &routing = m_placer.routing();
     const Routing::EndpointTable &endpoints = routing.endpoints();
-    const bool tellsAll = m_loop.clock().now() - m_told.allAt >= fullInterval;
+    const bool tellsAll = m_loop.clock().now() - m_lastSent.fullAt >= fullInterval;
     if (tellsAll)
-        m_told.allAt = m_loop.clock().now();
-    m_told.work.resize(endpoints.size());
+        m_lastSent.fullAt = m_loop.clock().now();
+    m_lastSent.work.resize(endpoints.size());
     std::vector<InFlight> changed;
     for (Routing::EndpointIndex i = 0; i < endpoints.size(); ++i) {
         if (!endpoints.contains(i))
             continue;
         const InFlight now{Membership::nameKey(endpoints.info(i).id.value()),
                            routing.loads().ownInFlight(i)};
-        if (!tellsAll && now == m_told.work[i])
+        if (!tellsAll && now == m_lastSent.work[i])
             continue;
-        m_told.work[i] = now;
+        m_lastSent.work[i] = now;
         changed.push_back(now);
     }
     return changed;
@@ -114,10 +114,10 @@
     if (!entries)
         return;
     const Base::MonoTime now = m_loop.clock().now();
-    const auto nextIndex = static_cast<Routing::PeerIndex>(m_heard.size());
-    Peer &peer = m_heard.try_emplace(sender, Peer{nextIndex, now}).first->second;
-    peer.heard = now;
-    peer.isForgotten = false;
+    const auto nextIndex = static_cast<Routing::PeerIndex>(m_peersById.size());
+    Peer &peer = m_peersById.try_emplace(sender, Peer{nextIndex, now}).first->second;
+    peer.lastReceived = now;
+    peer.isExpired = false;
     Routing::Router &routing = m_placer.routing();
     for (const InFlight &entry : *entries) {
         const Routing::EndpointIndex index = m_keys.find(entry.endpoint, routing.endpoints());
@@ -127,20 +127,20 @@
 }
 
 /// Peers that went silent no longer count; the sum is whole while all have been heard of.
-void InFlightSharing::judgePeers(const std::vector<Membership::MemberUpdate> &peers,
-                                 Base::MonoTime now)
+void InFlightSharing::updatePeerStates(const std::vector<Membership::MemberUpdate> &peers,
+                                       Base::MonoTime now)
 {
-    for (auto &[id, peer] : m_heard) {
-        if (now - peer.heard <= silence || peer.isForgotten)
+    for (auto &[id, peer] : m_peersById) {
+        if (now - peer.lastReceived <= silence || peer.isExpired)
             continue;
-        peer.isForgotten = true;
+        peer.isExpired = true;
         m_placer.routing().removePeer(peer.index, now);
     }
     const bool isComplete =
-        peers.size() <= mostPeers
+        peers.size() <= maxPeers
         && std::all_of(peers.begin(), peers.end(), [&](const Membership::MemberUpdate &member) {
-               const auto found = m_heard.find(member.id);
-               return found != m_heard.end() && now - found->second.heard <= silence;
+               const auto found = m_peersById.find(member.id);
+               return found != m_peersById.end() && now - found->second.lastReceived <= silence;
            });
     m_placer.routing().setPeersComplete(isComplete);
 }
--- a/src/libs/router/inflightsharing.h
+++ b/src/libs/router/inflightsharing.h
@@ -21,7 +21,7 @@
 {
 public:
     /// Above this many peers one beacon to each would be too seldom to help.
-    static constexpr std::size_t mostPeers = 12;
+    static constexpr std::size_t maxPeers = 12;
 
     InFlightSharing(Runtime::Loop &loop, Placer &placer, Node::PeerLink &peers);
     ~InFlightSharing();
@@ -37,31 +37,31 @@
     struct Peer
     {
         Routing::PeerIndex index = 0;
-        Base::MonoTime heard;
-        bool isForgotten = false; ///< What it told no longer counts.
+        Base::MonoTime lastReceived;
+        bool isExpired = false; ///< What it told no longer counts.
     };
 
     /// What the beacons have said.
-    struct Told
+    struct SentState
     {
         std::vector<InFlight> work; ///< By endpoint index.
         Base::MonoTime at; ///< Of the last beacon.
-        Base::MonoTime allAt; ///< Of the last one that told all endpoints.
+        Base::MonoTime fullAt; ///< Of the last one that told all endpoints.
     };
 
-    void tell();
-    Base::Duration tellAll(const std::vector<Membership::MemberUpdate> &peers);
+    void sendBeacons();
+    Base::Duration sendToPeers(const std::vector<Membership::MemberUpdate> &peers);
     std::vector<InFlight> changedWork();
     void received(const std::string &sender, std::string_view body);
-    void judgePeers(const std::vector<Membership::MemberUpdate> &peers, Base::MonoTime now);
+    void updatePeerStates(const std::vector<Membership::MemberUpdate> &peers, Base::MonoTime now);
     std::vector<Membership::MemberUpdate> regionPeers(Base::MonoTime now) const;
 
     Runtime::Loop &m_loop;
     Placer &m_placer;
     Node::PeerLink &m_peers;
     EndpointKeys m_keys;
-    absl::flat_hash_map<std::string, Peer> m_heard;
-    Told m_told;
+    absl::flat_hash_map<std::string, Peer> m_peersById;
+    SentState m_lastSent;
     Runtime::TimerId m_timer;
 };
 
