--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -35,7 +35,7 @@
     Ticket &operator=(Ticket &&other) noexcept;
     ~Ticket();
 
-    bool held() const { return m_held; }
+    bool isHeld() const { return m_held; }
     /// The call ended after it ran: charges the difference to the estimate and frees the slot.
     void settle(Base::Tokens actual, Base::MonoTime now);
     /// The call never ran: gives everything back.
@@ -109,7 +109,7 @@
     std::optional<Refusal> checkTokens(const Call &call, Base::MonoTime now) const;
     Base::Duration estimatedSlotWait(Base::MonoTime now) const;
     void releaseSlot(Base::MonoTime admitted);
-    void recordSlotTime(Base::Duration held);
+    void recordSlotTime(Base::Duration isHeld);
     void refundCharges(Base::Tokens estimate, Base::MonoTime now);
     void chargeTokens(double tokens, Base::MonoTime now);
 
--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -373,7 +373,7 @@
     --m_inFlight;
     const Base::MonoTime now = m_options.loop->clock().now();
     const bool didNotRun = end.refusal && end.refusal->error.ran == Ran::No;
-    if (context->ticket.held()) {
+    if (context->ticket.isHeld()) {
         if (didNotRun)
             context->ticket.refund(now);
         else
--- a/tests/auto/admission/tst_admission.cpp
+++ b/tests/auto/admission/tst_admission.cpp
@@ -182,7 +182,7 @@
 
     const Ticket last = std::move(admission.admit(qila, {}, start + 2s).value().ticket);
     admission.remove(qila);
-    BOOST_TEST(last.held());
+    BOOST_TEST(last.isHeld());
 }
 
 BOOST_AUTO_TEST_CASE(tokensAreSettledAndRefunded)
