--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -117,19 +117,19 @@
                                : Routing::modelPool(query.model);
 }
 
-Routing::WaitQueue &Placer::queueOf(const Exchange::RouteQuery &query)
+Routing::WaitQueue &Placer::queueFor(const Exchange::RouteQuery &query)
 {
     std::unique_ptr<Routing::WaitQueue> &queue = m_queues[poolOf(query)];
     if (!queue) {
         queue = std::make_unique<Routing::WaitQueue>(m_queueOptions);
         queue->requestRejected = [this](std::uint64_t ticket, ErrorKind kind) {
-            giveUp(ticket, kind);
+            refuseWaiting(ticket, kind);
         };
     }
     return *queue;
 }
 
-Routing::RouteRequest Placer::requestOf(const Exchange::RouteQuery &query) const
+Routing::RouteRequest Placer::makeRouteRequest(const Exchange::RouteQuery &query) const
 {
     Routing::RouteRequest request{.pool = m_routing.endpoints().findPool(poolOf(query)),
                                   .chatHash = query.chatHash,
@@ -154,7 +154,7 @@
     if (!query.placementToken.empty())
         token =
             m_routing.tokens().read(query.placementToken, query.chatHash, m_loop.clock().wallNow());
-    Routing::RouteRequest request = requestOf(query);
+    Routing::RouteRequest request = makeRouteRequest(query);
     request.waited = waited;
     const Routing::Decision decision = m_routing.choose(request, token);
     if (decided)
@@ -167,9 +167,9 @@
     const std::uint64_t ticket = ++m_lastTicket;
     const auto prefill = static_cast<double>(
         std::max<std::int64_t>(0, query.promptTokens.value() - decision.expectedCached.value()));
-    m_running.emplace(
-        ticket,
-        Running{m_routing.noteSent(decision, m_loop.clock().now()), Base::WorkUnits(prefill)});
+    m_running.emplace(ticket,
+                      RunningAttempt{m_routing.noteSent(decision, m_loop.clock().now()),
+                                     Base::WorkUnits(prefill)});
     const Routing::EndpointInfo &info = m_routing.endpoints().info(decision.endpoint);
     Exchange::Target target{.endpoint = info.id,
                             .work = decision.work,
@@ -186,7 +186,7 @@
     return target;
 }
 
-Exchange::Refusal Placer::refusalOf(ErrorKind kind, const Routing::WaitQueue &queue) const
+Exchange::Refusal Placer::makeRefusal(ErrorKind kind, const Routing::WaitQueue &queue) const
 {
     return {.error = {kind, {}, Errors::Ran::No},
             .retryAfter = queue.retryAfter(m_loop.clock().now())};
@@ -201,8 +201,9 @@
         return {};
     }
     const std::uint64_t ticket = ++m_lastTicket;
-    m_waiting.emplace(ticket, Waiting{query, std::move(placed), m_loop.clock().now(), nullptr});
-    settle(ticket, decision);
+    m_waiting.emplace(ticket,
+                      WaitingRequest{query, std::move(placed), m_loop.clock().now(), nullptr});
+    applyDecision(ticket, decision);
     return [this, ticket] {
         const auto found = m_waiting.find(ticket);
         if (found == m_waiting.end())
@@ -214,36 +215,36 @@
 }
 
 /// Acts on a decision for a request that waits outside of the queues.
-void Placer::settle(std::uint64_t ticket, const Routing::Decision &decision)
+void Placer::applyDecision(std::uint64_t ticket, const Routing::Decision &decision)
 {
     if (decision.outcome == Routing::Outcome::Wait) {
         if (decision.reason == Routing::DecisionReason::WarmFull)
-            waitForWarm(ticket);
+            scheduleWarmRetry(ticket);
         else
             enqueue(ticket);
         return;
     }
     const auto found = m_waiting.find(ticket);
-    const Waiting waiting = std::move(found->second);
+    const WaitingRequest waiting = std::move(found->second);
     m_waiting.erase(found);
     if (decision.outcome == Routing::Outcome::Send)
         waiting.placed(send(waiting.query, decision));
     else
-        waiting.placed(refusalOf(decision.refusal, queueOf(waiting.query)));
+        waiting.placed(makeRefusal(decision.refusal, queueFor(waiting.query)));
 }
 
-void Placer::waitForWarm(std::uint64_t ticket)
+void Placer::scheduleWarmRetry(std::uint64_t ticket)
 {
-    m_loop.timers().start(warmRetryInterval, [this, ticket] { tryAgain(ticket); });
+    m_loop.timers().start(warmRetryInterval, [this, ticket] { retryPlacement(ticket); });
 }
 
-void Placer::tryAgain(std::uint64_t ticket)
+void Placer::retryPlacement(std::uint64_t ticket)
 {
     const auto found = m_waiting.find(ticket);
     if (found == m_waiting.end())
         return;
     const Base::Duration waited = m_loop.clock().now() - found->second.since;
-    settle(ticket, choose(found->second.query, waited));
+    applyDecision(ticket, choose(found->second.query, waited));
 }
 
 /// With nothing cached, as the endpoint is not known yet.
@@ -257,8 +258,8 @@
 
 void Placer::enqueue(std::uint64_t ticket)
 {
-    Waiting &waiting = m_waiting.find(ticket)->second;
-    Routing::WaitQueue &queue = queueOf(waiting.query);
+    WaitingRequest &waiting = m_waiting.find(ticket)->second;
+    Routing::WaitQueue &queue = queueFor(waiting.query);
     waiting.queue = &queue;
     const auto refused = queue.push(
         {.ticket = ticket,
@@ -268,17 +269,17 @@
          .work = expectedWork(waiting.query)},
         m_loop.clock().now());
     if (refused)
-        giveUp(ticket, *refused);
+        refuseWaiting(ticket, *refused);
 }
 
-void Placer::giveUp(std::uint64_t ticket, ErrorKind kind)
+void Placer::refuseWaiting(std::uint64_t ticket, ErrorKind kind)
 {
     const auto found = m_waiting.find(ticket);
     if (found == m_waiting.end())
         return;
-    const Waiting waiting = std::move(found->second);
+    const WaitingRequest waiting = std::move(found->second);
     m_waiting.erase(found);
-    waiting.placed(refusalOf(kind, *waiting.queue));
+    waiting.placed(makeRefusal(kind, *waiting.queue));
 }
 
 void Placer::serveWaiting()
@@ -287,7 +288,7 @@
         serveQueue(*queue);
 }
 
-void Placer::serveLater()
+void Placer::scheduleServing()
 {
     if (m_serveTimer)
         return;
@@ -306,12 +307,12 @@
         if (decision.outcome == Routing::Outcome::Wait)
             return;
         queue.pop(m_loop.clock().now());
-        const Waiting waiting = std::move(found->second);
+        const WaitingRequest waiting = std::move(found->second);
         m_waiting.erase(found);
         if (decision.outcome == Routing::Outcome::Send)
             waiting.placed(send(waiting.query, decision));
         else
-            waiting.placed(refusalOf(decision.refusal, queue));
+            waiting.placed(makeRefusal(decision.refusal, queue));
     }
 }
 
@@ -326,7 +327,7 @@
     const Routing::Decision decision{
         .outcome = Routing::Outcome::Send, .endpoint = endpoint, .work = target.work};
     m_running.emplace(target.ticket,
-                      Running{m_routing.noteSent(decision, m_loop.clock().now()), {}});
+                      RunningAttempt{m_routing.noteSent(decision, m_loop.clock().now()), {}});
 }
 
 void Placer::attemptProgressed(const Exchange::Target &target, Base::Tokens tokens, bool isFirst)
@@ -352,7 +353,7 @@
         m_routing.noteCancelled(&found->second.sent, now);
     m_running.erase(found);
     if (!m_waiting.empty())
-        serveLater();
+        scheduleServing();
 }
 
 void Placer::loadReported(const Base::EndpointId &endpoint, std::string_view report)
--- a/src/libs/router/placer.h
+++ b/src/libs/router/placer.h
@@ -68,7 +68,7 @@
     std::function<void(Base::Duration took, const Routing::Decision &decision)> decided;
 
 private:
-    struct Waiting
+    struct WaitingRequest
     {
         Exchange::RouteQuery query;
         std::function<void(Exchange::Placement)> placed;
@@ -76,27 +76,27 @@
         /// Null for one that waits a moment for the engine that holds its chat.
         Routing::WaitQueue *queue = nullptr;
     };
-    struct Running
+    struct RunningAttempt
     {
         Routing::SentRequest sent;
         Base::WorkUnits prefill; ///< Part of the work that is done with the first token.
     };
 
     static std::string poolOf(const Exchange::RouteQuery &query);
-    Routing::RouteRequest requestOf(const Exchange::RouteQuery &query) const;
+    Routing::RouteRequest makeRouteRequest(const Exchange::RouteQuery &query) const;
     Routing::Decision choose(const Exchange::RouteQuery &query, Base::Duration waited);
-    void waitForWarm(std::uint64_t ticket);
-    void tryAgain(std::uint64_t ticket);
-    void settle(std::uint64_t ticket, const Routing::Decision &decision);
+    void scheduleWarmRetry(std::uint64_t ticket);
+    void retryPlacement(std::uint64_t ticket);
+    void applyDecision(std::uint64_t ticket, const Routing::Decision &decision);
     void enqueue(std::uint64_t ticket);
     Base::WorkUnits expectedWork(const Exchange::RouteQuery &query) const;
     Exchange::Target send(const Exchange::RouteQuery &query, const Routing::Decision &decision);
-    Exchange::Refusal refusalOf(Errors::ErrorKind kind, const Routing::WaitQueue &queue) const;
-    Routing::WaitQueue &queueOf(const Exchange::RouteQuery &query);
+    Exchange::Refusal makeRefusal(Errors::ErrorKind kind, const Routing::WaitQueue &queue) const;
+    Routing::WaitQueue &queueFor(const Exchange::RouteQuery &query);
     void serveWaiting();
-    void serveLater();
+    void scheduleServing();
     void serveQueue(Routing::WaitQueue &queue);
-    void giveUp(std::uint64_t ticket, Errors::ErrorKind kind);
+    void refuseWaiting(std::uint64_t ticket, Errors::ErrorKind kind);
     void refresh();
 
     Runtime::Loop &m_loop;
@@ -106,8 +106,8 @@
     /// queues are served. Never removed: a queue is small.
     std::map<std::string, std::unique_ptr<Routing::WaitQueue>> m_queues;
     std::uint64_t m_lastTicket = 0;
-    absl::flat_hash_map<std::uint64_t, Waiting> m_waiting;
-    absl::flat_hash_map<std::uint64_t, Running> m_running;
+    absl::flat_hash_map<std::uint64_t, WaitingRequest> m_waiting;
+    absl::flat_hash_map<std::uint64_t, RunningAttempt> m_running;
     Runtime::TimerId m_refreshTimer;
     std::optional<Runtime::TimerId> m_serveTimer;
 };
