--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -335,8 +335,8 @@
             [this, context](const Exchange::AttemptResult &result) {
                 m_options.placer->attemptEnded(result);
                 if (result.whole)
-                    m_options.retries->noteWhole(context->info.workspace, result.endpoint,
-                                                 m_options.loop->clock().now());
+                    m_options.retries->noteSuccess(context->info.workspace, result.endpoint,
+                                                   m_options.loop->clock().now());
                 if (attemptEnded)
                     attemptEnded(context->info, result);
             },
--- a/src/libs/router/retrybudgets.cpp
+++ b/src/libs/router/retrybudgets.cpp
@@ -36,8 +36,8 @@
     return m_endpoints.try_emplace(endpoint, fresh).first->second;
 }
 
-void RetryBudgets::noteWhole(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
-                             Base::MonoTime now)
+void RetryBudgets::noteSuccess(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
+                               Base::MonoTime now)
 {
     workspaceBudget(workspace, now).noteSuccess(now);
     endpointBudget(endpoint, now).noteSuccess(now);
--- a/src/libs/router/retrybudgets.h
+++ b/src/libs/router/retrybudgets.h
@@ -18,8 +18,8 @@
     void setEndpointRatio(double ratio) { m_endpointRatio = ratio; }
     void setMaxAttempts(int attempts) { m_maxAttempts = attempts; }
 
-    void noteWhole(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
-                   Base::MonoTime now);
+    void noteSuccess(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
+                     Base::MonoTime now);
     /// Decides after a failed attempt and charges a retry to the budgets of its workspace and
     /// endpoint.
     Retry::RetryDecision decide(const Base::WorkspaceId &workspace,
