--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -84,7 +84,7 @@
         responder.send(isReady() ? 200 : 503, headers, isReady() ? "ready\n" : "not ready\n");
 }
 
-std::string CallerApi::refusedByServer(ErrorKind kind)
+std::string CallerApi::recordServerRefusal(ErrorKind kind)
 {
     const RequestInfo info{.id = m_options.nextRequestId(),
                            .started = m_options.loop->clock().now()};
--- a/src/libs/router/callerapi.h
+++ b/src/libs/router/callerapi.h
@@ -81,7 +81,7 @@
 
     void handle(Http::Request request, std::shared_ptr<Http::Responder> responder);
     /// The server has refused a request that it could not read; returns the request's id.
-    std::string refusedByServer(Errors::ErrorKind kind);
+    std::string recordServerRefusal(Errors::ErrorKind kind);
 
     /// A request has been read, or refused before it could be; always before requestEnded.
     std::function<void(const RequestInfo &info)> requestStarted;
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -218,7 +218,7 @@
             m_callerApi->handle(std::move(request), std::move(responder));
         });
     m_callerServer->setRefused(
-        [this](Errors::ErrorKind kind) { return m_callerApi->refusedByServer(kind); });
+        [this](Errors::ErrorKind kind) { return m_callerApi->recordServerRefusal(kind); });
     BOOST_OUTCOME_TRYV(m_callerServer->listen());
 
     BOOST_OUTCOME_TRY(admin, Runtime::parseSocketAddress(m_settings.adminAddress));
