--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -34,7 +34,7 @@
     RequestInfo info;
     Exchange::RouteQuery route;
     Admission::Ticket ticket;
-    bool isAnnounced = false;
+    bool isStartNotified = false;
     bool isClaimed = false;
 };
 
@@ -123,18 +123,18 @@
     return true;
 }
 
-void CallerApi::announce(const ContextPtr &context)
+void CallerApi::notifyStarted(const ContextPtr &context)
 {
-    if (context->isAnnounced)
+    if (context->isStartNotified)
         return;
-    context->isAnnounced = true;
+    context->isStartNotified = true;
     if (requestStarted)
         requestStarted(context->info);
 }
 
 bool CallerApi::admit(const ContextPtr &context, const Admission::Call &call)
 {
-    announce(context);
+    notifyStarted(context);
     const Base::MonoTime now = m_options.loop->clock().now();
     auto admitted = m_options.admission->admit(context->info.workspace, call, now);
     if (!admitted) {
@@ -369,7 +369,7 @@
 
 void CallerApi::finished(const ContextPtr &context, const Exchange::ExchangeEnd &end)
 {
-    announce(context);
+    notifyStarted(context);
     --m_inFlight;
     const Base::MonoTime now = m_options.loop->clock().now();
     const bool didNotRun = end.refusal && end.refusal->error.ran == Ran::No;
--- a/src/libs/router/callerapi.h
+++ b/src/libs/router/callerapi.h
@@ -108,7 +108,7 @@
     void runServiceCall(const ContextPtr &context, Exchange::ServiceCall call, bool claimed);
     void claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult verdict);
     bool identify(const ContextPtr &context);
-    void announce(const ContextPtr &context);
+    void notifyStarted(const ContextPtr &context);
     bool admit(const ContextPtr &context, const Admission::Call &call);
     Exchange::Exchange::Options exchangeOptions(const ContextPtr &context);
     Exchange::Hooks hooks(const ContextPtr &context);
