--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -66,8 +66,8 @@
     m_parts.retries->setMaxAttempts(static_cast<int>(policy.maxAttempts));
 }
 
-void ConfigurationApplier::noteEndpoint(const Schema::Endpoint &endpoint,
-                                        Routing::EndpointIndex index, bool isServing) const
+void ConfigurationApplier::reportEndpointChange(const Schema::Endpoint &endpoint,
+                                                Routing::EndpointIndex index, bool isServing) const
 {
     const bool drains = stateOf(endpoint.state) == Routing::EndpointState::Leaving;
     if (index == Routing::noEndpoint) {
@@ -96,7 +96,7 @@
         // One that comes into a running router has nothing cached yet and takes its share slowly.
         const Routing::EndpointTable &table = m_parts.placer->routing().endpoints();
         const Routing::EndpointIndex index = table.find(endpoint.name);
-        noteEndpoint(endpoint, index, isServing);
+        reportEndpointChange(endpoint, index, isServing);
         Base::MonoTime coldSince = isServing ? now : Base::MonoTime();
         if (index != Routing::noEndpoint)
             coldSince = table.info(index).coldSince;
--- a/src/libs/router/configurationapplier.h
+++ b/src/libs/router/configurationapplier.h
@@ -47,8 +47,8 @@
 
 private:
     void applyPolicy(const Schema::Policy &policy);
-    void noteEndpoint(const Schema::Endpoint &endpoint, Routing::EndpointIndex index,
-                      bool isServing) const;
+    void reportEndpointChange(const Schema::Endpoint &endpoint, Routing::EndpointIndex index,
+                              bool isServing) const;
     void updateEndpoints(const Configuration::ObjectTable &objects, bool isServing);
     void updateDataCentres(const Configuration::ObjectTable &objects);
     void updateWorkspaces(const Configuration::ObjectTable &objects);
