--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -72,15 +72,15 @@
     const bool drains = stateOf(endpoint.state) == Routing::EndpointState::Leaving;
     if (index == Routing::noEndpoint) {
         if (isServing)
-            m_parts.noted(Timeline::EventType::EndpointAdded, endpoint.name);
+            m_parts.endpointChanged(Timeline::EventType::EndpointAdded, endpoint.name);
         return;
     }
     const Routing::EndpointInfo &before = m_parts.placer->routing().endpoints().info(index);
     const bool drained = before.state == Routing::EndpointState::Leaving;
     if (drains != drained)
-        m_parts.noted(drains ? Timeline::EventType::EndpointDraining
-                             : Timeline::EventType::EndpointAdded,
-                      endpoint.name);
+        m_parts.endpointChanged(drains ? Timeline::EventType::EndpointDraining
+                                       : Timeline::EventType::EndpointAdded,
+                                endpoint.name);
 }
 
 void ConfigurationApplier::updateEndpoints(const Configuration::ObjectTable &objects,
@@ -113,7 +113,7 @@
         if (std::find(known.begin(), known.end(), old) != known.end())
             continue;
         m_parts.placer->routing().remove(old, now);
-        m_parts.noted(Timeline::EventType::EndpointRemoved, old);
+        m_parts.endpointChanged(Timeline::EventType::EndpointRemoved, old);
     }
     m_knownEndpoints = std::move(known);
     m_parts.loadSharing->endpointsChanged();
--- a/src/libs/router/configurationapplier.h
+++ b/src/libs/router/configurationapplier.h
@@ -36,7 +36,8 @@
         InFlightSharing *inFlightSharing = nullptr;
         QuotaSharing *quotaSharing = nullptr;
         /// An endpoint came, drains or went.
-        std::function<void(Timeline::EventType type, const Base::EndpointId &endpoint)> noted;
+        std::function<void(Timeline::EventType type, const Base::EndpointId &endpoint)>
+            endpointChanged;
     };
 
     explicit ConfigurationApplier(const Parts &parts);
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -126,7 +126,7 @@
         .loadSharing = m_loadSharing.get(),
         .inFlightSharing = m_inFlightSharing.get(),
         .quotaSharing = m_quotaSharing.get(),
-        .noted = [this](EventType type, const Base::EndpointId &endpoint) {
+        .endpointChanged = [this](EventType type, const Base::EndpointId &endpoint) {
             m_events.record(type, {.endpoint = endpoint}, m_loop.clock().wallNow());
         }});
     if (m_vmList)
