--- a/src/libs/router/requestrecorder.cpp
+++ b/src/libs/router/requestrecorder.cpp
@@ -70,7 +70,7 @@
     record(EventType::AttemptEnded, info, result.endpoint, std::move(name));
 }
 
-Timeline::OutcomeEnd RequestRecorder::endOf(const Exchange::ExchangeEnd &end)
+Timeline::OutcomeEnd RequestRecorder::toOutcomeEnd(const Exchange::ExchangeEnd &end)
 {
     Timeline::OutcomeEnd out{
         .kind = OutcomeKind::Whole, .ran = Errors::Ran::Yes, .status = end.status};
@@ -97,7 +97,7 @@
         metrics.cachedTokens.increment(static_cast<double>(end.cachedTokens.value()));
         metrics.answerTokens.increment(static_cast<double>(end.answerTokens.value()));
     }
-    const Timeline::OutcomeEnd outcome = endOf(end);
+    const Timeline::OutcomeEnd outcome = toOutcomeEnd(end);
     m_ring.ended(info.id, outcome, now);
     countOutcome(outcome.kind);
     if (outcome.cause)
--- a/src/libs/router/requestrecorder.h
+++ b/src/libs/router/requestrecorder.h
@@ -46,7 +46,7 @@
     void countRefusal(Errors::ErrorKind kind);
     void countOutcome(Timeline::OutcomeKind kind);
     void appendOutcome(const RequestInfo &info);
-    static Timeline::OutcomeEnd endOf(const Exchange::ExchangeEnd &end);
+    static Timeline::OutcomeEnd toOutcomeEnd(const Exchange::ExchangeEnd &end);
 
     Options m_options;
     Timeline::OutcomeRing m_ring;
