--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -134,7 +134,7 @@
     std::vector<Base::WorkspaceId> known;
     objects.each<Schema::Contract>([&](const Schema::Contract &contract) {
         known.push_back(contract.name);
-        m_parts.admission->setLimits(contract.name, limitsOf(contract), now);
+        m_parts.admission->setLimits(contract.name, toWorkspaceLimits(contract), now);
         m_parts.retries->setWorkspaceRatio(contract.name, contract.retryBudget);
     });
     for (const Base::WorkspaceId &old : m_knownWorkspaces) {
--- a/src/libs/router/contractrules.cpp
+++ b/src/libs/router/contractrules.cpp
@@ -19,7 +19,7 @@
     return hex;
 }
 
-Admission::WorkspaceLimits limitsOf(const Schema::Contract &contract)
+Admission::WorkspaceLimits toWorkspaceLimits(const Schema::Contract &contract)
 {
     const Schema::Source &source = contract.source;
     Admission::WorkspaceLimits limits;
--- a/src/libs/router/contractrules.h
+++ b/src/libs/router/contractrules.h
@@ -13,7 +13,7 @@
 std::string keyHash(std::string_view bearerKey);
 
 /// The limits of a contract, each with the line that it comes from.
-Admission::WorkspaceLimits limitsOf(const Schema::Contract &contract);
+Admission::WorkspaceLimits toWorkspaceLimits(const Schema::Contract &contract);
 
 /// Whether the contract says that this call of a service must run at most once.
 bool isNonIdempotent(const Schema::Contract &contract, const Base::ServiceId &service,
