--- a/tests/auto/placing/tst_inflightbeacon.cpp
+++ b/tests/auto/placing/tst_inflightbeacon.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(workComesBackInStepsOfEight)
+BOOST_AUTO_TEST_CASE(decodedWorkIsRoundedToStepsOfEight)
 {
     struct Row
     {
@@ -31,7 +31,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNoBeaconIsRefused)
+BOOST_AUTO_TEST_CASE(malformedBeaconIsRejected)
 {
     const std::string body = Router::encodeBeacon(mark, {{1, WorkUnits(8)}, {2, WorkUnits(16)}});
     BOOST_TEST(Router::decodeBeacon(mark, body)->size() == 2U);
@@ -43,7 +43,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(beaconFitsOneDatagram)
+BOOST_AUTO_TEST_CASE(beaconIsLimitedToMaxEntries)
 {
     const std::vector<InFlight> many(1000, InFlight{7, WorkUnits(8)});
     const auto read = Router::decodeBeacon(mark, Router::encodeBeacon(mark, many));
--- a/tests/auto/placing/tst_placer.cpp
+++ b/tests/auto/placing/tst_placer.cpp
@@ -110,7 +110,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(requestThatWaitsGoesOutWhenAnAttemptEnds, Fixture)
+BOOST_FIXTURE_TEST_CASE(waitingRequestIsSentWhenAnAttemptEnds, Fixture)
 {
     const std::vector<Target> sent = fill();
     BOOST_REQUIRE(!sent.empty());
@@ -122,7 +122,7 @@
     BOOST_TEST(!last.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(requestThatWaitsTooLongIsRefusedAsNotRunWithATimeToComeBack, Fixture)
+BOOST_FIXTURE_TEST_CASE(expiredWaitIsRefusedAsNotRunWithRetryAfter, Fixture)
 {
     fill();
     run(std::chrono::milliseconds(1500));
@@ -132,7 +132,7 @@
     BOOST_TEST(placer.waiting() == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(fullModelHoldsUpNoService, Fixture)
+BOOST_FIXTURE_TEST_CASE(fullModelPoolDoesNotBlockServices, Fixture)
 {
     fill();
     std::optional<Placement> placed;
@@ -145,7 +145,7 @@
     BOOST_TEST(std::holds_alternative<Target>(*placed));
 }
 
-BOOST_FIXTURE_TEST_CASE(callerThatLeavesTakesNoPlaceInTheQueue, Fixture)
+BOOST_FIXTURE_TEST_CASE(abandonedRequestIsRemovedFromTheQueue, Fixture)
 {
     fill();
     BOOST_REQUIRE(abandon);
@@ -155,7 +155,7 @@
     BOOST_TEST(!last.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(endedAttemptsLeaveNothingInFlight, Fixture)
+BOOST_FIXTURE_TEST_CASE(endedAttemptsReleaseTheirInFlightWork, Fixture)
 {
     for (const Target &target : fill()) {
         placer.attemptProgressed(target, Base::Tokens(1), true);
