--- a/src/libs/admission/shareledger.cpp
+++ b/src/libs/admission/shareledger.cpp
@@ -40,7 +40,7 @@
     CellState &count = m_cells[{cell.from, cell.to}];
     if (transferred <= count.latest)
         return false;
-    addCredit(count, transferred, now);
+    raise(count, transferred, now);
     return true;
 }
 
@@ -56,7 +56,7 @@
     return merge(cell, static_cast<std::uint32_t>(before + most), now) ? most : 0;
 }
 
-void ShareLedger::addCredit(CellState &count, std::uint32_t transferred, MonoTime now) const
+void ShareLedger::raise(CellState &count, std::uint32_t transferred, MonoTime now) const
 {
     count.latest = transferred;
     if (m_creditDelay == Base::Duration::zero()) {
@@ -65,7 +65,7 @@
     }
     count.credited = creditedUnits(count, now);
     std::erase_if(count.pendingCredits,
-                  [&](const PendingCredit &addCredit) { return addCredit.effectiveAt <= now; });
+                  [&](const PendingCredit &raise) { return raise.effectiveAt <= now; });
     if (count.pendingCredits.size() >= maxPendingCredits)
         count.pendingCredits.pop_back();
     count.pendingCredits.push_back({transferred, now + m_creditDelay});
@@ -74,9 +74,9 @@
 std::uint32_t ShareLedger::creditedUnits(const CellState &count, MonoTime now)
 {
     std::uint32_t credited = count.credited;
-    for (const PendingCredit &addCredit : count.pendingCredits) {
-        if (addCredit.effectiveAt <= now)
-            credited = std::max(credited, addCredit.transferred);
+    for (const PendingCredit &raise : count.pendingCredits) {
+        if (raise.effectiveAt <= now)
+            credited = std::max(credited, raise.transferred);
     }
     return credited;
 }
--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -69,7 +69,7 @@
         std::vector<PendingCredit> pendingCredits; // will count; in rising order
     };
 
-    void addCredit(CellState &count, std::uint32_t transferred, Base::MonoTime now) const;
+    void raise(CellState &count, std::uint32_t transferred, Base::MonoTime now) const;
     static std::uint32_t creditedUnits(const CellState &count, Base::MonoTime now);
 
     std::size_t m_participants = 1;
