--- a/tests/auto/simulation/history.cpp
+++ b/tests/auto/simulation/history.cpp
@@ -53,7 +53,7 @@
         return random.below(2);
     case StepKind::Lossy:
         return 10 + random.below(mostPercent);
-    case StepKind::Restart:
+    case StepKind::StartAgain:
         return random.below(newStarts);
     case StepKind::Configure:
         return 1000 + random.below(mostBytes);
@@ -71,7 +71,7 @@
     step.target = random.below(isEndpoints ? history.endpoints : routers);
     step.other = isEndpoints ? random.below(2) : random.below(routers);
     step.value = valueOf(step.kind, random);
-    if (isEndpoints || step.kind == StepKind::Configure || step.kind == StepKind::StoreTrim)
+    if (isEndpoints || step.kind == StepKind::Configure || step.kind == StepKind::StoreForgets)
         step.durationMs = 0;
     return step;
 }
--- a/tests/auto/simulation/history.h
+++ b/tests/auto/simulation/history.h
@@ -14,7 +14,7 @@
     StoreSilent, ///< Everybody.
     StoreLosesAnswers, ///< Everybody's.
     StoreSlow, ///< For everybody.
-    StoreTrim, ///< All records but the newest of each key.
+    StoreForgets, ///< All records but the newest of each key.
     StoreRefusesOne, ///< who: a router.
     StoreSilentForOne, ///< who: a router.
     CutOneWay, ///< who: a router; other: one that hears it no more.
@@ -29,7 +29,7 @@
     Drain, ///< who: an endpoint.
     Leave, ///< who: an endpoint.
     Crash, ///< who: an endpoint.
-    Restart, ///< who: an endpoint; other 1: at the same address; value: a RestartTime.
+    StartAgain, ///< who: an endpoint; other 1: at the same address; value: a RestartTime.
     Unreadable, ///< who: an endpoint.
     LateWrite, ///< who: an endpoint; see SimulatedEndpoints::writeLate().
     Configure ///< value: bytes of the new configuration.
--- a/tests/auto/simulation/tst_simulatedhistories.cpp
+++ b/tests/auto/simulation/tst_simulatedhistories.cpp
@@ -126,7 +126,7 @@
          .dataCentres = {3},
          .endpoints = 4,
          .steps = {
-             {.kind = StepKind::StoreTrim, .atMs = 693},
+             {.kind = StepKind::StoreForgets, .atMs = 693},
              {.kind = StepKind::Configure, .atMs = 3346, .value = 10300},
              {.kind = StepKind::StoreSlow, .atMs = 10437, .durationMs = 1900},
              {.kind = StepKind::StoreSilent, .atMs = 12411, .durationMs = 6922},
@@ -224,7 +224,7 @@
          .dataCentres = {1},
          .endpoints = 1,
          .steps = {
-             {.kind = StepKind::Restart, .atMs = 9965, .other = 1, .value = 2},
+             {.kind = StepKind::StartAgain, .atMs = 9965, .other = 1, .value = 2},
          }});
 }
 
@@ -236,7 +236,7 @@
          .dataCentres = {2},
          .endpoints = 2,
          .steps = {
-             {.kind = StepKind::Restart, .atMs = 12652, .target = 1, .value = 2},
+             {.kind = StepKind::StartAgain, .atMs = 12652, .target = 1, .value = 2},
          }});
 }
 
@@ -253,7 +253,7 @@
              {.kind = StepKind::Lossy, .atMs = 3503, .durationMs = 3200, .target = 3, .value = 18},
              {.kind = StepKind::Drain, .atMs = 3742},
              {.kind = StepKind::Leave, .atMs = 5327},
-             {.kind = StepKind::Restart, .atMs = 6621, .other = 1},
+             {.kind = StepKind::StartAgain, .atMs = 6621, .other = 1},
          }});
 }
 
@@ -390,7 +390,7 @@
          .dataCentres = {2, 1},
          .endpoints = 2,
          .steps = {
-             {.kind = StepKind::Restart, .atMs = 9109, .target = 1, .other = 1, .value = 2},
+             {.kind = StepKind::StartAgain, .atMs = 9109, .target = 1, .other = 1, .value = 2},
          }});
 }
 
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -253,7 +253,7 @@
 void World::applyInstantStep(const Step &step)
 {
     switch (step.kind) {
-    case StepKind::StoreTrim:
+    case StepKind::StoreForgets:
         for (const Topic topic : {Topic::Configuration, Topic::Endpoints, Topic::Routers})
             m_store.trim(topic);
         break;
@@ -266,7 +266,7 @@
     case StepKind::Crash:
         m_endpoints->crash(step.target);
         break;
-    case StepKind::Restart:
+    case StepKind::StartAgain:
         m_endpoints->restart(step.target, static_cast<RestartTime>(step.value), step.other == 1);
         break;
     case StepKind::Unreadable:
