--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -54,19 +54,19 @@
     m_dataCentreDemands.clear();
 }
 
-double WorkspaceShares::dataCentrePart(MonoTime now) const
+double WorkspaceShares::dataCentreUnits(MonoTime now) const
 {
     return static_cast<double>(m_dataCentreLedger.units(m_topology.dataCentre, now));
 }
 
-double WorkspaceShares::ownPart(MonoTime now) const
+double WorkspaceShares::ownFraction(MonoTime now) const
 {
     return static_cast<double>(m_routerLedger.units(m_topology.self, now)) / totalUnits;
 }
 
 double WorkspaceShares::share(MonoTime now) const
 {
-    const double share = ownPart(now) * dataCentrePart(now) / totalUnits;
+    const double share = ownFraction(now) * dataCentreUnits(now) / totalUnits;
     if (m_shareCap && now < m_shareCapUntil)
         return std::min(share, *m_shareCap);
     return share;
@@ -88,7 +88,7 @@
 double WorkspaceShares::scaledDemand(double demand, MonoTime now) const
 {
     const double idle = idlePart * totalUnits / m_topology.routers;
-    const double part = dataCentrePart(now);
+    const double part = dataCentreUnits(now);
     if (part <= 0)
         return idle;
     return std::max(idle, headroom * demand * totalUnits / part);
@@ -171,7 +171,7 @@
     }
     if (surplus <= 0 || missing <= 0)
         return;
-    const double most = std::min(gain * surplus, mostOfDataCentre * dataCentrePart(now));
+    const double most = std::min(gain * surplus, mostOfDataCentre * dataCentreUnits(now));
     if (most < std::max(1.0, leastGift * totalUnits / m_topology.dataCentres))
         return;
     for (std::size_t i = 0; i < places.size(); ++i) {
@@ -276,7 +276,7 @@
     const auto holding = static_cast<double>(m_routerLedger.units(router, now));
     if (std::abs(holding - initialUnits) > nearPart * initialUnits)
         return true;
-    return routerDemand(router, now) >= nearPart * holding * dataCentrePart(now) / totalUnits;
+    return routerDemand(router, now) >= nearPart * holding * dataCentreUnits(now) / totalUnits;
 }
 
 bool WorkspaceShares::isDataCentreActive(std::uint16_t dataCentre, MonoTime now) const
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -67,8 +67,8 @@
     };
     using DemandReports = std::map<std::uint16_t, DemandReport>;
 
-    double ownPart(Base::MonoTime now) const;
-    double dataCentrePart(Base::MonoTime now) const;
+    double ownFraction(Base::MonoTime now) const;
+    double dataCentreUnits(Base::MonoTime now) const;
     double routerDemand(std::uint16_t router, Base::MonoTime now) const;
     static bool isFresh(const DemandReports &heard, std::uint16_t from, Base::Duration age,
                         Base::MonoTime now);
