--- a/src/libs/retry/backoff.h
+++ b/src/libs/retry/backoff.h
@@ -6,15 +6,15 @@
 
 namespace Lagoonbank::Retry {
 
-/// Exponential backoff with full jitter: a wait between zero and min(cap, base x 2^retry).
+/// Exponential backoff with full jitter: a random wait from zero to min(cap, base * 2^retry).
 struct Backoff
 {
     Base::Duration base = std::chrono::milliseconds(5);
     Base::Duration cap = std::chrono::milliseconds(500);
-    /// Uniform in [0, 1). Tests inject a fixed sequence.
+    /// Returns random numbers, uniform in [0, 1); without it, waits have no jitter.
     std::function<double()> random;
 
-    /// Wait before retry number `retry`, counted from 0.
+    /// Wait before the given retry; the first retry is 0.
     Base::Duration wait(int retry) const;
 };
 
--- a/src/libs/retry/deadline.h
+++ b/src/libs/retry/deadline.h
@@ -7,13 +7,14 @@
 
 namespace Lagoonbank::Retry {
 
-/// A caller's deadline as it is carried on. The reserve is kept back for the answer's way home.
+/// Deadline of a caller's request, passed on with each attempt. The reserve is subtracted for the
+/// transfer of the answer to the caller.
 struct Deadline
 {
-    std::optional<Base::MonoTime> at; ///< Not set: no deadline.
+    std::optional<Base::MonoTime> at; ///< No value: no deadline.
     Base::Duration reserve = std::chrono::milliseconds(2);
 
-    /// Time an attempt that starts now may take; never negative. Nothing without a deadline.
+    /// Time available to an attempt that starts now; never negative. No value without a deadline.
     std::optional<Base::Duration> remaining(Base::MonoTime now) const
     {
         if (!at)
@@ -21,11 +22,11 @@
         return std::max(Base::Duration::zero(), *at - now - reserve);
     }
 
-    /// Whether an attempt that starts after `wait` and takes at least `least` can still be in time.
-    bool leavesTime(Base::MonoTime now, Base::Duration wait, Base::Duration least) const
+    /// Whether an attempt that starts after `wait` and takes at least `minimum` can end in time.
+    bool leavesTime(Base::MonoTime now, Base::Duration wait, Base::Duration minimum) const
     {
         const std::optional<Base::Duration> left = remaining(now);
-        return !left || *left > wait + least;
+        return !left || *left > wait + minimum;
     }
 };
 
--- a/src/libs/retry/retrybudget.h
+++ b/src/libs/retry/retrybudget.h
@@ -6,20 +6,21 @@
 
 struct RetryBudgetOptions
 {
-    double ratio = 0.1; ///< Retries for each success.
-    double perSecond = 0.5; ///< Retries a second without any success.
-    double capacity = 20; ///< Most retries that can be saved up.
+    double ratio = 0.1; ///< Retries earned per success.
+    double perSecond = 0.5; ///< Retries earned per second regardless of successes.
+    double capacity = 20; ///< Maximum balance.
 };
 
-/// Limits retries to a part of the successes: each success adds `ratio` of a retry, and a small
-/// steady rate lets a quiet workspace or endpoint still have one. One per workspace and one per
-/// endpoint (of the one that the retry would go to).
+/// Token bucket that limits retries to a fraction of the successes: each success adds `ratio`
+/// retries, and a low constant rate gives a workspace or endpoint with little traffic some as well.
+/// There is one budget per workspace and one per endpoint; a retry needs both, the latter of the
+/// endpoint that would get it.
 class RetryBudget
 {
 public:
     using Options = RetryBudgetOptions;
 
-    /// Starts whole.
+    /// Starts with a full balance.
     RetryBudget(Options options, Base::MonoTime now)
         : m_options(options)
         , m_balance(options.capacity)
@@ -28,8 +29,9 @@
 
     void noteSuccess(Base::MonoTime now);
     bool available(Base::MonoTime now) const { return balance(now) >= 1; }
-    /// Takes one retry out; false and nothing taken where none is left.
+    /// Takes one retry from the balance; returns false if less than one is left.
     bool spend(Base::MonoTime now);
+    /// Number of retries available now; may be fractional.
     double balance(Base::MonoTime now) const;
 
 private:
--- a/src/libs/retry/retrydecision.cpp
+++ b/src/libs/retry/retrydecision.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// A failure that another endpoint or connection may not have. What the caller or the contract got
-// wrong stays wrong elsewhere.
-bool mayGoBetterElsewhere(ErrorKind kind)
+// Whether another endpoint or connection may succeed. Errors of the caller and violations of the
+// contract would fail anywhere.
+bool maySucceedElsewhere(ErrorKind kind)
 {
     switch (kind) {
     case ErrorKind::Overloaded:
@@ -28,17 +28,19 @@
     }
 }
 
-bool thisMayHaveRun(const AttemptFailure &failure)
+bool failedAttemptMayHaveRun(const AttemptFailure &failure)
 {
     return failure.mayHaveLeft && !failure.provenNotRun && !failure.wasResume;
 }
 
-// A refused or unsent resume proves only that the resume did nothing; the run before it stands.
-bool anyMayHaveRun(const AttemptFailure &failure, const RequestTraits &traits)
+// A refused or unsent resume only proves that the resume had no effect; the run that it was to
+// resume may still have taken place.
+bool anyAttemptMayHaveRun(const AttemptFailure &failure, const RequestTraits &traits)
 {
     const bool hasOutput = failure.headForwarded || failure.tokensForwarded.value() > 0
         || failure.bytesForwarded.value() > 0;
-    return thisMayHaveRun(failure) || traits.earlierMayHaveRun || failure.wasResume || hasOutput;
+    return failedAttemptMayHaveRun(failure) || traits.earlierMayHaveRun || failure.wasResume
+        || hasOutput;
 }
 
 bool budgetsAllow(const Limits &limits, MonoTime now)
@@ -48,20 +50,20 @@
     return !limits.endpoint || limits.endpoint->available(now);
 }
 
-RetryAction wantedAction(const AttemptFailure &failure, const RequestTraits &traits,
-                         const Limits &limits)
+RetryAction preferredAction(const AttemptFailure &failure, const RequestTraits &traits,
+                            const Limits &limits)
 {
-    if (!mayGoBetterElsewhere(failure.kind))
+    if (!maySucceedElsewhere(failure.kind))
         return RetryAction::Fail;
 
-    // The stream's own run may still be there. A mismatched answer was another request's; an
-    // endpoint that proved that nothing ran has nothing to resume.
-    const bool runMayStand = failure.kind != ErrorKind::AnswerMismatch && !failure.provenNotRun
-        && (thisMayHaveRun(failure) || failure.wasResume);
-    if (traits.resumable && runMayStand && traits.resumes < limits.maxResumes)
+    // The run of the stream may still exist at the endpoint. It does not if the answer belonged to
+    // another request, or if the endpoint proved that nothing was run.
+    const bool runMayExist = failure.kind != ErrorKind::AnswerMismatch && !failure.provenNotRun
+        && (failedAttemptMayHaveRun(failure) || failure.wasResume);
+    if (traits.resumable && runMayExist && traits.resumes < limits.maxResumes)
         return RetryAction::ResumeSameEndpoint;
 
-    if (!traits.idempotent && anyMayHaveRun(failure, traits))
+    if (!traits.idempotent && anyAttemptMayHaveRun(failure, traits))
         return RetryAction::Fail;
     if (traits.attempts >= limits.maxAttempts)
         return RetryAction::Fail;
@@ -82,10 +84,10 @@
     RetryDecision decision{
         .from = failure.tokensForwarded,
         .kind = failure.kind,
-        .ran = anyMayHaveRun(failure, traits) ? Ran::Unknown : Ran::No,
+        .ran = anyAttemptMayHaveRun(failure, traits) ? Ran::Unknown : Ran::No,
     };
-    const RetryAction wanted = wantedAction(failure, traits, limits);
-    if (wanted == RetryAction::Fail)
+    const RetryAction action = preferredAction(failure, traits, limits);
+    if (action == RetryAction::Fail)
         return decision;
     if (!budgetsAllow(limits, now)) {
         decision.kind = ErrorKind::RetryBudgetSpent;
@@ -96,7 +98,7 @@
         decision.kind = ErrorKind::DeadlinePassed;
         return decision;
     }
-    decision.action = wanted;
+    decision.action = action;
     decision.wait = wait;
     return decision;
 }
--- a/src/libs/retry/retrydecision.h
+++ b/src/libs/retry/retrydecision.h
@@ -8,61 +8,60 @@
 
 namespace Lagoonbank::Retry {
 
-/// How one attempt ended badly.
+/// A failed attempt.
 struct AttemptFailure
 {
     Errors::ErrorKind kind = Errors::ErrorKind::Internal;
-    bool mayHaveLeft = true; ///< A byte of the request may have left this process.
-    bool provenNotRun = false; ///< The endpoint said itself that nothing ran.
-    bool headForwarded = false; ///< The caller has the answer's head: its status is fixed.
-    Base::Tokens tokensForwarded; ///< Tokens of the answer that the caller has.
-    Base::Bytes bytesForwarded; ///< Bytes of a plain answer's body that the caller has.
-    bool wasResume = false; ///< The attempt asked for the rest of a stream, not for a new run.
+    bool mayHaveLeft = true; ///< Part of the request may have been sent.
+    bool provenNotRun = false; ///< The endpoint reported that the request was not run.
+    bool headForwarded = false; ///< The caller has the answer's head; the status is final.
+    Base::Tokens tokensForwarded; ///< Tokens of a stream that have been sent to the caller.
+    Base::Bytes bytesForwarded; ///< Body bytes of a plain answer that have been sent to the caller.
+    bool wasResume = false; ///< The attempt tried to resume a stream, not to start a new run.
 };
 
-/// What is known of the request and of its earlier attempts.
+/// Properties of the request and the state of its earlier attempts.
 struct RequestTraits
 {
     bool idempotent = false;
-    bool resumable =
-        false; ///< Its answer is a stream with offsets that an endpoint can go on with.
-    bool earlierMayHaveRun = false; ///< An earlier attempt may have run.
-    int attempts = 1; ///< Runs tried so far, the failed one included; resumes don't count.
-    int resumes = 0; ///< Resumes tried so far.
+    bool resumable = false; ///< The answer is a stream that can be resumed from an offset.
+    bool earlierMayHaveRun = false; ///< An attempt before the failed one may have run.
+    int attempts = 1; ///< Attempts so far, including the failed one but without resumes.
+    int resumes = 0; ///< Attempts to resume so far.
     Deadline deadline;
 };
 
-/// What limits retries; the endpoint's budget is the one of the endpoint that would be asked next.
+/// Limits of retries. `endpoint` is the budget of the endpoint that would get the retry.
 struct Limits
 {
     const RetryBudget *workspace = nullptr;
     const RetryBudget *endpoint = nullptr;
     int maxAttempts = 3;
     int maxResumes = 3;
-    Base::Duration minimumAttemptTime =
-        std::chrono::milliseconds(1); ///< Less time left is no time.
+    /// Time that must remain for the attempt after the wait.
+    Base::Duration minimumAttemptTime = std::chrono::milliseconds(1);
 };
 
 enum class RetryAction {
-    RetryElsewhere, ///< A new run on another endpoint; the caller has nothing of the answer.
-    ResumeSameEndpoint, ///< The same run from an offset, over a new connection.
-    RestartElsewhere, ///< A new run on another endpoint from an offset.
-    Fail
+    RetryElsewhere, ///< Start a new run on another endpoint; the caller has received no output.
+    ResumeSameEndpoint, ///< Resume the run from an offset, over a new connection.
+    RestartElsewhere, ///< Start a new run on another endpoint; forward its output from an offset.
+    Fail ///< Report the failure to the caller.
 };
 
-/// What to do next. On Fail, `kind` and `ran` are what the caller is told.
+/// Next step after a failed attempt. On Fail, `kind` and `ran` are reported to the caller.
 struct RetryDecision
 {
     RetryAction action = RetryAction::Fail;
     Base::Duration wait{}; ///< Backoff before the next attempt.
-    Base::Tokens from; ///< First token that the caller does not have yet.
+    Base::Tokens from; ///< Offset of the first token that the caller has not received.
     Errors::ErrorKind kind = Errors::ErrorKind::Internal;
     Errors::Ran ran = Errors::Ran::Unknown;
 };
 
-/// Decides after a failed attempt. Changes nothing: whoever acts on it spends the budgets. A call
-/// that is not idempotent and may have run is never run again; its stream may be resumed, which
-/// runs nothing.
+/// Decides how to proceed after a failed attempt. Does not change the budgets; the caller spends
+/// them when it acts on the decision. A request that is not idempotent and may have run is never
+/// run again; its stream may be resumed, as that starts no new run.
 RetryDecision decide(const AttemptFailure &failure, const RequestTraits &traits,
                      const Limits &limits, const Backoff &backoff, Base::MonoTime now);
 
--- a/src/libs/routing/endpointtable.cpp
+++ b/src/libs/routing/endpointtable.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double smallestCapacity = 1e-6;
+constexpr double minimumCapacity = 1e-6;
 
 } // namespace
 
@@ -90,7 +90,7 @@
 
 void EndpointTable::setCapacity(EndpointIndex index, Base::WorkUnits capacity)
 {
-    const double value = std::max(capacity.value(), smallestCapacity);
+    const double value = std::max(capacity.value(), minimumCapacity);
     m_rows[index].info.capacity = Base::WorkUnits(value);
     m_hot[index].capacity = value;
 }
--- a/src/libs/routing/endpointtable.h
+++ b/src/libs/routing/endpointtable.h
@@ -12,32 +12,32 @@
 #include <string_view>
 #include <vector>
 
-/// The routing decision: which endpoint takes a request. Pure code; time is an argument.
+/// Chooses the endpoint of each request. Does no I/O and reads no clock; time is an argument.
 namespace Lagoonbank::Routing {
 
-/// Dense number of an endpoint within one EndpointTable; used again after a removal.
+/// Dense index of an endpoint within one EndpointTable; reused after a removal.
 using EndpointIndex = std::uint32_t;
-/// Dense number of a pool: all endpoints that serve one model or one plain service.
+/// Dense index of a pool: all endpoints that serve one model or one plain service.
 using PoolIndex = std::uint32_t;
 inline constexpr EndpointIndex noEndpoint = std::numeric_limits<EndpointIndex>::max();
 inline constexpr PoolIndex noPool = std::numeric_limits<PoolIndex>::max();
 
 enum class EndpointState : std::uint8_t {
     Live,
-    Leaving, ///< Finishes what it has; gets nothing new.
+    Leaving, ///< Drains: finishes its running requests and gets no new ones.
     Removed
 };
 
-/// What is known of an endpoint from configuration, membership and orders.
+/// Static data and state of an endpoint, from configuration, membership and orders.
 struct EndpointInfo
 {
     Base::EndpointId id;
-    std::string address; ///< IP number and port.
+    std::string address; ///< IP address and port.
     Base::DataCentreId dataCentre;
-    std::string pool; ///< Model or service that it serves; see modelPool() and servicePool().
-    Base::WorkUnits capacity{1.0}; ///< Work it takes at full speed; always above zero.
+    std::string pool; ///< Name of its pool; see modelPool() and servicePool().
+    Base::WorkUnits capacity{1.0}; ///< Work that it can process at full speed; above zero.
     EndpointState state = EndpointState::Live;
-    Base::MonoTime coldSince; ///< When its cache was last known to be empty.
+    Base::MonoTime coldSince; ///< Last time at which its cache was known to be empty.
 };
 
 std::string modelPool(const Base::ModelId &model);
@@ -45,12 +45,12 @@
 
 /// Endpoints of the region under dense indices, grouped into pools. The hash of an endpoint
 /// depends on its id alone, so that routers with different lists agree on every endpoint that
-/// both know.
+/// both lists contain.
 class EndpointTable
 {
 public:
-    /// Adds the endpoint or replaces what is known of it. An endpoint that moves to another pool
-    /// keeps its index.
+    /// Adds the endpoint or replaces its data. An endpoint that moves to another pool keeps its
+    /// index.
     EndpointIndex upsert(const EndpointInfo &info);
     /// Frees the index; returns false for an unknown id.
     bool remove(const Base::EndpointId &id);
@@ -59,7 +59,7 @@
     EndpointIndex findByHash(std::uint64_t hash) const;
     PoolIndex findPool(std::string_view pool) const;
 
-    /// One more than the highest index in use.
+    /// One more than the highest index ever in use; removed endpoints are included.
     std::size_t size() const { return m_rows.size(); }
     bool contains(EndpointIndex index) const
     {
@@ -75,7 +75,7 @@
     void setCapacity(EndpointIndex index, Base::WorkUnits capacity);
     void setColdSince(EndpointIndex index, Base::MonoTime at);
 
-    /// Members of a pool in no order; empty for noPool.
+    /// Members of a pool in unspecified order; empty for noPool.
     std::span<const EndpointIndex> members(PoolIndex pool) const;
 
 private:
--- a/src/libs/routing/fairshare.cpp
+++ b/src/libs/routing/fairshare.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr double leastWork = 1e-6;
-constexpr double leastWeight = 1e-6;
+constexpr double minimumWork = 1e-6;
+constexpr double minimumWeight = 1e-6;
 
-double virtualTime(const FairShare::Entry &entry)
+double virtualDuration(const FairShare::Entry &entry)
 {
-    return std::max(entry.work.value(), leastWork) / std::max(entry.weight, leastWeight);
+    return std::max(entry.work.value(), minimumWork) / std::max(entry.weight, minimumWeight);
 }
 
 } // namespace
@@ -24,9 +24,9 @@
     Level &level = m_levels[entry.priority];
     const auto [queue, isNew] = level.queues.try_emplace(workspace);
     if (isNew) {
-        const auto finishTimes = level.finishTimes.extract(workspace);
-        const double before = finishTimes.empty() ? 0 : finishTimes.mapped();
-        queue->second.startTime = std::max(level.currentTime, before);
+        const auto node = level.finishTimes.extract(workspace);
+        const double finishTime = node.empty() ? 0 : node.mapped();
+        queue->second.startTime = std::max(level.currentTime, finishTime);
     }
     std::deque<Entry> &entries = queue->second.entries;
     const auto isEarlier = [](const Entry &a, const Entry &b) { return a.deadline < b.deadline; };
@@ -59,7 +59,7 @@
     Level &level = m_levels.at(priority);
     WorkspaceQueue &queue = level.queues.at(workspace);
     level.currentTime = queue.startTime;
-    queue.startTime += virtualTime(queue.entries.front());
+    queue.startTime += virtualDuration(queue.entries.front());
     remove(*ticket);
     return ticket;
 }
@@ -87,16 +87,17 @@
     return found == m_waiting.end() ? 0 : found->second;
 }
 
-// The latest of the least urgent requests of the workspace that waits with most.
+// Evicts, from the workspace with the most waiting requests, the one with the latest deadline
+// among those of its least urgent priority.
 FairShare::Ticket FairShare::evict()
 {
-    const auto most =
+    const auto largest =
         std::max_element(m_waiting.begin(), m_waiting.end(), [](const auto &a, const auto &b) {
             if (a.second != b.second)
                 return a.second < b.second;
             return a.first.compare(b.first) < 0;
         });
-    const std::string workspace = most->first;
+    const std::string workspace = largest->first;
     for (auto level = m_levels.rbegin(); level != m_levels.rend(); ++level) {
         const auto queue = level->second.queues.find(workspace);
         if (queue == level->second.queues.end())
@@ -105,10 +106,11 @@
         remove(ticket);
         return ticket;
     }
-    return 0; // not reached: a workspace that waits has a lane
+    return 0; // not reached: a workspace with waiting requests has a queue
 }
 
-// What a workspace used ahead of the others stays charged until they have caught up.
+// Keeps the virtual finish time of a workspace that is ahead of the others, so that it can't reset
+// its charge by emptying its queue.
 void FairShare::eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator queue)
 {
     if (queue->second.startTime > level.currentTime)
--- a/src/libs/routing/fairshare.h
+++ b/src/libs/routing/fairshare.h
@@ -15,11 +15,11 @@
 
 namespace Lagoonbank::Routing {
 
-/// Says whose request goes next while endpoints are the bottleneck: the most urgent priority first
-/// and, within it, the workspace that has had the least work for its weight (start-time fair
-/// queueing), with its earliest deadline. A workspace that was away gets no credit for it. When it
-/// is full, the workspace that waits with most gives way, so that one that surges fills only what
-/// others leave.
+/// Bounded queue that orders waiting requests: by priority, then between workspaces by start-time
+/// fair queueing (the workspace with the least work served for its weight is next), then by
+/// deadline within a workspace. A workspace gets no credit for the time it had no waiting requests.
+/// A full queue evicts a request of the workspace with the most waiting requests, so that a
+/// workspace with a surge of requests only uses the slots that the others leave free.
 class FairShare
 {
 public:
@@ -27,29 +27,29 @@
 
     struct Entry
     {
-        Ticket ticket = 0; ///< The caller's name for the request; unique among those that wait.
+        Ticket ticket = 0; ///< Chosen by the caller; unique among the waiting requests.
         Base::WorkspaceId workspace;
         int priority = 0; ///< 0 is the most urgent.
-        Base::WorkUnits work{1}; ///< Expected work; at least a small positive number.
-        double weight = 1; ///< Of the workspace.
-        Base::MonoTime deadline{}; ///< Earlier ones go first within their workspace and priority.
+        Base::WorkUnits work{1}; ///< Expected work; values below 1e-6 count as 1e-6.
+        double weight = 1; ///< Share of the workspace relative to the others.
+        Base::MonoTime deadline{}; ///< Orders requests of the same workspace and priority.
     };
 
     explicit FairShare(std::size_t limit)
         : m_limit(limit)
     { }
 
-    /// For requests that come from now on.
+    /// Applies to requests that are pushed from now on; evicts none of the waiting ones.
     void setLimit(std::size_t limit) { m_limit = limit; }
 
-    /// Queues a request. Returns the one that has to give way if the queue was full: it may be this
-    /// one, and it did not run.
+    /// Queues a request. If the queue was full, returns the evicted request, which has not run; it
+    /// may be the new one.
     std::optional<Ticket> push(const Entry &entry);
-    /// The next request; nothing if none waits. It stays until pop().
+    /// The next request, which stays in the queue until pop(); no value if the queue is empty.
     std::optional<Ticket> front() const;
-    /// Takes the front out and charges its work to its workspace.
+    /// Removes the front and charges its work to its workspace.
     std::optional<Ticket> pop();
-    /// The caller left or its time is over. False if it does not wait.
+    /// Removes a request that was cancelled or has expired. Returns false if it is not queued.
     bool remove(Ticket ticket);
 
     std::size_t size() const { return m_locations.size(); }
@@ -59,21 +59,22 @@
     struct WorkspaceQueue
     {
         std::deque<Entry> entries;
-        double startTime = 0; // virtual time at which the front may go
+        double startTime = 0; // virtual start time of the first entry
     };
     struct Level
     {
-        std::map<std::string, WorkspaceQueue>
-            queues; // by workspace; ordered, so that ties fall the same way
-        double currentTime = 0; // virtual time
-        std::map<std::string, double> finishTimes; // of workspaces with no lane, if later than now
+        // By workspace; ordered, so that ties are broken deterministically.
+        std::map<std::string, WorkspaceQueue> queues;
+        double currentTime = 0; // current virtual time
+        // Virtual finish times of workspaces without a queue that lie after currentTime.
+        std::map<std::string, double> finishTimes;
     };
 
     Ticket evict();
     void eraseQueue(Level &level, std::map<std::string, WorkspaceQueue>::iterator queue);
 
     std::size_t m_limit;
-    std::map<int, Level> m_levels; // by priority; only those with entries or a history
+    std::map<int, Level> m_levels; // by priority; a level is created by its first request
     absl::flat_hash_map<Ticket, std::pair<int, std::string>> m_locations;
     absl::flat_hash_map<std::string, std::size_t> m_waiting;
 };
--- a/src/libs/routing/loadbound.h
+++ b/src/libs/routing/loadbound.h
@@ -12,32 +12,33 @@
     double capacity = 0.0;
 };
 
-/// Whether an endpoint may take more work. Two rules, both in units of work:
+/// Decides whether an endpoint may take another request. Two rules, both in units of work:
 ///
-/// - relative: before the request, the endpoint's load is under a multiple of its share of the
-///   pool's load with the request counted in. After it, the endpoint is over that multiple by at
-///   most this one request. As the multiple is at least 1, some candidate always meets the rule,
-///   also when the mean is zero.
-/// - absolute: with the request, the load stays within `maximumLoadFactor` times the capacity, less
-/// the
-///   reserve for ordinary priorities. An idle endpoint may take one request of any size.
+/// - relative: without the request, the endpoint's load is below a multiple of its share, by
+///   capacity, of the pool's load including the request. With the request, the load exceeds that
+///   multiple by at most this one request. As the multiple is at least 1, at least one candidate
+///   always meets the rule, even if the average load is zero.
+/// - absolute: with the request, the load is at most `maximumLoadFactor` times the capacity; the
+///   reserve is subtracted for ordinary priorities. An idle endpoint may take one request of any
+///   size.
 class LoadBound
 {
 public:
     struct Options
     {
-        /// c: for the chat's warm endpoint and for its home; at least 1.
+        /// Multiple for the chat's warm endpoint and its home endpoint; at least 1.
         double multiple = 1.25;
-        /// For any other endpoint; from 1 to `multiple`. What lies between the two is room for
-        /// the chats that live there.
+        /// Multiple for any other endpoint; from 1 to `multiple`. The difference is capacity
+        /// reserved for chats whose warm or home endpoint it is.
         double overflowMultiple = 1.1;
-        double maximumLoadFactor =
-            2.0; ///< Times the capacity; beyond it requests wait or are refused.
-        double reserve = 0.1; ///< Last part of the absolute bound, for urgent priorities only.
-        std::uint8_t urgentBelow = 1; ///< Priorities under this one may use the reserve.
+        /// Maximum load as a multiple of the capacity; beyond it, requests wait or are refused.
+        double maximumLoadFactor = 2.0;
+        /// Fraction of the absolute bound that only urgent priorities may use.
+        double reserve = 0.1;
+        std::uint8_t urgentBelow = 1; ///< Priorities below this value may use the reserve.
     };
 
-    /// Sets multiples that are out of range to the nearest that is in it.
+    /// Clamps multiples that are out of range.
     explicit LoadBound(Options options)
         : m_options(options)
     {
@@ -45,7 +46,7 @@
         m_options.overflowMultiple = std::clamp(options.overflowMultiple, 1.0, m_options.multiple);
     }
 
-    /// For the chat's warm endpoint or its home.
+    /// Whether the chat's warm or home endpoint may take the request.
     bool admitsPreferred(double load, double capacity, double work, const PoolTotals &totals,
                          std::uint8_t priority) const
     {
@@ -53,7 +54,7 @@
             && isWithinAbsoluteBound(load, capacity, work, priority);
     }
 
-    /// For any other endpoint.
+    /// Whether any other endpoint may take the request.
     bool admitsOverflow(double load, double capacity, double work, const PoolTotals &totals,
                         std::uint8_t priority) const
     {
@@ -61,7 +62,7 @@
             && isWithinAbsoluteBound(load, capacity, work, priority);
     }
 
-    /// Highest load per capacity that a request of this priority may bring about.
+    /// Maximum ratio of load to capacity that a request of this priority may cause.
     double maximumLoadFactor(std::uint8_t priority) const
     {
         if (priority < m_options.urgentBelow)
--- a/src/libs/routing/loadestimator.cpp
+++ b/src/libs/routing/loadestimator.cpp
@@ -121,8 +121,8 @@
         unattributed += weight * row.unattributed;
         capacity += weight * table.capacity(endpoint);
     }
-    // An endpoint that nothing fresh is known of is taken to be loaded like the others, so that
-    // lost reports neither draw work to it nor keep work away.
+    // An endpoint without a fresh report is assumed to have the average load of the others, so that
+    // lost reports neither attract work to it nor keep work away from it.
     const double mean = capacity > 0.0 ? std::max(unattributed, 0.0) / capacity : 0.0;
     for (EndpointIndex endpoint = 0; endpoint < m_rows.size(); ++endpoint) {
         Row &row = m_rows[endpoint];
@@ -148,8 +148,8 @@
 void LoadEstimator::update(EndpointIndex endpoint)
 {
     const Row &row = m_rows[endpoint];
-    const double beyond = m_arePeersComplete ? 0.0 : row.fadedUnattributed;
-    m_load[endpoint] = std::max(beyond + row.own.current() + row.peers.current(), 0.0);
+    const double unattributed = m_arePeersComplete ? 0.0 : row.fadedUnattributed;
+    m_load[endpoint] = std::max(unattributed + row.own.current() + row.peers.current(), 0.0);
 }
 
 double LoadEstimator::weightOf(const Row &row, Base::MonoTime now) const
--- a/src/libs/routing/loadestimator.h
+++ b/src/libs/routing/loadestimator.h
@@ -10,36 +10,37 @@
 
 namespace Lagoonbank::Routing {
 
-/// One load report of an endpoint as this router learnt it.
+/// One load report of an endpoint as this router received it.
 struct LoadReport
 {
-    Base::WorkUnits work; ///< Work taken on and not yet done, at the sample.
-    Base::MonoTime sampledAt; ///< On this router's clock: the time it came less its age.
-    Base::Incarnation incarnation; ///< Zero where the endpoint tells none.
+    Base::WorkUnits work; ///< Work accepted but not finished at the time of the sample.
+    Base::MonoTime sampledAt; ///< On this router's clock: time of receipt minus the report's age.
+    Base::Incarnation incarnation; ///< Zero if the endpoint reports none.
 };
 
-/// Work that this router sent; handed back when it is done. Of no effect once the endpoint has
-/// been reset, so that late ends of lost requests take nothing off the new ones.
+/// Handle for work that this router sent, passed back as the work progresses and ends. It has no
+/// effect once the endpoint has been reset, so that late ends of lost requests don't reduce the
+/// load of newer ones.
 struct SentWork
 {
     EndpointIndex endpoint = noEndpoint;
     std::uint32_t generation = 0;
-    double remaining = 0.0; ///< What still counts as in flight.
+    double remaining = 0.0; ///< Work that still counts as in flight.
 };
 
-/// Dense number of a peer router.
+/// Dense index of a peer router.
 using PeerIndex = std::uint32_t;
 
-/// Estimates the load of each endpoint between late reports: the last report, plus what this
-/// router and its peers have in flight there beyond what they had when the report was sampled.
+/// Estimates the load of each endpoint between delayed reports: the load in the last report, plus
+/// the change since its sample in the work that this router and its peers have in flight there.
 class LoadEstimator
 {
 public:
     struct Options
     {
-        /// Age at which a report starts to lose weight against the mean of the others.
+        /// Age from which a report loses weight in favour of the average load of the others.
         Base::Duration staleAfter = std::chrono::seconds(2);
-        /// Time from staleAfter until a report counts for nothing.
+        /// Time after staleAfter in which the weight of a report falls to zero.
         Base::Duration fadeTime = std::chrono::seconds(4);
     };
 
@@ -50,32 +51,32 @@
         : LoadEstimator(Options{})
     { }
 
-    /// Makes room for indices below `size`; new ones are idle.
+    /// Grows the tables to `size` endpoints; new ones are idle.
     void resize(std::size_t size);
-    /// The index stands for another endpoint, or the endpoint has lost all its work.
+    /// Clears the load when the index is reused for another endpoint or the endpoint has restarted.
     void reset(EndpointIndex endpoint);
 
-    /// Returns false for a report that is older than the one held or of an older incarnation.
-    /// A newer incarnation drops what was in flight before it.
+    /// Returns false for a report that is older than the current one or of an older incarnation.
+    /// A newer incarnation discards the work that was in flight before it.
     bool noteReport(EndpointIndex endpoint, const LoadReport &report, Base::MonoTime now);
-    /// Work of a request that is about to leave for the endpoint.
+    /// Adds the work of a request that is about to be sent to the endpoint.
     SentWork noteSent(EndpointIndex endpoint, Base::WorkUnits work, Base::MonoTime now);
-    /// A part of the work is done, such as tokens that have come.
+    /// Subtracts work that has been done, such as output tokens received.
     void noteProgress(SentWork *sent, Base::WorkUnits done, Base::MonoTime now);
-    /// All that is left is done or will never run.
+    /// Subtracts all remaining work, which is done or will never run.
     void noteEnded(SentWork *sent, Base::MonoTime now);
 
-    /// What a peer had in flight at the endpoint by its latest digest; replaces the former.
+    /// Sets the work that a peer has in flight at the endpoint according to its latest digest.
     void notePeerInFlight(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
                           Base::MonoTime now);
-    /// Whether peers' work in flight is known of all of them and fresh. All load comes from
-    /// routers, so that then it is the sum of their work and late reports add nothing.
-    /// False if it was so already.
+    /// Sets whether the work in flight is known and fresh for all peers. As all load comes from
+    /// routers, the load is then the sum of their work in flight, and endpoint reports are ignored.
+    /// Returns false if nothing changed.
     bool setPeersComplete(bool complete);
-    /// The peer is gone; what it had in flight no longer counts.
+    /// Removes a peer that is gone, and its work in flight.
     void removePeer(PeerIndex peer, Base::MonoTime now);
 
-    /// Fades old reports; to be called every 100 ms or so. Costs one pass over the endpoints.
+    /// Reduces the weight of old reports; to be called about every 100 ms. O(endpoints).
     void refresh(const EndpointTable &table, Base::MonoTime now);
 
     /// Estimated work at the endpoint; never negative.
@@ -86,7 +87,7 @@
     {
         return m_rows[endpoint].incarnation;
     }
-    /// Whether the endpoint has not been reset since this was sent.
+    /// Whether the endpoint has not been reset since the work was sent.
     bool isCurrent(const SentWork &sent) const
     {
         return sent.endpoint < m_rows.size() && m_rows[sent.endpoint].generation == sent.generation;
@@ -99,8 +100,8 @@
         WorkHistory own;
         WorkHistory peers;
         double reportedWork = 0.0;
-        double unattributed = 0.0; ///< Reported work that neither own nor peers' digests explain.
-        double fadedUnattributed = 0.0; ///< The unexplained part that still counts after fading.
+        double unattributed = 0.0; ///< Reported work of neither this router nor its peers.
+        double fadedUnattributed = 0.0; ///< `unattributed`, faded to the average of the others.
         Base::MonoTime sampledAt;
         Base::Incarnation incarnation;
         std::uint32_t generation = 0;
--- a/src/libs/routing/placementtable.cpp
+++ b/src/libs/routing/placementtable.cpp
@@ -23,7 +23,7 @@
 {
     Entry *entry = entryOf(chatHash);
     if (!entry) {
-        // Ages are differences, so that the use count may wrap round.
+        // Compares differences of use counts, so that the counter may wrap.
         Entry *set = setOf(chatHash);
         const auto older = [this](const Entry &a, const Entry &b) {
             if ((a.chat == 0) != (b.chat == 0))
@@ -32,8 +32,8 @@
         };
         entry = std::min_element(set, set + setSize, older);
     }
-    const auto most = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
-    const std::int64_t cached = std::clamp<std::int64_t>(placement.cached.value(), 0, most);
+    const auto maximum = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
+    const std::int64_t cached = std::clamp<std::int64_t>(placement.cached.value(), 0, maximum);
     *entry = {.chat = chatHash,
               .endpoint = placement.endpointHash,
               .cached = static_cast<std::uint32_t>(cached),
--- a/src/libs/routing/placementtable.h
+++ b/src/libs/routing/placementtable.h
@@ -8,26 +8,26 @@
 
 namespace Lagoonbank::Routing {
 
-/// Where a chat's prefix was last known to be cached.
+/// Endpoint where a chat's prefix was last known to be cached.
 struct Placement
 {
     std::uint64_t endpointHash = 0;
-    Base::Tokens cached; ///< Zero: known to be cached there no more.
+    Base::Tokens cached; ///< Number of cached tokens; zero after a known eviction.
 };
 
-/// Placements of the chats seen last. Holds a fixed number; the least lately used of a set of
-/// eight makes room. Of one chat at most one placement is kept.
+/// Set-associative LRU cache of the placements of recent chats, with sets of eight entries and a
+/// fixed size. Holds at most one placement per chat.
 class PlacementTable
 {
 public:
-    /// Room for at least `chats`, rounded up to a power of two.
+    /// Has capacity for at least `chats` placements, rounded up to a power of two.
     explicit PlacementTable(std::size_t chats);
 
     std::optional<Placement> find(std::uint64_t chatHash);
     void put(std::uint64_t chatHash, const Placement &placement);
     /// Drops the chat's placement if it is at this endpoint.
     void drop(std::uint64_t chatHash, std::uint64_t endpointHash);
-    /// Drops all placements at an endpoint that is gone or has lost its cache; one pass over all.
+    /// Drops all placements at an endpoint that is gone or has lost its cache. O(capacity).
     void dropEndpoint(std::uint64_t endpointHash);
 
     std::size_t capacity() const { return m_entries.size(); }
@@ -38,17 +38,17 @@
 
     struct Entry
     {
-        std::uint64_t chat = 0; ///< Zero: free.
+        std::uint64_t chat = 0; ///< Zero: the entry is free.
         std::uint64_t endpoint = 0;
         std::uint32_t cached = 0;
-        std::uint32_t usedAt = 0;
+        std::uint32_t usedAt = 0; ///< Value of m_use at the last use.
     };
 
     Entry *setOf(std::uint64_t chatHash);
     Entry *entryOf(std::uint64_t chatHash);
 
     std::vector<Entry> m_entries;
-    std::uint32_t m_use = 0;
+    std::uint32_t m_use = 0; ///< Number of uses so far; may wrap.
 };
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/placementtoken.cpp
+++ b/src/libs/routing/placementtoken.cpp
@@ -29,8 +29,8 @@
 constexpr std::size_t digestLength = 32;
 static_assert(rawLength % 3 == 0 && rawLength / 3 * 4 == PlacementToken::textLength);
 
-/// Clocks of routers may differ by so much.
-constexpr Base::Duration clockDifference = std::chrono::minutes(5);
+/// Maximum difference between the clocks of two routers.
+constexpr Base::Duration maximumClockSkew = std::chrono::minutes(5);
 
 using Raw = std::array<Byte, rawLength>;
 using Signature = std::array<Byte, signatureLength>;
@@ -104,7 +104,7 @@
 
 } // namespace
 
-/// One key, set up once so that a signature costs no set-up.
+/// HMAC context of one key, initialized once so that a signature needs no key set-up.
 class PlacementToken::Signer
 {
 public:
@@ -119,7 +119,7 @@
         const auto *bytes = reinterpret_cast<const Byte *>(key.data());
         if (!m_context || EVP_MAC_init(m_context, bytes, key.size(), params) != 1) {
             release();
-            throw std::runtime_error("HMAC-SHA256 is not to be had from the crypto library");
+            throw std::runtime_error("The crypto library does not provide HMAC-SHA256");
         }
     }
     ~Signer() { release(); }
@@ -180,8 +180,8 @@
     Raw raw{};
     raw[versionAt] = formatVersion;
     store(raw.data() + endpointAt, placement.endpointHash);
-    const auto most = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
-    const std::int64_t cached = std::clamp<std::int64_t>(placement.cached.value(), 0, most);
+    const auto maximum = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
+    const std::int64_t cached = std::clamp<std::int64_t>(placement.cached.value(), 0, maximum);
     store(raw.data() + cachedAt, static_cast<std::uint32_t>(cached));
     store(raw.data() + issuedAt, secondsOf(now));
     const Signature signature = m_current->sign(raw, chatHash);
@@ -197,12 +197,12 @@
     Raw raw{};
     if (!decode(text, &raw) || raw[versionAt] != formatVersion)
         return std::nullopt;
-    const bool genuine = (m_current && m_current->verify(raw, chatHash))
+    const bool verified = (m_current && m_current->verify(raw, chatHash))
         || (m_previous && m_previous->verify(raw, chatHash));
-    if (!genuine)
+    if (!verified)
         return std::nullopt;
     const Base::WallTime issued{std::chrono::seconds(load<std::uint32_t>(raw.data() + issuedAt))};
-    if (issued > now + clockDifference || now - issued > m_lifetime)
+    if (issued > now + maximumClockSkew || now - issued > m_lifetime)
         return std::nullopt;
     return Placement{.endpointHash = load<std::uint64_t>(raw.data() + endpointAt),
                      .cached = Base::Tokens(load<std::uint32_t>(raw.data() + cachedAt))};
--- a/src/libs/routing/placementtoken.h
+++ b/src/libs/routing/placementtoken.h
@@ -12,11 +12,11 @@
 
 namespace Lagoonbank::Routing {
 
-/// Writes and reads the opaque token by which a caller brings a chat's place back. A token is
-/// bound to its chat and signed with HMAC-SHA256, cut to 128 bits. What can't be verified is
-/// ignored, never an error: a token is a hint.
+/// Writes and reads the opaque token with which a caller passes a chat's placement back. A token
+/// is bound to its chat and signed with HMAC-SHA256, truncated to 128 bits. A token is only a hint:
+/// one that can't be verified is ignored and never causes an error.
 ///
-/// Text form: base64url, 48 characters, of version, key number, endpoint hash, cached tokens,
+/// Text form: 48 characters of base64url with version, padding bytes, endpoint hash, cached tokens,
 /// issue time and signature.
 class PlacementToken
 {
@@ -26,8 +26,8 @@
 
     struct Options
     {
-        std::string currentKey; ///< Signs and verifies.
-        std::string previousKey; ///< Verifies only, for rotation; may be empty.
+        std::string currentKey; ///< Signs and verifies tokens; empty: no tokens are written.
+        std::string previousKey; ///< Only verifies tokens, for key rotation; may be empty.
         Base::Duration lifetime = std::chrono::hours(24);
     };
 
@@ -36,7 +36,7 @@
     PlacementToken(PlacementToken &&) noexcept;
     PlacementToken &operator=(PlacementToken &&) noexcept;
 
-    /// False without a current key: no tokens are written then.
+    /// False without a current key; write() must not be called then.
     bool enabled() const;
     Text write(std::uint64_t chatHash, const Placement &placement, Base::WallTime now) const;
     std::optional<Placement> read(std::string_view text, std::uint64_t chatHash,
--- a/src/libs/routing/policy.h
+++ b/src/libs/routing/policy.h
@@ -6,17 +6,17 @@
 
 namespace Lagoonbank::Routing {
 
-/// How an endpoint is chosen.
+/// Method by which an endpoint is chosen. All but Bounded are baselines for comparisons.
 enum class Policy : std::uint8_t {
-    RoundRobin, ///< Each in turn; baseline.
-    LeastLoad, ///< The least estimated load of all; baseline.
-    TwoChoices, ///< The less loaded of two drawn at random; baseline.
-    Rendezvous, ///< Always the chat's first in weighted rendezvous order; baseline.
-    Bounded ///< The chat's warm or first endpoint whose load is under the bound.
+    RoundRobin, ///< Each endpoint in turn.
+    LeastLoad, ///< The endpoint with the lowest estimated load for its capacity.
+    TwoChoices, ///< The less loaded of two random endpoints.
+    Rendezvous, ///< The first in the chat's weighted rendezvous order, whatever its load.
+    Bounded ///< The chat's warm endpoint or the first in its order, if below the load bound.
 };
 
 std::string_view toString(Policy policy);
-/// Reads the names that settings use, such as "round-robin".
+/// Parses a name as used in settings, such as "round-robin".
 std::optional<Policy> policyFromName(std::string_view name);
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/rendezvous.cpp
+++ b/src/libs/routing/rendezvous.cpp
@@ -46,7 +46,7 @@
 
 double RendezvousCost::uniform(std::uint64_t endpointHash) const
 {
-    // 53 bits, in (0, 1].
+    // 53 random bits, scaled to (0, 1].
     constexpr int droppedBits = 11;
     constexpr double scale = 1.0 / 9007199254740992.0;
     return (static_cast<double>(mixHashes(m_chat, endpointHash) >> droppedBits) + 1.0) * scale;
--- a/src/libs/routing/rendezvous.h
+++ b/src/libs/routing/rendezvous.h
@@ -9,18 +9,18 @@
 
 namespace Lagoonbank::Routing {
 
-/// Hash of a name that is the same on every machine and in every version.
+/// Hash of a name; the same on every machine and in every version.
 std::uint64_t stableHash(std::string_view text);
 
 /// Hash of a chat; the same chat name in two workspaces gives two chats.
 std::uint64_t chatHash(const Base::WorkspaceId &workspace, const Base::ChatId &chat);
 
-/// The name under which engines know a chat, 16 hexadecimal digits, so that their cache events
-/// lead back to its hash and workspaces stay apart.
+/// Name of a chat in requests to engines: its hash as 16 hexadecimal digits. It separates chats of
+/// different workspaces, and maps cache events of the engines back to the hash.
 std::string chatName(std::uint64_t chatHash);
 std::optional<std::uint64_t> chatHashFromName(std::string_view name);
 
-/// Joins the hash of a chat with that of an endpoint; all output bits depend on all input bits.
+/// Combines the hashes of a chat and an endpoint; all output bits depend on all input bits.
 constexpr std::uint64_t mixHashes(std::uint64_t chat, std::uint64_t endpoint)
 {
     constexpr std::uint64_t firstMultiplier = 0xbf58476d1ce4e5b9ULL;
@@ -32,9 +32,9 @@
 }
 
 /// Weighted rendezvous order: an endpoint's cost for a chat is an exponential variate with rate
-/// `weight`, drawn from both hashes. The order of a chat is by rising cost. An endpoint comes
-/// first for a share of chats in proportion to its weight; a change of one endpoint moves only
-/// chats to or from it.
+/// `weight`, derived from both hashes. A chat's order of endpoints is by ascending cost; the first
+/// is its home endpoint. An endpoint is the home of a share of the chats in proportion to its
+/// weight; a change of one endpoint only moves chats to or from it.
 class RendezvousCost
 {
 public:
@@ -44,8 +44,8 @@
 
     double cost(std::uint64_t endpointHash, double weight) const;
 
-    /// Whether the endpoint's cost is under `best`, and if so writes it there. The logarithm is
-    /// taken only where the simple lower bound 1 - u <= -ln u leaves it open.
+    /// Returns whether the endpoint's cost is below `best`, and if so stores it there. Computes the
+    /// logarithm only if the lower bound 1 - u <= -ln u does not decide.
     bool improves(std::uint64_t endpointHash, double weight, double *best) const;
 
 private:
--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -105,7 +105,7 @@
 {
     const std::uint64_t hash = m_table.hash(endpoint);
     if (event.kind == CacheEvent::Kind::Evicted) {
-        // Kept as "not there", so that the caller's older token is not believed.
+        // Stored as a placement with zero tokens, which overrides the caller's older token.
         const std::optional<Placement> known = m_placements.find(event.chatHash);
         if (!known || known->endpointHash == hash)
             m_placements.put(event.chatHash, {.endpointHash = hash, .cached = Base::Tokens(0)});
@@ -132,9 +132,9 @@
     std::size_t count = 0;
     if (request.usesCache) {
         const std::optional<Placement> known = m_placements.find(request.chatHash);
-        const bool gone = known && token && known->cached.value() == 0
+        const bool evicted = known && token && known->cached.value() == 0
             && known->endpointHash == token->endpointHash;
-        if (token && !gone) {
+        if (token && !evicted) {
             const EndpointIndex endpoint = m_table.findByHash(token->endpointHash);
             warm[count++] = {.endpoint = endpoint, .cached = token->cached};
         }
--- a/src/libs/routing/router.h
+++ b/src/libs/routing/router.h
@@ -16,28 +16,28 @@
 
 namespace Lagoonbank::Routing {
 
-/// One change in an engine's prefix cache, as its event stream tells it.
+/// One event of an engine's prefix cache, received over its event stream.
 struct CacheEvent
 {
     enum class Kind : std::uint8_t { Stored, Evicted };
 
     Kind kind = Kind::Stored;
     std::uint64_t chatHash = 0;
-    Base::Tokens tokens;
+    Base::Tokens tokens; ///< Tokens cached; for Stored only.
 };
 
-/// A sent request, from choose() to its end.
+/// Handle for a sent request, from noteSent() until noteEnded() or noteCancelled().
 struct SentRequest
 {
     SentWork work;
-    bool trial = false;
+    bool trial = false; ///< Sent as a trial of a suspected endpoint.
 };
 
-/// All that one router knows of the endpoints, and its decisions. Joins the parts of this library;
-/// holds no request and no socket.
+/// State of all endpoints as one router sees it, and the choice of an endpoint for each request.
+/// Combines the classes of this library; owns neither requests nor sockets.
 ///
-/// The caller calls choose(), then noteSent() at once for what it sends, noteProgress() now and
-/// then, and noteEnded() or noteCancelled() once.
+/// Call choose(), then noteSent() at once if the request is sent, noteProgress() from time to time,
+/// and noteEnded() or noteCancelled() once.
 class Router
 {
 public:
@@ -49,15 +49,15 @@
         Suspicion::Options suspicion;
         SlowStart::Options slowStart;
         PlacementToken::Options tokens;
-        std::size_t placements = 65536; ///< Chats whose places are remembered.
+        std::size_t placements = 65536; ///< Number of chats whose placement is stored.
     };
 
-    /// How often refresh() is to be called.
+    /// Interval at which refresh() has to be called.
     static constexpr Base::Duration refreshInterval = std::chrono::milliseconds(100);
 
     explicit Router(const Options &options);
-    /// Another policy for decisions from now on; what is known of endpoints and chats stays, and so
-    /// do data centre, token keys and the number of placements.
+    /// Sets the options of selector, suspicion and slow start for later decisions. The state of
+    /// endpoints and chats and all other options stay.
     void setPolicy(const Options &options);
 
     // Endpoints.
@@ -66,8 +66,8 @@
     void setState(EndpointIndex endpoint, EndpointState state, Base::MonoTime now);
     const EndpointTable &endpoints() const { return m_table; }
 
-    // What is learnt of them.
-    /// `capacity` of zero leaves it as it is. Returns false for a report that came too late.
+    // Load and health of endpoints.
+    /// A `capacity` of zero keeps the current one. Returns false for an outdated report.
     bool noteReport(EndpointIndex endpoint, const LoadReport &report, Base::WorkUnits capacity,
                     Base::MonoTime now);
     void notePeerInFlight(PeerIndex peer, EndpointIndex endpoint, Base::WorkUnits inFlight,
@@ -75,26 +75,27 @@
     void removePeer(PeerIndex peer, Base::MonoTime now);
     /// See LoadEstimator::setPeersComplete().
     void setPeersComplete(bool complete);
-    /// A probe, or a peer's, has found the endpoint out of order.
+    /// Suspects the endpoint at once because a probe of this router or a peer has failed.
     void suspect(EndpointIndex endpoint, Base::MonoTime now);
     void noteCacheEvent(EndpointIndex endpoint, const CacheEvent &event);
-    /// The event stream had a gap: what is remembered of the endpoint may be wrong.
+    /// Drops the placements at the endpoint, which may be wrong after a gap in its event stream.
     void noteCacheGap(EndpointIndex endpoint);
-    /// Lets time take effect: old reports, slow start, trials. Every refreshInterval.
+    /// Updates what depends on the time: weight of reports, slow start, trials.
     void refresh(Base::MonoTime now);
 
     // Requests.
-    /// `token` is the place that the caller's token names, if any. Allocates nothing.
+    /// `token` is the placement from the caller's token, if any. Allocates no memory.
     Decision choose(const RouteRequest &request, const std::optional<Placement> &token);
     SentRequest noteSent(const Decision &decision, Base::MonoTime now);
     void noteProgress(SentRequest *sent, Base::WorkUnits done, Base::MonoTime now);
     void noteEnded(SentRequest *sent, ExchangeResult result, Base::MonoTime now);
-    /// Ended without telling of the endpoint's health, as when the caller left.
+    /// Ends a request without evidence of the endpoint's health, for example because the caller
+    /// disconnected.
     void noteCancelled(SentRequest *sent, Base::MonoTime now);
-    /// The endpoint has served the chat and now holds so many tokens of it.
+    /// Stores that the endpoint has served the chat and now caches `cached` tokens of it.
     Placement noteServed(std::uint64_t chatHash, EndpointIndex endpoint, Base::Tokens cached);
 
-    /// Work of one token of an answer.
+    /// Work of one output token.
     double outputWeight() const { return m_options.selector.outputWeight; }
     const PlacementToken &tokens() const { return m_tokens; }
     std::span<const Candidate> candidates() const { return m_candidates; }
--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -31,9 +31,9 @@
 
 Base::Tokens cachedAt(std::span<const WarmEndpoint> warm, EndpointIndex endpoint)
 {
-    for (const WarmEndpoint &place : warm) {
-        if (place.endpoint == endpoint)
-            return place.cached;
+    for (const WarmEndpoint &warmEndpoint : warm) {
+        if (warmEndpoint.endpoint == endpoint)
+            return warmEndpoint.cached;
     }
     return {};
 }
@@ -77,12 +77,12 @@
     return std::find(m_items.begin(), end, endpoint) != end;
 }
 
-/// The best endpoints met so far in one pass, by cost in the chat's order.
+/// The best endpoints found so far in a pass over the pool, by cost in the chat's order.
 struct Selector::Scan
 {
-    double homeCost = noCost; ///< Over all usable ones, whatever their load.
+    double homeCost = noCost; ///< Minimum over all usable endpoints, whatever their load.
     EndpointIndex home = noEndpoint;
-    double firstCost = noCost; ///< Over those under the bound.
+    double firstCost = noCost; ///< Minimum over the usable endpoints below the bound.
     EndpointIndex first = noEndpoint;
     double secondCost = noCost;
     EndpointIndex second = noEndpoint;
@@ -174,23 +174,23 @@
         return sendTo(request, scan.trial, {}, DecisionReason::Trial);
     if (scan.home == noEndpoint)
         return {};
-    const EndpointIndex taken = chooseCold(request, candidates, totals, scan);
-    if (taken == noEndpoint) {
+    const EndpointIndex chosen = chooseCold(request, candidates, totals, scan);
+    if (chosen == noEndpoint) {
         return {.outcome = Outcome::Wait,
                 .reason = DecisionReason::AllFull,
                 .refusal = Errors::ErrorKind::Overloaded};
     }
-    const bool left = !warm.empty() && warm.front().endpoint != taken;
+    const bool leavesWarm = !warm.empty() && warm.front().endpoint != chosen;
     const DecisionReason reason =
-        taken == scan.home && !left ? DecisionReason::Home : DecisionReason::Overflow;
-    return sendTo(request, taken, cachedAt(warm, taken), reason);
+        chosen == scan.home && !leavesWarm ? DecisionReason::Home : DecisionReason::Overflow;
+    return sendTo(request, chosen, cachedAt(warm, chosen), reason);
 }
 
 EndpointIndex Selector::chooseCold(const RouteRequest &request,
                                    std::span<const Candidate> candidates, const PoolTotals &totals,
                                    const Scan &scan) const
 {
-    // The prefix may well be cached at the home of a chat that brings no token.
+    // The prefix of a chat without a token is probably cached at its home endpoint.
     const Candidate &home = candidates[scan.home];
     const bool homeAdmits = m_bound.admitsPreferred(home.load, home.weight, workOf(request, {}),
                                                     totals, request.priority);
@@ -218,8 +218,8 @@
                 scan.trial = index;
             continue;
         }
-        // The second of those under the bound is no nearer than the home, so that one test with
-        // its cost rules out most endpoints.
+        // The home endpoint costs no more than the second endpoint below the bound, so that one
+        // comparison with the cost of the latter excludes most endpoints.
         double limit = scan.secondCost;
         if (!order.improves(candidate.hash, candidate.weight, &limit))
             continue;
@@ -239,18 +239,18 @@
                                    std::span<const WarmEndpoint> warm, const PoolTotals &totals,
                                    Base::Tokens *cached) const
 {
-    for (const WarmEndpoint &place : warm) {
-        if (place.endpoint >= candidates.size() || place.cached.value() <= 0)
+    for (const WarmEndpoint &warmEndpoint : warm) {
+        if (warmEndpoint.endpoint >= candidates.size() || warmEndpoint.cached.value() <= 0)
             continue;
-        const Candidate &candidate = candidates[place.endpoint];
-        if (!usable(candidate) || request.tried.contains(place.endpoint))
+        const Candidate &candidate = candidates[warmEndpoint.endpoint];
+        if (!usable(candidate) || request.tried.contains(warmEndpoint.endpoint))
             continue;
-        const double work = workOf(request, place.cached);
+        const double work = workOf(request, warmEndpoint.cached);
         if (!m_bound.admitsPreferred(candidate.load, candidate.weight, work, totals,
                                      request.priority))
             continue;
-        *cached = place.cached;
-        return place.endpoint;
+        *cached = warmEndpoint.cached;
+        return warmEndpoint.endpoint;
     }
     return noEndpoint;
 }
@@ -258,14 +258,15 @@
 bool Selector::shouldWaitForWarm(const RouteRequest &request, std::span<const Candidate> candidates,
                                  std::span<const WarmEndpoint> warm) const
 {
-    for (const WarmEndpoint &place : warm) {
-        if (place.endpoint >= candidates.size() || !usable(candidates[place.endpoint]))
+    for (const WarmEndpoint &warmEndpoint : warm) {
+        if (warmEndpoint.endpoint >= candidates.size()
+            || !usable(candidates[warmEndpoint.endpoint]))
             continue;
-        if (request.tried.contains(place.endpoint))
+        if (request.tried.contains(warmEndpoint.endpoint))
             continue;
-        const Base::Duration pays =
-            m_options.warmWaitPerThousandTokens * place.cached.value() / 1000;
-        if (request.waited < std::min(pays, m_options.maximumWarmWait))
+        const Base::Duration worthwhile =
+            m_options.warmWaitPerThousandTokens * warmEndpoint.cached.value() / 1000;
+        if (request.waited < std::min(worthwhile, m_options.maximumWarmWait))
             return true;
     }
     return false;
@@ -309,7 +310,7 @@
                                         std::span<const Candidate> candidates,
                                         std::span<const EndpointIndex> members)
 {
-    // The turn makes each request draw anew; the pair is the first two of the drawn order.
+    // The counter gives each decision a new random order, whose first two endpoints are the pair.
     const RendezvousCost order(mixHashes(request.chatHash, ++m_counter));
     Scan scan;
     for (const EndpointIndex index : members) {
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -12,12 +12,12 @@
 
 namespace Lagoonbank::Routing {
 
-/// What a decision reads of one endpoint, kept ready so that a scan touches little memory.
+/// The data of one endpoint that a decision needs; compact, so that a scan touches little memory.
 struct Candidate
 {
     enum class Use : std::uint8_t {
         No, ///< Leaving, removed or suspected.
-        Trial, ///< Suspected before; takes one repeatable request to find out.
+        Trial, ///< Suspected; may get one repeatable request that shows whether it has recovered.
         Yes
     };
 
@@ -28,20 +28,20 @@
     bool local = false; ///< In this router's data centre.
 };
 
-/// A place where the chat's prefix may be cached.
+/// An endpoint where the chat's prefix may be cached.
 struct WarmEndpoint
 {
     EndpointIndex endpoint = noEndpoint;
     Base::Tokens cached;
 };
 
-/// Endpoints that one request has been tried at and shall not be sent to again.
+/// Endpoints at which a request has been attempted and which must not get it again.
 class TriedEndpoints
 {
 public:
     static constexpr std::size_t limit = 8;
 
-    /// Returns false when the list is full; the request has then had tries enough.
+    /// Returns false if the list is full; the request must then not be attempted again.
     bool add(EndpointIndex endpoint);
     bool contains(EndpointIndex endpoint) const;
     std::size_t size() const { return m_count; }
@@ -51,37 +51,37 @@
     std::size_t m_count = 0;
 };
 
-/// One request, as far as the choice of its endpoint depends on it.
+/// The properties of a request that determine the choice of its endpoint.
 struct RouteRequest
 {
     PoolIndex pool = noPool;
-    std::uint64_t chatHash =
-        0; ///< Of workspace and chat; of the request id where no chat is named.
+    /// Hash of workspace and chat, or of the request id if the request names no chat.
+    std::uint64_t chatHash = 0;
     Base::Tokens promptTokens;
     Base::Tokens expectedOutput;
-    std::uint8_t priority = 1; ///< Zero is most urgent.
-    bool repeatable = true;
+    std::uint8_t priority = 1; ///< Zero is the most urgent.
+    bool repeatable = true; ///< May be run again after an attempt that may have run.
     bool usesCache = true; ///< False for plain services.
-    Base::Duration waited{}; ///< Since the first decision on the request.
+    Base::Duration waited{}; ///< Time since the first decision on the request.
     TriedEndpoints tried;
 };
 
 enum class Outcome : std::uint8_t {
     Send,
-    Wait, ///< To be queued, or refused as not run: all are at their bound, or the warm one is.
-    Refuse ///< No endpoint can take it at all.
+    Wait, ///< All endpoints or the warm one are at their bound: queue the request or refuse it.
+    Refuse ///< No endpoint is usable.
 };
 
-/// Why the endpoint was taken; for time lines and metrics.
+/// Reason of a decision; for time lines and metrics.
 enum class DecisionReason : std::uint8_t {
-    Warm, ///< The chat's prefix is thought to be cached there.
-    Home, ///< First in the chat's order.
-    Overflow, ///< Endpoints before it in the chat's order, or the warm one, were at their bound.
-    Trial, ///< First in the chat's order, and on trial after failures.
-    Baseline, ///< The policy looks at neither cache nor bound.
-    AllFull,
-    WarmFull, ///< The warm one is at its bound, and a short wait for it pays.
-    NoneUsable
+    Warm, ///< The chat's prefix is presumably cached at the endpoint.
+    Home, ///< The endpoint is the first in the chat's rendezvous order.
+    Overflow, ///< The warm endpoint, or the ones earlier in the chat's order, are at their bound.
+    Trial, ///< The endpoint is the first in the chat's order, and is suspected but due for a trial.
+    Baseline, ///< The policy considers neither cache nor load bound.
+    AllFull, ///< All usable endpoints are at their bound.
+    WarmFull, ///< The warm endpoint is at its bound, and a short wait costs less than a cache miss.
+    NoneUsable ///< All endpoints are leaving, suspected or already tried.
 };
 
 std::string_view toString(DecisionReason reason);
@@ -90,13 +90,13 @@
 {
     Outcome outcome = Outcome::Refuse;
     EndpointIndex endpoint = noEndpoint;
-    Base::Tokens expectedCached;
-    Base::WorkUnits work; ///< To be counted as sent.
+    Base::Tokens expectedCached; ///< Prompt tokens presumably cached at the endpoint.
+    Base::WorkUnits work; ///< Work that the request adds to the endpoint's load.
     DecisionReason reason = DecisionReason::NoneUsable;
-    Errors::ErrorKind refusal = Errors::ErrorKind::NoEndpoint; ///< If the outcome is not Send.
+    Errors::ErrorKind refusal = Errors::ErrorKind::NoEndpoint; ///< Only if the outcome is not Send.
 };
 
-/// Chooses among the candidates of one pool. Keeps no state but a counter for turns.
+/// Chooses an endpoint among the candidates of a pool. Its only state is a counter.
 class Selector
 {
 public:
@@ -104,13 +104,16 @@
     {
         Policy policy = Policy::Bounded;
         LoadBound::Options bound;
-        double outputWeight = 8.0; ///< Work of one output token against one of prompt.
-        bool localServices = true; ///< Services: this data centre first, others over its bound.
-        /// Bounded only: what finds no room at its warm endpoint or home, and any call of a
-        /// service, takes the less loaded of this many next endpoints; 1 or 2.
+        double outputWeight = 8.0; ///< Work of an output token relative to a prompt token.
+        /// Sends requests of services to other data centres only if no local endpoint is usable and
+        /// below its bound.
+        bool localServices = true;
+        /// Bounded only: number of next endpoints in the rendezvous order, 1 or 2, of which the
+        /// least loaded is chosen for requests of services and if the warm and home endpoints have
+        /// no free capacity.
         int overflowChoices = 2;
-        /// Bounded only: how long a request may wait for its warm endpoint, for each 1000 tokens
-        /// cached there, and at most; zero for never.
+        /// Bounded only: maximum wait for the warm endpoint, for each 1000 tokens cached there and
+        /// in total; zero: never wait.
         Base::Duration warmWaitPerThousandTokens = std::chrono::milliseconds(100);
         Base::Duration maximumWarmWait = std::chrono::milliseconds(300);
     };
@@ -120,12 +123,12 @@
         , m_bound(options.bound)
     { }
 
-    /// `candidates` is indexed by EndpointIndex, `members` are those of the request's pool,
-    /// `warm` the places to try first, best first. Allocates nothing.
+    /// `candidates` is indexed by EndpointIndex, `members` are the endpoints of the request's pool,
+    /// `warm` are the endpoints to prefer, best first. Allocates no memory.
     Decision choose(const RouteRequest &request, std::span<const Candidate> candidates,
                     std::span<const EndpointIndex> members, std::span<const WarmEndpoint> warm);
 
-    /// Work of the request where `cached` tokens of its prompt need no prefill.
+    /// Work of the request if `cached` tokens of its prompt need no prefill.
     double workOf(const RouteRequest &request, Base::Tokens cached) const;
     const Options &options() const { return m_options; }
     void setOptions(const Options &options)
--- a/src/libs/routing/slowstart.h
+++ b/src/libs/routing/slowstart.h
@@ -7,14 +7,14 @@
 
 namespace Lagoonbank::Routing {
 
-/// The share of its capacity that an endpoint is given while its cache is cold. It rises in
-/// steps, so that few chats change their home at each.
+/// Share of its capacity that an endpoint may use during warm-up, while its cache is cold. The
+/// share rises in steps, each of which changes the home endpoint of only a few chats.
 class SlowStart
 {
 public:
     struct Options
     {
-        Base::Duration rampTime = std::chrono::seconds(30); ///< Zero: whole share at once.
+        Base::Duration rampTime = std::chrono::seconds(30); ///< Warm-up time; zero: none.
         double initialShare = 0.1;
         int steps = 16;
     };
--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint8_t highestLevel = 16;
+constexpr std::uint8_t maximumLevel = 16;
 
 } // namespace
 
@@ -64,7 +64,7 @@
 {
     switch (row.state) {
     case State::Suspected:
-        return; // Sent before the endpoint was suspected: known already.
+        return; // A failure of a request sent before the endpoint was suspected adds no evidence.
     case State::OnTrial:
         enterSuspected(row, now);
         return;
@@ -80,7 +80,7 @@
 {
     row.failures = 0;
     if (row.state != State::OnTrial)
-        return; // While suspected, an answer to an old request proves little: the trial decides.
+        return; // While suspected, an answer to an old request is weak evidence; only trials count.
     row.trialInFlight = false;
     ++row.successes;
     if (row.successes < m_options.trialsToRecover)
@@ -93,15 +93,15 @@
 void Suspicion::enterSuspected(Row &row, Base::MonoTime now)
 {
     const bool first = row.level == 0;
-    const bool wellForLong =
+    const bool wasStable =
         row.state == State::Healthy && now - row.healthySince >= m_options.backoffResetAfter;
-    if (first || wellForLong)
+    if (first || wasStable)
         row.level = 1;
     else
-        row.level = std::min<std::uint8_t>(row.level + 1, highestLevel);
-    const Base::Duration wait = m_options.initialBackoff * (std::int64_t{1} << (row.level - 1));
+        row.level = std::min<std::uint8_t>(row.level + 1, maximumLevel);
+    const Base::Duration backoff = m_options.initialBackoff * (std::int64_t{1} << (row.level - 1));
     row.suspectedSince = now;
-    row.trialsFrom = now + std::min(wait, m_options.maximumBackoff);
+    row.trialsFrom = now + std::min(backoff, m_options.maximumBackoff);
     row.state = State::Suspected;
     row.failures = 0;
     row.successes = 0;
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -8,29 +8,31 @@
 
 namespace Lagoonbank::Routing {
 
-/// How an exchange or a probe with an endpoint ended, as far as it tells of the endpoint's health.
+/// Result of an exchange or probe with an endpoint as evidence of the endpoint's health.
 enum class ExchangeResult : std::uint8_t {
-    Answered, ///< Any whole answer, a proven refusal as not run included.
-    Broke, ///< Broken off, or silent past its progress deadline.
-    Unreachable ///< No connection.
+    Answered, ///< Any complete answer, including a refusal that proves that nothing was run.
+    Broke, ///< The connection broke, or no progress was made before the progress deadline.
+    Unreachable ///< No connection could be established.
 };
 
-/// Keeps endpoints that fail away from new work. An endpoint is suspected after failures in a row;
-/// after a while, which doubles while failures go on, one trial request at a time finds out
-/// whether it is back. An endpoint that flaps keeps the long wait until it has been well for long.
+/// Detects failing endpoints, so that they get no new requests. An endpoint is suspected after a
+/// number of consecutive failures. After a backoff, which doubles with each further failure, it
+/// gets one trial request at a time until enough trials have succeeded. The backoff of a flapping
+/// endpoint is reset only after the endpoint has been healthy for some time.
 class Suspicion
 {
 public:
     struct Options
     {
-        int breaksToSuspect = 3; ///< In a row.
-        int unreachableToSuspect = 2; ///< In a row.
+        int breaksToSuspect = 3; ///< Consecutive failures, if the last one is Broke.
+        int unreachableToSuspect = 2; ///< Consecutive failures, if the last one is Unreachable.
         Base::Duration initialBackoff = std::chrono::seconds(1);
         Base::Duration maximumBackoff = std::chrono::seconds(30);
-        int trialsToRecover = 2; ///< Whole answers in a row.
-        Base::Duration trialTimeout = std::chrono::seconds(30); ///< A trial not heard of since.
-        Base::Duration backoffResetAfter =
-            std::chrono::seconds(60); ///< Well for so long: wait is short.
+        int trialsToRecover = 2; ///< Consecutive successful trials.
+        /// Time after which a trial without a result no longer blocks the next one.
+        Base::Duration trialTimeout = std::chrono::seconds(30);
+        /// Healthy time after which the next backoff is the initial one again.
+        Base::Duration backoffResetAfter = std::chrono::seconds(60);
     };
 
     enum class State : std::uint8_t { Healthy, Suspected, OnTrial };
@@ -39,21 +41,21 @@
         : m_options(options)
     { }
 
-    /// For decisions from now on; what is known of the endpoints stays.
+    /// Applies to later results; the states of the endpoints stay.
     void setOptions(const Options &options) { m_options = options; }
     void resize(std::size_t size);
     void reset(EndpointIndex endpoint) { m_rows[endpoint] = {}; }
 
     void noteResult(EndpointIndex endpoint, ExchangeResult result, Base::MonoTime now);
-    /// A request has been sent as a trial.
+    /// Records that a request has been sent as a trial.
     void noteTrialSent(EndpointIndex endpoint, Base::MonoTime now);
-    /// A trial ended without telling anything, as when the caller left.
+    /// Records that a trial ended without a result, for example because the caller disconnected.
     void noteTrialCancelled(EndpointIndex endpoint);
-    /// Another, such as a probe, has found the endpoint out of order.
+    /// Suspects the endpoint at once on external evidence, such as a failed probe.
     void suspect(EndpointIndex endpoint, Base::MonoTime now);
 
     State state(EndpointIndex endpoint) const { return m_rows[endpoint].state; }
-    /// When the endpoint was suspected last.
+    /// Time at which the endpoint was last suspected.
     Base::MonoTime suspectedSince(EndpointIndex endpoint) const
     {
         return m_rows[endpoint].suspectedSince;
@@ -65,12 +67,13 @@
     struct Row
     {
         State state = State::Healthy;
-        std::uint8_t failures = 0; ///< In a row; while trusted.
-        std::uint8_t successes = 0; ///< Trials in a row.
-        std::uint8_t level = 0; ///< How often the wait has been doubled.
+        std::uint8_t failures = 0; ///< Consecutive failures while healthy.
+        std::uint8_t successes = 0; ///< Consecutive successful trials.
+        /// The backoff is initialBackoff * 2^(level - 1); zero: never suspected.
+        std::uint8_t level = 0;
         bool trialInFlight = false;
         Base::MonoTime suspectedSince;
-        Base::MonoTime trialsFrom; ///< While suspected: when trials begin.
+        Base::MonoTime trialsFrom; ///< While suspected: end of the backoff.
         Base::MonoTime trialSentAt;
         Base::MonoTime healthySince;
     };
--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double paceGain = 0.2;
-constexpr Base::Duration shortestGap = std::chrono::milliseconds(1);
+constexpr double popRateGain = 0.2;
+constexpr Base::Duration minimumGap = std::chrono::milliseconds(1);
 
 } // namespace
 
@@ -31,21 +31,21 @@
         return Errors::ErrorKind::DeadlinePassed;
     if (m_options.limit == 0)
         return Errors::ErrorKind::QueueFull;
-    const std::optional<Ticket> loser = m_order.push({.ticket = entry.ticket,
-                                                      .workspace = entry.workspace,
-                                                      .priority = entry.priority,
-                                                      .work = entry.work,
-                                                      .deadline = entry.deadline});
-    if (loser == entry.ticket)
+    const std::optional<Ticket> evicted = m_order.push({.ticket = entry.ticket,
+                                                        .workspace = entry.workspace,
+                                                        .priority = entry.priority,
+                                                        .work = entry.work,
+                                                        .deadline = entry.deadline});
+    if (evicted == entry.ticket)
         return Errors::ErrorKind::QueueFull;
     m_items.push_back({.ticket = entry.ticket,
                        .deadline = entry.deadline,
                        .expiresAt = std::min(entry.deadline, now + m_options.maximumWait)});
-    if (!loser)
+    if (!evicted)
         return std::nullopt;
-    removeItem(*loser);
+    removeItem(*evicted);
     if (requestRejected)
-        requestRejected(*loser, Errors::ErrorKind::QueueFull);
+        requestRejected(*evicted, Errors::ErrorKind::QueueFull);
     return std::nullopt;
 }
 
@@ -59,9 +59,9 @@
     if (const std::optional<Ticket> ticket = m_order.pop())
         removeItem(*ticket);
     if (m_lastPop) {
-        const Base::Duration gap = std::max(now - *m_lastPop, shortestGap);
-        const double pace = 1.0 / Base::toSeconds(gap);
-        m_popRate = m_popRate > 0.0 ? m_popRate + paceGain * (pace - m_popRate) : pace;
+        const Base::Duration gap = std::max(now - *m_lastPop, minimumGap);
+        const double rate = 1.0 / Base::toSeconds(gap);
+        m_popRate = m_popRate > 0.0 ? m_popRate + popRateGain * (rate - m_popRate) : rate;
     }
     m_lastPop = now;
 }
@@ -80,17 +80,17 @@
 void WaitQueue::expire(Base::MonoTime now)
 {
     for (;;) {
-        const auto over = std::find_if(m_items.begin(), m_items.end(),
-                                       [&](const Item &item) { return item.expiresAt <= now; });
-        if (over == m_items.end())
+        const auto expired = std::find_if(m_items.begin(), m_items.end(),
+                                          [&](const Item &item) { return item.expiresAt <= now; });
+        if (expired == m_items.end())
             return;
-        const Item item = *over;
+        const Item item = *expired;
         remove(item.ticket);
-        const bool isLate = item.deadline <= now;
+        const bool isDeadlinePassed = item.deadline <= now;
         if (requestRejected) {
             requestRejected(item.ticket,
-                            isLate ? Errors::ErrorKind::DeadlinePassed
-                                   : Errors::ErrorKind::Overloaded);
+                            isDeadlinePassed ? Errors::ErrorKind::DeadlinePassed
+                                             : Errors::ErrorKind::Overloaded);
         }
     }
 }
@@ -107,15 +107,15 @@
 
 Base::Duration WaitQueue::retryAfter(Base::MonoTime now) const
 {
-    // The pace fades while nothing moves: n seconds without a pop mean at most 1/n a second.
-    double pace = m_popRate;
+    // Without pops the rate decays: n seconds without one mean a rate of at most 1/n.
+    double rate = m_popRate;
     if (m_lastPop && now > *m_lastPop)
-        pace = std::min(pace, 1.0 / Base::toSeconds(now - *m_lastPop));
-    if (pace <= 0.0 || !m_lastPop)
+        rate = std::min(rate, 1.0 / Base::toSeconds(now - *m_lastPop));
+    if (rate <= 0.0 || !m_lastPop)
         return m_items.empty() ? m_options.minimumRetryAfter : m_options.maximumRetryAfter;
-    const double seconds = std::ceil(static_cast<double>(m_items.size() + 1) / pace);
-    const double most = Base::toSeconds(m_options.maximumRetryAfter);
-    return std::max(Base::fromSeconds(std::min(seconds, most)), m_options.minimumRetryAfter);
+    const double seconds = std::ceil(static_cast<double>(m_items.size() + 1) / rate);
+    const double maximum = Base::toSeconds(m_options.maximumRetryAfter);
+    return std::max(Base::fromSeconds(std::min(seconds, maximum)), m_options.minimumRetryAfter);
 }
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -12,57 +12,58 @@
 
 namespace Lagoonbank::Routing {
 
-/// Requests that wait for an endpoint under its bound: few, by priority, then fairly between
-/// workspaces, by deadline within one. All that is given up on is told at once through
-/// `requestRejected`, as not run.
+/// Bounded queue of requests that wait for an endpoint below its load bound. Ordered by priority,
+/// then fairly between workspaces, then by deadline. Evicted and expired requests are reported
+/// through `requestRejected` and have not run.
 class WaitQueue
 {
 public:
     struct Options
     {
-        std::size_t limit = 64;
+        std::size_t limit = 64; ///< Maximum number of waiting requests.
         Base::Duration maximumWait = std::chrono::seconds(2);
-        Base::Duration minimumRetryAfter = std::chrono::seconds(1);
+        Base::Duration minimumRetryAfter = std::chrono::seconds(1); ///< Bounds of retryAfter().
         Base::Duration maximumRetryAfter = std::chrono::seconds(30);
     };
 
-    /// The caller's name for a request that waits.
+    /// Identifies a waiting request; chosen by the caller.
     using Ticket = std::uint64_t;
 
     struct Entry
     {
         Ticket ticket = 0;
-        std::uint8_t priority = 1; ///< Zero is most urgent.
-        Base::MonoTime deadline; ///< Of the whole request.
+        std::uint8_t priority = 1; ///< Zero is the most urgent.
+        Base::MonoTime deadline; ///< Deadline of the request as a whole, including its run.
         Base::WorkspaceId workspace;
-        Base::WorkUnits work{1}; ///< Expected work, which counts towards the workspace's share.
+        Base::WorkUnits work{1}; ///< Expected work; counts towards the workspace's share.
     };
 
     explicit WaitQueue(Options options);
 
-    /// For requests that come from now on.
+    /// Applies to requests that are pushed from now on.
     void setOptions(const Options &options);
 
-    /// A request is given up on; it did not run.
+    /// Called when a waiting request, which has not run, is evicted or has expired.
     std::function<void(Ticket, Errors::ErrorKind)> requestRejected;
 
-    /// Queues the request, or returns why not. A full queue gives up on the least urgent request of
-    /// the workspace that waits with most, be it the new one or one that waits.
+    /// Queues the request; returns an error if it was rejected. A full queue rejects the least
+    /// urgent request of the workspace with the most waiting requests, which may be the new one.
     std::optional<Errors::ErrorKind> push(const Entry &entry, Base::MonoTime now);
-    /// The request to try next; nothing if none waits. It stays until pop().
+    /// The next request to place, which stays in the queue until pop(); no value if the queue is
+    /// empty.
     std::optional<Ticket> front() const;
-    /// The front has found an endpoint.
+    /// Removes the front, which has been placed.
     void pop(Base::MonoTime now);
-    /// The caller left.
+    /// Removes a cancelled request; returns false if it is not queued.
     bool remove(Ticket ticket);
-    /// Gives up on all whose time is over.
+    /// Rejects all requests whose maximum wait or deadline has passed.
     void expire(Base::MonoTime now);
 
     std::size_t size() const { return m_items.size(); }
-    /// When the next one's time is over.
+    /// Time at which the next request expires; no value if the queue is empty.
     std::optional<Base::MonoTime> nextExpiry() const;
-    /// When a refused request had better come back, from the pace at which the queue has moved
-    /// lately; whole seconds.
+    /// Delay after which the caller of a rejected request should retry, estimated from the recent
+    /// rate of pops; in whole seconds.
     Base::Duration retryAfter(Base::MonoTime now) const;
 
 private:
@@ -77,8 +78,8 @@
 
     Options m_options;
     FairShare m_order;
-    std::vector<Item> m_items; ///< By arrival.
-    double m_popRate = 0.0; ///< Pops a second, smoothed.
+    std::vector<Item> m_items; ///< In order of arrival.
+    double m_popRate = 0.0; ///< Exponentially weighted moving average of pops per second.
     std::optional<Base::MonoTime> m_lastPop;
 };
 
--- a/src/libs/routing/workhistory.h
+++ b/src/libs/routing/workhistory.h
@@ -7,8 +7,8 @@
 
 namespace Lagoonbank::Routing {
 
-/// The course of one amount of work over the last two seconds or so, in slots of fixed length,
-/// so that it can be told how much it has changed since a load report was taken.
+/// Time series of an amount of work over about the last two seconds, in slots of fixed length. It
+/// gives the change since a load report was sampled.
 class WorkHistory
 {
 public:
@@ -19,9 +19,9 @@
     void set(double work, Base::MonoTime now);
     void add(double work, Base::MonoTime now) { set(m_current + work, now); }
     /// The amount at `time`, interpolated within its slot; for times before the oldest slot, the
-    /// oldest known.
+    /// amount at the end of that slot.
     double at(Base::MonoTime time) const;
-    /// Forgets the course; the amount is zero from the start on.
+    /// Resets the amount to zero and discards its history.
     void clear();
 
 private:
@@ -29,7 +29,7 @@
     double endOf(std::int64_t slot) const;
 
     double m_current = 0.0;
-    std::int64_t m_slot = -1; ///< Slot of the newest entry; -1 before the first change.
+    std::int64_t m_slot = -1; ///< Slot of the last change; -1 before the first change.
     std::array<float, slotCount> m_atEnd{}; ///< Amount at the end of each past slot.
 };
 
--- a/tests/auto/retry/tst_retrydecision.cpp
+++ b/tests/auto/retry/tst_retrydecision.cpp
@@ -27,19 +27,19 @@
 {
     AttemptFailure failure;
     RequestTraits traits;
-    bool workspaceHas = true;
-    bool endpointHas = true;
+    bool workspaceHasBudget = true;
+    bool endpointHasBudget = true;
 };
 
 RetryDecision decideFor(const Inputs &in)
 {
     return decide(in.failure, in.traits,
-                  {.workspace = in.workspaceHas ? &full : &spent,
-                   .endpoint = in.endpointHas ? &full : &spent},
+                  {.workspace = in.workspaceHasBudget ? &full : &spent,
+                   .endpoint = in.endpointHasBudget ? &full : &spent},
                   noWait(), start);
 }
 
-// Every combination of the inputs; the ones that cannot happen are visited too.
+// Visits every combination of the inputs, including impossible ones.
 void forEveryInput(const std::function<void(const Inputs &)> &visit)
 {
     for (const ErrorRow &row : errorTable()) {
@@ -56,8 +56,8 @@
             in.traits.idempotent = bit(6);
             in.traits.resumable = bit(7);
             in.traits.earlierMayHaveRun = bit(8);
-            in.workspaceHas = bit(9);
-            in.endpointHas = bit(10);
+            in.workspaceHasBudget = bit(9);
+            in.endpointHasBudget = bit(10);
             for (const int attempts : {1, 3}) {
                 for (const int resumes : {0, 3}) {
                     for (const Duration left : {Duration(1s), Duration(1ms)}) {
@@ -82,38 +82,38 @@
 BOOST_AUTO_TEST_CASE(neverRerunsNonIdempotentRequestThatMayHaveRun)
 {
     int newRuns = 0;
-    int broken = 0;
+    int violations = 0;
     forEveryInput([&](const Inputs &in) {
-        const bool safe = !in.failure.mayHaveLeft || in.failure.provenNotRun;
-        const bool nothingBefore = !in.traits.earlierMayHaveRun && !in.failure.wasResume;
+        const bool didNotRun = !in.failure.mayHaveLeft || in.failure.provenNotRun;
+        const bool noEarlierRun = !in.traits.earlierMayHaveRun && !in.failure.wasResume;
         if (!isNewRun(decideFor(in).action))
             return;
         ++newRuns;
-        if (!in.traits.idempotent && !(safe && nothingBefore))
-            ++broken;
+        if (!in.traits.idempotent && !(didNotRun && noEarlierRun))
+            ++violations;
     });
     BOOST_TEST(newRuns > 0);
-    BOOST_TEST(broken == 0);
+    BOOST_TEST(violations == 0);
 }
 
 BOOST_AUTO_TEST_CASE(reportsNotRunOnlyIfNoAttemptMayHaveRun)
 {
-    int wrong = 0;
+    int violations = 0;
     forEveryInput([&](const Inputs &in) {
         const RetryDecision decision = decideFor(in);
         if (decision.action != RetryAction::Fail || decision.ran != Ran::No)
             return;
-        const bool thisSafe = !in.failure.mayHaveLeft || in.failure.provenNotRun;
-        if (!thisSafe || in.failure.wasResume || in.traits.earlierMayHaveRun
+        const bool didNotRun = !in.failure.mayHaveLeft || in.failure.provenNotRun;
+        if (!didNotRun || in.failure.wasResume || in.traits.earlierMayHaveRun
             || in.failure.tokensForwarded.value() > 0)
-            ++wrong;
+            ++violations;
     });
-    BOOST_TEST(wrong == 0);
+    BOOST_TEST(violations == 0);
 }
 
 BOOST_AUTO_TEST_CASE(neverForwardsOutputTwice)
 {
-    int wrong = 0;
+    int violations = 0;
     forEveryInput([&](const Inputs &in) {
         const RetryDecision decision = decideFor(in);
         if (decision.action == RetryAction::Fail)
@@ -121,18 +121,18 @@
         const bool hasTokens = in.failure.tokensForwarded.value() > 0;
         const bool hasBytes = in.failure.bytesForwarded.value() > 0;
         if (decision.from != in.failure.tokensForwarded)
-            ++wrong;
+            ++violations;
         if (decision.action == RetryAction::RetryElsewhere && (hasTokens || hasBytes))
-            ++wrong;
+            ++violations;
         if ((hasTokens || hasBytes) && !in.traits.resumable)
-            ++wrong;
+            ++violations;
     });
-    BOOST_TEST(wrong == 0);
+    BOOST_TEST(violations == 0);
 }
 
 BOOST_AUTO_TEST_CASE(limitsApplyToEveryAttempt)
 {
-    int wrong = 0;
+    int violations = 0;
     forEveryInput([&](const Inputs &in) {
         const RetryDecision decision = decideFor(in);
         if (decision.action == RetryAction::Fail)
@@ -140,10 +140,10 @@
         const bool inTime = in.traits.deadline.leavesTime(start, decision.wait, 1ms);
         const bool isResume = decision.action == RetryAction::ResumeSameEndpoint;
         const bool underCount = isResume ? in.traits.resumes < 3 : in.traits.attempts < 3;
-        if (!in.workspaceHas || !in.endpointHas || !inTime || !underCount)
-            ++wrong;
+        if (!in.workspaceHasBudget || !in.endpointHasBudget || !inTime || !underCount)
+            ++violations;
     });
-    BOOST_TEST(wrong == 0);
+    BOOST_TEST(violations == 0);
 }
 
 BOOST_AUTO_TEST_CASE(usualFailures)
@@ -161,17 +161,17 @@
     const Deadline inTime{.at = start + 1s};
     const RequestTraits model{.idempotent = true, .resumable = true, .deadline = inTime};
     const RequestTraits once{.idempotent = false, .resumable = false, .deadline = inTime};
-    RequestTraits resumedOut = model;
-    resumedOut.resumes = 3;
-    RequestTraits triedOut = model;
-    triedOut.attempts = 3;
-    RequestTraits late = model;
-    late.deadline.at = start + 2ms;
-    RequestTraits onceStream = once;
-    onceStream.resumable = true;
+    RequestTraits resumesUsedUp = model;
+    resumesUsedUp.resumes = 3;
+    RequestTraits attemptsUsedUp = model;
+    attemptsUsedUp.attempts = 3;
+    RequestTraits nearDeadline = model;
+    nearDeadline.deadline.at = start + 2ms;
+    RequestTraits nonIdempotentStream = once;
+    nonIdempotentStream.resumable = true;
 
     const Row rows[] = {
-        {"connect refused",
+        {"connection refused",
          {.kind = EndpointUnreachable, .mayHaveLeft = false},
          once,
          RetryAction::RetryElsewhere,
@@ -183,13 +183,13 @@
          RetryAction::RetryElsewhere,
          EndpointRefused,
          Ran::No},
-        {"booking timed out",
+        {"non-idempotent request timed out",
          {.kind = EndpointTimeout},
          once,
          RetryAction::Fail,
          EndpointTimeout,
          Ran::Unknown},
-        {"booking's connection broke",
+        {"connection of non-idempotent request broke",
          {.kind = EndpointBroke},
          once,
          RetryAction::Fail,
@@ -201,7 +201,7 @@
          RetryAction::ResumeSameEndpoint,
          EndpointBroke,
          Ran::Unknown},
-        {"resume found nothing",
+        {"nothing to resume",
          {.kind = EndpointRefused,
           .provenNotRun = true,
           .headForwarded = true,
@@ -213,26 +213,26 @@
          Ran::Unknown},
         {"resumes used up",
          {.kind = EndpointBroke, .tokensForwarded = Tokens(7), .wasResume = true},
-         resumedOut,
+         resumesUsedUp,
          RetryAction::RestartElsewhere,
          EndpointBroke,
          Ran::Unknown},
-        {"stream not to be run twice is resumed",
+        {"non-idempotent stream is resumed",
          {.kind = EndpointBroke, .tokensForwarded = Tokens(7)},
-         onceStream,
+         nonIdempotentStream,
          RetryAction::ResumeSameEndpoint,
          EndpointBroke,
          Ran::Unknown},
-        {"and not restarted",
+        {"non-idempotent stream is not restarted",
          {.kind = EndpointRefused,
           .provenNotRun = true,
           .tokensForwarded = Tokens(7),
           .wasResume = true},
-         onceStream,
+         nonIdempotentStream,
          RetryAction::Fail,
          EndpointRefused,
          Ran::Unknown},
-        {"another's answer",
+        {"answer of another request",
          {.kind = AnswerMismatch},
          model,
          RetryAction::RetryElsewhere,
@@ -240,18 +240,23 @@
          Ran::Unknown},
         {"attempts used up",
          {.kind = EndpointRefused, .provenNotRun = true},
-         triedOut,
+         attemptsUsedUp,
          RetryAction::Fail,
          EndpointRefused,
          Ran::No},
-        {"caller left", {.kind = CallerLeft}, model, RetryAction::Fail, CallerLeft, Ran::Unknown},
-        {"no time",
+        {"caller disconnected",
+         {.kind = CallerLeft},
+         model,
+         RetryAction::Fail,
+         CallerLeft,
+         Ran::Unknown},
+        {"too little time before the deadline",
          {.kind = EndpointRefused, .provenNotRun = true},
-         late,
+         nearDeadline,
          RetryAction::Fail,
          DeadlinePassed,
          Ran::No},
-        {"plain answer broke in its body",
+        {"connection broke within the body of a plain answer",
          {.kind = EndpointBroke, .headForwarded = true, .bytesForwarded = Bytes(10)},
          {.idempotent = true, .deadline = inTime},
          RetryAction::Fail,
@@ -273,7 +278,7 @@
 {
     Inputs in{.failure = {.kind = ErrorKind::EndpointRefused, .provenNotRun = true},
               .traits = {.idempotent = true, .deadline = {.at = start + 1s}}};
-    in.workspaceHas = false;
+    in.workspaceHasBudget = false;
     BOOST_TEST((decideFor(in).kind == ErrorKind::RetryBudgetSpent));
     BOOST_TEST((decideFor(in).ran == Ran::No));
 }
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -35,8 +35,8 @@
     std::uint64_t seed;
 };
 
-/// Routers before engines whose reports come late, out of order or not at all; time goes in
-/// steps on which reports are sampled, requests fall between.
+/// Routers and engines whose reports arrive late, out of order or not at all. Time advances in
+/// steps; reports are sampled at the steps, requests arrive between them.
 class StaleFleet
 {
 public:
@@ -79,12 +79,12 @@
     int beyondEstimate() const { return m_beyondEstimate; }
 
 private:
-    /// What was so at one step: loads, and what each router had sent until then.
+    /// Loads of the engines and work sent by the routers at one step.
     struct Snapshot
     {
         Base::MonoTime at;
         std::vector<double> load;
-        std::vector<double> sent; ///< By all routers, until then.
+        std::vector<double> sent; ///< By all routers.
         std::vector<std::vector<double>> sentBy;
     };
 
@@ -101,15 +101,15 @@
             for (EndpointIndex e = 0; e < engineCount; ++e) {
                 const bool due = m_step - m_sampleAt[r][e] >= staleSteps - 1;
                 if (!due && draw(0, 9) < 7)
-                    continue; // Lost, or not yet come.
-                // Any age, so that reports come out of order.
+                    continue; // Lost or delayed.
+                // A random age, so that reports arrive out of order.
                 const int sampled = std::max(1, m_step - draw(0, staleSteps - 1));
                 const Snapshot &snapshot = m_snapshots[static_cast<std::size_t>(sampled - 1)];
-                const bool taken = m_routers[r]->noteReport(
+                const bool accepted = m_routers[r]->noteReport(
                     e, {.work = Base::WorkUnits(snapshot.load[e]), .sampledAt = snapshot.at}, {},
                     m_now);
-                BOOST_TEST_REQUIRE(taken == (sampled >= m_sampleAt[r][e]));
-                if (taken)
+                BOOST_TEST_REQUIRE(accepted == (sampled >= m_sampleAt[r][e]));
+                if (accepted)
                     m_sampleAt[r][e] = sampled;
             }
         }
@@ -130,13 +130,15 @@
         }
     }
 
-    /// Work that routers other than `r` have sent since the sample that `r` holds.
-    double unknownTo(std::size_t r, EndpointIndex e) const
+    /// Work that routers other than `r` have sent since the sample of the last report that `r`
+    /// accepted.
+    double sentByOthersSinceSample(std::size_t r, EndpointIndex e) const
     {
         const int at = m_sampleAt[r][e];
-        const Snapshot *held = at > 0 ? &m_snapshots[static_cast<std::size_t>(at - 1)] : nullptr;
-        const double all = m_sent[e] - (held ? held->sent[e] : 0.0);
-        const double own = m_sentBy[r][e] - (held ? held->sentBy[r][e] : 0.0);
+        const Snapshot *snapshot =
+            at > 0 ? &m_snapshots[static_cast<std::size_t>(at - 1)] : nullptr;
+        const double all = m_sent[e] - (snapshot ? snapshot->sent[e] : 0.0);
+        const double own = m_sentBy[r][e] - (snapshot ? snapshot->sentBy[r][e] : 0.0);
         return all - own;
     }
 
@@ -154,14 +156,14 @@
 
         const EndpointIndex e = decision.endpoint;
         const double work = decision.work.value();
-        const double unknown = unknownTo(r, e);
-        const double allowed =
+        const double sentByOthers = sentByOthersSinceSample(r, e);
+        const double allowedMultiple =
             decision.reason == DecisionReason::Overflow ? overflowMultiple : multiple;
-        const double bound = allowed * (estimated + work) / engineCount + work;
+        const double bound = allowedMultiple * (estimated + work) / engineCount + work;
         const SentRequest sent = router.noteSent(decision, m_now);
         m_load[e] += work;
         BOOST_TEST_REQUIRE(router.candidates()[e].load <= bound + tolerance);
-        BOOST_TEST_REQUIRE(m_load[e] <= bound + unknown + tolerance);
+        BOOST_TEST_REQUIRE(m_load[e] <= bound + sentByOthers + tolerance);
         m_beyondEstimate += m_load[e] > bound ? 1 : 0;
         m_sent[e] += work;
         m_sentBy[r][e] += work;
@@ -196,7 +198,8 @@
             StaleFleet fleet(c);
             fleet.run();
             BOOST_TEST(fleet.checked() > 4000);
-            // A single router knows all; with more, staleness does take effect in this test.
+            // A single router knows all load. With more routers, stale reports must have had an
+            // effect.
             if (c.routers == 1)
                 BOOST_TEST(fleet.beyondEstimate() == 0);
             else
--- a/tests/auto/routing/tst_fairshare.cpp
+++ b/tests/auto/routing/tst_fairshare.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-// Names the workspace of a ticket: its last digit.
-int ownerOf(FairShare::Ticket ticket)
+// The last digit of a ticket is the number of its workspace.
+int workspaceOf(FairShare::Ticket ticket)
 {
     return static_cast<int>(ticket % 10);
 }
 
-FairShare::Entry entry(std::uint64_t number, int owner, int priority = 0, double work = 1,
+FairShare::Entry entry(std::uint64_t number, int workspace, int priority = 0, double work = 1,
                        double weight = 1)
 {
-    return {.ticket = number * 10 + static_cast<std::uint64_t>(owner),
-            .workspace = WorkspaceId(std::to_string(owner)),
+    return {.ticket = number * 10 + static_cast<std::uint64_t>(workspace),
+            .workspace = WorkspaceId(std::to_string(workspace)),
             .priority = priority,
             .work = WorkUnits(work),
             .weight = weight};
@@ -37,7 +37,7 @@
     {
         double workOfSecond;
         double weightOfSecond;
-        int firstOf60; ///< Turns of the first workspace out of 60.
+        int firstOf60; ///< Expected pops from the first workspace out of 60.
         int tolerance;
     };
     const Row rows[] = {{1, 1, 30, 1}, {2, 1, 40, 1}, {1, 2, 20, 1}, {5, 1, 50, 1}};
@@ -49,7 +49,7 @@
         }
         int first = 0;
         for (int i = 0; i < 60; ++i)
-            first += ownerOf(*queue.pop()) == 1 ? 1 : 0;
+            first += workspaceOf(*queue.pop()) == 1 ? 1 : 0;
         BOOST_TEST(std::abs(first - row.firstOf60) <= row.tolerance);
     }
 }
@@ -73,24 +73,25 @@
         queue.push(entry(i, 1));
     for (int i = 0; i < 100; ++i)
         queue.pop();
-    queue.push(entry(900, 2)); // gets no credit for its absence and waits for one turn at most
+    // Gets no credit for the time without requests, and waits for at most one other request.
+    queue.push(entry(900, 2));
     const FairShare::Ticket next = *queue.pop();
-    BOOST_TEST((ownerOf(next) == 2 || ownerOf(*queue.pop()) == 2));
+    BOOST_TEST((workspaceOf(next) == 2 || workspaceOf(*queue.pop()) == 2));
 }
 
 BOOST_AUTO_TEST_CASE(fullQueueEvictsFromLargestWorkspace)
 {
     FairShare queue(10);
-    std::map<int, int> refused;
+    std::map<int, int> evictions;
     for (std::uint64_t i = 0; i < 100; ++i) {
-        if (const auto out = queue.push(entry(i, 1, i % 2 == 0 ? 5 : 0)))
-            ++refused[ownerOf(*out)];
+        if (const auto evicted = queue.push(entry(i, 1, i % 2 == 0 ? 5 : 0)))
+            ++evictions[workspaceOf(*evicted)];
     }
-    BOOST_TEST(refused[1] == 90);
+    BOOST_TEST(evictions[1] == 90);
     for (std::uint64_t i = 0; i < 4; ++i) {
-        for (const int owner : {2, 3}) {
-            if (const auto out = queue.push(entry(200 + i, owner)))
-                ++refused[ownerOf(*out)];
+        for (const int workspace : {2, 3}) {
+            if (const auto evicted = queue.push(entry(200 + i, workspace)))
+                ++evictions[workspaceOf(*evicted)];
         }
     }
     BOOST_TEST(queue.size() == 10U);
--- a/tests/auto/routing/tst_loadestimator.cpp
+++ b/tests/auto/routing/tst_loadestimator.cpp
@@ -47,7 +47,7 @@
 {
     loads.noteSent(0, units(100), start);
     loads.noteSent(0, units(50), start + 1s);
-    // Sampled between the two: holds the first, not the second.
+    // Sampled between the two, so that it includes only the first.
     BOOST_TEST(loads.noteReport(0, report(300, start + 500ms), start + 1500ms));
     BOOST_TEST(loads.load(0) == 350.0);
 }
@@ -79,7 +79,7 @@
     BOOST_TEST(loads.load(0) == 0.0);
     BOOST_TEST(!loads.noteReport(0, report(300, start + 3s, 1), start + 3s));
     loads.noteSent(0, units(70), start + 3s);
-    loads.noteEnded(&old, start + 4s); // Takes nothing off the new incarnation's work.
+    loads.noteEnded(&old, start + 4s); // Must not affect the work of the new incarnation.
     BOOST_TEST(loads.load(0) == 70.0);
 }
 
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -14,7 +14,7 @@
 
 constexpr Base::WallTime now{std::chrono::hours(24) * 20000};
 constexpr std::uint64_t chat = 0x1122334455667788ULL;
-const Placement place{.endpointHash = 0xabcdef, .cached = Base::Tokens(4321)};
+const Placement placement{.endpointHash = 0xabcdef, .cached = Base::Tokens(4321)};
 
 } // namespace
 
@@ -24,12 +24,12 @@
     const PlacementToken rotated({.currentKey = "second", .previousKey = "first"});
     const PlacementToken foreign({.currentKey = "third"});
     const PlacementToken none({});
-    const PlacementToken::Text text = old.write(chat, place, now);
+    const PlacementToken::Text text = old.write(chat, placement, now);
     for (const PlacementToken *reader : {&old, &rotated}) {
         const auto read = reader->read(toView(text), chat, now);
         BOOST_TEST_REQUIRE(read.has_value());
-        BOOST_TEST(read->endpointHash == place.endpointHash);
-        BOOST_TEST(read->cached == place.cached);
+        BOOST_TEST(read->endpointHash == placement.endpointHash);
+        BOOST_TEST(read->cached == placement.cached);
     }
     BOOST_TEST(!foreign.read(toView(text), chat, now).has_value());
     BOOST_TEST(!none.read(toView(text), chat, now).has_value());
@@ -39,7 +39,7 @@
 BOOST_AUTO_TEST_CASE(invalidTokensAreIgnored)
 {
     const PlacementToken token({.currentKey = "key", .lifetime = std::chrono::hours(1)});
-    const PlacementToken::Text text = token.write(chat, place, now);
+    const PlacementToken::Text text = token.write(chat, placement, now);
     const std::string whole(toView(text));
     BOOST_TEST(!token.read(whole, chat + 1, now).has_value());
     BOOST_TEST(!token.read(whole, chat, now + std::chrono::hours(2)).has_value());
@@ -61,11 +61,11 @@
 BOOST_AUTO_TEST_CASE(tableEvictsLeastRecentlyUsed)
 {
     PlacementTable table(64);
-    // All in one set: the low bits are the same.
+    // The low bits are equal, so that all are in the same set.
     for (std::uint64_t i = 1; i <= 8; ++i)
-        table.put(i << 32, place);
+        table.put(i << 32, placement);
     BOOST_TEST(table.find(std::uint64_t{1} << 32).has_value());
-    table.put(std::uint64_t{9} << 32, place);
+    table.put(std::uint64_t{9} << 32, placement);
     BOOST_TEST(table.find(std::uint64_t{1} << 32).has_value());
     BOOST_TEST(!table.find(std::uint64_t{2} << 32).has_value());
     BOOST_TEST(table.capacity() == 64U);
@@ -74,11 +74,11 @@
 BOOST_AUTO_TEST_CASE(tableDropsPlacementsOfEndpoint)
 {
     PlacementTable table(64);
-    table.put(1, place);
+    table.put(1, placement);
     table.put(2, {.endpointHash = 7, .cached = Base::Tokens(1)});
-    table.drop(2, place.endpointHash);
+    table.drop(2, placement.endpointHash);
     BOOST_TEST(table.find(2).has_value());
-    table.dropEndpoint(place.endpointHash);
+    table.dropEndpoint(placement.endpointHash);
     BOOST_TEST(!table.find(1).has_value());
     BOOST_TEST(table.find(2).has_value());
 }
--- a/tests/auto/routing/tst_router.cpp
+++ b/tests/auto/routing/tst_router.cpp
@@ -39,17 +39,17 @@
             .pool = 0, .chatHash = mixHashes(chat, 0x5eedULL), .promptTokens = Base::Tokens(100)};
     }
 
-    /// Share of idle-fleet decisions that go to the endpoint.
+    /// Share of decisions in an idle fleet that choose the endpoint.
     double shareOf(EndpointIndex endpoint)
     {
         constexpr int chats = 4000;
-        int taken = 0;
+        int chosen = 0;
         for (std::uint64_t chat = 0; chat < chats; ++chat)
-            taken += router.choose(requestOf(chat), {}).endpoint == endpoint ? 1 : 0;
-        return static_cast<double>(taken) / chats;
+            chosen += router.choose(requestOf(chat), {}).endpoint == endpoint ? 1 : 0;
+        return static_cast<double>(chosen) / chats;
     }
 
-    void fail(EndpointIndex endpoint, ExchangeResult result)
+    void endRequest(EndpointIndex endpoint, ExchangeResult result)
     {
         const Decision decision{.outcome = Outcome::Send, .endpoint = endpoint};
         SentRequest sent = router.noteSent(decision, now);
@@ -62,13 +62,13 @@
         router.refresh(now);
     }
 
-    /// Ends one trial at the endpoint, which must be on offer, with the result.
+    /// Sends a trial to the endpoint, which must be due for one, and ends it with the result.
     void endTrial(EndpointIndex endpoint, ExchangeResult result)
     {
         const Decision decision{
             .outcome = Outcome::Send, .endpoint = endpoint, .reason = DecisionReason::Trial};
         SentRequest sent = router.noteSent(decision, now);
-        BOOST_TEST(shareOf(endpoint) == 0.0); // One trial at a time.
+        BOOST_TEST(shareOf(endpoint) == 0.0); // Only one trial at a time.
         router.noteEnded(&sent, result, now);
     }
 
@@ -93,26 +93,26 @@
     EndpointInfo joined = infoOf(engineCount);
     joined.coldSince = now;
     const EndpointIndex endpoint = router.upsert(joined, now);
-    double before = 0.0;
+    double previous = 0.0;
     for (const auto &[passed, low, high] :
          {std::tuple{0s, 0.005, 0.02}, std::tuple{15s, 0.03, 0.07}, std::tuple{15s, 0.08, 0.11}}) {
         pass(passed);
         const double share = shareOf(endpoint);
         BOOST_TEST(share > low);
         BOOST_TEST(share < high);
-        BOOST_TEST(share > before);
-        before = share;
+        BOOST_TEST(share > previous);
+        previous = share;
     }
 }
 
 BOOST_FIXTURE_TEST_CASE(failingEndpointIsSuspectedThenGetsTrials, Fixture)
 {
-    fail(3, ExchangeResult::Broke);
-    fail(3, ExchangeResult::Answered);
-    fail(3, ExchangeResult::Broke);
-    fail(3, ExchangeResult::Broke);
-    BOOST_TEST(shareOf(3) > 0.0); // Three in a row are needed.
-    fail(3, ExchangeResult::Broke);
+    endRequest(3, ExchangeResult::Broke);
+    endRequest(3, ExchangeResult::Answered);
+    endRequest(3, ExchangeResult::Broke);
+    endRequest(3, ExchangeResult::Broke);
+    BOOST_TEST(shareOf(3) > 0.0); // Three consecutive failures are needed.
+    endRequest(3, ExchangeResult::Broke);
     BOOST_TEST(shareOf(3) == 0.0);
     pass(900ms);
     BOOST_TEST(shareOf(3) == 0.0);
@@ -126,20 +126,21 @@
 
 BOOST_FIXTURE_TEST_CASE(backoffOfFlappingEndpointGrows, Fixture)
 {
-    for (const Base::Duration wait : std::vector<Base::Duration>{1s, 2s, 4s, 8s, 16s, 30s, 30s}) {
-        fail(2, ExchangeResult::Unreachable);
-        fail(2, ExchangeResult::Unreachable);
+    for (const Base::Duration backoff :
+         std::vector<Base::Duration>{1s, 2s, 4s, 8s, 16s, 30s, 30s}) {
+        endRequest(2, ExchangeResult::Unreachable);
+        endRequest(2, ExchangeResult::Unreachable);
         BOOST_TEST((router.suspicion(2) == Suspicion::State::Suspected));
-        pass(wait - 100ms);
+        pass(backoff - 100ms);
         BOOST_TEST(shareOf(2) == 0.0);
         pass(200ms);
         endTrial(2, ExchangeResult::Answered);
         endTrial(2, ExchangeResult::Answered);
         BOOST_TEST((router.suspicion(2) == Suspicion::State::Healthy));
     }
-    pass(61s); // Well for long: the wait is short again.
-    fail(2, ExchangeResult::Unreachable);
-    fail(2, ExchangeResult::Unreachable);
+    pass(61s); // Healthy for long enough to reset the backoff.
+    endRequest(2, ExchangeResult::Unreachable);
+    endRequest(2, ExchangeResult::Unreachable);
     pass(1100ms);
     BOOST_TEST(shareOf(2) > 0.0);
 }
@@ -151,10 +152,10 @@
     const EndpointIndex other = (home + 1) % engineCount;
     const Placement token = router.noteServed(request.chatHash, other, Base::Tokens(80));
     BOOST_TEST(router.choose(request, {}).endpoint == other);
-    // Evicted: neither the table nor the older token keeps the chat there.
+    // After an eviction, neither the table nor the older token keeps the chat there.
     router.noteCacheEvent(other, {.kind = CacheEvent::Kind::Evicted, .chatHash = request.chatHash});
     BOOST_TEST(router.choose(request, token).endpoint == home);
-    // A token alone serves a router that knows nothing of the chat.
+    // A router without a placement of the chat uses the token.
     router.noteCacheGap(other);
     const Decision decision = router.choose(request, token);
     BOOST_TEST(decision.endpoint == other);
@@ -168,9 +169,9 @@
     const EndpointIndex warm = router.choose(request, {}).endpoint;
     router.noteServed(request.chatHash, warm, Base::Tokens(2000));
     router.noteReport(warm, {.work = Base::WorkUnits(1e5), .sampledAt = now}, {}, now);
-    const Decision held = router.choose(request, {});
-    BOOST_TEST((held.outcome == Outcome::Wait));
-    BOOST_TEST((held.reason == DecisionReason::WarmFull));
+    const Decision waiting = router.choose(request, {});
+    BOOST_TEST((waiting.outcome == Outcome::Wait));
+    BOOST_TEST((waiting.reason == DecisionReason::WarmFull));
     request.waited = 200ms;
     const Decision overflowed = router.choose(request, {});
     BOOST_TEST((overflowed.outcome == Outcome::Send));
--- a/tests/auto/routing/tst_selector.cpp
+++ b/tests/auto/routing/tst_selector.cpp
@@ -57,15 +57,19 @@
         Outcome outcome;
     };
     const std::vector<Case> cases{
-        {"mean zero", {0, 0, 0, 0}, 100, 1, Outcome::Send},
-        {"mean zero, request beyond all capacity", {0, 0, 0, 0}, 1000000, 1, Outcome::Send},
+        {"average load zero", {0, 0, 0, 0}, 100, 1, Outcome::Send},
+        {"average load zero, request larger than the capacity",
+         {0, 0, 0, 0},
+         1000000,
+         1,
+         Outcome::Send},
         {"single idle", {0}, 100, 1, Outcome::Send},
         {"single loaded", {1500}, 100, 1, Outcome::Send},
         {"single at the absolute bound", {1900}, 100, 1, Outcome::Wait},
-        {"reserve is there for urgent ones", {1900}, 100, 0, Outcome::Send},
+        {"urgent request may use the reserve", {1900}, 100, 0, Outcome::Send},
         {"reserve used up", {1950}, 100, 0, Outcome::Wait},
         {"all at the absolute bound", {1900, 1900, 1900}, 100, 1, Outcome::Wait},
-        {"one has room", {1900, 1900, 100}, 100, 1, Outcome::Send},
+        {"one endpoint below the bound", {1900, 1900, 100}, 100, 1, Outcome::Send},
         {"no endpoint", {}, 100, 1, Outcome::Refuse},
     };
     for (const Case &c : cases) {
@@ -87,17 +91,17 @@
 
 BOOST_AUTO_TEST_CASE(missingEndpointMovesOnlyItsOwnChats)
 {
-    const Pool whole(std::vector<double>(10, 0.0));
-    Pool shorter = whole;
+    const Pool complete(std::vector<double>(10, 0.0));
+    Pool incomplete = complete;
     constexpr EndpointIndex missing = 3;
-    shorter.candidates[missing].use = Candidate::Use::No;
+    incomplete.candidates[missing].use = Candidate::Use::No;
     int moved = 0;
     for (std::uint64_t chat = 0; chat < 2000; ++chat) {
-        const EndpointIndex home = homeOf(whole, chat);
+        const EndpointIndex home = homeOf(complete, chat);
         if (home == missing)
             ++moved;
         else
-            BOOST_TEST(homeOf(shorter, chat) == home);
+            BOOST_TEST(homeOf(incomplete, chat) == home);
     }
     BOOST_TEST(moved > 150);
     BOOST_TEST(moved < 250);
@@ -124,14 +128,14 @@
         std::int64_t cached;
         bool tried;
         Candidate::Use use;
-        bool stays;
+        bool isChosen;
     };
     const std::vector<Case> cases{
         {"under the bound", 120, 80, false, Candidate::Use::Yes, true},
         {"over the bound", 400, 80, false, Candidate::Use::Yes, false},
         {"leaving or suspected", 0, 80, false, Candidate::Use::No, false},
         {"on trial", 0, 80, false, Candidate::Use::Trial, false},
-        {"tried before", 0, 80, true, Candidate::Use::Yes, false},
+        {"tried already", 0, 80, true, Candidate::Use::Yes, false},
         {"known to be evicted", 0, 0, false, Candidate::Use::Yes, false},
     };
     for (const Case &c : cases) {
@@ -145,14 +149,14 @@
             RouteRequest request = requestOf(chat);
             if (c.tried)
                 request.tried.add(warm);
-            const std::vector<WarmEndpoint> places{
+            const std::vector<WarmEndpoint> warmEndpoints{
                 {.endpoint = warm, .cached = Base::Tokens(c.cached)}};
             Selector selector({.warmWaitPerThousandTokens = {}});
             const Decision decision =
-                selector.choose(request, pool.candidates, pool.members, places);
+                selector.choose(request, pool.candidates, pool.members, warmEndpoints);
             BOOST_TEST((decision.outcome == Outcome::Send));
-            BOOST_TEST((decision.endpoint == warm) == c.stays);
-            BOOST_TEST(decision.work.value() == (c.stays ? 100.0 - c.cached : 100.0));
+            BOOST_TEST((decision.endpoint == warm) == c.isChosen);
+            BOOST_TEST(decision.work.value() == (c.isChosen ? 100.0 - c.cached : 100.0));
         }
     }
 }
@@ -236,23 +240,23 @@
     Pool pool({30, 10, 20, 40});
     pool.candidates[3].use = Candidate::Use::No;
 
-    Selector turns({.policy = Policy::RoundRobin});
+    Selector roundRobin({.policy = Policy::RoundRobin});
     std::vector<int> counts(4, 0);
     for (std::uint64_t chat = 0; chat < 300; ++chat)
-        ++counts[turns.choose(requestOf(chat), pool.candidates, pool.members, {}).endpoint];
+        ++counts[roundRobin.choose(requestOf(chat), pool.candidates, pool.members, {}).endpoint];
     BOOST_TEST(counts == (std::vector<int>{100, 100, 100, 0}));
 
-    Selector least({.policy = Policy::LeastLoad});
-    BOOST_TEST(least.choose(requestOf(1), pool.candidates, pool.members, {}).endpoint == 1U);
+    Selector leastLoad({.policy = Policy::LeastLoad});
+    BOOST_TEST(leastLoad.choose(requestOf(1), pool.candidates, pool.members, {}).endpoint == 1U);
 
-    Selector two({.policy = Policy::TwoChoices});
-    std::vector<int> drawn(4, 0);
+    Selector twoChoices({.policy = Policy::TwoChoices});
+    std::vector<int> chosen(4, 0);
     for (std::uint64_t chat = 0; chat < 900; ++chat)
-        ++drawn[two.choose(requestOf(chat), pool.candidates, pool.members, {}).endpoint];
-    BOOST_TEST(drawn[0] == 0); // The most loaded of three never wins a pair.
-    BOOST_TEST(drawn[1] > 540);
-    BOOST_TEST(drawn[1] < 660);
-    BOOST_TEST(drawn[3] == 0);
+        ++chosen[twoChoices.choose(requestOf(chat), pool.candidates, pool.members, {}).endpoint];
+    BOOST_TEST(chosen[0] == 0); // The most loaded of three is never the less loaded of a pair.
+    BOOST_TEST(chosen[1] > 540);
+    BOOST_TEST(chosen[1] < 660);
+    BOOST_TEST(chosen[3] == 0);
 }
 
 BOOST_AUTO_TEST_CASE(policyNames)
--- a/tests/auto/routing/tst_waitqueue.cpp
+++ b/tests/auto/routing/tst_waitqueue.cpp
@@ -25,7 +25,7 @@
     Fixture()
     {
         queue.requestRejected = [this](WaitQueue::Ticket ticket, ErrorKind kind) {
-            given.emplace_back(ticket, kind);
+            rejections.emplace_back(ticket, kind);
         };
     }
 
@@ -37,7 +37,7 @@
     }
 
     WaitQueue queue{{.limit = 3, .maximumWait = 2s}};
-    std::vector<std::pair<WaitQueue::Ticket, ErrorKind>> given;
+    std::vector<std::pair<WaitQueue::Ticket, ErrorKind>> rejections;
 };
 
 } // namespace
@@ -59,12 +59,12 @@
     push(1, 1, 5s);
     push(2, 1, 9s);
     push(3, 1, 7s);
-    BOOST_TEST(!push(4, 1, 20s)); // Itself the least urgent.
-    BOOST_TEST(given.empty());
+    BOOST_TEST(!push(4, 1, 20s)); // The new request is the least urgent.
+    BOOST_TEST(rejections.empty());
     BOOST_TEST(push(5, 0, 20s));
-    BOOST_TEST_REQUIRE(given.size() == 1U);
-    BOOST_TEST(given[0].first == 2U);
-    BOOST_TEST((errorRow(given[0].second).ran == Errors::Ran::No));
+    BOOST_TEST_REQUIRE(rejections.size() == 1U);
+    BOOST_TEST(rejections[0].first == 2U);
+    BOOST_TEST((errorRow(rejections[0].second).ran == Errors::Ran::No));
     BOOST_TEST(queue.size() == 3U);
 }
 
@@ -75,12 +75,12 @@
     push(3, 1, 60s);
     BOOST_TEST((queue.nextExpiry() == start + 1s));
     queue.expire(start + 999ms);
-    BOOST_TEST(given.empty());
+    BOOST_TEST(rejections.empty());
     queue.expire(start + 1s);
     queue.expire(start + 2s);
     const std::vector<std::pair<WaitQueue::Ticket, ErrorKind>> expected{
         {2, ErrorKind::DeadlinePassed}, {3, ErrorKind::Overloaded}};
-    BOOST_TEST((given == expected));
+    BOOST_TEST((rejections == expected));
 }
 
 BOOST_FIXTURE_TEST_CASE(removedRequestDoesNotExpire, Fixture)
@@ -89,14 +89,14 @@
     BOOST_TEST(queue.remove(1));
     BOOST_TEST(!queue.remove(1));
     queue.expire(start + 60s);
-    BOOST_TEST(given.empty());
+    BOOST_TEST(rejections.empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(retryAfterFollowsPopRate, Fixture)
 {
     BOOST_TEST((queue.retryAfter(start) == 1s));
     push(1, 1, 9s);
-    BOOST_TEST((queue.retryAfter(start) == 30s)); // Nothing has moved yet.
+    BOOST_TEST((queue.retryAfter(start) == 30s)); // No request has been popped yet.
     Base::MonoTime now = start;
     for (WaitQueue::Ticket ticket = 2; ticket < 60; ++ticket) {
         queue.push({.ticket = ticket, .priority = 1, .deadline = now + 9s}, now);
@@ -109,58 +109,60 @@
 
 namespace {
 
-struct OfferRow
+struct SurgeRow
 {
     const char *name;
-    int others; ///< Workspaces that offer one request a second each.
-    int surge; ///< How many requests a second the surging one offers.
-    double roomPerSecond; ///< Work that endpoints get through; others' requests are 1 each.
-    Base::Duration surgeDeadline; ///< Callers of the others allow 30 s.
-    double surgeWork;
+    int others; ///< Number of workspaces that send one request per second each.
+    int surge; ///< Requests per second of the surging workspace.
+    double capacityPerSecond; ///< Work that endpoints process; a request of the others has work 1.
+    Base::Duration surgeDeadline; ///< Deadline of the surging requests; the others have 30 s.
+    double surgeWork; ///< Work of a request of the surging workspace.
 };
-std::ostream &operator<<(std::ostream &stream, const OfferRow &row)
+std::ostream &operator<<(std::ostream &stream, const SurgeRow &row)
 {
     return stream << row.name;
 }
 
-const OfferRow offers[] = {
-    {"ten times as much", 9, 10, 12, 30s, 1.0},
-    {"ten times as much, in short requests", 9, 100, 12, 30s, 0.1},
-    {"ten times as much, in long requests", 9, 1, 12, 30s, 10.0},
-    {"ten times as much, in a hurry", 9, 10, 12, 5s, 1.0},
-    {"a hundred times as much, in a hurry", 9, 100, 12, 5s, 1.0},
-    {"many others", 40, 10, 42, 5s, 1.0},
+const SurgeRow surges[] = {
+    {"ten times as much work", 9, 10, 12, 30s, 1.0},
+    {"ten times as much work, short requests", 9, 100, 12, 30s, 0.1},
+    {"ten times as much work, long requests", 9, 1, 12, 30s, 10.0},
+    {"ten times as much work, short deadline", 9, 10, 12, 5s, 1.0},
+    {"a hundred times as much work, short deadline", 9, 100, 12, 5s, 1.0},
+    {"many other workspaces", 40, 10, 42, 5s, 1.0},
 };
 
-struct Loss
+struct Rejections
 {
-    int offered = 0;
-    int lost = 0;
-    double part() const { return static_cast<double>(lost) / offered; }
+    int sent = 0;
+    int rejected = 0;
+    double share() const { return static_cast<double>(rejected) / sent; }
 };
 
-/// Offers for two minutes in steps of 10 ms. A request's ticket ends in its workspace's number, of
-/// which 0 surges. Returns what the others and the surging one lost.
-std::pair<Loss, Loss> offer(const OfferRow &row)
+/// Simulates two minutes of requests in steps of 10 ms. The last two digits of a ticket are the
+/// number of its workspace; workspace 0 surges. Returns the rejections of the others and of it.
+std::pair<Rejections, Rejections> simulateSurge(const SurgeRow &row)
 {
-    constexpr WaitQueue::Ticket numbers = 100;
+    constexpr WaitQueue::Ticket workspaceNumbers = 100;
     constexpr int steps = 12'000;
     constexpr int stepsPerSecond = 100;
     WaitQueue queue{{.limit = 64, .maximumWait = 2s}};
-    Loss others;
-    Loss surging;
-    const auto lossOf = [&](WaitQueue::Ticket ticket) -> Loss & {
-        return ticket % numbers == 0 ? surging : others;
+    Rejections others;
+    Rejections surging;
+    const auto rejectionsOf = [&](WaitQueue::Ticket ticket) -> Rejections & {
+        return ticket % workspaceNumbers == 0 ? surging : others;
+    };
+    queue.requestRejected = [&](WaitQueue::Ticket ticket, ErrorKind) {
+        ++rejectionsOf(ticket).rejected;
     };
-    queue.requestRejected = [&](WaitQueue::Ticket ticket, ErrorKind) { ++lossOf(ticket).lost; };
     WaitQueue::Ticket count = 0;
     Base::MonoTime now = start;
-    double room = 0.0;
+    double capacity = 0.0;
     const auto push = [&](int workspace) {
         const WaitQueue::Ticket ticket =
-            ++count * numbers + static_cast<WaitQueue::Ticket>(workspace);
+            ++count * workspaceNumbers + static_cast<WaitQueue::Ticket>(workspace);
         const bool surges = workspace == 0;
-        ++lossOf(ticket).offered;
+        ++rejectionsOf(ticket).sent;
         const auto refused =
             queue.push({.ticket = ticket,
                         .deadline = now + (surges ? row.surgeDeadline : Base::Duration(30s)),
@@ -168,7 +170,7 @@
                         .work = Base::WorkUnits(surges ? row.surgeWork : 1.0)},
                        now);
         if (refused)
-            ++lossOf(ticket).lost;
+            ++rejectionsOf(ticket).rejected;
     };
     for (int step = 0; step < steps; ++step) {
         now += 10ms;
@@ -180,9 +182,9 @@
             if (step % stepsPerSecond == other * stepsPerSecond / (row.others + 1))
                 push(other);
         }
-        room = std::min(room + row.roomPerSecond / stepsPerSecond, 1.0);
-        while (queue.front() && room > 0.0) {
-            room -= *queue.front() % numbers == 0 ? row.surgeWork : 1.0;
+        capacity = std::min(capacity + row.capacityPerSecond / stepsPerSecond, 1.0);
+        while (queue.front() && capacity > 0.0) {
+            capacity -= *queue.front() % workspaceNumbers == 0 ? row.surgeWork : 1.0;
             queue.pop(now);
         }
     }
@@ -191,19 +193,21 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(surgeOfOneWorkspaceDoesNotAffectOthers, boost::unit_test::data::make(offers),
+BOOST_DATA_TEST_CASE(surgeOfOneWorkspaceDoesNotAffectOthers, boost::unit_test::data::make(surges),
                      row)
 {
-    const auto [others, surging] = offer(row);
-    BOOST_TEST(others.part() < 0.02);
-    BOOST_TEST(surging.part() > 0.5); // The endpoints were full all the time.
+    const auto [others, surging] = simulateSurge(row);
+    BOOST_TEST(others.share() < 0.02);
+    BOOST_TEST(surging.share() > 0.5); // The endpoints must have been at capacity all the time.
 }
 
 BOOST_AUTO_TEST_CASE(fullQueueRejectsRequestOfLargestWorkspace)
 {
     WaitQueue queue{{.limit = 3, .maximumWait = 2s}};
-    std::vector<WaitQueue::Ticket> given;
-    queue.requestRejected = [&](WaitQueue::Ticket ticket, ErrorKind) { given.push_back(ticket); };
+    std::vector<WaitQueue::Ticket> rejections;
+    queue.requestRejected = [&](WaitQueue::Ticket ticket, ErrorKind) {
+        rejections.push_back(ticket);
+    };
     const auto push = [&](WaitQueue::Ticket ticket, const char *workspace, Base::Duration left) {
         return !queue
                     .push({.ticket = ticket,
@@ -216,7 +220,7 @@
     push(2, "bazaar", 1s);
     push(3, "bazaar", 2s);
     BOOST_TEST(push(4, "clinic", 9s));
-    BOOST_TEST((given == std::vector<WaitQueue::Ticket>{1}));
+    BOOST_TEST((rejections == std::vector<WaitQueue::Ticket>{1}));
     BOOST_TEST(!push(5, "bazaar", 3s));
     BOOST_TEST(queue.size() == 3U);
     std::vector<WaitQueue::Ticket> order;
