--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -12,31 +12,35 @@
 
 namespace {
 
-/// In which a machine in touch has to have what the store acknowledged.
-constexpr Base::Duration bound = milliseconds(2000);
-/// Without trouble for so long, a machine or the store counts as calm.
+/// Maximum time after which a stable router has a record that the store acknowledged.
+constexpr Base::Duration propagationBound = milliseconds(2000);
+/// A VM or the store is stable after this time without a fault.
 constexpr Base::Duration stableTime = milliseconds(3000);
-/// A router that the store did not answer notices its return after 0.7 s of a silent call and 0.8 s
-/// of backing off, and waits from then on for entries to come back; 0.8 s more than it should.
-constexpr Base::Duration noticeTime = milliseconds(800);
-/// After the store's return: noticed after 0.7 s of a silent call and 0.8 s of backing off, waited
-/// for 2.2 s, told by the next beacons.
-constexpr Base::Duration returnBound = milliseconds(5000);
-/// A start whose clock was set back is believed when it writes again, after 1.2 s; another router
-/// may have to hear of that, or to read it itself.
+/// A router that the store did not answer detects the store's return after a call without answer
+/// (0.7 s) and a backoff (0.8 s), and only then starts to wait for missing entries. That is 0.8 s
+/// longer than it should be.
+constexpr Base::Duration detectionTime = milliseconds(800);
+/// Maximum propagation time after the store's return: detection after a call without answer (0.7 s)
+/// and a backoff (0.8 s), the wait for missing entries (2.2 s), and the next beacons.
+constexpr Base::Duration recoveryBound = milliseconds(5000);
+/// An endpoint that restarts with its clock set back is accepted when it writes its entry again,
+/// after 1.2 s. Other routers may then have to receive this from a peer or read the entry
+/// themselves.
 constexpr Base::Duration repeatTime = milliseconds(3000);
-/// After the last step endpoints still lapse (3.6 s), end a drain or come back (1.9 s).
-constexpr Base::Duration lapseTime = milliseconds(4000);
-/// From then on all routers agree within this: the bound after a return, and a takeover.
-constexpr Base::Duration agreeBound = milliseconds(6000);
-/// A lost beacon may bring a second reader, which ends when it has heard of the first again.
+/// After the last step, entries may still expire (3.6 s), and endpoints may still finish a drain or
+/// write their entries again (1.9 s).
+constexpr Base::Duration expiryTime = milliseconds(4000);
+/// Maximum time after expiryTime until all routers agree: recoveryBound plus a takeover.
+constexpr Base::Duration agreementBound = milliseconds(6000);
+/// A lost beacon may lead to a second store reader, which stops reading once it has received a
+/// beacon of the first one again.
 constexpr Base::Duration takeoverTime = milliseconds(1200);
-/// For which the calm fleet is watched.
-constexpr Base::Duration quietTime = milliseconds(3000);
-/// Of a router's control traffic.
-constexpr std::uint64_t bytesPerSecond = 5000;
-/// A reader reads each 0.7 s, its beacons follow within 0.5 s.
-constexpr Base::Duration oldestKnowledge = milliseconds(2000);
+/// How long the settled fleet is observed.
+constexpr Base::Duration observationTime = milliseconds(3000);
+/// Maximum control traffic of a router.
+constexpr std::uint64_t maxBytesPerSecond = 5000;
+/// A store reader reads every 0.7 s, and its beacons follow within 0.5 s.
+constexpr Base::Duration maxStateAge = milliseconds(2000);
 
 std::string describe(const Fleet::Endpoint *endpoint)
 {
@@ -47,57 +51,58 @@
 
 Checks::Checks(World &world, const History &history)
     : m_world(world)
-    , m_quietSince(milliseconds(endOfStepsMs(history)) + lapseTime)
+    , m_quietSince(milliseconds(endOfStepsMs(history)) + expiryTime)
 {
     watchEvents();
 }
 
 Base::Duration Checks::end() const
 {
-    return m_quietSince + agreeBound + quietTime;
+    return m_quietSince + agreementBound + observationTime;
 }
 
 void Checks::watchEvents()
 {
-    m_world.events.started = [this](VmIndex at) {
-        addToFingerprint(at, 0);
-        writeTrace(at, "starts");
-        std::erase_if(m_starts, [at](const auto &one) { return one.first.first == at; });
+    m_world.events.started = [this](VmIndex vm) {
+        addToFingerprint(vm, 0);
+        writeTrace(vm, "starts");
+        std::erase_if(m_starts, [vm](const auto &start) { return start.first.first == vm; });
     };
-    m_world.events.configured = [this](VmIndex at, std::uint64_t before, std::uint64_t after) {
-        addToFingerprint(at, after);
-        writeTrace(at, "configuration " + std::to_string(after));
-        if (after <= before)
-            reportViolation("a configuration goes back", std::to_string(after));
+    m_world.events.configured = [this](VmIndex vm, std::uint64_t oldRevision,
+                                       std::uint64_t newRevision) {
+        addToFingerprint(vm, newRevision);
+        writeTrace(vm, "configuration " + std::to_string(newRevision));
+        if (newRevision <= oldRevision)
+            reportViolation("a router applied an older configuration", std::to_string(newRevision));
     };
-    m_world.events.changed = [this](VmIndex at, const Fleet::Endpoint &endpoint) {
-        changed(at, endpoint);
+    m_world.events.changed = [this](VmIndex vm, const Fleet::Endpoint &endpoint) {
+        checkChange(vm, endpoint);
     };
-    m_world.events.removed = [this](VmIndex at, const Fleet::Endpoint &endpoint) {
-        removed(at, endpoint);
+    m_world.events.removed = [this](VmIndex vm, const Fleet::Endpoint &endpoint) {
+        checkRemoval(vm, endpoint);
     };
-    m_world.events.roleChanged = [this](VmIndex at, bool reads) {
-        writeTrace(at, reads ? "reads" : "leaves reading to a peer");
+    m_world.events.readingChanged = [this](VmIndex vm, bool reads) {
+        writeTrace(vm, reads ? "reads" : "stops reading the store");
     };
-    m_world.events.pulled = [this](VmIndex at, VmIndex from, std::size_t inFlight) {
-        addToFingerprint(at, inFlight);
-        writeTrace(at, "pulls from router " + std::to_string(from));
+    m_world.events.pulled = [this](VmIndex vm, VmIndex from, std::size_t inFlight) {
+        addToFingerprint(vm, inFlight);
+        writeTrace(vm, "pulls from router " + std::to_string(from));
         if (inFlight > 1)
-            reportViolation("two pulls at a time", "router " + std::to_string(at));
+            reportViolation("a router has concurrent pulls", "router " + std::to_string(vm));
     };
 }
 
-void Checks::addToFingerprint(VmIndex at, std::uint64_t what)
+void Checks::addToFingerprint(VmIndex vm, std::uint64_t value)
 {
     const auto time = static_cast<std::uint64_t>(m_world.elapsed().count());
-    m_fingerprint += RandomSource(time * 31 + at * 7 + what).next();
+    m_fingerprint += RandomSource(time * 31 + vm * 7 + value).next();
 }
 
-void Checks::writeTrace(VmIndex at, const std::string &what) const
+void Checks::writeTrace(VmIndex vm, const std::string &event) const
 {
     if (trace)
         trace(std::to_string(Base::toMilliseconds(m_world.elapsed())) + " ms, router "
-              + std::to_string(at) + ": " + what);
+              + std::to_string(vm) + ": " + event);
 }
 
 void Checks::reportViolation(const std::string &rule, const std::string &detail)
@@ -106,37 +111,37 @@
         m_violation = {rule, detail, Base::toMilliseconds(m_world.elapsed())};
 }
 
-void Checks::changed(VmIndex at, const Fleet::Endpoint &endpoint)
+void Checks::checkChange(VmIndex vm, const Fleet::Endpoint &endpoint)
 {
-    addToFingerprint(at, SimulatedEndpoints::numberOf(endpoint.id));
-    writeTrace(at, endpoint.id.value() + " is " + toText(endpoint));
+    addToFingerprint(vm, SimulatedEndpoints::numberOf(endpoint.id));
+    writeTrace(vm, endpoint.id.value() + " is " + toText(endpoint));
     if (!endpoint.startedAt)
         return;
     auto &newest =
-        m_starts.try_emplace({at, endpoint.id.value()}, *endpoint.startedAt).first->second;
+        m_starts.try_emplace({vm, endpoint.id.value()}, *endpoint.startedAt).first->second;
     const std::size_t number = SimulatedEndpoints::numberOf(endpoint.id);
-    // Where a clock was set back, a late write of the start before looks like a new start.
+    // If a clock was set back, a late write of the previous start looks like a new start.
     if (!m_world.endpoints().isClockSetBack(number)
         && m_world.endpoints().isBefore(number, *endpoint.startedAt, newest)) {
-        reportViolation("an older start replaces a newer one",
-                        endpoint.id.value() + " at router " + std::to_string(at));
+        reportViolation("an older start replaced a newer one",
+                        endpoint.id.value() + " at router " + std::to_string(vm));
     }
     newest = *endpoint.startedAt;
 }
 
-void Checks::removed(VmIndex at, const Fleet::Endpoint &endpoint)
+void Checks::checkRemoval(VmIndex vm, const Fleet::Endpoint &endpoint)
 {
     const std::size_t number = SimulatedEndpoints::numberOf(endpoint.id);
-    addToFingerprint(at, number);
-    writeTrace(at, endpoint.id.value() + " has gone");
-    m_starts.erase({at, endpoint.id.value()});
+    addToFingerprint(vm, number);
+    writeTrace(vm, endpoint.id.value() + " removed");
+    m_starts.erase({vm, endpoint.id.value()});
     if (m_world.endpoints().isExpiredByOutage(number)) {
-        reportViolation("an endpoint is given up whose entry lapsed while the store was away",
-                        endpoint.id.value() + " by router " + std::to_string(at));
+        reportViolation("a router removed an endpoint whose entry expired during a store outage",
+                        endpoint.id.value() + " at router " + std::to_string(vm));
     }
 }
 
-std::uint64_t Checks::state() const
+std::uint64_t Checks::stateHash() const
 {
     std::string text;
     for (const auto &router : m_world.routers()) {
@@ -145,7 +150,7 @@
             continue;
         text += std::string(router->isReading()      ? "reads "
                                 : router->isLeader() ? "leads "
-                                                     : "hears ")
+                                                     : "follows ")
             + std::to_string(router->configuration());
         for (std::size_t i = 0; i < m_world.endpoints().count(); ++i) {
             const Fleet::Endpoint *known =
@@ -160,12 +165,12 @@
 
 bool Checks::check()
 {
-    m_states.insert(state());
+    m_states.insert(stateHash());
     for (const auto &router : m_world.routers()) {
         if (isStable(*router))
-            checkRouter(*router, bound, returnBound);
+            checkRouter(*router, propagationBound, recoveryBound);
     }
-    const Base::Duration settledAt = m_quietSince + agreeBound;
+    const Base::Duration settledAt = m_quietSince + agreementBound;
     if (m_world.elapsed() >= settledAt)
         checkSettled();
     return !m_violation;
@@ -173,33 +178,37 @@
 
 bool Checks::isStable(const SimulatedRouter &router) const
 {
-    const auto calm = m_world.faultFreeSince(router.vm());
-    const auto store = m_world.storeFaultFreeSince();
-    return router.isUp() && calm && store && m_world.now() - *calm >= stableTime + noticeTime
-        && m_world.now() - *store >= stableTime;
+    const auto vmSince = m_world.faultFreeSince(router.vm());
+    const auto storeSince = m_world.storeFaultFreeSince();
+    return router.isUp() && vmSince && storeSince
+        && m_world.now() - *vmSince >= stableTime + detectionTime
+        && m_world.now() - *storeSince >= stableTime;
 }
 
-bool Checks::isDue(Base::MonoTime writtenAt, Duration bound, Duration unstableBound) const
+bool Checks::isDue(Base::MonoTime writtenAt, Duration maxDelay, Duration maxDelayAfterOutage) const
 {
     const Base::MonoTime stableFrom = *m_world.storeFaultFreeSince() + stableTime;
     if (writtenAt >= stableFrom)
-        return m_world.now() - writtenAt > bound;
-    return m_world.now() - std::max(writtenAt, *m_world.storeFaultFreeSince()) > unstableBound;
+        return m_world.now() - writtenAt > maxDelay;
+    return m_world.now() - std::max(writtenAt, *m_world.storeFaultFreeSince())
+        > maxDelayAfterOutage;
 }
 
-void Checks::checkRouter(const SimulatedRouter &router, Duration bound, Duration unstableBound)
+void Checks::checkRouter(const SimulatedRouter &router, Duration maxDelay,
+                         Duration maxDelayAfterOutage)
 {
     for (const auto &[id, newest] : m_world.store().keys(Topic::Endpoints)) {
         const std::size_t number = SimulatedEndpoints::numberOf(Base::EndpointId(id));
-        const Duration more =
+        const Duration extra =
             m_world.endpoints().isClockSetBack(number) ? repeatTime : Duration::zero();
-        if (isDue(newest.writtenAt, bound + more, unstableBound + more))
+        if (isDue(newest.writtenAt, maxDelay + extra, maxDelayAfterOutage + extra))
             checkEndpoint(router, id, newest);
     }
     for (const auto &[key, newest] : m_world.store().keys(Topic::Configuration)) {
         const std::uint64_t revision = readConfiguration(*newest.value).revision;
-        if (isDue(newest.writtenAt, bound, unstableBound) && router.configuration() < revision) {
-            reportViolation("a configuration is not in force in time",
+        if (isDue(newest.writtenAt, maxDelay, maxDelayAfterOutage)
+            && router.configuration() < revision) {
+            reportViolation("a configuration was not applied in time",
                             "router " + std::to_string(router.vm()) + " has "
                                 + std::to_string(router.configuration()) + " of "
                                 + std::to_string(revision));
@@ -212,38 +221,38 @@
 {
     const auto expected = newest.value ? readEndpoint(id, *newest.value) : std::nullopt;
     const Fleet::Endpoint *known = router.directory().find(Base::EndpointId(id));
-    // Nobody who knows a newer start believes a late write, even if that start does not write
-    // again.
+    // A router that knows a newer start ignores a late write of an older one, even if the newer
+    // start never writes again.
     const std::size_t number = SimulatedEndpoints::numberOf(Base::EndpointId(id));
     if (expected && known
         && m_world.endpoints().isBefore(number, *expected->startedAt, *known->startedAt))
         return;
     const bool isReady = known && known->state == Fleet::EndpointState::Ready;
     const bool mayBeReady = expected && expected->state == Fleet::EndpointState::Ready;
-    const std::string detail = id + " at router " + std::to_string(router.vm()) + ": knows "
+    const std::string detail = id + " at router " + std::to_string(router.vm()) + ": known as "
         + describe(known) + ", the store has " + describe(expected ? &*expected : nullptr);
     if (isReady && !mayBeReady)
-        reportViolation("an endpoint that left is thought ready", detail);
+        reportViolation("an endpoint that left is known as ready", detail);
     else if (expected.has_value() != (known != nullptr))
-        reportViolation("an endpoint is not known in time", detail);
+        reportViolation("an added or removed endpoint was not propagated in time", detail);
     else if (known && !(*known == *expected))
-        reportViolation("an endpoint is known as it was before", detail);
+        reportViolation("a changed endpoint was not propagated in time", detail);
 }
 
-/// All routers know the same, that is what the store holds, and know it as of now.
+/// Verifies that all routers have the same, current state, and that it matches the store.
 void Checks::checkSettled()
 {
     std::optional<std::uint64_t> hash;
     for (const auto &router : m_world.routers()) {
-        checkRouter(*router, bound, returnBound);
+        checkRouter(*router, propagationBound, recoveryBound);
         const std::string name = "router " + std::to_string(router->vm());
         if (router->directory().hash() != hash.value_or(router->directory().hash()))
-            reportViolation("routers disagree for good", name);
+            reportViolation("settled routers have different states", name);
         hash = router->directory().hash();
         const auto age = router->sync().stateAge();
-        if (!age || *age > oldestKnowledge) {
+        if (!age || *age > maxStateAge) {
             reportViolation(
-                "a router's knowledge stays old",
+                "a settled router has an outdated state",
                 name + ": " + std::to_string(Base::toMilliseconds(age.value_or(Duration::max())))
                     + " ms");
         }
@@ -261,8 +270,8 @@
         readers += router->isReading() ? 1 : 0;
     }
     for (const auto &[dataCentre, count] : leaders)
-        checkUnique("a calm data centre has not one leader", dataCentre, count);
-    checkUnique("a calm fleet has not one reader", "the fleet", readers);
+        checkUnique("a settled data centre does not have exactly one leader", dataCentre, count);
+    checkUnique("the settled fleet does not have exactly one store reader", "the fleet", readers);
 }
 
 void Checks::checkUnique(const char *rule, const std::string &where, int count)
@@ -283,14 +292,15 @@
             m_baselinePulls.push_back(router->pulls());
         }
     }
-    const Base::Duration watched = m_world.elapsed() - m_quietSince - agreeBound;
-    const auto seconds = static_cast<std::uint64_t>(1 + Base::toSeconds(watched));
+    const Base::Duration observed = m_world.elapsed() - m_quietSince - agreementBound;
+    const auto seconds = static_cast<std::uint64_t>(1 + Base::toSeconds(observed));
     for (std::size_t i = 0; i < routers.size(); ++i) {
         if (routers[i]->pulls() != m_baselinePulls[i])
-            reportViolation("a calm router pulls", "router " + std::to_string(i));
+            reportViolation("a settled router pulls", "router " + std::to_string(i));
         const std::uint64_t bytes = routers[i]->sentBytes() - m_baselineBytes[i];
-        if (bytes > bytesPerSecond * seconds)
-            reportViolation("a calm router sends too much", std::to_string(bytes) + " bytes");
+        if (bytes > maxBytesPerSecond * seconds)
+            reportViolation("a settled router exceeds the traffic limit",
+                            std::to_string(bytes) + " bytes");
     }
 }
 
--- a/tests/auto/simulation/checks.h
+++ b/tests/auto/simulation/checks.h
@@ -12,46 +12,51 @@
 
 namespace Simulation {
 
-/// A rule that a history broke.
+/// A violation of one of the rules that Checks verifies.
 struct Violation
 {
-    std::string rule; ///< The same for all violations of one kind.
+    std::string rule; ///< Identical for all violations of one kind.
     std::string detail;
     std::int64_t atMs = 0;
 };
 
-/// Watches a world: what may never happen, and what has to have happened in time.
+/// Verifies a running world: safety rules, which hold at all times, and liveness rules, which must
+/// hold within a time bound.
 class Checks
 {
 public:
     Checks(World &world, const History &history);
 
-    /// To be called now and then; false when a rule is broken.
+    /// Evaluates the rules that depend on the current state. To be called periodically; returns
+    /// false once a rule has been broken.
     bool check();
     const std::optional<Violation> &violation() const { return m_violation; }
-    /// When a history has been watched for long enough.
+    /// The time since the start of the history at which the checks are complete.
     Lagoonbank::Base::Duration end() const;
-    /// Of all that routers have done; the same each time that a history is played.
+    /// Hash of all router events; identical for each run of the same history.
     std::uint64_t fingerprint() const { return m_fingerprint; }
-    /// Hashes of the states of the fleet that were seen: who is up and reads, and what each knows.
+    /// Hashes of the fleet states that occurred: for each router whether it is up, its role, its
+    /// configuration and its known endpoints.
     const std::set<std::uint64_t> &states() const { return m_states; }
 
-    /// Told what routers do, a line each.
+    /// Called with one line of text for each router event.
     std::function<void(const std::string &line)> trace;
 
 private:
     using Duration = Lagoonbank::Base::Duration;
 
     void watchEvents();
-    std::uint64_t state() const;
-    void addToFingerprint(VmIndex at, std::uint64_t what);
-    void writeTrace(VmIndex at, const std::string &what) const;
+    std::uint64_t stateHash() const;
+    void addToFingerprint(VmIndex vm, std::uint64_t value);
+    void writeTrace(VmIndex vm, const std::string &event) const;
     void reportViolation(const std::string &rule, const std::string &detail);
-    void removed(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint);
-    void changed(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint);
-    /// A router in touch knows what was written so long ago.
-    void checkRouter(const SimulatedRouter &router, Duration bound, Duration unstableBound);
-    bool isDue(Lagoonbank::Base::MonoTime writtenAt, Duration bound, Duration unstableBound) const;
+    void checkRemoval(VmIndex vm, const Lagoonbank::Fleet::Endpoint &endpoint);
+    void checkChange(VmIndex vm, const Lagoonbank::Fleet::Endpoint &endpoint);
+    /// Verifies that the router has all records that were written longer ago than the bounds.
+    void checkRouter(const SimulatedRouter &router, Duration maxDelay,
+                     Duration maxDelayAfterOutage);
+    bool isDue(Lagoonbank::Base::MonoTime writtenAt, Duration maxDelay,
+               Duration maxDelayAfterOutage) const;
     bool isStable(const SimulatedRouter &router) const;
     void checkEndpoint(const SimulatedRouter &router, const std::string &id,
                        const SimulatedStore::Newest &newest);
@@ -61,15 +66,17 @@
     void checkSteadyState();
 
     World &m_world;
-    Duration m_quietSince; ///< From here on nothing happens to anybody.
+    Duration m_quietSince; ///< No step or its consequences occur after this time.
     std::optional<Violation> m_violation;
     std::uint64_t m_fingerprint = 0;
     std::set<std::uint64_t> m_states;
-    /// Newest start that a router knew of an endpoint, until that was removed.
+    /// The newest start time that each router has known of an endpoint; erased when the router
+    /// removes the endpoint.
     std::map<std::pair<VmIndex, std::string>, Lagoonbank::Base::WallTime> m_starts;
-    std::map<std::string, Duration>
-        m_lastUniqueAt; ///< Leaders of each data centre, readers of all.
-    std::vector<std::uint64_t> m_baselineBytes; ///< Of each place, when the quiet was settled.
+    /// When each data centre last had exactly one leader, and the fleet exactly one store reader.
+    std::map<std::string, Duration> m_lastUniqueAt;
+    // Sent bytes and pulls of each VM when the fleet had settled.
+    std::vector<std::uint64_t> m_baselineBytes;
     std::vector<std::uint64_t> m_baselinePulls;
 };
 
--- a/tests/auto/simulation/history.cpp
+++ b/tests/auto/simulation/history.cpp
@@ -34,44 +34,45 @@
                                                             "LateWrite",
                                                             "Configure"};
 
-constexpr std::uint64_t mostDataCentres = 3;
-constexpr std::uint64_t mostRouters = 3; ///< Of a data centre.
-constexpr std::uint64_t mostEndpoints = 5;
-constexpr std::uint64_t mostSteps = 8;
-/// The fleet starts within 0.3 s; some histories trouble it while it does.
-constexpr std::uint64_t lastStepMs = 14000;
-/// Long enough for entries to lapse, after 3.6 s, and for whatever waits.
-constexpr std::uint64_t longestFaultMs = 7000;
-constexpr std::uint64_t mostPercent = 60;
-constexpr std::uint64_t mostBytes = 90000; ///< Of a compressed configuration of 1,400 routes.
-constexpr std::uint64_t newStarts = 3;
+constexpr std::uint64_t maxDataCentres = 3;
+constexpr std::uint64_t maxRouters = 3; ///< Per data centre.
+constexpr std::uint64_t maxEndpoints = 5;
+constexpr std::uint64_t maxSteps = 8;
+/// The fleet starts within 0.3 s, so that some histories have faults during the start.
+constexpr std::uint64_t maxStepStartMs = 14000;
+/// Long enough for entries to expire, after 3.6 s, and for every timeout.
+constexpr std::uint64_t maxFaultDurationMs = 7000;
+constexpr std::uint64_t maxExtraLossPercent = 60;
+/// Size of a compressed configuration with 1,400 routes.
+constexpr std::uint64_t maxExtraConfigurationBytes = 90000;
+constexpr std::uint64_t restartTimeCount = 3;
 
-std::size_t valueOf(StepKind kind, RandomSource &random)
+std::size_t randomValue(StepKind kind, RandomSource &random)
 {
     switch (kind) {
     case StepKind::CutDataCentre:
         return random.below(2);
     case StepKind::Lossy:
-        return 10 + random.below(mostPercent);
+        return 10 + random.below(maxExtraLossPercent);
     case StepKind::StartAgain:
-        return random.below(newStarts);
+        return random.below(restartTimeCount);
     case StepKind::Configure:
-        return 1000 + random.below(mostBytes);
+        return 1000 + random.below(maxExtraConfigurationBytes);
     default:
         return 0;
     }
 }
 
-Step stepOf(const History &history, std::size_t routers, RandomSource &random)
+Step randomStep(const History &history, std::size_t routers, RandomSource &random)
 {
     Step step{.kind = static_cast<StepKind>(random.below(stepKindCount)),
-              .atMs = static_cast<std::int64_t>(random.below(lastStepMs)),
-              .durationMs = 100 + static_cast<std::int64_t>(random.below(longestFaultMs))};
-    const bool isEndpoints = step.kind >= StepKind::Drain && step.kind <= StepKind::LateWrite;
-    step.target = random.below(isEndpoints ? history.endpoints : routers);
-    step.other = isEndpoints ? random.below(2) : random.below(routers);
-    step.value = valueOf(step.kind, random);
-    if (isEndpoints || step.kind == StepKind::Configure || step.kind == StepKind::StoreForgets)
+              .atMs = static_cast<std::int64_t>(random.below(maxStepStartMs)),
+              .durationMs = 100 + static_cast<std::int64_t>(random.below(maxFaultDurationMs))};
+    const bool isEndpointStep = step.kind >= StepKind::Drain && step.kind <= StepKind::LateWrite;
+    step.target = random.below(isEndpointStep ? history.endpoints : routers);
+    step.other = isEndpointStep ? random.below(2) : random.below(routers);
+    step.value = randomValue(step.kind, random);
+    if (isEndpointStep || step.kind == StepKind::Configure || step.kind == StepKind::StoreForgets)
         step.durationMs = 0;
     return step;
 }
@@ -82,16 +83,16 @@
 {
     RandomSource random(seed);
     History history{.seed = seed, .dataCentres = {}};
-    const std::size_t dataCentres = 1 + random.below(mostDataCentres);
+    const std::size_t dataCentres = 1 + random.below(maxDataCentres);
     std::size_t routers = 0;
     for (std::size_t i = 0; i < dataCentres; ++i) {
-        history.dataCentres.push_back(1 + random.below(mostRouters));
+        history.dataCentres.push_back(1 + random.below(maxRouters));
         routers += history.dataCentres.back();
     }
-    history.endpoints = 1 + random.below(mostEndpoints);
-    const std::size_t steps = 1 + random.below(mostSteps);
+    history.endpoints = 1 + random.below(maxEndpoints);
+    const std::size_t steps = 1 + random.below(maxSteps);
     for (std::size_t i = 0; i < steps; ++i)
-        history.steps.push_back(stepOf(history, routers, random));
+        history.steps.push_back(randomStep(history, routers, random));
     std::sort(history.steps.begin(), history.steps.end(),
               [](const Step &a, const Step &b) { return a.atMs < b.atMs; });
     return history;
@@ -116,9 +117,9 @@
         text << "\n    {.kind = StepKind::" << kindNames.at(static_cast<std::size_t>(step.kind))
              << ", .atMs = " << step.atMs;
         if (step.durationMs != 0)
-            text << ", .lastsMs = " << step.durationMs;
+            text << ", .durationMs = " << step.durationMs;
         if (step.target != 0)
-            text << ", .who = " << step.target;
+            text << ", .target = " << step.target;
         if (step.other != 0)
             text << ", .other = " << step.other;
         if (step.value != 0)
--- a/tests/auto/simulation/history.h
+++ b/tests/auto/simulation/history.h
@@ -8,39 +8,42 @@
 
 namespace Simulation {
 
-/// What may happen. Each kind tells what `who`, `other` and `value` of its step are.
+/// The faults and events of a history. The comments say what `target`, `other` and `value` of a
+/// step mean.
 enum class StepKind : std::uint8_t {
-    StoreRefuses, ///< Everybody.
-    StoreSilent, ///< Everybody.
-    StoreLosesAnswers, ///< Everybody's.
-    StoreSlow, ///< For everybody.
-    StoreForgets, ///< All records but the newest of each key.
-    StoreRefusesOne, ///< who: a router.
-    StoreSilentForOne, ///< who: a router.
-    CutOneWay, ///< who: a router; other: one that hears it no more.
-    CutBothWays, ///< who, other: two routers.
-    CutDataCentre, ///< who: a router whose data centre is cut off; value 1: from the store too.
-    Lossy, ///< who: a router; value: percent of its datagrams.
-    SlowLink, ///< who: a router.
-    Freeze, ///< who: a router.
-    Kill, ///< who: a router; it starts again at the end.
-    KillAll, ///< They start again at the end.
-    Replace, ///< who: a router; another one starts at its address at the end.
-    Drain, ///< who: an endpoint.
-    Leave, ///< who: an endpoint.
-    Crash, ///< who: an endpoint.
-    StartAgain, ///< who: an endpoint; other 1: at the same address; value: a RestartTime.
-    Unreadable, ///< who: an endpoint.
-    LateWrite, ///< who: an endpoint; see SimulatedEndpoints::writeLate().
-    Configure ///< value: bytes of the new configuration.
+    StoreRefuses, ///< For all routers: calls fail without effect.
+    StoreSilent, ///< For all routers: calls have no effect and get no answer.
+    StoreLosesAnswers, ///< For all routers: calls take effect, but answers may be lost.
+    StoreSlow, ///< For all routers: answers take longer.
+    StoreForgets, ///< Drops all records but the newest of each key.
+    StoreRefusesOne, ///< target: a router.
+    StoreSilentForOne, ///< target: a router.
+    CutOneWay, ///< target: a router; other: a router that its packets do not reach.
+    CutBothWays, ///< target, other: two routers.
+    CutDataCentre, ///< target: a router whose data centre is cut off; value 1: also from the
+                   ///< store.
+    Lossy, ///< target: a router; value: percentage of its datagrams that are lost.
+    SlowLink, ///< target: a router.
+    Freeze, ///< target: a router, whose process is stopped until the end.
+    Kill, ///< target: a router, which restarts at the end.
+    KillAll, ///< All routers, which restart at the end.
+    Replace, ///< target: a router; a new one starts at its address at the end.
+    Drain, ///< target: an endpoint.
+    Leave, ///< target: an endpoint.
+    Crash, ///< target: an endpoint.
+    StartAgain, ///< target: an endpoint, which restarts; other 1: at the same address; value: a
+                ///< RestartTime.
+    Unreadable, ///< target: an endpoint, whose entry is overwritten by an unreadable one.
+    LateWrite, ///< target: an endpoint; see SimulatedEndpoints::writeLate().
+    Configure ///< value: size of the new configuration in bytes.
 };
 constexpr std::size_t stepKindCount = 23;
 
-/// One thing that happens; a fault ends by itself.
+/// A fault, which ends after its duration, or an event without a duration.
 struct Step
 {
     StepKind kind = StepKind::Configure;
-    std::int64_t atMs = 0; ///< From the start of the history.
+    std::int64_t atMs = 0; ///< Time since the start of the history.
     std::int64_t durationMs = 0;
     std::size_t target = 0;
     std::size_t other = 0;
@@ -49,18 +52,18 @@
     bool operator==(const Step &) const = default;
 };
 
-/// All that is needed to play the same again.
+/// Complete input of a simulation run; the same history always runs identically.
 struct History
 {
-    std::uint64_t seed = 1; ///< Of delays, losses and the like.
-    std::vector<std::size_t> dataCentres{2, 2}; ///< Routers of each.
+    std::uint64_t seed = 1; ///< Seed of random draws such as delays and losses.
+    std::vector<std::size_t> dataCentres{2, 2}; ///< Number of routers in each.
     std::size_t endpoints = 3;
     std::vector<Step> steps;
 };
 
 History historyFromSeed(std::uint64_t seed);
 std::int64_t endOfStepsMs(const History &history);
-/// As an initialiser that can be pasted into a test.
+/// The history as a C++ initialiser, which can be pasted into a test.
 std::string toText(const History &history);
 
 } // namespace Simulation
--- a/tests/auto/simulation/play.cpp
+++ b/tests/auto/simulation/play.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr Base::Duration lookInterval = std::chrono::milliseconds(50);
-/// Of a step that is made shorter, or earlier.
-constexpr std::int64_t roundMs = 100;
+constexpr Base::Duration checkInterval = std::chrono::milliseconds(50);
+/// Durations of shortened steps are rounded down to a multiple of this.
+constexpr std::int64_t durationStepMs = 100;
 
 std::size_t routerCount(const History &history)
 {
@@ -25,8 +25,8 @@
     return step.kind >= StepKind::Drain && step.kind <= StepKind::LateWrite;
 }
 
-/// Whether all that the steps name is there.
-bool isSound(const History &history)
+/// Whether all routers and endpoints that the steps refer to exist.
+bool isValid(const History &history)
 {
     const std::size_t routers = routerCount(history);
     for (const Step &step : history.steps) {
@@ -49,20 +49,20 @@
     {
         bool isShorter = true;
         while (isShorter) {
-            isShorter = leaveOutSteps();
-            isShorter = leaveOutRouters() || isShorter;
+            isShorter = removeSteps();
+            isShorter = removeRouters() || isShorter;
             isShorter = shortenSteps() || isShorter;
         }
         return m_history;
     }
 
 private:
-    /// Takes the change over if the history still breaks the rule.
+    /// Keeps the change if the history still breaks the rule.
     bool attempt(const std::function<void(History &)> &change)
     {
         History shorter = m_history;
         change(shorter);
-        if (!isSound(shorter))
+        if (!isValid(shorter))
             return false;
         const Outcome outcome = play(shorter);
         if (!outcome.violation || outcome.violation->rule != m_rule)
@@ -70,7 +70,7 @@
         m_history = shorter;
         return true;
     }
-    bool leaveOutSteps()
+    bool removeSteps()
     {
         bool isShorter = false;
         for (std::size_t i = m_history.steps.size(); i-- > 0;) {
@@ -82,7 +82,7 @@
         }
         return isShorter;
     }
-    bool leaveOutRouters()
+    bool removeRouters()
     {
         bool isShorter = false;
         for (std::size_t i = m_history.dataCentres.size(); i-- > 0;) {
@@ -99,11 +99,13 @@
     {
         bool isShorter = false;
         for (std::size_t i = 0; i < m_history.steps.size(); ++i) {
-            const std::int64_t lasts = m_history.steps[i].durationMs / 2 / roundMs * roundMs;
-            if (lasts == 0)
+            const std::int64_t durationMs =
+                m_history.steps[i].durationMs / 2 / durationStepMs * durationStepMs;
+            if (durationMs == 0)
                 continue;
-            isShorter =
-                attempt([i, lasts](History &history) { history.steps[i].durationMs = lasts; })
+            isShorter = attempt([i, durationMs](History &history) {
+                            history.steps[i].durationMs = durationMs;
+                        })
                 || isShorter;
         }
         return isShorter;
@@ -120,7 +122,7 @@
     World world(history);
     Checks checks(world, history);
     checks.trace = trace;
-    world.play(checks.end(), lookInterval, [&checks] { return checks.check(); });
+    world.play(checks.end(), checkInterval, [&checks] { return checks.check(); });
     return {checks.violation(), checks.fingerprint(), checks.states()};
 }
 
--- a/tests/auto/simulation/play.h
+++ b/tests/auto/simulation/play.h
@@ -14,16 +14,16 @@
 struct Outcome
 {
     std::optional<Violation> violation;
-    std::uint64_t fingerprint = 0; ///< See Checks.
-    std::set<std::uint64_t> states; ///< See Checks.
+    std::uint64_t fingerprint = 0; ///< See Checks::fingerprint().
+    std::set<std::uint64_t> states; ///< See Checks::states().
 };
 
-/// \a trace is told what routers do, a line each.
+/// Runs the history. \a trace is called with one line of text for each router event.
 Outcome play(const History &history,
              const std::function<void(const std::string &line)> &trace = nullptr);
 
-/// The shortest history that is found to break the same rule as \a red does, by leaving out steps,
-/// routers and endpoints, and by making faults shorter.
+/// Minimises \a failing: removes steps, routers and endpoints and shortens faults as long as the
+/// history still breaks the same rule.
 History shrink(const History &failing, const Violation &violation);
 
 } // namespace Simulation
--- a/tests/auto/simulation/randomsource.h
+++ b/tests/auto/simulation/randomsource.h
@@ -6,8 +6,9 @@
 
 namespace Simulation {
 
-/// Splitmix64. The same numbers on every machine, which the standard's distributions don't promise;
-/// small enough to give each link one, so that a step left out changes little elsewhere.
+/// SplitMix64 generator. It draws the same numbers on every platform, which the distributions of
+/// the standard library don't guarantee. It is small enough for each link to have its own, so that
+/// removing a step from a history has little effect on the other links.
 class RandomSource
 {
 public:
@@ -23,10 +24,10 @@
         mixed = (mixed ^ (mixed >> 27U)) * 0x94d049bb133111ebU;
         return mixed ^ (mixed >> 31U);
     }
-    /// From 0 to \a limit - 1; 0 if that is 0.
+    /// A number from 0 to \a limit - 1, or 0 if \a limit is 0.
     std::uint64_t below(std::uint64_t limit) { return limit == 0 ? 0 : next() % limit; }
     bool chance(int percent) { return below(100) < static_cast<std::uint64_t>(percent); }
-    /// In whole microseconds, both ends included.
+    /// A duration in whole microseconds; both ends are included.
     Lagoonbank::Base::Duration between(Lagoonbank::Base::Duration min,
                                        Lagoonbank::Base::Duration max)
     {
--- a/tests/auto/simulation/simulatedconfiguration.h
+++ b/tests/auto/simulation/simulatedconfiguration.h
@@ -9,9 +9,9 @@
 
 namespace Simulation {
 
-/// The platform's records as this simulation writes them: text that is quick to read.
+/// The simulation stores the platform's records as plain text, which is cheap to parse.
 
-/// A configuration is its revision and the bytes that it would have when compressed.
+/// Stands for a configuration: its revision and its size when compressed.
 struct SimulatedConfiguration
 {
     std::uint64_t revision = 0;
@@ -20,13 +20,13 @@
 constexpr const char *configurationKey = "config";
 std::string toText(const SimulatedConfiguration &configuration);
 SimulatedConfiguration readConfiguration(const std::string &text);
-/// As it goes over a link; 0 for an empty text.
+/// Size of the configuration on the wire; 0 for an empty text.
 std::size_t configurationBytes(const std::string &text);
 
 std::string toText(const Lagoonbank::Fleet::Endpoint &endpoint);
-/// An entry that no router can read.
+/// An entry that no router can parse.
 constexpr const char *unreadableEntry = "?";
-/// Nothing if it cannot be read.
+/// Returns std::nullopt if the entry cannot be parsed.
 std::optional<Lagoonbank::Fleet::Endpoint> readEndpoint(const std::string &id,
                                                         const std::string &text);
 
--- a/tests/auto/simulation/simulatedendpoints.cpp
+++ b/tests/auto/simulation/simulatedendpoints.cpp
@@ -14,12 +14,12 @@
 
 constexpr Base::Duration heartbeatInterval = milliseconds(1200);
 constexpr int maxMissedHeartbeats = 3;
-constexpr Base::Duration lapseStep = milliseconds(100);
-/// In which those that live write again after the store's return.
-constexpr Base::Duration returnTime = milliseconds(1900);
-/// No reader has to see a shorter one; each reads every 0.7 s and waits as long for the answer.
-constexpr Base::Duration noticedOutage = milliseconds(1500);
-/// From a drain to the end.
+constexpr Base::Duration expiryCheckInterval = milliseconds(100);
+/// Running endpoints whose entries expired write them again within this time after an outage.
+constexpr Base::Duration rewriteTime = milliseconds(1900);
+/// Shortest outage that every store reader notices: each reads every 0.7 s and waits as long for
+/// the answer.
+constexpr Base::Duration minNoticedOutage = milliseconds(1500);
 constexpr Base::Duration drainTime = milliseconds(2500);
 constexpr std::uint16_t firstPort = 8000;
 
@@ -50,18 +50,18 @@
 
 void SimulatedEndpoints::drain(std::size_t number)
 {
-    Process &one = m_endpoints.at(number);
-    if (!one.isAlive || one.endpoint.state == Fleet::EndpointState::Draining)
+    Process &process = m_endpoints.at(number);
+    if (!process.isAlive || process.endpoint.state == Fleet::EndpointState::Draining)
         return;
-    one.endpoint.state = Fleet::EndpointState::Draining;
-    write(one);
-    one.end = m_options.worldTimers->start(drainTime, [this, number] { leave(number); });
+    process.endpoint.state = Fleet::EndpointState::Draining;
+    write(process);
+    process.end = m_options.worldTimers->start(drainTime, [this, number] { leave(number); });
 }
 
 void SimulatedEndpoints::leave(std::size_t number)
 {
-    Process &one = m_endpoints.at(number);
-    if (!one.isAlive)
+    Process &process = m_endpoints.at(number);
+    if (!process.isAlive)
         return;
     crash(number);
     if (isStoreAvailable())
@@ -70,51 +70,51 @@
 
 void SimulatedEndpoints::crash(std::size_t number)
 {
-    Process &one = m_endpoints.at(number);
-    one.isAlive = false;
-    one.isExpired = false;
-    m_options.worldTimers->cancel(one.heartbeat);
-    m_options.worldTimers->cancel(one.end);
+    Process &process = m_endpoints.at(number);
+    process.isAlive = false;
+    process.isExpired = false;
+    m_options.worldTimers->cancel(process.heartbeat);
+    m_options.worldTimers->cancel(process.end);
 }
 
-void SimulatedEndpoints::restart(std::size_t number, RestartTime how, bool isAtSameAddress)
+void SimulatedEndpoints::restart(std::size_t number, RestartTime startTime, bool isAtSameAddress)
 {
-    Process &one = m_endpoints.at(number);
+    Process &process = m_endpoints.at(number);
     crash(number);
-    one.previous = one.endpoint;
-    one.isAlive = true;
-    one.endpoint.state = Fleet::EndpointState::Ready;
+    process.previous = process.endpoint;
+    process.isAlive = true;
+    process.endpoint.state = Fleet::EndpointState::Ready;
     if (!isAtSameAddress)
-        ++one.endpoint.address.port;
-    switch (how) {
+        ++process.endpoint.address.port;
+    switch (startTime) {
     case RestartTime::Later:
-        one.endpoint.startedAt = m_options.worldTimers->clock().wallNow();
+        process.endpoint.startedAt = m_options.worldTimers->clock().wallNow();
         break;
     case RestartTime::Equal:
         break;
     case RestartTime::Earlier:
-        *one.endpoint.startedAt -= std::chrono::seconds(3);
+        *process.endpoint.startedAt -= std::chrono::seconds(3);
         break;
     }
-    one.starts.push_back(*one.endpoint.startedAt);
+    process.starts.push_back(*process.endpoint.startedAt);
     heartbeat(number, Base::Duration::zero());
 }
 
 void SimulatedEndpoints::writeUnreadable(std::size_t number)
 {
-    Process &one = m_endpoints.at(number);
-    if (!one.isAlive || !isStoreAvailable())
+    Process &process = m_endpoints.at(number);
+    if (!process.isAlive || !isStoreAvailable())
         return;
-    one.wasUnreadable = true;
+    process.wasUnreadable = true;
     m_options.store->append(Topic::Endpoints, id(number), unreadableEntry);
 }
 
 void SimulatedEndpoints::writeLate(std::size_t number)
 {
-    const Process &one = m_endpoints.at(number);
-    // The start that runs writes again soon.
-    if (one.previous && one.isAlive && isStoreAvailable())
-        m_options.store->append(Topic::Endpoints, id(number), toText(*one.previous));
+    const Process &process = m_endpoints.at(number);
+    // Only if the current start is running, as it soon overwrites the entry.
+    if (process.previous && process.isAlive && isStoreAvailable())
+        m_options.store->append(Topic::Endpoints, id(number), toText(*process.previous));
 }
 
 void SimulatedEndpoints::storeFailed()
@@ -125,19 +125,19 @@
 void SimulatedEndpoints::storeRecovered()
 {
     const Base::MonoTime now = m_options.worldTimers->clock().now();
-    if (now - m_storeFailedAt >= noticedOutage)
+    if (now - m_storeFailedAt >= minNoticedOutage)
         m_noticedRecoveryAt = now;
-    const bool wereAway = !std::exchange(m_expiresDuringOutage, false);
-    for (Process &one : m_endpoints) {
-        const Base::Duration age = now - one.writtenAt;
-        if (wereAway && age > maxMissedHeartbeats * heartbeatInterval)
-            expire(one, true);
+    const bool expiresAtRecovery = !std::exchange(m_expiresDuringOutage, false);
+    for (Process &process : m_endpoints) {
+        const Base::Duration age = now - process.writtenAt;
+        if (expiresAtRecovery && age > maxMissedHeartbeats * heartbeatInterval)
+            expire(process, true);
     }
     m_expiresDuringOutage = m_random.chance(50);
     for (std::size_t i = 0; i < m_endpoints.size(); ++i) {
-        // Others write as they always do.
+        // The other endpoints continue to write at their usual interval.
         if (m_endpoints[i].isExpired)
-            heartbeat(i, m_random.between(Base::Duration::zero(), returnTime));
+            heartbeat(i, m_random.between(Base::Duration::zero(), rewriteTime));
     }
 }
 
@@ -149,13 +149,13 @@
 
 bool SimulatedEndpoints::isExpiredByOutage(std::size_t number) const
 {
-    const Process &one = m_endpoints.at(number);
-    if (!one.isAlive || !one.isExpired || one.wasUnreadable
-        || one.endpoint.state == Fleet::EndpointState::Draining)
+    const Process &process = m_endpoints.at(number);
+    if (!process.isAlive || !process.isExpired || process.wasUnreadable
+        || process.endpoint.state == Fleet::EndpointState::Draining)
         return false;
     const Base::MonoTime now = m_options.worldTimers->clock().now();
-    const bool isAwayLong = !isStoreAvailable() && now - m_storeFailedAt >= noticedOutage;
-    return isAwayLong || (m_noticedRecoveryAt && now - *m_noticedRecoveryAt <= returnTime);
+    const bool isLongOutage = !isStoreAvailable() && now - m_storeFailedAt >= minNoticedOutage;
+    return isLongOutage || (m_noticedRecoveryAt && now - *m_noticedRecoveryAt <= rewriteTime);
 }
 
 bool SimulatedEndpoints::isBefore(std::size_t number, Base::WallTime earlier,
@@ -168,8 +168,9 @@
 
 bool SimulatedEndpoints::isClockSetBack(std::size_t number) const
 {
-    const Process &one = m_endpoints.at(number);
-    return *one.endpoint.startedAt < *std::max_element(one.starts.begin(), one.starts.end());
+    const Process &process = m_endpoints.at(number);
+    return *process.endpoint.startedAt
+        < *std::max_element(process.starts.begin(), process.starts.end());
 }
 
 bool SimulatedEndpoints::isStoreAvailable() const
@@ -179,44 +180,46 @@
 
 void SimulatedEndpoints::heartbeat(std::size_t number, Base::Duration delay)
 {
-    Process &one = m_endpoints.at(number);
-    m_options.worldTimers->cancel(one.heartbeat);
-    one.heartbeat = m_options.worldTimers->start(delay, [this, number] {
+    Process &process = m_endpoints.at(number);
+    m_options.worldTimers->cancel(process.heartbeat);
+    process.heartbeat = m_options.worldTimers->start(delay, [this, number] {
         write(m_endpoints.at(number));
         heartbeat(number, heartbeatInterval);
     });
 }
 
-void SimulatedEndpoints::write(Process &one)
+void SimulatedEndpoints::write(Process &process)
 {
-    if (!one.isAlive || !isStoreAvailable())
+    if (!process.isAlive || !isStoreAvailable())
         return;
-    one.writtenAt = m_options.worldTimers->clock().now();
-    m_options.store->append(Topic::Endpoints, one.endpoint.id.value(), toText(one.endpoint));
-    // One that was back at once was never missing.
-    one.isExpired = false;
+    process.writtenAt = m_options.worldTimers->clock().now();
+    m_options.store->append(Topic::Endpoints, process.endpoint.id.value(),
+                            toText(process.endpoint));
+    // An entry that is written again at once was never missing for routers.
+    process.isExpired = false;
 }
 
 void SimulatedEndpoints::checkExpiry()
 {
     const Base::MonoTime now = m_options.worldTimers->clock().now();
-    for (Process &one : m_endpoints) {
-        const bool isDue = now - one.writtenAt > maxMissedHeartbeats * heartbeatInterval;
+    for (Process &process : m_endpoints) {
+        const bool isDue = now - process.writtenAt > maxMissedHeartbeats * heartbeatInterval;
         if (isDue && (isStoreAvailable() || m_expiresDuringOutage))
-            expire(one, !isStoreAvailable());
+            expire(process, !isStoreAvailable());
     }
-    m_options.worldTimers->start(lapseStep, [this] { checkExpiry(); });
+    m_options.worldTimers->start(expiryCheckInterval, [this] { checkExpiry(); });
 }
 
-void SimulatedEndpoints::expire(Process &one, bool isByOutage)
+void SimulatedEndpoints::expire(Process &process, bool isByOutage)
 {
     const auto &keys = m_options.store->keys(Topic::Endpoints);
-    const auto known = keys.find(one.endpoint.id.value());
+    const auto known = keys.find(process.endpoint.id.value());
     if (known == keys.end() || !known->second.value)
         return;
-    // What a start before wrote, or nobody can read, may be given up at once.
-    one.isExpired = one.isAlive && isByOutage && *known->second.value == toText(one.endpoint);
-    m_options.store->append(Topic::Endpoints, one.endpoint.id.value(), std::nullopt);
+    // Routers may remove an entry at once that a previous start wrote or that cannot be parsed.
+    process.isExpired =
+        process.isAlive && isByOutage && *known->second.value == toText(process.endpoint);
+    m_options.store->append(Topic::Endpoints, process.endpoint.id.value(), std::nullopt);
 }
 
 } // namespace Simulation
--- a/tests/auto/simulation/simulatedendpoints.h
+++ b/tests/auto/simulation/simulatedendpoints.h
@@ -11,11 +11,12 @@
 
 namespace Simulation {
 
-/// How an endpoint that starts again under its id says when it started.
+/// The start time that an endpoint reports after a restart under the same id, compared with that of
+/// its previous start.
 enum class RestartTime : std::uint8_t { Later, Equal, Earlier };
 
-/// The endpoints: each writes its entry now and then, and the store drops one that has not been
-/// written for three such times.
+/// The endpoints. Each writes its entry to the store periodically; an entry that has not been
+/// written for three periods expires.
 class SimulatedEndpoints
 {
 public:
@@ -32,56 +33,58 @@
 
     void start();
     void drain(std::size_t number);
-    /// Has its entry removed and is seen no more.
+    /// Stops the endpoint and removes its entry.
     void leave(std::size_t number);
     void crash(std::size_t number);
-    void restart(std::size_t number, RestartTime how, bool isAtSameAddress);
-    /// Its entry cannot be read until it is written next.
+    void restart(std::size_t number, RestartTime startTime, bool isAtSameAddress);
+    /// Replaces the entry by one that routers cannot parse, until the endpoint writes it again.
     void writeUnreadable(std::size_t number);
-    /// A write of the start before this one arrives now.
+    /// Delivers a delayed write of the previous start.
     void writeLate(std::size_t number);
-    /// The store is away, and answers again.
+    /// To be called when the store becomes unavailable, and when it is available again.
     void storeFailed();
     void storeRecovered();
 
     std::size_t count() const { return m_endpoints.size(); }
     static std::string id(std::size_t number) { return "endpoint-" + std::to_string(number); }
     static std::size_t numberOf(const Lagoonbank::Base::EndpointId &id);
-    /// It runs and takes work; its entry has lapsed while the store was away, and the time in which
-    /// it writes it again is not over.
+    /// Whether the endpoint is ready but its entry expired during a store outage, and the time in
+    /// which it writes the entry again is not over.
     bool isExpiredByOutage(std::size_t number) const;
-    /// Whether the start that says \a earlier came before the one that says \a later.
+    /// Whether the start with the reported time \a earlier preceded the one with \a later.
     bool isBefore(std::size_t number, Lagoonbank::Base::WallTime earlier,
                   Lagoonbank::Base::WallTime later) const;
-    /// It says that it started earlier than a start before it did.
+    /// Whether the current start reports an earlier time than a previous one.
     bool isClockSetBack(std::size_t number) const;
 
 private:
     struct Process
     {
         Lagoonbank::Fleet::Endpoint endpoint;
-        std::optional<Lagoonbank::Fleet::Endpoint> previous; ///< The start before this one.
-        std::vector<Lagoonbank::Base::WallTime> starts; ///< In their order, this one the last.
+        std::optional<Lagoonbank::Fleet::Endpoint> previous; ///< As of the previous start.
+        /// Reported start times in the order of the starts.
+        std::vector<Lagoonbank::Base::WallTime> starts;
         bool isAlive = true;
-        bool wasUnreadable = false; ///< Reads of the log may still come upon that.
-        bool isExpired = false; ///< Its entry has lapsed while the store was away.
+        bool wasUnreadable = false; ///< Reads of the log may still return that entry.
+        bool isExpired = false; ///< Its entry expired during a store outage.
         Lagoonbank::Base::MonoTime writtenAt;
         Lagoonbank::Runtime::TimerId heartbeat;
-        Lagoonbank::Runtime::TimerId end; ///< Of one that drains.
+        Lagoonbank::Runtime::TimerId end; ///< When a drain completes.
     };
 
     bool isStoreAvailable() const;
     void heartbeat(std::size_t number, Lagoonbank::Base::Duration delay);
-    void write(Process &one);
+    void write(Process &process);
     void checkExpiry();
-    void expire(Process &one, bool isByOutage);
+    void expire(Process &process, bool isByOutage);
 
     Options m_options;
     RandomSource m_random;
     std::vector<Process> m_endpoints;
     Lagoonbank::Base::MonoTime m_storeFailedAt;
-    /// From an outage that routers had to see.
+    /// End of the last outage that was long enough for every store reader to notice.
     std::optional<Lagoonbank::Base::MonoTime> m_noticedRecoveryAt;
+    /// Whether the store drops expired entries during an outage or at its end.
     bool m_expiresDuringOutage = false;
 };
 
--- a/tests/auto/simulation/simulatednetwork.h
+++ b/tests/auto/simulation/simulatednetwork.h
@@ -13,11 +13,11 @@
 
 namespace Simulation {
 
-/// Number of a VM; a router that replaces another one keeps it.
+/// Index of a VM; a router that replaces another one keeps its index.
 using VmIndex = std::size_t;
 
-/// The links between routers: datagrams that may be lost, and pulls over TCP with their limits of
-/// time (see FleetSync::FleetLink).
+/// The links between routers: datagrams, which may be lost, and pulls over TCP with the timeouts of
+/// FleetSync::FleetLink.
 class SimulatedNetwork
 {
 public:
@@ -25,11 +25,11 @@
     {
         Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
         std::uint64_t seed = 1;
-        /// Whether two places are in one data centre, where links are short.
+        /// Whether two VMs are in one data centre, where delays are short.
         std::function<bool(VmIndex a, VmIndex b)> isSameDataCentre;
-        /// Runs something in the router at a place, now or when it is thawed; not at all if it is
-        /// down or restarts before. Gives back whether the VM's router is there.
-        std::function<bool(VmIndex at, std::function<void()> step)> post;
+        /// Runs a function in the router of a VM, now or when it resumes after a freeze; not at all
+        /// if it is down or restarts before. Returns whether the VM has a running router.
+        std::function<bool(VmIndex vm, std::function<void()> function)> post;
     };
     using Answer = std::function<Lagoonbank::Schema::FleetStateAnswer()>;
     using PullCallback = std::function<void(const Lagoonbank::Schema::FleetStateAnswer *answer)>;
@@ -39,13 +39,14 @@
     { }
 
     void sendDatagram(VmIndex from, VmIndex to, std::function<void()> arrive);
-    /// \a answer runs at the peer; \a ended in the asker, without an answer if there was none.
-    void pull(VmIndex from, VmIndex to, const Answer &answer, PullCallback ended);
+    /// \a answer runs in the peer. \a callback runs in the requesting router, with null if the pull
+    /// failed.
+    void pull(VmIndex from, VmIndex to, const Answer &answer, PullCallback callback);
 
-    // Faults; counts and sums, since they may overlap.
+    // Faults are counted or summed up, as they may overlap.
     void cut(VmIndex from, VmIndex to, int change) { m_cuts[{from, to}] += change; }
-    void addLoss(VmIndex at, int percent) { m_lossPercent[at] += percent; }
-    void slowDown(VmIndex at, int change) { m_slow[at] += change; }
+    void addLoss(VmIndex vm, int percent) { m_lossPercent[vm] += percent; }
+    void slowDown(VmIndex vm, int change) { m_slow[vm] += change; }
 
 private:
     bool isCut(VmIndex from, VmIndex to) const;
@@ -54,8 +55,8 @@
     Lagoonbank::Base::Duration transferTime(VmIndex from, VmIndex to,
                                             const Lagoonbank::Schema::FleetStateAnswer &state);
     void transfer(VmIndex from, VmIndex to, Lagoonbank::Schema::FleetStateAnswer state,
-                  PullCallback ended, Lagoonbank::Base::Duration silence);
-    void failPull(VmIndex from, Lagoonbank::Base::Duration after, PullCallback ended);
+                  PullCallback callback, Lagoonbank::Base::Duration stalled);
+    void failPull(VmIndex from, Lagoonbank::Base::Duration after, PullCallback callback);
 
     Options m_options;
     std::map<std::pair<VmIndex, VmIndex>, int> m_cuts;
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-/// As Platform::RouterProcess has them.
+/// The values of Platform::RouterProcess.
 constexpr Base::Duration endpointInterval = milliseconds(700);
 constexpr Base::Duration configurationWait = milliseconds(1500);
-constexpr Base::Duration firstBackoff = milliseconds(100);
-constexpr Base::Duration longestBackoff = milliseconds(800);
+constexpr Base::Duration initialBackoff = milliseconds(100);
+constexpr Base::Duration maxBackoff = milliseconds(800);
 constexpr std::uint16_t port = 7000;
 constexpr std::uint64_t datagramHeaders = 28;
-/// What a socket holds of datagrams for a process that does not run: some tens of KB.
-constexpr std::size_t mostHeld = 200;
+/// Datagrams that the socket buffer of a stopped process holds, some tens of KB.
+constexpr std::size_t maxPendingSteps = 200;
 
 } // namespace
 
@@ -66,7 +66,7 @@
 {
     if (!m_run)
         return;
-    // Ending is no news.
+    // The destruction of the directory is not reported as removal of its endpoints.
     m_run->directory->changed = nullptr;
     m_run->directory->removed = nullptr;
     m_run.reset();
@@ -85,7 +85,7 @@
     m_freezeCount += change;
     if (isFrozen())
         return;
-    // The loop looks at timers that are due first.
+    // The event loop runs due timers first.
     runDue();
     for (const std::function<void()> &step : std::exchange(m_pendingSteps, {}))
         step();
@@ -101,7 +101,7 @@
     };
     if (!isFrozen())
         inThisRun();
-    else if (m_pendingSteps.size() < mostHeld)
+    else if (m_pendingSteps.size() < maxPendingSteps)
         m_pendingSteps.emplace_back(std::move(inThisRun));
     return true;
 }
@@ -124,7 +124,7 @@
 
 std::string SimulatedRouter::id() const
 {
-    // As long as the users' names.
+    // As long as the users' router names.
     std::string name = "edge-data-centre-r" + std::to_string(m_options.vm);
     if (m_replacements > 0)
         name += "-" + std::to_string(m_replacements);
@@ -147,7 +147,7 @@
 {
     return {.source = m_run->link->source(topic),
             .timers = &m_timers,
-            .backoff = {.initial = firstBackoff, .max = longestBackoff, .seed = m_options.seed}};
+            .backoff = {.initial = initialBackoff, .max = maxBackoff, .seed = m_options.seed}};
 }
 
 void SimulatedRouter::wireViews()
@@ -206,8 +206,8 @@
 {
     FleetSync::FleetSync &sync = *m_run->sync;
     sync.roleChanged = [this](bool reads) { setReading(reads); };
-    sync.configurationPulled = [this](const FleetSync::StoredConfiguration &told) {
-        applyConfiguration(told.packed, told.offset);
+    sync.configurationPulled = [this](const FleetSync::StoredConfiguration &configuration) {
+        applyConfiguration(configuration.packed, configuration.offset);
     };
     sync.send = [this](const Runtime::SocketAddress &to, const Schema::FleetBeacon &beacon) {
         m_sentBytes += datagramHeaders + Schema::encodeMessage(beacon).value().size();
@@ -261,7 +261,7 @@
 
 void SimulatedRouter::setReading(bool reads)
 {
-    m_options.events->roleChanged(m_options.vm, reads);
+    m_options.events->readingChanged(m_options.vm, reads);
     if (!reads) {
         m_run->configurationView->stop();
         m_run->endpointView->stop();
--- a/tests/auto/simulation/simulatedrouter.h
+++ b/tests/auto/simulation/simulatedrouter.h
@@ -15,20 +15,20 @@
 
 namespace Simulation {
 
-/// What is watched of routers, at the moment when it happens.
+/// Called synchronously when something happens in a router.
 struct RouterEvents
 {
-    std::function<void(VmIndex at)> started;
-    std::function<void(VmIndex at, std::uint64_t before, std::uint64_t after)> configured;
-    std::function<void(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint)> changed;
-    std::function<void(VmIndex at, const Lagoonbank::Fleet::Endpoint &endpoint)> removed;
-    std::function<void(VmIndex at, VmIndex from, std::size_t inFlight)> pulled;
-    std::function<void(VmIndex at, bool reads)> roleChanged;
+    std::function<void(VmIndex vm)> started;
+    std::function<void(VmIndex vm, std::uint64_t oldRevision, std::uint64_t newRevision)>
+        configured;
+    std::function<void(VmIndex vm, const Lagoonbank::Fleet::Endpoint &endpoint)> changed;
+    std::function<void(VmIndex vm, const Lagoonbank::Fleet::Endpoint &endpoint)> removed;
+    std::function<void(VmIndex vm, VmIndex from, std::size_t inFlight)> pulled;
+    std::function<void(VmIndex vm, bool reads)> readingChanged;
 };
 
-/// A VM with a router: the product's FleetSync, views, directory and registry, wired as
-/// Platform::RouterProcess does it, on a timer queue of its own that stands still while it is
-/// frozen.
+/// A VM with a router: the production FleetSync, views, directory and registry, connected as in
+/// Platform::RouterProcess. It has its own timer queue, which does not run while it is frozen.
 class SimulatedRouter
 {
 public:
@@ -43,7 +43,7 @@
         SimulatedNetwork *network = nullptr;
         Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
         const RouterEvents *events = nullptr;
-        /// The router at an address; null if none ever was there.
+        /// The router at an address; null if the fleet has no VM there.
         std::function<SimulatedRouter *(const Lagoonbank::Runtime::SocketAddress &address)> find;
     };
 
@@ -52,13 +52,14 @@
 
     void start();
     void kill();
-    /// Starts under another name at the same address.
+    /// Starts a new router with another id at the same address.
     void replace();
-    /// Stops or goes on; counts.
+    /// Freezes (1) or resumes (-1) the process; overlapping freezes are counted.
     void freeze(int change);
-    /// Runs \a step now, or when it is thawed; gives back whether there is a router.
+    /// Runs \a step now, or when the process resumes after a freeze. Returns whether the router is
+    /// up.
     bool post(std::function<void()> step);
-    /// The store has a new record.
+    /// Notifies the router of a new record in the store.
     void wake(Topic topic);
     void runDue();
     std::optional<Lagoonbank::Base::MonoTime> nextDue();
@@ -70,17 +71,17 @@
     VmIndex vm() const { return m_options.vm; }
     const std::string &dataCentre() const { return m_options.dataCentre; }
     Lagoonbank::Runtime::SocketAddress address() const;
-    /// While it is up.
+    // directory(), sync() and configuration() may be called only while the router is up.
     const Lagoonbank::Fleet::EndpointDirectory &directory() const { return *m_run->directory; }
     const Lagoonbank::FleetSync::FleetSync &sync() const { return *m_run->sync; }
     std::uint64_t configuration() const { return m_run->configuration; }
     std::uint64_t sentBytes() const { return m_sentBytes; }
     std::uint64_t pulls() const { return m_pulls; }
 
-    StoreFaults storeFaults; ///< For this router alone.
+    StoreFaults storeFaults; ///< Faults that affect only this router.
 
 private:
-    /// What ends with the process. Members are destroyed from the last to the first.
+    /// State of one run of the process. The order of the members matters for their destruction.
     struct Run
     {
         std::unique_ptr<Lagoonbank::Fleet::EndpointDirectory> directory;
@@ -115,8 +116,8 @@
     std::uint64_t m_runNumber = 0;
     int m_replacements = 0;
     int m_freezeCount = 0;
-    std::vector<std::function<void()>> m_pendingSteps; ///< What came while it was frozen.
-    std::uint64_t m_sentBytes = 0; ///< In beacons, with the headers of UDP and IP.
+    std::vector<std::function<void()>> m_pendingSteps; ///< Posted while the process was frozen.
+    std::uint64_t m_sentBytes = 0; ///< Bytes of beacons, including UDP and IP headers.
     std::uint64_t m_pulls = 0;
 };
 
--- a/tests/auto/simulation/simulatedstore.h
+++ b/tests/auto/simulation/simulatedstore.h
@@ -16,17 +16,17 @@
 enum class Topic : std::uint8_t { Configuration, Endpoints, Routers };
 constexpr std::size_t topicCount = 3;
 
-/// The platform's store, as far as lagoonbank uses it: a log of records with keys for each topic.
-/// Nothing that was written is lost; what may go wrong on the way to it is StoreLink's.
+/// The part of the platform's store that lagoonbank uses: a log of keyed records for each topic.
+/// No written record is lost; failures of calls are simulated by StoreLink.
 class SimulatedStore
 {
 public:
-    /// The newest record of a key, dropped ones too.
+    /// The newest record of a key. A record without a value marks a dropped key.
     struct Newest
     {
         std::optional<std::string> value;
         Lagoonbank::Base::LogOffset offset;
-        /// When it was written first with this value.
+        /// Time of the first write of this value; repeated writes of it don't change the time.
         Lagoonbank::Base::MonoTime writtenAt;
     };
     using Keys = std::map<std::string, Newest>;
@@ -36,14 +36,14 @@
     { }
 
     void append(Topic topic, const std::string &key, std::optional<std::string> value);
-    /// Forgets all records; the newest of each key can still be listed.
+    /// Drops all records from the log; newest() still returns the newest of each key.
     void trim(Topic topic);
 
     Lagoonbank::KeyedLog::NewestPage newest(Topic topic, const std::string &after) const;
-    /// Nothing while there is no record at or behind \a from.
+    /// Returns std::nullopt if there is no record at or after \a from yet.
     std::optional<Lagoonbank::KeyedLog::TailPage> tail(Topic topic,
                                                        Lagoonbank::Base::LogOffset from) const;
-    /// The answer to a read that has waited in vain.
+    /// The answer to a read whose wait has expired without a new record.
     Lagoonbank::KeyedLog::TailPage emptyTail(Topic topic) const;
 
     const Keys &keys(Topic topic) const { return log(topic).keys; }
@@ -54,7 +54,7 @@
 private:
     struct Log
     {
-        std::vector<Lagoonbank::KeyedLog::KeyedRecord> records; ///< From `first` on.
+        std::vector<Lagoonbank::KeyedLog::KeyedRecord> records; ///< Records from offset `first` on.
         std::uint64_t first = 0;
         Keys keys;
 
--- a/tests/auto/simulation/storelink.cpp
+++ b/tests/auto/simulation/storelink.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// As Platform::Store has them.
+/// The values of Platform::Store.
 constexpr Base::Duration connectTimeout = milliseconds(400);
 constexpr Base::Duration answerTimeout = milliseconds(700);
-/// One way to the store, between data centres at most.
-constexpr Base::Duration nearest = milliseconds(1);
-constexpr Base::Duration farthest = milliseconds(12);
-/// Of a slow store; some answers come after the caller has given up.
-constexpr Base::Duration slowest = milliseconds(900);
-constexpr int lostPercent = 50;
+/// One-way delay to the store, which may be in another data centre.
+constexpr Base::Duration minDelay = milliseconds(1);
+constexpr Base::Duration maxDelay = milliseconds(12);
+/// Maximum delay of a slow store; some answers arrive after the call has timed out.
+constexpr Base::Duration maxSlowDelay = milliseconds(900);
+constexpr int answerLossPercent = 50;
 
 Errors::Error unavailable()
 {
@@ -89,11 +89,11 @@
 KeyedLog::ReadId StoreLink::start(Call call)
 {
     const std::uint64_t id = ++m_lastId;
-    const Base::Duration limit =
+    const Base::Duration timeout =
         m_usesConnectTimeout && isSilent() ? connectTimeout : call.wait + answerTimeout;
-    call.timeout = m_options.timers->start(limit, [this, id] { finish(id, false, nullptr); });
+    call.timeout = m_options.timers->start(timeout, [this, id] { finish(id, false, nullptr); });
     m_calls.emplace(id, std::move(call));
-    after(m_random.between(nearest, farthest), [this, id] { arrive(id, false); });
+    after(m_random.between(minDelay, maxDelay), [this, id] { arrive(id, false); });
     return KeyedLog::ReadId(id);
 }
 
@@ -131,10 +131,10 @@
 {
     const bool isLossy =
         m_options.sharedFaults->losesAnswers + m_options.routerFaults->losesAnswers > 0;
-    if (isLossy && m_random.chance(lostPercent))
+    if (isLossy && m_random.chance(answerLossPercent))
         return;
     const bool isSlow = m_options.sharedFaults->slow + m_options.routerFaults->slow > 0;
-    const Base::Duration delay = m_random.between(nearest, isSlow ? slowest : farthest);
+    const Base::Duration delay = m_random.between(minDelay, isSlow ? maxSlowDelay : maxDelay);
     after(delay, [this, id, answer = std::move(answer)] {
         if (!isSilent())
             m_options.post([this, id, answer] { finish(id, true, answer); });
--- a/tests/auto/simulation/storelink.h
+++ b/tests/auto/simulation/storelink.h
@@ -9,29 +9,30 @@
 
 namespace Simulation {
 
-/// What is wrong on the way of calls to the store. Counts, since faults may overlap.
+/// Active faults that affect calls to the store. They are counted, as faults may overlap.
 struct StoreFaults
 {
-    int refuses = 0; ///< Calls are answered that nothing was done.
-    int silent = 0; ///< Calls get no answer and do nothing.
-    int losesAnswers = 0; ///< Every other answer is lost after the call took effect.
-    int slow = 0; ///< Answers take up to `slowest`.
+    int refuses = 0; ///< Calls fail without effect.
+    int silent = 0; ///< Calls have no effect and get no answer.
+    int losesAnswers = 0; ///< Half of the answers are lost after the call took effect.
+    int slow = 0; ///< Answers take up to 0.9 s.
 
     bool isAny() const { return refuses + silent + losesAnswers + slow > 0; }
 };
 
-/// One run of a router's calls to the store, with their limits of time; see Platform::Store.
+/// Calls of a router to the store during one run of its process, with the timeouts of
+/// Platform::Store.
 class StoreLink
 {
 public:
     struct Options
     {
         SimulatedStore *store = nullptr;
-        const StoreFaults *sharedFaults = nullptr; ///< Trouble of the store.
-        const StoreFaults *routerFaults = nullptr; ///< Trouble for this router alone.
+        const StoreFaults *sharedFaults = nullptr; ///< Faults for all routers.
+        const StoreFaults *routerFaults = nullptr; ///< Faults for this router.
         Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
         Lagoonbank::Runtime::TimerQueue *timers = nullptr; ///< The router's.
-        /// Runs something in the router, now or when it is thawed.
+        /// Runs a function in the router, now or when it resumes after a freeze.
         std::function<void(std::function<void()>)> post;
         std::uint64_t seed = 1;
     };
@@ -46,16 +47,17 @@
 
     Lagoonbank::KeyedLog::KeyedSource source(Topic topic);
     Lagoonbank::KeyedLog::KeyedWrite write(Topic topic);
-    /// A record was written: reads that wait for it are answered.
+    /// Answers waiting reads of the topic after a record was written.
     void wake(Topic topic);
 
 private:
-    using Answer = std::function<void()>; ///< Hands itself over to the caller.
+    using Answer = std::function<void()>; ///< Passes the result to the caller.
     struct Call
     {
         Topic topic = Topic::Configuration;
         Lagoonbank::Base::Duration wait{};
-        /// Done at the store; nothing if the call has to wait, which it need not when it is last.
+        /// Performs the call in the store. Returns null if the call has to wait for a record, which
+        /// it does not if \a isWaitOver.
         std::function<Answer(bool isWaitOver)> perform;
         Answer fail;
         bool isWaiting = false;
@@ -81,7 +83,7 @@
     RandomSource m_random;
     std::uint64_t m_lastId = 0;
     std::map<std::uint64_t, Call> m_calls;
-    bool m_usesConnectTimeout = false; ///< Since a call was lost.
+    bool m_usesConnectTimeout = false; ///< Set when a call got no answer.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/tests/auto/simulation/tst_simulatedhistories.cpp
+++ b/tests/auto/simulation/tst_simulatedhistories.cpp
@@ -1,4 +1,4 @@
-/// Histories that were red, as tst_simulation found and shortened them.
+/// Regression histories: failing histories that tst_simulation found, in minimised form.
 #define BOOST_TEST_MODULE tst_simulatedhistories
 #include <boost/test/unit_test.hpp>
 
@@ -19,8 +19,8 @@
 
 } // namespace
 
-/// A peer that the store answers first tells of its return, so that this router did not see how
-/// long it had been away.
+/// A peer that the store answers first reports the store's return. This router therefore did not
+/// detect how long the outage had lasted.
 BOOST_AUTO_TEST_CASE(firstReaderAfterOutageKeepsExpiredEntries)
 {
     checkRules({.seed = 33,
@@ -32,8 +32,8 @@
                 }});
 }
 
-/// Beacons that had waited in the sockets of a router that stood still were taken for new, and
-/// their age told on.
+/// Beacons that had been queued in the sockets of a frozen router were considered current when it
+/// resumed, and the router propagated the resulting age of its state.
 BOOST_AUTO_TEST_CASE(beaconsQueuedDuringFreezeAreOutdated)
 {
     checkRules({.seed = 722,
@@ -45,7 +45,7 @@
                 }});
 }
 
-/// A router that stood still through an outage has seen no read of its own fail.
+/// A router that was frozen during an outage has had no failed read of its own.
 BOOST_AUTO_TEST_CASE(readerFrozenDuringOutageKeepsExpiredEntries)
 {
     checkRules({.seed = 7065,
@@ -58,7 +58,8 @@
                 }});
 }
 
-/// Ages that were passed back and forth shrank by the time on the way, a fifth of the time in all.
+/// Each time that routers exchanged the age of their state, the age shrank by the transmission
+/// time, in all by a fifth of the elapsed time.
 BOOST_AUTO_TEST_CASE(propagatedAgeDoesNotShrink)
 {
     checkRules({.seed = 2908,
@@ -69,7 +70,8 @@
                 }});
 }
 
-/// The time in which entries come back ran on while the store was away again.
+/// The time in which expired entries may come back continued to run while the store was unavailable
+/// again.
 BOOST_AUTO_TEST_CASE(entriesAreKeptThroughTwoOutages)
 {
     checkRules({.seed = 35,
@@ -81,7 +83,8 @@
                 }});
 }
 
-/// Neither outage was long enough for entries to lapse, but endpoints could not write in between.
+/// Neither outage was long enough for entries to expire, but endpoints could not write their
+/// entries between the two.
 BOOST_AUTO_TEST_CASE(consecutiveOutagesCountAsOne)
 {
     checkRules({.seed = 68,
@@ -96,8 +99,8 @@
                 }});
 }
 
-/// The same where the reader has no read between the two, and a deputy takes its place whose own
-/// reads have not failed since the first.
+/// As above, but the reader makes no read between the two outages, and a standby takes over whose
+/// own reads have not failed since the first one.
 BOOST_AUTO_TEST_CASE(consecutiveOutagesWithTakeoverCountAsOne)
 {
     checkRules({.seed = 13367,
@@ -110,8 +113,8 @@
                 }});
 }
 
-/// A deputy waited for an entry to come back, left the store to its reader, and was not told that
-/// the entry was back, as the reader had never missed it.
+/// A standby waited for an entry to come back and left reading the store to the reader. It was not
+/// notified of the entry, as the entry had never been missing for the reader.
 BOOST_AUTO_TEST_CASE(routerWaitingForAnEntryReadsUntilItIsResolved)
 {
     checkRules({.seed = 50,
@@ -125,7 +128,7 @@
                 }});
 }
 
-/// The reader that took over had never known the endpoint, so it could not tell that it had gone.
+/// The reader that took over had never known the endpoint, so it could not report its removal.
 BOOST_AUTO_TEST_CASE(newReaderIsNotTheOnlySourceOfRemovals)
 {
     checkRules({.seed = 32,
@@ -137,7 +140,8 @@
                 }});
 }
 
-/// A router that starts knows nothing that can have lapsed, and its peers wait for what it reads.
+/// A router that starts knows no entries that may have expired, and its peers wait for the result
+/// of its reads.
 BOOST_AUTO_TEST_CASE(startingReaderWaitsForNoEntries)
 {
     checkRules({.seed = 1810,
@@ -149,7 +153,8 @@
                 }});
 }
 
-/// A peer told a reader of an endpoint that the reader's own listing had shown to have gone.
+/// A peer reported an endpoint to a reader, although the reader's own listing of the store had
+/// shown that the endpoint was removed.
 BOOST_AUTO_TEST_CASE(endpointMissingFromListingIsNotRestoredByPeer)
 {
     checkRules({.seed = 4638,
@@ -162,7 +167,7 @@
                 }});
 }
 
-/// A reader had 0.5 s more than it should before its deputies took its place.
+/// Standbys took over 0.5 s too late from a reader whose calls to the store failed.
 BOOST_AUTO_TEST_CASE(readerWithoutStoreAnswersIsReplacedInTime)
 {
     checkRules({.seed = 726,
@@ -174,7 +179,8 @@
                 }});
 }
 
-/// A deputy that the store turned away said that it read until 1.6 s had passed without an answer.
+/// A standby whose calls to the store failed announced itself as reader until 1.6 s had passed
+/// without an answer.
 BOOST_AUTO_TEST_CASE(readerCountsOnlyAfterASuccessfulRead)
 {
     checkRules(
@@ -188,7 +194,7 @@
          }});
 }
 
-/// A router hears that its reader has news and cannot ask for them.
+/// A router receives beacons that announce changes at its reader but cannot pull the changes.
 BOOST_AUTO_TEST_CASE(oneWayCutDoesNotDelayPropagation)
 {
     checkRules({.seed = 3527,
@@ -204,7 +210,7 @@
                 }});
 }
 
-/// The start whose clock was set back was never believed.
+/// An endpoint that restarted with its clock set back was never accepted.
 BOOST_AUTO_TEST_CASE(restartWithClockSetBackIsAccepted)
 {
     checkRules({.seed = 25,
@@ -215,7 +221,7 @@
                 }});
 }
 
-/// Its hearers did not believe what their reader did.
+/// Routers that follow a reader did not accept a restart that the reader had accepted.
 BOOST_AUTO_TEST_CASE(restartWithClockSetBackIsAcceptedByAllRouters)
 {
     checkRules({.seed = 258,
@@ -226,8 +232,8 @@
                 }});
 }
 
-/// A key that a listing lacked counted as dropped by the record behind it, which was the key's
-/// next.
+/// A key that was missing from a listing counted as dropped at the offset of the record after the
+/// listing, which was the next record of the same key.
 BOOST_AUTO_TEST_CASE(entryWrittenRightAfterListingIsKnown)
 {
     checkRules(
@@ -243,7 +249,8 @@
          }});
 }
 
-/// A router that had not reached the store itself yet left it to one that had just started.
+/// A router that had not reached the store itself yet left reading it to a router that had just
+/// started.
 BOOST_AUTO_TEST_CASE(routerThatDiffersFromNewReaderReadsOnce)
 {
     checkRules({.seed = 55714,
@@ -261,8 +268,8 @@
                 }});
 }
 
-/// A router that the store answers again read all that had come and gone meanwhile, and told its
-/// peers that endpoints had gone which had long been back.
+/// A router that could use the store again read all additions and removals since its last read. It
+/// reported endpoints as removed to its peers although they had been back for a long time.
 BOOST_AUTO_TEST_CASE(outdatedRemovalsReadAfterGapAreNotPropagated)
 {
     checkRules(
@@ -276,8 +283,8 @@
          }});
 }
 
-/// A reader that is told only the newest of an endpoint's records does not hear that it leaves
-/// before it is gone, and waits for it to come back.
+/// A reader that reads only the newest of an endpoint's records does not receive the draining state
+/// before the removal, and waits for the endpoint to come back.
 BOOST_AUTO_TEST_CASE(drainingStateIsPropagatedAfterRemoval)
 {
     checkRules({.seed = 201705,
@@ -293,8 +300,8 @@
                 }});
 }
 
-/// A reader on a link of 0.5 Mbit/s sends a configuration for 1.4 s, and the next one after it,
-/// while those that wait for it could read the store.
+/// A reader on a link of 0.5 Mbit/s takes 1.4 s to send a configuration, and then sends the next
+/// one, while the routers that wait for it could read the store.
 BOOST_AUTO_TEST_CASE(slowReaderDoesNotDelayConfigurations)
 {
     checkRules({.seed = 55181,
@@ -307,7 +314,8 @@
                 }});
 }
 
-/// Two pulls of 0.4 s fail before a router reads for itself; behind a restart that is too late.
+/// Two pulls with a timeout of 0.4 s fail before a router reads the store itself; after a restart
+/// this takes too long.
 BOOST_AUTO_TEST_CASE(restartBehindOneWayCutDoesNotDelayPropagation)
 {
     checkRules({.seed = 1,
@@ -320,8 +328,8 @@
                 }});
 }
 
-/// A reader's lost beacons are no outage of the store, so that what leaves behind them is not
-/// awaited.
+/// Lost beacons of a reader are not an outage of the store. Routers must not wait for an endpoint
+/// to come back that leaves after the loss.
 BOOST_AUTO_TEST_CASE(lostBeaconsOfReaderAreNoOutage)
 {
     checkRules(
@@ -335,7 +343,7 @@
          }});
 }
 
-/// The reader of the whole fleet had stood still and waited for an entry to come back, while
+/// The reader of the whole fleet had been frozen and waited for an entry to come back, while
 /// leaders that had missed nothing left the reading to it.
 BOOST_AUTO_TEST_CASE(upToDateLeaderTakesPrecedenceOverWaitingReader)
 {
@@ -350,7 +358,7 @@
          }});
 }
 
-/// The same after two faults, with a store that does not answer the reader alone.
+/// As above, but after two faults, where the store leaves only the calls of the reader unanswered.
 BOOST_AUTO_TEST_CASE(waitingReaderWithoutStoreAnswersIsNotFollowed)
 {
     checkRules({.seed = 1,
@@ -363,7 +371,8 @@
                 }});
 }
 
-/// Each router on the way from the reader doubted the start for itself.
+/// Each router on the path from the reader treated the restart as suspect independently of the
+/// others.
 BOOST_AUTO_TEST_CASE(restartWithClockSetBackIsAcceptedAcrossDataCentres)
 {
     checkRules(
@@ -375,7 +384,8 @@
          }});
 }
 
-/// A leader on a slow link pulled from the reader, and its data centre then pulled from it.
+/// A leader on a slow link pulled from the reader, and the other routers of its data centre then
+/// pulled from the leader.
 BOOST_AUTO_TEST_CASE(slowLeaderDoesNotDelayConfigurations)
 {
     checkRules(
@@ -392,7 +402,8 @@
          }});
 }
 
-/// A leader that went on after a standstill gave up entries that had long come back, and told so.
+/// A leader that resumed after a freeze removed entries that had come back long before, and
+/// reported the removals to its peers.
 BOOST_AUTO_TEST_CASE(removalsByLeaderAfterFreezeAreNotPropagated)
 {
     checkRules(
@@ -411,8 +422,8 @@
          }});
 }
 
-/// Two leaders read the store for as long as neither met the other: each asked any router of the
-/// other's data centre.
+/// Two leaders both read the store for as long as neither found the other: each contacted arbitrary
+/// routers of the other's data centre.
 BOOST_AUTO_TEST_CASE(leadersOfTwoDataCentresFindEachOther)
 {
     checkRules(
--- a/tests/auto/simulation/tst_simulation.cpp
+++ b/tests/auto/simulation/tst_simulation.cpp
@@ -1,6 +1,6 @@
-/// Plays histories made from seeds. By hand, with more of them:
+/// Plays histories that are drawn from seeds. To run more of them:
 /// LAGOONBANK_SIMULATION_FIRST=1 LAGOONBANK_SIMULATION_COUNT=50000 tst_simulation
-/// With LAGOONBANK_SIMULATION_TRACE=1 it tells what routers do in the shortest red history.
+/// LAGOONBANK_SIMULATION_TRACE=1 prints the router events of the minimised failing histories.
 #define BOOST_TEST_MODULE tst_simulation
 #include <boost/test/unit_test.hpp>
 
@@ -16,32 +16,32 @@
 
 namespace {
 
-/// Some seconds' worth.
+/// Takes some seconds.
 constexpr std::uint64_t countInCi = 300;
-/// Red histories that are shrunk and printed of each rule.
-constexpr int mostShown = 1;
+/// Maximum number of failing histories per rule that are minimised and printed.
+constexpr int maxShown = 1;
 
-std::uint64_t numberFrom(const char *variable, std::uint64_t otherwise)
+std::uint64_t numberFrom(const char *variable, std::uint64_t defaultValue)
 {
     const char *text = std::getenv(variable);
-    return text ? std::stoull(text) : otherwise;
+    return text ? std::stoull(text) : defaultValue;
 }
 
 void show(const History &failing, const Violation &violation)
 {
-    const History shortest = shrink(failing, violation);
-    const Outcome outcome = play(shortest);
+    const History minimised = shrink(failing, violation);
+    const Outcome outcome = play(minimised);
     std::cout << "seed " << failing.seed << ": " << violation.rule << ": " << violation.detail
-              << " after " << violation.atMs << " ms\nshortest: " << outcome.violation->detail
+              << " after " << violation.atMs << " ms\nminimised: " << outcome.violation->detail
               << " after " << outcome.violation->atMs << " ms\n"
-              << toText(shortest) << std::endl;
+              << toText(minimised) << std::endl;
     if (std::getenv("LAGOONBANK_SIMULATION_TRACE"))
-        play(shortest, [](const std::string &line) { std::cout << line << '\n'; });
+        play(minimised, [](const std::string &line) { std::cout << line << '\n'; });
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aSeedIsOneHistory)
+BOOST_AUTO_TEST_CASE(sameSeedGivesSameHistory)
 {
     for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
         const Outcome first = play(historyFromSeed(seed));
@@ -51,7 +51,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(historiesKeepTheRules)
+BOOST_AUTO_TEST_CASE(historiesSatisfyTheRules)
 {
     const std::uint64_t first = numberFrom("LAGOONBANK_SIMULATION_FIRST", 1);
     const std::uint64_t count = numberFrom("LAGOONBANK_SIMULATION_COUNT", countInCi);
@@ -60,7 +60,7 @@
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
         const History history = historyFromSeed(seed);
         const auto violation = play(history).violation;
-        if (violation && ++failing[violation->rule] <= mostShown)
+        if (violation && ++failing[violation->rule] <= maxShown)
             show(history, *violation);
     }
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - startedAt;
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Within which all VMs of a fleet start.
+/// All VMs of a fleet start within this time.
 constexpr Base::Duration startSpread = milliseconds(300);
 constexpr std::size_t firstConfigurationBytes = 4000;
-/// Versions grow in uneven steps.
+/// Revisions need not be consecutive.
 constexpr std::uint64_t revisionStep = 3;
 
 } // namespace
@@ -29,8 +29,8 @@
             [this](VmIndex a, VmIndex b) {
                 return router(a).dataCentre() == router(b).dataCentre();
             },
-        .post = [this](VmIndex at,
-                       std::function<void()> step) { return router(at).post(std::move(step)); }});
+        .post = [this](VmIndex vm,
+                       std::function<void()> step) { return router(vm).post(std::move(step)); }});
     m_endpoints = std::make_unique<SimulatedEndpoints>(
         SimulatedEndpoints::Options{.store = &m_store,
                                     .storeFaults = &m_storeFaults,
@@ -41,8 +41,8 @@
     m_vmFaults.resize(m_routers.size(), {.since = m_clock.now()});
     m_storeFaultState.since = m_clock.now();
     m_store.appended = [this](Topic topic) {
-        for (const auto &one : m_routers)
-            one->wake(topic);
+        for (const auto &each : m_routers)
+            each->wake(topic);
     };
     configure(firstConfigurationBytes);
     m_endpoints->start();
@@ -69,7 +69,7 @@
                 .find = [this](const Runtime::SocketAddress &address) -> SimulatedRouter * {
                     const auto found =
                         std::find_if(m_routers.begin(), m_routers.end(),
-                                     [&](const auto &one) { return one->address() == address; });
+                                     [&](const auto &each) { return each->address() == address; });
                     return found == m_routers.end() ? nullptr : found->get();
                 }}));
             m_timers.start(random.between(Base::Duration::zero(), startSpread),
@@ -80,17 +80,17 @@
 
 void World::play(Base::Duration until, Base::Duration interval, const std::function<bool()> &check)
 {
-    Base::MonoTime nextLook = m_clock.now();
+    Base::MonoTime nextCheck = m_clock.now();
     const Base::MonoTime end = m_startedAt + until;
     while (m_clock.now() < end) {
-        const Base::MonoTime due = std::max(std::min(nextDue(), nextLook), m_clock.now());
+        const Base::MonoTime due = std::max(std::min(nextDue(), nextCheck), m_clock.now());
         m_clock.advance(due - m_clock.now());
         m_timers.runDue();
-        for (const auto &one : m_routers)
-            one->runDue();
-        if (m_clock.now() < nextLook)
+        for (const auto &each : m_routers)
+            each->runDue();
+        if (m_clock.now() < nextCheck)
             continue;
-        nextLook = m_clock.now() + interval;
+        nextCheck = m_clock.now() + interval;
         if (!check())
             return;
     }
@@ -99,15 +99,15 @@
 Base::MonoTime World::nextDue()
 {
     Base::MonoTime next = m_timers.nextDue().value_or(Base::MonoTime::max());
-    for (const auto &one : m_routers)
-        next = std::min(next, one->nextDue().value_or(Base::MonoTime::max()));
+    for (const auto &each : m_routers)
+        next = std::min(next, each->nextDue().value_or(Base::MonoTime::max()));
     return next;
 }
 
 std::optional<Base::MonoTime> World::faultFreeSince(VmIndex vm) const
 {
-    const FaultState &calm = m_vmFaults.at(vm);
-    return calm.activeFaults > 0 ? std::nullopt : std::optional(calm.since);
+    const FaultState &state = m_vmFaults.at(vm);
+    return state.activeFaults > 0 ? std::nullopt : std::optional(state.since);
 }
 
 std::optional<Base::MonoTime> World::storeFaultFreeSince() const
@@ -124,39 +124,39 @@
 
 bool World::beginStoreFault(const Step &step)
 {
-    const auto sharedFaults = [&](int StoreFaults::*field) {
+    const auto forAllRouters = [&](int StoreFaults::*field) {
         applyFault(m_storeFaultState, step, [this, field](int change) {
-            const bool wasAway = isStoreUnavailable();
+            const bool wasUnavailable = isStoreUnavailable();
             m_storeFaults.*field += change;
-            if (wasAway && !isStoreUnavailable())
+            if (wasUnavailable && !isStoreUnavailable())
                 m_endpoints->storeRecovered();
-            else if (!wasAway && isStoreUnavailable())
+            else if (!wasUnavailable && isStoreUnavailable())
                 m_endpoints->storeFailed();
         });
     };
-    const auto one = [&](int StoreFaults::*field) {
+    const auto forOneRouter = [&](int StoreFaults::*field) {
         applyFault(m_vmFaults.at(step.target), step, [this, step, field](int change) {
             router(step.target).storeFaults.*field += change;
         });
     };
     switch (step.kind) {
     case StepKind::StoreRefuses:
-        sharedFaults(&StoreFaults::refuses);
+        forAllRouters(&StoreFaults::refuses);
         return true;
     case StepKind::StoreSilent:
-        sharedFaults(&StoreFaults::silent);
+        forAllRouters(&StoreFaults::silent);
         return true;
     case StepKind::StoreLosesAnswers:
-        sharedFaults(&StoreFaults::losesAnswers);
+        forAllRouters(&StoreFaults::losesAnswers);
         return true;
     case StepKind::StoreSlow:
-        sharedFaults(&StoreFaults::slow);
+        forAllRouters(&StoreFaults::slow);
         return true;
     case StepKind::StoreRefusesOne:
-        one(&StoreFaults::refuses);
+        forOneRouter(&StoreFaults::refuses);
         return true;
     case StepKind::StoreSilentForOne:
-        one(&StoreFaults::silent);
+        forOneRouter(&StoreFaults::silent);
         return true;
     default:
         return false;
@@ -226,18 +226,18 @@
     case StepKind::Kill:
     case StepKind::Replace:
         applyFault(m_vmFaults.at(step.target), step, [this, step](int change) {
-            SimulatedRouter &one = router(step.target);
+            SimulatedRouter &affected = router(step.target);
             if (change > 0)
-                one.kill();
+                affected.kill();
             else if (step.kind == StepKind::Kill)
-                one.start();
+                affected.start();
             else
-                one.replace();
+                affected.replace();
         });
         return true;
     case StepKind::KillAll:
-        for (const auto &one : m_routers) {
-            applyFault(m_vmFaults.at(one->vm()), step, [raw = one.get()](int change) {
+        for (const auto &each : m_routers) {
+            applyFault(m_vmFaults.at(each->vm()), step, [raw = each.get()](int change) {
                 if (change > 0)
                     raw->kill();
                 else
@@ -287,16 +287,16 @@
     m_timers.start(milliseconds(step.durationMs), [change] { change(-1); });
 }
 
-void World::applyFault(FaultState &calm, const Step &step, const std::function<void(int)> &change)
+void World::applyFault(FaultState &state, const Step &step, const std::function<void(int)> &change)
 {
-    applyDuring(step, [this, &calm, change](int by) {
-        calm.activeFaults += by;
-        calm.since = m_clock.now();
-        change(by);
+    applyDuring(step, [this, &state, change](int difference) {
+        state.activeFaults += difference;
+        state.since = m_clock.now();
+        change(difference);
     });
 }
 
-/// The operator's writes wait until the store takes them.
+/// The operator's write is retried until the store is available.
 void World::configure(std::size_t bytes)
 {
     if (isStoreUnavailable()) {
--- a/tests/auto/simulation/world.h
+++ b/tests/auto/simulation/world.h
@@ -11,8 +11,8 @@
 
 namespace Simulation {
 
-/// A fleet of routers, its store, links and endpoints on one virtual clock, to which the steps of
-/// a history happen.
+/// A fleet of routers with its store, links and endpoints on one virtual clock. Runs the steps of a
+/// history.
 class World
 {
 public:
@@ -20,20 +20,22 @@
     World(const World &) = delete;
     World &operator=(const World &) = delete;
 
-    /// Lets time pass; \a look is called again and again, \a interval apart.
+    /// Advances the clock to \a until after the start of the history. Calls \a check once per
+    /// \a interval and stops when it returns false.
     void play(Lagoonbank::Base::Duration until, Lagoonbank::Base::Duration interval,
               const std::function<bool()> &check);
 
-    /// Since the start of the history.
+    /// Time since the start of the history.
     Lagoonbank::Base::Duration elapsed() const { return m_clock.now() - m_startedAt; }
     Lagoonbank::Base::MonoTime now() const { return m_clock.now(); }
     const std::vector<std::unique_ptr<SimulatedRouter>> &routers() const { return m_routers; }
     const SimulatedEndpoints &endpoints() const { return *m_endpoints; }
     const SimulatedStore &store() const { return m_store; }
-    /// Since when nothing was done to this VM, its links, or its way to the store; nothing while
-    /// something is. A cut between routers is none: each still reaches the store.
+    /// End of the last fault of this VM, its links or its connection to the store; std::nullopt
+    /// while a fault is active. A cut between routers does not count, as each router still
+    /// reaches the store.
     std::optional<Lagoonbank::Base::MonoTime> faultFreeSince(VmIndex vm) const;
-    /// The same of the store.
+    /// End of the last fault of the store; std::nullopt while a fault is active.
     std::optional<Lagoonbank::Base::MonoTime> storeFaultFreeSince() const;
 
     RouterEvents events;
@@ -52,9 +54,9 @@
     bool beginProcessFault(const Step &step);
     void applyInstantStep(const Step &step);
     void cutDataCentre(const Step &step);
-    /// Does \a change with 1 now, and with -1 when the step ends.
+    /// Calls \a change with 1 now, and with -1 when the step ends.
     void applyDuring(const Step &step, const std::function<void(int change)> &change);
-    void applyFault(FaultState &calm, const Step &step, const std::function<void(int)> &change);
+    void applyFault(FaultState &state, const Step &step, const std::function<void(int)> &change);
     bool isStoreUnavailable() const { return m_storeFaults.refuses + m_storeFaults.silent > 0; }
     void configure(std::size_t bytes);
     SimulatedRouter &router(VmIndex vm) { return *m_routers.at(vm); }
@@ -69,7 +71,7 @@
     std::unique_ptr<SimulatedNetwork> m_network;
     std::unique_ptr<SimulatedEndpoints> m_endpoints;
     std::vector<std::unique_ptr<SimulatedRouter>> m_routers;
-    std::vector<FaultState> m_vmFaults; ///< Of each place.
+    std::vector<FaultState> m_vmFaults; ///< Fault state of each VM.
     FaultState m_storeFaultState;
     std::uint64_t m_revision = 0;
 };
