--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -18,13 +18,15 @@
 
 constexpr std::string_view modelPath = "/v1/chat/completions";
 constexpr std::string_view servicesPrefix = "/services/";
+/// Deadline of requests for which admission sets none.
 constexpr Base::Duration defaultDeadline = std::chrono::seconds(30);
-/// When to come back to a router that has no configuration yet or is stopping.
-constexpr Base::Duration otherRouterWait = std::chrono::seconds(1);
+/// Retry-After value while this router has no configuration yet or is draining; a balancer may
+/// send the retry to another router.
+constexpr Base::Duration notReadyRetryAfter = std::chrono::seconds(1);
 
 } // namespace
 
-/// One caller's request while it is in this router.
+/// State of one caller's request from its arrival to its end.
 struct CallerApi::Context
 {
     Http::Request request;
@@ -62,8 +64,9 @@
     ++m_inFlight;
     if (m_draining || !m_ready) {
         const ErrorKind kind = m_draining ? ErrorKind::Draining : ErrorKind::NotReady;
-        refuse(context,
-               Exchange::Refusal{.error = Errors::makeError(kind), .retryAfter = otherRouterWait});
+        refuse(
+            context,
+            Exchange::Refusal{.error = Errors::makeError(kind), .retryAfter = notReadyRetryAfter});
         return;
     }
     if (context->request.path == modelPath)
@@ -97,7 +100,8 @@
     return info.id.value();
 }
 
-/// Finds the workspace of the bearer key and reads what all kinds of call have.
+/// Looks up the workspace of the bearer key and reads the idempotency key. If either fails, refuses
+/// the request and returns false.
 bool CallerApi::identify(const ContextPtr &context)
 {
     const Http::Headers &headers = context->request.headers;
@@ -206,23 +210,25 @@
     if (!identify(context))
         return;
     const Http::Request &request = context->request;
-    const std::string_view rest = std::string_view(request.path).substr(servicesPrefix.size());
-    const std::size_t slash = std::min(rest.find('/'), rest.size());
-    const Base::ServiceId service{std::string(rest.substr(0, slash))};
-    const Schema::Service *known = context->objects->service(service);
+    const std::string_view nameAndPath =
+        std::string_view(request.path).substr(servicesPrefix.size());
+    const std::size_t slash = std::min(nameAndPath.find('/'), nameAndPath.size());
+    const Base::ServiceId service{std::string(nameAndPath.substr(0, slash))};
+    const Schema::Service *knownService = context->objects->service(service);
     context->info.service = service;
-    if (!known) {
+    if (!knownService) {
         refuse(context, Errors::makeError(ErrorKind::UnknownService));
         return;
     }
     Exchange::ServiceCall call{
         .method = request.method,
-        .target = slash == rest.size() ? "/" : std::string(rest.substr(slash)),
+        .target = slash == nameAndPath.size() ? "/" : std::string(nameAndPath.substr(slash)),
         .body = std::move(context->request.body),
         .contentType = std::string(request.headers.find("content-type").value_or("")),
         .key = context->info.key};
-    const bool isOnce = isNonIdempotent(*context->contract, service, call.method, call.target);
-    context->info.idempotent = !isOnce;
+    const bool runsAtMostOnce =
+        isNonIdempotent(*context->contract, service, call.method, call.target);
+    context->info.idempotent = !runsAtMostOnce;
     const auto deadline = Exchange::readDeadline(request.headers);
     if (!deadline) {
         refuse(context, deadline.error());
@@ -240,9 +246,9 @@
     Exchange::RouteQuery &route = context->route;
     route.service = service;
     route.chatHash = Routing::stableHash(context->info.id.value());
-    route.promptTokens = Base::Tokens(static_cast<std::int64_t>(known->workPerCall));
-    route.idempotent = !isOnce;
-    if (!isOnce || !context->info.key || !claim) {
+    route.promptTokens = Base::Tokens(static_cast<std::int64_t>(knownService->workPerCall));
+    route.idempotent = !runsAtMostOnce;
+    if (!runsAtMostOnce || !context->info.key || !claim) {
         runServiceCall(context, std::move(call), false);
         return;
     }
@@ -250,35 +256,35 @@
                                     .call = Claims::hashCall(call.method, call.target, call.body),
                                     .whenLogIsOut = context->contract->whenLogIsOut,
                                     .deadline = route.deadline};
-    claim(claimRequest, [this, context, call = std::move(call)](ClaimResult verdict) mutable {
-        claimed(context, std::move(call), std::move(verdict));
+    claim(claimRequest, [this, context, call = std::move(call)](ClaimResult result) mutable {
+        claimed(context, std::move(call), std::move(result));
     });
 }
 
-void CallerApi::claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult verdict)
+void CallerApi::claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult result)
 {
     if (context->responder->isGone()) {
-        if (verdict.kind == ClaimResult::Kind::Run)
+        if (result.kind == ClaimResult::Kind::Run)
             claimFailed(context->info, Ran::No);
         finished(context,
                  {.refusal = Exchange::Refusal{.error = {ErrorKind::CallerLeft, {}, Ran::No}}});
         return;
     }
-    switch (verdict.kind) {
+    switch (result.kind) {
     case ClaimResult::Kind::Run:
         runServiceCall(context, std::move(call), true);
         return;
     case ClaimResult::Kind::Refused:
-        refuse(context, std::move(verdict.refusal));
+        refuse(context, std::move(result.refusal));
         return;
     case ClaimResult::Kind::Recorded:
         break;
     }
     Http::Headers headers{{"x-request-id", context->info.id.value()}, {"x-recorded", "yes"}};
-    if (!verdict.answer.contentType.empty())
-        headers.add("content-type", verdict.answer.contentType);
-    context->responder->send(verdict.answer.status, headers, std::move(verdict.answer.body));
-    finished(context, {.whole = true, .status = verdict.answer.status});
+    if (!result.answer.contentType.empty())
+        headers.add("content-type", result.answer.contentType);
+    context->responder->send(result.answer.status, headers, std::move(result.answer.body));
+    finished(context, {.whole = true, .status = result.answer.status});
 }
 
 void CallerApi::runServiceCall(const ContextPtr &context, Exchange::ServiceCall call, bool claimed)
--- a/src/libs/router/callerapi.h
+++ b/src/libs/router/callerapi.h
@@ -21,41 +21,41 @@
 
 namespace Lagoonbank::Router {
 
-/// What is known of a request when it has been read.
+/// Properties of a request that are known once it has been read.
 struct RequestInfo
 {
     Base::RequestId id;
-    Base::WorkspaceId workspace; ///< Empty if the key names none.
-    Base::ModelId model; ///< Empty for a call of a service.
-    Base::ServiceId service; ///< Empty for a call of a model.
-    std::optional<Base::IdempotencyKey> key;
+    Base::WorkspaceId workspace; ///< Empty if the bearer key belongs to no workspace.
+    Base::ModelId model; ///< Empty for a service call.
+    Base::ServiceId service; ///< Empty for a model call.
+    std::optional<Base::IdempotencyKey> key; ///< The caller's idempotency key.
     bool idempotent = true;
     Base::MonoTime started;
 };
 
-/// What a claim of an idempotency key came to.
+/// Result of claiming an idempotency key.
 struct ClaimResult
 {
     enum class Kind : std::uint8_t {
-        Run, ///< The key is this request's; the outcome is to be recorded.
-        Recorded, ///< An earlier call has run; this is its answer.
-        Refused ///< See the error.
+        Run, ///< The claim was granted: run the call and record its outcome.
+        Recorded, ///< An earlier call with the key has run; `answer` is its recorded answer.
+        Refused ///< The call must not run; `refusal` holds the error.
     };
     Kind kind = Kind::Run;
     Exchange::ServiceAnswer answer;
     Exchange::Refusal refusal;
 };
 
-/// A claim on its way or held.
+/// Request to claim the idempotency key of a call.
 struct ClaimRequest
 {
     RequestInfo info;
-    Claims::CallHash call; ///< The same key with another call is refused.
+    Claims::CallHash call; ///< A key that was used with a different call is refused.
     Schema::LogOutPolicy whenLogIsOut = Schema::LogOutPolicy::Refuse;
-    Base::MonoTime deadline;
+    Base::MonoTime deadline; ///< Deadline of the call.
 };
 
-/// The callers' interface: reads, admits, claims, and starts exchanges.
+/// API for callers: parses requests, admits them, claims idempotency keys, and starts exchanges.
 class CallerApi
 {
 public:
@@ -73,29 +73,30 @@
 
     void setObjects(std::shared_ptr<const Configuration::ObjectTable> objects);
     void setReady(bool ready) { m_ready = ready; }
-    /// The router is going to stop: not ready for a balancer, but requests are still served.
+    /// Reports the router as not ready to load balancers, but keeps serving requests.
     void announceStop() { m_isStopAnnounced = true; }
     void setDraining(bool draining) { m_draining = draining; }
     bool isReady() const { return m_ready && !m_draining && !m_isStopAnnounced; }
     std::size_t inFlight() const { return m_inFlight; }
 
     void handle(Http::Request request, std::shared_ptr<Http::Responder> responder);
-    /// The server has refused a request that it could not read; returns the request's id.
+    /// Records that the HTTP server refused a request it could not read; returns the request's id.
     std::string recordServerRefusal(Errors::ErrorKind kind);
 
-    /// A request has been read, or refused before it could be; always before requestEnded.
+    /// Called once a request has been read or refused unread; always before requestEnded().
     std::function<void(const RequestInfo &info)> requestStarted;
-    /// Its answer has been given or its caller has left.
+    /// Called when a request has been answered or its caller has disconnected.
     std::function<void(const RequestInfo &info, const Exchange::ExchangeEnd &end)> requestEnded;
     std::function<void(const RequestInfo &info, const Exchange::Target &target)> attemptStarted;
     std::function<void(const RequestInfo &info, const Exchange::AttemptResult &result)>
         attemptEnded;
-    /// Claims the key of a non-idempotent call; \a claimed is called once, at once or later.
+    /// Claims the key of a non-idempotent call. \a claimed is called exactly once, possibly before
+    /// this function returns. If unset, keys are not claimed and all calls run without a claim.
     std::function<void(const ClaimRequest &claim, std::function<void(ClaimResult)> claimed)> claim;
-    /// The answer of a call whose key was claimed.
+    /// Called with the answer of a call whose key was claimed.
     std::function<void(const RequestInfo &info, const Exchange::ServiceAnswer &answer)>
         claimAnswered;
-    /// The claimed call ended without a whole answer.
+    /// Called when a call whose key was claimed ended without a complete answer.
     std::function<void(const RequestInfo &info, Errors::Ran ran)> claimFailed;
 
 private:
@@ -106,7 +107,7 @@
     void handleModelCall(const ContextPtr &context);
     void handleServiceCall(const ContextPtr &context);
     void runServiceCall(const ContextPtr &context, Exchange::ServiceCall call, bool claimed);
-    void claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult verdict);
+    void claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult result);
     bool identify(const ContextPtr &context);
     void notifyStarted(const ContextPtr &context);
     bool admit(const ContextPtr &context, const Admission::Call &call);
--- a/src/libs/router/claimcoordinator.cpp
+++ b/src/libs/router/claimcoordinator.cpp
@@ -8,12 +8,15 @@
 
 namespace {
 
+/// How long claims and outcomes are collected before they are appended as one batch.
 constexpr Base::Duration batchInterval = std::chrono::milliseconds(5);
-/// A claim waits for the log at most this long, however late the call's deadline is.
-constexpr Base::Duration longestClaim = std::chrono::seconds(5);
-constexpr Base::Duration runningWait = std::chrono::seconds(1);
+/// Maximum time that a claim waits for the log, even if the call's deadline is later.
+constexpr Base::Duration maxClaimTimeout = std::chrono::seconds(5);
+/// Retry-After value for refused claims that can be retried, such as while an earlier call with the
+/// same key is running.
+constexpr Base::Duration refusedClaimRetryAfter = std::chrono::seconds(1);
 
-Claims::LogOutPolicy policyOf(Schema::LogOutPolicy policy)
+Claims::LogOutPolicy toLogOutPolicy(Schema::LogOutPolicy policy)
 {
     return policy == Schema::LogOutPolicy::Local ? Claims::LogOutPolicy::LocalOnly
                                                  : Claims::LogOutPolicy::Refuse;
@@ -41,14 +44,14 @@
                 .stream = std::string(Claims::claimsStream),
                 .backoff = options.backoff})
 {
-    const auto updateUsable = [this] {
+    const auto updateLogUsable = [this] {
         m_claimer.setLogUsable(m_tailer.health().isUp && m_tailer.isCaughtUp());
     };
     m_tailer.setRecordReceived(
         [this](const PlatformClient::StoredRecord &record) { m_claimer.recordReceived(record); });
     m_tailer.setHealthChanged(
-        [updateUsable](const PlatformClient::LogHealth &) { updateUsable(); });
-    m_tailer.setCaughtUp(updateUsable);
+        [updateLogUsable](const PlatformClient::LogHealth &) { updateLogUsable(); });
+    m_tailer.setCaughtUp(updateLogUsable);
 }
 
 void ClaimCoordinator::start()
@@ -89,20 +92,21 @@
     if (!decision.holder.empty())
         refusal.error.detail = "The earlier call is " + decision.holder.value() + ".";
     if (Errors::errorRow(refusal.error.kind).retryable)
-        refusal.retryAfter = runningWait;
+        refusal.retryAfter = refusedClaimRetryAfter;
     return {.kind = ClaimResult::Kind::Refused, .refusal = std::move(refusal)};
 }
 
 void ClaimCoordinator::claim(const ClaimRequest &request, std::function<void(ClaimResult)> claimed)
 {
     const Claims::Claim claim = makeClaim(request);
-    const Base::Duration left = request.deadline - m_options.loop->clock().now();
-    m_claimer.claim(claim, policyOf(request.whenLogIsOut), std::min(left, longestClaim),
+    const Base::Duration remaining = request.deadline - m_options.loop->clock().now();
+    m_claimer.claim(claim, toLogOutPolicy(request.whenLogIsOut),
+                    std::min(remaining, maxClaimTimeout),
                     [this, claim, claimed = std::move(claimed)](const Claims::Decision &decision) {
-                        ClaimResult verdict = toClaimResult(decision);
-                        if (verdict.kind == ClaimResult::Kind::Run)
+                        ClaimResult result = toClaimResult(decision);
+                        if (result.kind == ClaimResult::Kind::Run)
                             m_granted.emplace(claim.request, claim);
-                        claimed(std::move(verdict));
+                        claimed(std::move(result));
                     });
 }
 
--- a/src/libs/router/claimcoordinator.h
+++ b/src/libs/router/claimcoordinator.h
@@ -14,7 +14,8 @@
 
 namespace Lagoonbank::Router {
 
-/// Claims idempotency keys on the platform's log for the calls of this router.
+/// Claims the idempotency keys of this router's calls on the platform's log, so that each call runs
+/// at most once across all routers, and records the outcomes there.
 class ClaimCoordinator
 {
 public:
@@ -22,9 +23,10 @@
     {
         Runtime::Loop *loop = nullptr;
         PlatformClient::LogClient *log = nullptr;
-        Claims::RouterInstance run; ///< This start of this router.
-        Claims::ClaimTable::IsGone isGone;
-        PlatformClient::Backoff::Options backoff; ///< While the log does not answer.
+        Claims::RouterInstance
+            run; ///< Identifies this run of the router; changes with each restart.
+        Claims::ClaimTable::IsGone isGone; ///< Whether a run of a router is known to have ended.
+        PlatformClient::Backoff::Options backoff; ///< For retries while the log does not answer.
     };
 
     explicit ClaimCoordinator(const Options &options);
@@ -33,8 +35,9 @@
     void claim(const ClaimRequest &request, std::function<void(ClaimResult)> claimed);
     void answered(const RequestInfo &info, const Exchange::ServiceAnswer &answer);
     void failed(const RequestInfo &info, Errors::Ran ran);
+    /// Number of claims that wait for the log.
     std::size_t pending() const { return m_claimer.pending(); }
-    /// Outcomes that are not yet on the log.
+    /// Number of outcomes that are not on the log yet.
     std::size_t unrecorded() const { return m_claimer.unrecorded(); }
 
 private:
@@ -46,6 +49,7 @@
     PlatformClient::BatchAppender m_appender;
     Claims::Claimer m_claimer;
     PlatformClient::Tailer m_tailer;
+    /// Granted claims of calls that have not ended.
     absl::flat_hash_map<Base::RequestId, Claims::Claim> m_granted;
 };
 
--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-Routing::Policy policyOf(Schema::RoutingPolicy policy)
+Routing::Policy toRoutingPolicy(Schema::RoutingPolicy policy)
 {
     return Routing::policyFromName(Schema::toString(policy)).value_or(Routing::Policy::Bounded);
 }
 
-Routing::EndpointState stateOf(Schema::EndpointState state)
+Routing::EndpointState toRoutingState(Schema::EndpointState state)
 {
     return state == Schema::EndpointState::Active ? Routing::EndpointState::Live
                                                   : Routing::EndpointState::Leaving;
@@ -34,7 +34,7 @@
                                         const Schema::Policy &policy)
 {
     return {.dataCentre = settings.dataCentre,
-            .selector = {.policy = policyOf(policy.routing),
+            .selector = {.policy = toRoutingPolicy(policy.routing),
                          .bound = {.multiple = policy.loadBound,
                                    .reserve = policy.priorityReserve,
                                    .urgentBelow =
@@ -69,17 +69,17 @@
 void ConfigurationApplier::reportEndpointChange(const Schema::Endpoint &endpoint,
                                                 Routing::EndpointIndex index, bool isServing) const
 {
-    const bool drains = stateOf(endpoint.state) == Routing::EndpointState::Leaving;
+    const bool isDraining = toRoutingState(endpoint.state) == Routing::EndpointState::Leaving;
     if (index == Routing::noEndpoint) {
         if (isServing)
             m_parts.endpointChanged(Timeline::EventType::EndpointAdded, endpoint.name);
         return;
     }
     const Routing::EndpointInfo &before = m_parts.placer->routing().endpoints().info(index);
-    const bool drained = before.state == Routing::EndpointState::Leaving;
-    if (drains != drained)
-        m_parts.endpointChanged(drains ? Timeline::EventType::EndpointDraining
-                                       : Timeline::EventType::EndpointAdded,
+    const bool wasDraining = before.state == Routing::EndpointState::Leaving;
+    if (isDraining != wasDraining)
+        m_parts.endpointChanged(isDraining ? Timeline::EventType::EndpointDraining
+                                           : Timeline::EventType::EndpointAdded,
                                 endpoint.name);
 }
 
@@ -93,7 +93,8 @@
             || endpoint.region != m_parts.settings->region)
             return;
         known.push_back(endpoint.name);
-        // One that comes into a running router has nothing cached yet and takes its share slowly.
+        // An endpoint that is added while the router is serving has a cold cache, so its share of
+        // the load is ramped up slowly.
         const Routing::EndpointTable &table = m_parts.placer->routing().endpoints();
         const Routing::EndpointIndex index = table.find(endpoint.name);
         reportEndpointChange(endpoint, index, isServing);
@@ -105,7 +106,7 @@
                                           .dataCentre = endpoint.dataCentre,
                                           .pool = poolOf(endpoint),
                                           .capacity = endpoint.capacity,
-                                          .state = stateOf(endpoint.state),
+                                          .state = toRoutingState(endpoint.state),
                                           .coldSince = coldSince},
                                          now);
     });
--- a/src/libs/router/configurationapplier.h
+++ b/src/libs/router/configurationapplier.h
@@ -16,12 +16,12 @@
 
 namespace Lagoonbank::Router {
 
-/// How the routing decision works under \a policy.
+/// Options of the routing decision under \a policy.
 Routing::Router::Options routingOptions(const Schema::RouterSettings &settings,
                                         const Schema::Policy &policy);
 
-/// Makes the parts of a router follow the configuration: policy, endpoints, data centres and
-/// contracts.
+/// Applies the configuration (policy, endpoints, data centres and contracts) to the components of a
+/// router.
 class ConfigurationApplier
 {
 public:
@@ -35,15 +35,16 @@
         LoadSharing *loadSharing = nullptr;
         InFlightSharing *inFlightSharing = nullptr;
         QuotaSharing *quotaSharing = nullptr;
-        /// An endpoint came, drains or went.
+        /// Called when an endpoint was added, started or stopped draining, or was removed.
         std::function<void(Timeline::EventType type, const Base::EndpointId &endpoint)>
             endpointChanged;
     };
 
     explicit ConfigurationApplier(const Parts &parts);
 
-    /// Takes all of \a objects over; what earlier calls brought and is not in them is removed.
-    /// \a isServing: this router takes requests already, so that new endpoints start slowly.
+    /// Applies \a objects; endpoints and workspaces of earlier calls that are not in \a objects
+    /// are removed. If \a isServing, this router accepts requests already, so new endpoints are
+    /// ramped up slowly.
     void apply(const Configuration::ObjectTable &objects, bool isServing);
 
 private:
--- a/src/libs/router/contractrules.h
+++ b/src/libs/router/contractrules.h
@@ -9,10 +9,11 @@
 
 namespace Lagoonbank::Router {
 
-/// SHA-256 of a bearer key in lower-case hexadecimal digits, as contracts keep it.
+/// SHA-256 of a bearer key in lower-case hexadecimal digits, the form in which contracts store
+/// keys.
 std::string keyHash(std::string_view bearerKey);
 
-/// The limits of a contract, each with the line that it comes from.
+/// The limits of a contract, each with the line of the contract that sets it.
 Admission::WorkspaceLimits toWorkspaceLimits(const Schema::Contract &contract);
 
 /// Whether the contract says that this call of a service must run at most once.
--- a/src/libs/router/endpointkeys.h
+++ b/src/libs/router/endpointkeys.h
@@ -8,14 +8,14 @@
 
 namespace Lagoonbank::Router {
 
-/// Finds endpoints by the short keys that messages between routers name them with, see
+/// Finds endpoints by the short keys that identify them in messages between routers, see
 /// Membership::nameKey().
 class EndpointKeys
 {
 public:
-    /// Takes over the endpoints of \a table; to be called when they have changed.
+    /// Rebuilds the keys from \a table. Must be called whenever the endpoints have changed.
     void update(const Routing::EndpointTable &table);
-    /// noEndpoint for a key that none of them has, or whose endpoint is gone by now.
+    /// Returns noEndpoint if no endpoint has \a key or if its endpoint has been removed.
     Routing::EndpointIndex find(std::uint32_t key, const Routing::EndpointTable &table) const;
 
 private:
--- a/src/libs/router/inflightbeacon.cpp
+++ b/src/libs/router/inflightbeacon.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double workStep = 8;
-constexpr double mostSteps = 65535;
+constexpr double workStep = 8; ///< In work units.
+constexpr double maxSteps = 65535;
 constexpr int keyBytes = 4;
 constexpr int workBytes = 2;
 
@@ -34,7 +34,7 @@
     for (std::size_t i = 0; i < std::min(entries.size(), maxBeaconEntries); ++i) {
         appendNumber(body, entries[i].endpoint, keyBytes);
         const double steps =
-            std::clamp(std::round(entries[i].work.value() / workStep), 0.0, mostSteps);
+            std::clamp(std::round(entries[i].work.value() / workStep), 0.0, maxSteps);
         appendNumber(body, static_cast<std::uint32_t>(steps), workBytes);
     }
     return body;
@@ -45,9 +45,9 @@
     if (body.empty() || body.front() != mark || (body.size() - 1) % beaconEntryBytes != 0)
         return std::nullopt;
     std::vector<InFlight> entries;
-    for (std::size_t at = 1; at < body.size(); at += beaconEntryBytes) {
-        const std::uint32_t steps = readNumber(body.substr(at + keyBytes), workBytes);
-        entries.push_back({readNumber(body.substr(at), keyBytes),
+    for (std::size_t offset = 1; offset < body.size(); offset += beaconEntryBytes) {
+        const std::uint32_t steps = readNumber(body.substr(offset + keyBytes), workBytes);
+        entries.push_back({readNumber(body.substr(offset), keyBytes),
                            Base::WorkUnits(static_cast<double>(steps) * workStep)});
     }
     return entries;
--- a/src/libs/router/inflightbeacon.h
+++ b/src/libs/router/inflightbeacon.h
@@ -10,7 +10,7 @@
 
 namespace Lagoonbank::Router {
 
-/// What one router has in flight at one endpoint.
+/// Work that one router has in flight at one endpoint.
 struct InFlight
 {
     std::uint32_t endpoint = 0; ///< Short key of the endpoint's name, see Membership::nameKey().
@@ -19,13 +19,16 @@
     bool operator==(const InFlight &) const = default;
 };
 
-/// Body of a beacon: \a mark, then six bytes an endpoint. Work is told in steps of 8 units up to
-/// 524,280; at most maxBeaconEntries go into one.
+/// Encodes the body of a beacon: \a mark, then beaconEntryBytes per endpoint. Work is rounded to
+/// steps of 8 units and limited to 524,280 units. Entries beyond maxBeaconEntries are left out.
 std::string encodeBeacon(char mark, const std::vector<InFlight> &entries);
-/// Nothing if the body is no beacon or its length is wrong.
+/// Returns no value if \a body does not start with \a mark or its length is invalid.
 std::optional<std::vector<InFlight>> decodeBeacon(char mark, std::string_view body);
 
+/// Size of an entry: short key of the endpoint (4 bytes) and its work in steps (2 bytes), both
+/// little-endian.
 constexpr std::size_t beaconEntryBytes = 6;
+/// Maximum number of entries in a beacon; keeps it within one datagram.
 constexpr std::size_t maxBeaconEntries = 180;
 
 } // namespace Lagoonbank::Router
--- a/src/libs/router/inflightsharing.cpp
+++ b/src/libs/router/inflightsharing.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// What beacons may take of the control traffic.
+/// Share of the control traffic budget for beacons.
 constexpr double bytesPerSecond = 2800;
-constexpr Base::Duration shortestInterval = std::chrono::milliseconds(50);
-constexpr Base::Duration longestInterval = std::chrono::seconds(1);
-/// With nothing to tell, a beacon only shows that this router is there.
+constexpr Base::Duration minInterval = std::chrono::milliseconds(50);
+constexpr Base::Duration maxInterval = std::chrono::seconds(1);
+/// Interval of beacons while no work changes; they only show that this router is alive.
 constexpr Base::Duration idleInterval = std::chrono::milliseconds(600);
-/// A peer that was not heard of for so long may be gone or cut off.
-constexpr Base::Duration silence = std::chrono::milliseconds(1500);
-/// How often all endpoints are told, since datagrams get lost.
+/// Time without a beacon after which a peer is assumed to be stopped or disconnected.
+constexpr Base::Duration peerTimeout = std::chrono::milliseconds(1500);
+/// Interval of beacons that report all endpoints, not only changed ones, as datagrams may be lost.
 constexpr Base::Duration fullInterval = std::chrono::milliseconds(1200);
 
 } // namespace
@@ -62,48 +62,48 @@
 {
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<Membership::MemberUpdate> peers = regionPeers(now);
-    Base::Duration wait = longestInterval;
+    Base::Duration wait = maxInterval;
     if (!peers.empty() && peers.size() <= maxPeers)
         wait = sendToPeers(peers);
     updatePeerStates(peers, now);
     m_timer = m_loop.timers().start(wait, [this] { sendBeacons(); });
 }
 
-/// Returns when the next beacons may follow within their part of the budget.
+/// Returns the time after which the next beacons may follow within their share of the budget.
 Base::Duration InFlightSharing::sendToPeers(const std::vector<Membership::MemberUpdate> &peers)
 {
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<InFlight> changed = changedWork();
     if (changed.empty() && now - m_lastSent.at < idleInterval)
-        return shortestInterval;
+        return minInterval;
     m_lastSent.at = now;
     const std::string body = encodeBeacon(Membership::PeerTransport::directMark, changed);
     for (const Membership::MemberUpdate &peer : peers)
         m_peers.transport()->sendDirect(Membership::toSocketAddress(peer), body);
-    const std::size_t datagram = body.size() + Membership::datagramOverheadBytes
+    const std::size_t datagramBytes = body.size() + Membership::datagramOverheadBytes
         + Membership::sealSize(m_peers.membership().self().id);
-    const double seconds = static_cast<double>(datagram * peers.size()) / bytesPerSecond;
-    return std::clamp(Base::fromSeconds(seconds), shortestInterval, longestInterval);
+    const double seconds = static_cast<double>(datagramBytes * peers.size()) / bytesPerSecond;
+    return std::clamp(Base::fromSeconds(seconds), minInterval, maxInterval);
 }
 
 std::vector<InFlight> InFlightSharing::changedWork()
 {
     const Routing::Router &routing = m_placer.routing();
     const Routing::EndpointTable &endpoints = routing.endpoints();
-    const bool tellsAll = m_loop.clock().now() - m_lastSent.fullAt >= fullInterval;
-    if (tellsAll)
+    const bool isFull = m_loop.clock().now() - m_lastSent.fullAt >= fullInterval;
+    if (isFull)
         m_lastSent.fullAt = m_loop.clock().now();
     m_lastSent.work.resize(endpoints.size());
     std::vector<InFlight> changed;
     for (Routing::EndpointIndex i = 0; i < endpoints.size(); ++i) {
         if (!endpoints.contains(i))
             continue;
-        const InFlight now{Membership::nameKey(endpoints.info(i).id.value()),
-                           routing.loads().ownInFlight(i)};
-        if (!tellsAll && now == m_lastSent.work[i])
+        const InFlight current{Membership::nameKey(endpoints.info(i).id.value()),
+                               routing.loads().ownInFlight(i)};
+        if (!isFull && current == m_lastSent.work[i])
             continue;
-        m_lastSent.work[i] = now;
-        changed.push_back(now);
+        m_lastSent.work[i] = current;
+        changed.push_back(current);
     }
     return changed;
 }
@@ -126,12 +126,13 @@
     }
 }
 
-/// Peers that went silent no longer count; the sum is whole while all have been heard of.
+/// Discards the work of peers whose beacons timed out. The sum over all routers is complete only if
+/// there is a recent beacon from every peer.
 void InFlightSharing::updatePeerStates(const std::vector<Membership::MemberUpdate> &peers,
                                        Base::MonoTime now)
 {
     for (auto &[id, peer] : m_peersById) {
-        if (now - peer.lastReceived <= silence || peer.isExpired)
+        if (now - peer.lastReceived <= peerTimeout || peer.isExpired)
             continue;
         peer.isExpired = true;
         m_placer.routing().removePeer(peer.index, now);
@@ -140,7 +141,7 @@
         peers.size() <= maxPeers
         && std::all_of(peers.begin(), peers.end(), [&](const Membership::MemberUpdate &member) {
                const auto found = m_peersById.find(member.id);
-               return found != m_peersById.end() && now - found->second.lastReceived <= silence;
+               return found != m_peersById.end() && now - found->second.lastReceived <= peerTimeout;
            });
     m_placer.routing().setPeersComplete(isComplete);
 }
--- a/src/libs/router/inflightsharing.h
+++ b/src/libs/router/inflightsharing.h
@@ -14,13 +14,14 @@
 
 namespace Lagoonbank::Router {
 
-/// In a region of few routers, tells each of them directly what this one has in flight, many times
-/// a second, so that the load of every engine is known as the sum of all routers' work. Reports of
-/// engines are older than short answers are long. In larger regions it does nothing.
+/// Sends beacons with this router's in-flight work directly to the other routers of the region,
+/// many times a second, so that each router knows the load of every engine as the sum of all
+/// routers' work. The engines' own load reports do not suffice, as they are older than short
+/// answers take. Does nothing in regions with more than maxPeers other routers.
 class InFlightSharing
 {
 public:
-    /// Above this many peers one beacon to each would be too seldom to help.
+    /// With more peers, the traffic budget allows beacons too rarely to be of use.
     static constexpr std::size_t maxPeers = 12;
 
     InFlightSharing(Runtime::Loop &loop, Placer &placer, Node::PeerLink &peers);
@@ -28,25 +29,25 @@
     InFlightSharing(const InFlightSharing &) = delete;
     InFlightSharing &operator=(const InFlightSharing &) = delete;
 
-    /// To be called when the peers' transport has started.
+    /// Must be called after the peers' transport has started.
     void start();
-    /// To be called when endpoints have changed.
+    /// Must be called whenever the endpoints have changed.
     void endpointsChanged();
 
 private:
     struct Peer
     {
         Routing::PeerIndex index = 0;
-        Base::MonoTime lastReceived;
-        bool isExpired = false; ///< What it told no longer counts.
+        Base::MonoTime lastReceived; ///< Time of the peer's last beacon.
+        bool isExpired = false; ///< The peer timed out and its reported work is ignored.
     };
 
-    /// What the beacons have said.
+    /// State that this router's beacons have reported.
     struct SentState
     {
         std::vector<InFlight> work; ///< By endpoint index.
-        Base::MonoTime at; ///< Of the last beacon.
-        Base::MonoTime fullAt; ///< Of the last one that told all endpoints.
+        Base::MonoTime at; ///< Time of the last beacon.
+        Base::MonoTime fullAt; ///< Time of the last beacon that reported all endpoints.
     };
 
     void sendBeacons();
--- a/src/libs/router/loadsharing.h
+++ b/src/libs/router/loadsharing.h
@@ -7,7 +7,8 @@
 
 namespace Lagoonbank::Router {
 
-/// Passes endpoints' load reports on to peers, and theirs to the routing decision.
+/// Propagates load reports of endpoints to peers by gossip, and feeds the reports received from
+/// peers to the routing decision.
 class LoadSharing
 {
 public:
@@ -16,7 +17,7 @@
     LoadSharing(const LoadSharing &) = delete;
     LoadSharing &operator=(const LoadSharing &) = delete;
 
-    /// To be called when endpoints have changed.
+    /// Must be called whenever the endpoints have changed.
     void endpointsChanged();
 
 private:
--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -12,13 +12,15 @@
 
 namespace {
 
-/// Above all that can be meant: work units, or milliseconds since 1970.
-constexpr double largestAmount = 1e15;
-constexpr std::int64_t oldestReportMs = 60'000;
-/// How often a request that waits for the engine that holds its chat is looked at again.
+/// Upper limit of the numbers in a load report. It exceeds all valid values, whether work units or
+/// milliseconds since 1970.
+constexpr double maxAmount = 1e15;
+constexpr std::int64_t maxReportAgeMs = 60'000;
+/// Interval at which placement is retried for a request that waits for the engine that caches its
+/// chat.
 constexpr Base::Duration warmRetryInterval = std::chrono::milliseconds(10);
 
-Routing::ExchangeResult healthOf(const Exchange::AttemptResult &result)
+Routing::ExchangeResult toExchangeResult(const Exchange::AttemptResult &result)
 {
     if (result.whole || result.error.kind == ErrorKind::EndpointRefused)
         return Routing::ExchangeResult::Answered;
@@ -32,12 +34,14 @@
     double value = 0;
     const char *end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, value);
-    if (error != std::errc() || stop != end || !(value >= 0 && value <= largestAmount))
+    if (error != std::errc() || stop != end || !(value >= 0 && value <= maxAmount))
         return std::nullopt;
     return value;
 }
 
-bool tellsHealth(const Exchange::AttemptResult &result)
+/// Whether the result says something about the endpoint's health. A caller that disconnects or a
+/// deadline that expires does not.
+bool affectsHealth(const Exchange::AttemptResult &result)
 {
     return result.whole
         || (result.error.kind != ErrorKind::CallerLeft
@@ -65,7 +69,7 @@
             hasWork = true;
         } else if (name == "age") {
             const auto age = static_cast<std::int64_t>(*value);
-            header.age = std::chrono::milliseconds(std::min(age, oldestReportMs));
+            header.age = std::chrono::milliseconds(std::min(age, maxReportAgeMs));
         } else if (name == "capacity") {
             header.capacity = Base::WorkUnits(*value);
         } else if (name == "incarnation") {
@@ -178,10 +182,10 @@
     if (const auto address = Runtime::parseSocketAddress(info.address))
         target.address = address.value();
     if (query.hasChat && m_routing.tokens().enabled()) {
-        const Routing::Placement place{m_routing.endpoints().hash(decision.endpoint),
-                                       query.promptTokens};
+        const Routing::Placement placement{m_routing.endpoints().hash(decision.endpoint),
+                                           query.promptTokens};
         target.placementToken = std::string(Routing::toView(
-            m_routing.tokens().write(query.chatHash, place, m_loop.clock().wallNow())));
+            m_routing.tokens().write(query.chatHash, placement, m_loop.clock().wallNow())));
     }
     return target;
 }
@@ -214,7 +218,7 @@
     };
 }
 
-/// Acts on a decision for a request that waits outside of the queues.
+/// Applies a decision for a waiting request that is in no queue.
 void Placer::applyDecision(std::uint64_t ticket, const Routing::Decision &decision)
 {
     if (decision.outcome == Routing::Outcome::Wait) {
@@ -247,12 +251,12 @@
     applyDecision(ticket, choose(found->second.query, waited));
 }
 
-/// With nothing cached, as the endpoint is not known yet.
+/// Work of a request if nothing of its prompt is cached, as its endpoint is not chosen yet.
 Base::WorkUnits Placer::expectedWork(const Exchange::RouteQuery &query) const
 {
     const auto prompt = static_cast<double>(query.promptTokens.value());
     const auto output = static_cast<double>(query.maxTokens.value());
-    // A call of a service has no tokens.
+    // The estimate of a service call may be zero, as it has no tokens.
     return Base::WorkUnits(std::max(1.0, prompt + m_routing.outputWeight() * output));
 }
 
@@ -320,7 +324,7 @@
 {
     if (m_running.contains(target.ticket))
         return;
-    // A resumed stream goes back to its endpoint without a new decision.
+    // A resumed stream continues on the same endpoint without a new decision.
     const Routing::EndpointIndex endpoint = m_routing.endpoints().find(target.endpoint);
     if (endpoint == Routing::noEndpoint)
         return;
@@ -347,8 +351,8 @@
     if (found == m_running.end())
         return;
     const Base::MonoTime now = m_loop.clock().now();
-    if (tellsHealth(result))
-        m_routing.noteEnded(&found->second.sent, healthOf(result), now);
+    if (affectsHealth(result))
+        m_routing.noteEnded(&found->second.sent, toExchangeResult(result), now);
     else
         m_routing.noteCancelled(&found->second.sent, now);
     m_running.erase(found);
--- a/src/libs/router/placer.h
+++ b/src/libs/router/placer.h
@@ -17,18 +17,19 @@
 
 namespace Lagoonbank::Router {
 
-/// What an X-Load header says; nothing if it is malformed.
+/// Load report of an endpoint from an X-Load header.
 struct LoadHeader
 {
     Base::WorkUnits work;
-    Base::Duration age{};
-    Base::WorkUnits capacity; ///< Zero if it is not told.
+    Base::Duration age{}; ///< Time since the load was sampled.
+    Base::WorkUnits capacity; ///< Zero if the header does not state it.
     Base::Incarnation incarnation;
 };
+/// Returns no value if \a text is malformed.
 std::optional<LoadHeader> readLoadHeader(std::string_view text);
 
-/// Joins the routing decision with the requests of this router: keeps what each attempt has in
-/// flight, and lets requests wait while every endpoint is at its bound.
+/// Places the requests of this router: chooses an endpoint for each attempt, tracks the work that
+/// the attempts have in flight, and queues requests while every endpoint is at its load bound.
 class Placer
 {
 public:
@@ -42,29 +43,35 @@
     explicit Placer(const Options &options);
     ~Placer();
 
-    /// Another policy for requests that come from now on.
+    /// Sets the policy for requests that arrive from now on.
     void setPolicy(const Routing::Router::Options &routing,
                    const Routing::WaitQueue::Options &queue);
 
     Routing::Router &routing() { return m_routing; }
     const Routing::Router &routing() const { return m_routing; }
 
+    /// Calls \a placed once with a target or a refusal, possibly before this function returns. The
+    /// returned function removes the request if it is still waiting; it is empty if the request was
+    /// placed at once.
     Exchange::Abandon place(const Exchange::RouteQuery &query,
                             std::function<void(Exchange::Placement)> placed);
     void attemptStarted(const Exchange::Target &target);
-    /// Tokens of an answer have come, so that less of its work is left.
+    /// Deducts the work of \a tokens received tokens of an answer from the work in flight. The
+    /// first token also ends the prefill.
     void attemptProgressed(const Exchange::Target &target, Base::Tokens tokens, bool isFirst);
     void attemptEnded(const Exchange::AttemptResult &result);
-    /// \a report is an X-Load header: work=<n>;age=<ms>;running=<n>;queued=<n>;capacity=<n>.
+    /// Takes an endpoint's load report. \a report is the value of an X-Load header:
+    /// work=<n>;age=<ms>;running=<n>;queued=<n>;capacity=<n>.
     void loadReported(const Base::EndpointId &endpoint, std::string_view report);
-    /// The endpoint has served the chat and holds so many tokens of it.
+    /// Notes that \a endpoint has served the chat and now caches \a cached tokens of it.
     void chatServed(std::uint64_t chatHash, const Base::EndpointId &endpoint, Base::Tokens cached);
 
+    /// Number of requests that wait for an endpoint.
     std::size_t waiting() const { return m_waiting.size(); }
 
-    /// An endpoint's own report of its load came with an answer.
+    /// Receiver for the load reports that endpoints send with their answers. Not called at present.
     std::function<void(const Base::EndpointId &endpoint, const LoadHeader &header)> reported;
-    /// Time that one decision took and why it fell so; for metrics.
+    /// Called with the time that a decision took and the decision itself; for metrics.
     std::function<void(Base::Duration took, const Routing::Decision &decision)> decided;
 
 private:
@@ -73,13 +80,13 @@
         Exchange::RouteQuery query;
         std::function<void(Exchange::Placement)> placed;
         Base::MonoTime since;
-        /// Null for one that waits a moment for the engine that holds its chat.
+        /// Null while the request waits outside of the queues for the engine that caches its chat.
         Routing::WaitQueue *queue = nullptr;
     };
     struct RunningAttempt
     {
         Routing::SentRequest sent;
-        Base::WorkUnits prefill; ///< Part of the work that is done with the first token.
+        Base::WorkUnits prefill; ///< Part of the work that is done when the first token arrives.
     };
 
     static std::string poolOf(const Exchange::RouteQuery &query);
@@ -102,8 +109,9 @@
     Runtime::Loop &m_loop;
     Routing::Router m_routing;
     Routing::WaitQueue::Options m_queueOptions;
-    /// By pool, so that a full pool holds up no other. A map, since a new pool may come while
-    /// queues are served. Never removed: a queue is small.
+    /// One queue per pool, so that a full pool does not block requests of other pools. An ordered
+    /// map, as its iterators stay valid if a new pool is added while queues are served. Queues are
+    /// never removed, as they are small.
     std::map<std::string, std::unique_ptr<Routing::WaitQueue>> m_queues;
     std::uint64_t m_lastTicket = 0;
     absl::flat_hash_map<std::uint64_t, WaitingRequest> m_waiting;
--- a/src/libs/router/quotasharing.cpp
+++ b/src/libs/router/quotasharing.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 constexpr Base::Duration interval = std::chrono::seconds(1);
-/// What digests of demand may take of the control traffic, in bytes per interval.
+/// Share of the control traffic budget for demand digests, in bytes per interval.
 constexpr Base::Bytes digestBytes{1200};
+/// Overhead that is counted for each datagram.
 constexpr Base::Bytes datagramBytes{16};
 
 } // namespace
--- a/src/libs/router/quotasharing.h
+++ b/src/libs/router/quotasharing.h
@@ -9,7 +9,8 @@
 
 namespace Lagoonbank::Router {
 
-/// Moves this router's shares of the contracts' limits with the demand, by digests over gossip.
+/// Adapts this router's shares of the contracts' limits to the demand, which routers exchange as
+/// digests by gossip.
 class QuotaSharing
 {
 public:
@@ -26,8 +27,9 @@
     QuotaSharing(const QuotaSharing &) = delete;
     QuotaSharing &operator=(const QuotaSharing &) = delete;
 
-    /// The data centres and workspaces of the configuration.
+    /// Sets the data centres of the configuration.
     void setDataCentres(std::vector<Base::DataCentreId> dataCentres);
+    /// Sets the workspaces of the configuration and updates their shares.
     void setWorkspaces(std::vector<Base::WorkspaceId> workspaces);
 
 private:
--- a/src/libs/router/requestrecorder.h
+++ b/src/libs/router/requestrecorder.h
@@ -14,11 +14,11 @@
 
 namespace Lagoonbank::Router {
 
-/// Name of the log's stream of the outcomes of non-idempotent calls.
+/// Name of the platform log's stream with the outcomes of non-idempotent calls.
 inline constexpr const char *outcomesStream = "outcomes";
 
-/// Keeps what became of each request: in the ring of outcomes, on the time line, in the metrics,
-/// and of non-idempotent calls on the log.
+/// Records the outcome of each request in the ring buffer of outcomes, the event log and the
+/// metrics; outcomes of non-idempotent calls are also appended to the platform's log.
 class RequestRecorder
 {
 public:
--- a/src/libs/router/retrybudgets.cpp
+++ b/src/libs/router/retrybudgets.cpp
@@ -4,6 +4,7 @@
 
 namespace {
 
+/// Retries per successful attempt for workspaces without a configured ratio.
 constexpr double defaultRatio = 0.1;
 
 } // namespace
@@ -15,7 +16,7 @@
 
 void RetryBudgets::setWorkspaceRatio(const Base::WorkspaceId &workspace, double ratio)
 {
-    const auto [place, isNew] = m_ratios.insert_or_assign(workspace, ratio);
+    const auto [entry, isNew] = m_ratios.insert_or_assign(workspace, ratio);
     if (!isNew)
         m_workspaces.erase(workspace);
 }
@@ -48,17 +49,17 @@
                                           const Retry::AttemptFailure &failure,
                                           const Retry::RequestTraits &traits, Base::MonoTime now)
 {
-    // Both references are taken first: the maps do not share storage.
-    Retry::RetryBudget &ofWorkspace = workspaceBudget(workspace, now);
-    Retry::RetryBudget &ofEndpoint = endpointBudget(endpoint, now);
+    // Both references stay valid, as the budgets are in separate maps.
+    Retry::RetryBudget &forWorkspace = workspaceBudget(workspace, now);
+    Retry::RetryBudget &forEndpoint = endpointBudget(endpoint, now);
     const Retry::RetryDecision decision = Retry::decide(
         failure, traits,
-        {.workspace = &ofWorkspace, .endpoint = &ofEndpoint, .maxAttempts = m_maxAttempts},
+        {.workspace = &forWorkspace, .endpoint = &forEndpoint, .maxAttempts = m_maxAttempts},
         m_backoff, now);
     if (decision.action == Retry::RetryAction::Fail)
         return decision;
-    ofWorkspace.spend(now);
-    ofEndpoint.spend(now);
+    forWorkspace.spend(now);
+    forEndpoint.spend(now);
     return decision;
 }
 
--- a/src/libs/router/retrybudgets.h
+++ b/src/libs/router/retrybudgets.h
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::Router {
 
-/// The retry budgets of all workspaces and endpoints of this router, and the decision over them.
+/// Holds this router's retry budgets of all workspaces and endpoints, and decides on retries.
 class RetryBudgets
 {
 public:
@@ -18,15 +18,16 @@
     void setEndpointRatio(double ratio) { m_endpointRatio = ratio; }
     void setMaxAttempts(int attempts) { m_maxAttempts = attempts; }
 
+    /// Credits a successful attempt to the budgets of its workspace and endpoint.
     void noteSuccess(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
                      Base::MonoTime now);
-    /// Decides after a failed attempt and charges a retry to the budgets of its workspace and
-    /// endpoint.
+    /// Decides whether a failed attempt is retried, and charges a retry to the budgets of its
+    /// workspace and endpoint.
     Retry::RetryDecision decide(const Base::WorkspaceId &workspace,
                                 const Base::EndpointId &endpoint,
                                 const Retry::AttemptFailure &failure,
                                 const Retry::RequestTraits &traits, Base::MonoTime now);
-    /// Drops the budgets of workspaces and endpoints that are gone.
+    /// Removes the budgets of workspaces and endpoints for which the predicates return false.
     template<typename KeepWorkspace, typename KeepEndpoint>
     void prune(KeepWorkspace keepWorkspace, KeepEndpoint keepEndpoint)
     {
--- a/src/libs/router/routeradmin.cpp
+++ b/src/libs/router/routeradmin.cpp
@@ -17,8 +17,10 @@
 using Node::numberParameter;
 using Node::textParameter;
 
-constexpr std::size_t mostOutcomes = 200'000;
+/// Maximum number of outcomes in one answer.
+constexpr std::size_t maxOutcomes = 200'000;
 
+/// Sets a counter to a total that is counted elsewhere.
 void raiseTo(Metrics::Counter counter, std::uint64_t total)
 {
     counter.increment(static_cast<double>(total) - counter.value());
@@ -144,7 +146,7 @@
     const std::int64_t since = numberParameter(query, "since");
     Json list = Json::array();
     m_sources.recorder->ring().forEach([&](const Timeline::Outcome &outcome) {
-        if (outcome.startedWallMs >= since && list.size() < mostOutcomes)
+        if (outcome.startedWallMs >= since && list.size() < maxOutcomes)
             list.push_back(Timeline::toJson(outcome));
     });
     return AdminPort::json(
--- a/src/libs/router/routeradmin.h
+++ b/src/libs/router/routeradmin.h
@@ -13,7 +13,7 @@
 
 namespace Lagoonbank::Router {
 
-/// What operators and support engineers can ask a router:
+/// Admin pages of a router for operators and support engineers:
 /// /metrics, /admin/status, /admin/outcomes, /admin/outcome, /admin/events.
 class RouterAdmin
 {
--- a/src/libs/router/routermetrics.cpp
+++ b/src/libs/router/routermetrics.cpp
@@ -9,6 +9,7 @@
 using Metrics::Kind;
 using Metrics::Metric;
 
+/// Histogram bounds of the decision time, in seconds.
 constexpr std::array decisionBounds{1e-6, 2e-6, 5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 1e-3};
 
 const std::array catalogue{
--- a/src/libs/router/routermetrics.h
+++ b/src/libs/router/routermetrics.h
@@ -5,10 +5,10 @@
 
 namespace Lagoonbank::Router {
 
-/// Every metric of lagoonbank-router.
+/// Catalogue of all metrics of lagoonbank-router.
 Metrics::Catalogue routerCatalogue();
 
-/// The router's metrics; handles that each request touches are looked up once.
+/// Metrics of the router. Handles of metrics that are updated often are looked up once and kept.
 struct RouterMetrics
 {
     Metrics::Registry registry{routerCatalogue()};
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -19,7 +19,8 @@
 
 namespace {
 
-/// A balancer asks each second and takes a router out after two answers that are not good.
+/// Time for balancers to notice that this router is not ready: a balancer checks every second and
+/// removes a router after two failed checks.
 constexpr Base::Duration balancerNoticeTime = std::chrono::seconds(3);
 
 } // namespace
@@ -182,9 +183,9 @@
     m_configuration->logHealthChanged = [this](bool isUp) {
         noteEvent(isUp ? EventType::LogBack : EventType::LogLost, "configuration");
         if (isUp)
-            m_logger.info("The log answers.");
+            m_logger.info("The platform's log is reachable.");
         else
-            m_logger.warning("The log does not answer.");
+            m_logger.warning("The platform's log does not respond.");
     };
     m_configuration->judged = [this](const Configuration::Judgement &judgement) {
         const bool isAccepted = judgement.verdict == Configuration::Verdict::Accepted;
@@ -247,7 +248,7 @@
 
 void RouterProcess::configurationChanged()
 {
-    // Copies share the objects.
+    // Cheap, as copies of an object table share the objects.
     m_objects = std::make_shared<Configuration::ObjectTable>(m_configuration->objects());
     m_applier->apply(*m_objects, m_callerApi->isReady());
     m_callerApi->setObjects(m_objects);
@@ -287,9 +288,10 @@
 {
     const auto reloaded = m_callerServer->reloadTls();
     if (reloaded)
-        m_logger.info("Read the certificate again.");
+        m_logger.info("Reloaded the TLS certificate.");
     else
-        m_logger.error("The old certificate stays in use. {}", reloaded.error());
+        m_logger.error("Could not reload the TLS certificate, keeping the previous one. {}",
+                       reloaded.error());
 }
 
 void RouterProcess::stopGracefully()
--- a/src/libs/router/routerprocess.h
+++ b/src/libs/router/routerprocess.h
@@ -34,28 +34,29 @@
 
 namespace Lagoonbank::Router {
 
-/// A whole router: joins the libraries to one process.
+/// The router process: creates its components and connects them.
 class RouterProcess
 {
 public:
     RouterProcess(Runtime::Loop &loop, Schema::RouterSettings settings);
     ~RouterProcess();
 
-    /// Listens and joins the fleet; an error says which address could not be had.
+    /// Starts listening and joins the fleet. An error names the address that could not be bound.
     Errors::Result<void> start();
-    /// Objects from files, for running without the platform.
+    /// Sets configuration objects that were read from files, for running without the platform.
     void setFixedConfiguration(std::vector<Schema::ConfigurationObject> objects);
-    /// Takes no new work, lets what is in flight finish, then stops the loop.
+    /// Stops accepting requests, waits until those in flight have ended, then stops the loop.
     void stopGracefully();
-    /// Reads the certificate files again.
+    /// Reloads the TLS certificate files.
     void reload();
 
-    /// Where it listens after start(), with the ports that were chosen for 0.
+    /// Addresses that the router listens on after start(). A configured port 0 is replaced by the
+    /// port that the system chose.
     const Runtime::SocketAddress &callerAddress() const { return m_callerServer->address(); }
     const Runtime::SocketAddress &adminAddress() const { return m_adminPort->address(); }
     const CallerApi &callerApi() const { return *m_callerApi; }
     const Placer &placer() const { return *m_placer; }
-    /// Calls to endpoints, peers and the platform that are under way.
+    /// Number of active calls to endpoints, peers and the platform.
     std::size_t activeCalls() const { return m_client.activeCalls(); }
 
 private:
@@ -101,7 +102,7 @@
     std::unique_ptr<RouterAdmin> m_admin;
     std::shared_ptr<Configuration::ObjectTable> m_objects =
         std::make_shared<Configuration::ObjectTable>();
-    std::unique_ptr<Runtime::GracefulStop> m_stop; ///< Null while none has begun.
+    std::unique_ptr<Runtime::GracefulStop> m_stop; ///< Null until a graceful stop begins.
 };
 
 } // namespace Lagoonbank::Router
--- a/tests/auto/placing/tst_inflightbeacon.cpp
+++ b/tests/auto/placing/tst_inflightbeacon.cpp
@@ -20,14 +20,14 @@
     struct Row
     {
         double sent;
-        double read;
+        double decoded;
     };
     for (const Row &row : {Row{0, 0}, Row{3, 0}, Row{4, 8}, Row{800, 800}, Row{1e9, 524280}}) {
         const std::string body = Router::encodeBeacon(mark, {{0x89abcdefU, WorkUnits(row.sent)}});
         BOOST_TEST(body.size() == 1 + Router::beaconEntryBytes);
-        const auto read = Router::decodeBeacon(mark, body);
-        BOOST_REQUIRE(read.has_value());
-        BOOST_CHECK(read->front() == (InFlight{0x89abcdefU, WorkUnits(row.read)}));
+        const auto decoded = Router::decodeBeacon(mark, body);
+        BOOST_REQUIRE(decoded.has_value());
+        BOOST_CHECK(decoded->front() == (InFlight{0x89abcdefU, WorkUnits(row.decoded)}));
     }
 }
 
@@ -46,6 +46,6 @@
 BOOST_AUTO_TEST_CASE(beaconIsLimitedToMaxEntries)
 {
     const std::vector<InFlight> many(1000, InFlight{7, WorkUnits(8)});
-    const auto read = Router::decodeBeacon(mark, Router::encodeBeacon(mark, many));
-    BOOST_TEST(read->size() == Router::maxBeaconEntries);
+    const auto decoded = Router::decodeBeacon(mark, Router::encodeBeacon(mark, many));
+    BOOST_TEST(decoded->size() == Router::maxBeaconEntries);
 }
--- a/tests/auto/placing/tst_placer.cpp
+++ b/tests/auto/placing/tst_placer.cpp
@@ -46,19 +46,19 @@
                 .priority = 5,
                 .deadline = clock.now() + std::chrono::seconds(60)};
     }
-    /// Fills every engine until a request has to wait; returns what went out.
+    /// Fills every engine until a request has to wait; returns the targets of the placed requests.
     std::vector<Target> fill()
     {
         std::vector<Target> sent;
-        bool waits = false;
-        while (!waits && sent.size() < 100) {
-            waits = true;
+        bool isWaiting = false;
+        while (!isWaiting && sent.size() < 100) {
+            isWaiting = true;
             abandon = placer.place(modelQuery(500), [&](Placement placement) {
                 if (auto *target = std::get_if<Target>(&placement)) {
                     sent.push_back(*target);
-                    waits = false;
+                    isWaiting = false;
                 } else {
-                    last = std::get<Refusal>(placement);
+                    lastRefusal = std::get<Refusal>(placement);
                 }
             });
         }
@@ -80,7 +80,7 @@
                            .queue = {.limit = 2, .maximumWait = std::chrono::seconds(1)}}};
     std::uint64_t chat = 0;
     Exchange::Abandon abandon;
-    std::optional<Refusal> last;
+    std::optional<Refusal> lastRefusal;
 };
 
 } // namespace
@@ -90,7 +90,7 @@
     struct Row
     {
         const char *text;
-        bool isRead;
+        bool isValid;
         double work;
         std::int64_t ageMs;
     };
@@ -102,8 +102,8 @@
           Row{"work=nan", false, 0, 0}, Row{"work=1e99", false, 0, 0}, Row{"work", false, 0, 0}}) {
         const auto header = Router::readLoadHeader(row.text);
         BOOST_TEST_INFO(row.text);
-        BOOST_REQUIRE(header.has_value() == row.isRead);
-        if (!row.isRead)
+        BOOST_REQUIRE(header.has_value() == row.isValid);
+        if (!row.isValid)
             continue;
         BOOST_TEST(header->work.value() == row.work);
         BOOST_TEST(Base::toMilliseconds(header->age) == row.ageMs);
@@ -119,16 +119,16 @@
         placer.attemptEnded({.endpoint = target.endpoint, .ticket = target.ticket, .whole = true});
     run(std::chrono::milliseconds(200));
     BOOST_TEST(placer.waiting() == 0U);
-    BOOST_TEST(!last.has_value());
+    BOOST_TEST(!lastRefusal.has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(expiredWaitIsRefusedAsNotRunWithRetryAfter, Fixture)
 {
     fill();
     run(std::chrono::milliseconds(1500));
-    BOOST_REQUIRE(last.has_value());
-    BOOST_CHECK(last->error.ran == Errors::Ran::No);
-    BOOST_TEST(last->retryAfter.has_value());
+    BOOST_REQUIRE(lastRefusal.has_value());
+    BOOST_CHECK(lastRefusal->error.ran == Errors::Ran::No);
+    BOOST_TEST(lastRefusal->retryAfter.has_value());
     BOOST_TEST(placer.waiting() == 0U);
 }
 
@@ -152,7 +152,7 @@
     abandon();
     BOOST_TEST(placer.waiting() == 0U);
     run(std::chrono::milliseconds(1500));
-    BOOST_TEST(!last.has_value());
+    BOOST_TEST(!lastRefusal.has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(endedAttemptsReleaseTheirInFlightWork, Fixture)
