--- a/src/libs/admission/admissioncontrol.h
+++ b/src/libs/admission/admissioncontrol.h
@@ -9,20 +9,21 @@
 
 namespace Lagoonbank::Admission {
 
-/// The gates of all workspaces of one router. A workspace's limits and use touch no other's.
+/// The gates of all workspaces of one router. The limits and usage of one workspace do not affect
+/// any other workspace.
 class AdmissionControl
 {
 public:
-    /// Adds a workspace or takes its new limits over; what is in use stays in use.
+    /// Adds a workspace or replaces its limits; the current usage is kept.
     void setLimits(const Base::WorkspaceId &workspace, WorkspaceLimits limits, Base::MonoTime now);
-    /// Forgets a workspace whose contract is gone; its running calls end on their own.
+    /// Removes a workspace whose contract was removed; its running calls are not interrupted.
     void remove(const Base::WorkspaceId &workspace);
     /// Sets this router's share of one workspace.
     void setShare(const Base::WorkspaceId &workspace, double share, Base::MonoTime now);
     /// Share of a workspace for which setShare() was never called.
     void setDefaultShare(double share, Base::MonoTime now);
 
-    /// Refuses with UnknownKey where the workspace has no contract.
+    /// Refuses with UnknownKey if the workspace has no contract.
     AdmitResult admit(const Base::WorkspaceId &workspace, const Call &call, Base::MonoTime now);
 
     const WorkspaceGate *gate(const Base::WorkspaceId &workspace) const;
--- a/src/libs/admission/fairdivision.cpp
+++ b/src/libs/admission/fairdivision.cpp
@@ -5,15 +5,15 @@
 FairDivision divideFairly(std::vector<double> demands, double total)
 {
     std::sort(demands.begin(), demands.end());
-    double left = total;
-    auto waiting = static_cast<double>(demands.size());
+    double remaining = total;
+    auto unserved = static_cast<double>(demands.size());
     for (const double demand : demands) {
-        if (demand * waiting > left)
-            return {.level = left / waiting, .extra = 0};
-        left -= demand;
-        --waiting;
+        if (demand * unserved > remaining)
+            return {.level = remaining / unserved, .extra = 0};
+        remaining -= demand;
+        --unserved;
     }
-    return {.level = total, .extra = left / static_cast<double>(demands.size())};
+    return {.level = total, .extra = remaining / static_cast<double>(demands.size())};
 }
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/fairdivision.h
+++ b/src/libs/admission/fairdivision.h
@@ -5,17 +5,18 @@
 
 namespace Lagoonbank::Admission {
 
-/// Max-min fair division of a whole: nobody gets more than asked while another lacks, and what is
-/// left over after all demands is split equally. Two numbers say everyone's part.
+/// Result of a max-min fair division: no participant gets more than its demand while the demand of
+/// another one is unmet, and what remains after all demands are met is split equally. The two
+/// values are enough to compute the share of each participant.
 struct FairDivision
 {
-    double level = 0; ///< Most that a demand is met with.
-    double extra = 0; ///< What each gets besides; zero unless every demand is met.
+    double level = 0; ///< Upper bound up to which each demand is met.
+    double extra = 0; ///< Added to each share; zero unless every demand is met.
 
     double shareOf(double demand) const { return std::min(demand, level) + extra; }
 };
 
-/// The division of `total` among these demands; the parts add up to it.
+/// Divides \a total among \a demands; the shares add up to \a total.
 FairDivision divideFairly(std::vector<double> demands, double total);
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/gcra.cpp
+++ b/src/libs/admission/gcra.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Rounding of a time to nanoseconds must not refuse a call that is exactly in time.
-constexpr double slack = 1e-6;
-// Longer waits are cut to this, so that times stay far from the end of their range.
-constexpr double longestWaitSeconds = 30.0 * 24 * 3600;
+// Tolerance, so that rounding to nanoseconds does not refuse a call that arrives exactly on time.
+constexpr double tolerance = 1e-6;
+// Upper bound of waits, which keeps time points far from the end of their range.
+constexpr double maxWaitSeconds = 30.0 * 24 * 3600;
 
 Duration timeFor(double units, double rate)
 {
-    return Base::fromSeconds(std::min(units / rate, longestWaitSeconds));
+    return Base::fromSeconds(std::min(units / rate, maxWaitSeconds));
 }
 
 } // namespace
@@ -33,11 +33,11 @@
 {
     if (m_options.rate <= 0)
         return std::nullopt;
-    if (cost > m_options.burst + m_options.debt + slack)
+    if (cost > m_options.burst + m_options.debt + tolerance)
         return std::nullopt;
-    const double room = std::max(0.0, m_options.burst - cost);
-    const double excess = used(now) - room;
-    if (excess <= slack)
+    const double allowedInUse = std::max(0.0, m_options.burst - cost);
+    const double excess = used(now) - allowedInUse;
+    if (excess <= tolerance)
         return Duration::zero();
     return timeFor(excess, m_options.rate);
 }
@@ -46,8 +46,8 @@
 {
     if (m_options.rate <= 0)
         return;
-    const double most = m_options.burst + m_options.debt;
-    const double inUse = std::clamp(used(now) + cost, 0.0, most);
+    const double maxInUse = m_options.burst + m_options.debt;
+    const double inUse = std::clamp(used(now) + cost, 0.0, maxInUse);
     m_arrival = now + timeFor(inUse, m_options.rate);
 }
 
--- a/src/libs/admission/gcra.h
+++ b/src/libs/admission/gcra.h
@@ -8,13 +8,14 @@
 
 struct GcraOptions
 {
-    double rate = 0; ///< Units a second.
-    double burst = 1; ///< Units that may pass at once.
-    double debt = 0; ///< Units that one charge may go beyond the burst.
+    double rate = 0; ///< Units per second.
+    double burst = 1; ///< Units that may be used at once.
+    double debt = 0; ///< Units by which one charge may exceed the burst.
 };
 
-/// Generic cell rate algorithm: a rate with a burst, kept as one time (the theoretical arrival
-/// time). A cost above the burst may pass into a bounded debt, and only when the burst is whole.
+/// Generic cell rate algorithm: limits a rate with a burst, with a single time (the theoretical
+/// arrival time) as its state. A cost above the burst is accepted into a bounded debt, but only
+/// when nothing of the burst is in use.
 class Gcra
 {
 public:
@@ -25,14 +26,15 @@
     { }
 
     const Options &options() const { return m_options; }
-    /// Takes other figures over; the units in use now stay in use.
+    /// Replaces the options; the units in use are kept.
     void setOptions(Options options, Base::MonoTime now);
 
-    /// Time to wait until the cost passes: zero means now, nothing means never.
+    /// Time until \a cost is accepted: zero means now, no value means never.
     std::optional<Base::Duration> waitFor(double cost, Base::MonoTime now) const;
-    /// Charges the cost whether or not it passes; negative gives back. Never beyond burst + debt.
+    /// Charges \a cost without checking whether it is accepted; a negative cost is a refund. The
+    /// units in use are clamped to burst + debt.
     void charge(double cost, Base::MonoTime now);
-    /// Units in use now, from 0 to burst + debt.
+    /// Units in use at \a now, from 0 to burst + debt.
     double used(Base::MonoTime now) const;
 
 private:
--- a/src/libs/admission/limits.h
+++ b/src/libs/admission/limits.h
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::Admission {
 
-/// One limit of a contract and the place that it comes from, as `file:line`.
+/// One limit of a contract with its source position in the contract, as `file:line`.
 template<typename T>
 struct Limit
 {
@@ -24,20 +24,25 @@
     std::string source;
 };
 
-/// All limits of one workspace over the whole fleet. A limit that is not set does not hold.
+/// All limits of one workspace over the whole fleet. A limit without a value is not enforced.
 struct WorkspaceLimits
 {
     std::optional<Limit<double>> requestsPerSecond;
-    std::optional<Limit<double>> requestBurst; ///< Requests at once; one second's worth if not set.
+    /// Requests at once; defaults to one second's worth of the rate.
+    std::optional<Limit<double>> requestBurst;
     std::optional<Limit<double>> tokensPerSecond;
-    std::optional<Limit<double>> tokenBurst; ///< Tokens at once; one second's worth if not set.
-    std::optional<Limit<double>> tokenDebt; ///< Tokens that one long prompt may go below zero.
+    /// Tokens at once; defaults to one second's worth of the rate.
+    std::optional<Limit<double>> tokenBurst;
+    /// Tokens by which one long prompt may exceed the burst.
+    std::optional<Limit<double>> tokenDebt;
     std::optional<Limit<int>> concurrency;
     std::vector<PriorityRule> priorities; ///< Empty: every call has level 0.
-    std::string defaultPriority; ///< Name of the priority of a call that names none.
+    std::string defaultPriority; ///< Priority of a call that does not name one.
     std::optional<Limit<Base::Duration>> defaultDeadline;
-    std::optional<Limit<Base::Duration>> maxDeadline; ///< A longer wish is cut down to it.
-    std::optional<Limit<std::vector<std::string>>> services; ///< Not set: every service.
+    /// Longer requested deadlines are reduced to it.
+    std::optional<Limit<Base::Duration>> maxDeadline;
+    /// Every service is allowed if not set.
+    std::optional<Limit<std::vector<std::string>>> services;
 };
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/refusal.h
+++ b/src/libs/admission/refusal.h
@@ -7,19 +7,20 @@
 
 namespace Lagoonbank::Admission {
 
-/// Why a call was not admitted. A refused call did not run.
+/// Reason why a call was not admitted. A refused call did not run.
 struct Refusal
 {
     Errors::ErrorKind kind = Errors::ErrorKind::Internal;
-    std::string limit; ///< Name of the limit as the contract has it, such as `requests_per_second`.
-    std::string source; ///< Line of the contract, `file:line`; empty where none applies.
-    /// Time after which the same call would pass if nothing else came; zero if it never would.
+    std::string limit; ///< Key of the limit in the contract, such as `requests_per_second`.
+    std::string source; ///< Line of the contract as `file:line`; empty if none applies.
+    /// Time after which the call would be admitted if no other call arrived; zero if it never
+    /// would.
     Base::Duration retryAfter{};
 };
 
-/// One sentence for the caller's answer and the log.
+/// The refusal as one sentence, for the answer to the caller and the log.
 std::string describe(const Refusal &refusal);
-/// The same as an error of the closed list; always `ran: no`.
+/// The refusal as an error with the same kind and text; `ran` is always No.
 Errors::Error toError(const Refusal &refusal);
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-std::uint64_t mixed(std::uint64_t seed, const std::string &text)
+std::uint64_t hashWith(std::uint64_t seed, const std::string &text)
 {
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
@@ -25,7 +25,7 @@
 {
     std::uint64_t hash = 0;
     for (const ShareMember &member : routers)
-        hash = mixed(hash ^ member.incarnation.value(), member.router);
+        hash = hashWith(hash ^ member.incarnation.value(), member.router);
     return static_cast<std::uint32_t>(hash);
 }
 
@@ -33,12 +33,12 @@
 {
     std::uint64_t hash = 0;
     for (const DataCentreId &dataCentre : dataCentres)
-        hash = mixed(hash, dataCentre.value());
+        hash = hashWith(hash, dataCentre.value());
     return static_cast<std::uint32_t>(hash);
 }
 
 template<typename T>
-void sortOnce(std::vector<T> &items, const std::string &(*nameOf)(const T &))
+void sortUnique(std::vector<T> &items, const std::string &(*nameOf)(const T &))
 {
     std::sort(items.begin(), items.end(),
               [&](const T &a, const T &b) { return nameOf(a).compare(nameOf(b)) < 0; });
@@ -68,7 +68,7 @@
 void ShareAllocator::setDataCentres(std::vector<DataCentreId> dataCentres, MonoTime now)
 {
     dataCentres.push_back(m_options.dataCentre);
-    sortOnce(dataCentres, nameOfDataCentre);
+    sortUnique(dataCentres, nameOfDataCentre);
     m_dataCentres = std::move(dataCentres);
     const auto self =
         std::lower_bound(m_dataCentres.begin(), m_dataCentres.end(), m_options.dataCentre);
@@ -83,7 +83,7 @@
     const auto isSelf = [this](const ShareMember &m) { return m.router == m_options.self; };
     if (std::none_of(routers.begin(), routers.end(), isSelf))
         routers.push_back({.router = m_options.self, .dataCentre = m_options.dataCentre});
-    sortOnce(routers, nameOfMember);
+    sortUnique(routers, nameOfMember);
     m_members = std::move(routers);
     m_routers.clear();
     std::copy_if(m_members.begin(), m_members.end(), std::back_inserter(m_routers),
@@ -115,7 +115,7 @@
         sharesOf(workspace).receive(digest.value(), now);
 }
 
-std::vector<ShareAllocator::Outgoing> ShareAllocator::digests(MonoTime now, Base::Bytes most,
+std::vector<ShareAllocator::Outgoing> ShareAllocator::digests(MonoTime now, Base::Bytes maxBytes,
                                                               Base::Bytes perDatagram)
 {
     if (m_pendingWorkspaces.empty()) {
@@ -124,7 +124,7 @@
     }
     std::vector<Outgoing> outgoing;
     std::uint64_t used = 0;
-    while (!m_pendingWorkspaces.empty() && used < most.value()) {
+    while (!m_pendingWorkspaces.empty() && used < maxBytes.value()) {
         const WorkspaceId workspace = std::move(m_pendingWorkspaces.back());
         m_pendingWorkspaces.pop_back();
         const auto found = m_workspaces.find(workspace);
@@ -171,27 +171,28 @@
         / static_cast<double>(ShareLedger::totalUnits * ShareLedger::totalUnits);
 }
 
-// One router speaks for its data centre, another one for each workspace so that the work spreads.
+// The representative is chosen per workspace by rendezvous hashing, which spreads the work over
+// the routers of a data centre.
 const ShareMember *ShareAllocator::representative(const DataCentreId &dataCentre,
                                                   const WorkspaceId &workspace) const
 {
-    const ShareMember *first = nullptr;
+    const ShareMember *best = nullptr;
     std::uint64_t highest = 0;
     for (const ShareMember &member : m_members) {
-        const std::uint64_t weight = mixed(mixed(0, member.router), workspace.value());
-        if (member.dataCentre != dataCentre || (first && weight <= highest))
+        const std::uint64_t weight = hashWith(hashWith(0, member.router), workspace.value());
+        if (member.dataCentre != dataCentre || (best && weight <= highest))
             continue;
-        first = &member;
+        best = &member;
         highest = weight;
     }
-    return first;
+    return best;
 }
 
 std::uint16_t ShareAllocator::ownRepresentative(const WorkspaceId &workspace) const
 {
     const ShareMember *member = representative(m_options.dataCentre, workspace);
-    const auto place = std::find(m_routers.begin(), m_routers.end(), *member);
-    return static_cast<std::uint16_t>(place - m_routers.begin());
+    const auto position = std::find(m_routers.begin(), m_routers.end(), *member);
+    return static_cast<std::uint16_t>(position - m_routers.begin());
 }
 
 WorkspaceShares &ShareAllocator::sharesOf(const WorkspaceId &workspace)
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -12,12 +12,12 @@
 
 namespace Lagoonbank::Admission {
 
-/// A router that shares the limits, as membership knows it.
+/// A router that takes part in sharing the limits, as reported by membership.
 struct ShareMember
 {
     std::string router; ///< Unique in the fleet.
     Base::DataCentreId dataCentre;
-    Base::Incarnation incarnation; ///< A restarted router starts anew.
+    Base::Incarnation incarnation; ///< Changes when the router restarts, which resets its shares.
 
     bool operator==(const ShareMember &) const = default;
 };
@@ -26,18 +26,20 @@
 {
     std::string self; ///< Name of this router.
     Base::DataCentreId dataCentre; ///< Its data centre.
-    /// Time in which news reach every router of a data centre. The bound on the sum of all shares
-    /// rests on it; see docs/design/admission.md.
+    /// Time within which an update reaches every router of a data centre. The bound on the sum of
+    /// all shares depends on it; see docs/design/admission.md.
     Base::Duration propagationTime = std::chrono::seconds(2);
-    /// What was heard of others' demand counts for this long.
+    /// Reported demand of other routers and data centres is ignored when it is older than this.
     Base::Duration demandMaxAge = std::chrono::seconds(6);
-    /// Nothing is given to a data centre that was not heard of for this long: it may be cut off.
+    /// No units are transferred to a data centre without a report for this long, as it may be
+    /// partitioned off.
     Base::Duration dataCentreMaxAge = std::chrono::milliseconds(2500);
 };
 
-/// Splits each workspace's limits over data centres and their routers, and moves parts to where
-/// the demand is. A part is given, never taken, so that differing views, loss, reordering and
-/// partitions leave the sum under the limit. Pure: messages and times come in and go out.
+/// Divides the limits of each workspace among data centres and their routers, and moves shares to
+/// where the demand is. Only the holder of a share can transfer it, so that the sum of all shares
+/// stays within the limit despite differing views, message loss, reordering and partitions. Does
+/// no I/O and reads no clock: the caller passes times and messages in and sends the digests.
 class ShareAllocator
 {
 public:
@@ -46,27 +48,30 @@
     {
         Base::WorkspaceId workspace;
         std::string bytes; ///< At most maxShareDigestBytes.
-        /// Routers that need it: of a representative all of its data centre and the other data
-        /// centres' representatives, of others their representative. More do no harm.
+        /// Names of the routers that need the digest. A representative sends to all routers of its
+        /// data centre and to the representatives of the other data centres; any other router
+        /// sends to its representative. Additional receivers are harmless.
         std::vector<std::string> receivers;
     };
 
     explicit ShareAllocator(ShareOptions options);
 
-    /// The data centres of the configuration, also those out of reach.
+    /// Sets the configured data centres, including unreachable ones.
     void setDataCentres(std::vector<Base::DataCentreId> dataCentres, Base::MonoTime now);
-    /// The living routers of all data centres; this one is added if it is missing.
+    /// Sets the live routers of all data centres; this router is added if it is missing.
     void setRouters(std::vector<ShareMember> routers, Base::MonoTime now);
 
-    /// Sets what a workspace asks of this router (WorkspaceGate::demandedShare()) and lets its
-    /// shares move; to be called about once a second for each workspace.
+    /// Sets the demand of a workspace on this router (WorkspaceGate::demandedShare()) and transfers
+    /// shares accordingly. To be called about once per second for each workspace.
     void advance(const Base::WorkspaceId &workspace, double demandedShare, Base::MonoTime now);
     void receive(const Base::WorkspaceId &workspace, std::string_view bytes, Base::MonoTime now);
-    /// Digests of the workspaces near their limit, to be sent after advance(). Takes them by turns
-    /// until `most` bytes, each receiver and `perDatagram` counted, are used up.
-    std::vector<Outgoing> digests(Base::MonoTime now, Base::Bytes most, Base::Bytes perDatagram);
+    /// Digests of the workspaces near their limit, to be sent after advance(). Iterates over the
+    /// workspaces round-robin until \a maxBytes are used up, counting each digest plus the
+    /// datagram overhead \a perDatagram once for each receiver.
+    std::vector<Outgoing> digests(Base::MonoTime now, Base::Bytes maxBytes,
+                                  Base::Bytes perDatagram);
 
-    /// Part of the fleet's limit that this router may hand out, 0 to 1.
+    /// Fraction of the fleet-wide limit that this router may use, 0 to 1.
     double share(const Base::WorkspaceId &workspace, Base::MonoTime now) const;
     void remove(const Base::WorkspaceId &workspace) { m_workspaces.erase(workspace); }
     std::size_t size() const { return m_workspaces.size(); }
@@ -81,12 +86,13 @@
     void applyTopology(Base::MonoTime now);
 
     ShareOptions m_options;
-    std::vector<ShareMember> m_members; // of all data centres
-    std::vector<ShareMember> m_routers; // of this one
+    std::vector<ShareMember> m_members; // in all data centres
+    std::vector<ShareMember> m_routers; // in this data centre
     std::vector<Base::DataCentreId> m_dataCentres;
     Internal::ShareTopology m_topology;
     absl::flat_hash_map<Base::WorkspaceId, Internal::WorkspaceShares> m_workspaces;
-    std::vector<Base::WorkspaceId> m_pendingWorkspaces; // workspaces whose digests wait
+    // Workspaces still to be visited in the current round of digests().
+    std::vector<Base::WorkspaceId> m_pendingWorkspaces;
 };
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/sharedigest.cpp
+++ b/src/libs/admission/sharedigest.cpp
@@ -13,13 +13,13 @@
 constexpr std::uint8_t representativeFlag = 1;
 
 template<typename Archive>
-void serializeHead(Archive &archive, ShareDigest &digest)
+void serializeHeader(Archive &archive, ShareDigest &digest)
 {
     auto flags = static_cast<std::uint8_t>(digest.representative ? representativeFlag : 0);
-    auto place = static_cast<std::uint8_t>(digest.dataCentre);
-    archive(digest.routers, digest.dataCentres, digest.version, digest.author, place, flags,
+    auto dataCentre = static_cast<std::uint8_t>(digest.dataCentre);
+    archive(digest.routers, digest.dataCentres, digest.version, digest.author, dataCentre, flags,
             digest.demand);
-    digest.dataCentre = place;
+    digest.dataCentre = dataCentre;
     digest.representative = (flags & representativeFlag) != 0;
     if (digest.representative)
         archive(digest.dataCentreDemand, digest.level, digest.extra);
@@ -40,7 +40,7 @@
 template<typename Archive>
 void serializeDigest(Archive &archive, ShareDigest &digest)
 {
-    serializeHead(archive, digest);
+    serializeHeader(archive, digest);
     serializeCells(archive, digest.routerCells, [&](ShareCell &cell) {
         cell.from = digest.author;
         archive(cell.to, cell.transferred);
--- a/src/libs/admission/sharedigest.h
+++ b/src/libs/admission/sharedigest.h
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Admission {
 
-/// One count of a ShareLedger on its way to peers.
+/// One cell of a ShareLedger in a message to peers.
 struct ShareCell
 {
     std::uint16_t from = 0;
@@ -19,28 +19,30 @@
     bool operator==(const ShareCell &) const = default;
 };
 
-/// What one router says about one workspace. Fits into maxShareDigestBytes; cells that do not fit
-/// go with later digests.
+/// Gossip message of one router about one workspace. Encodes to at most maxShareDigestBytes; cells
+/// that do not fit are sent in later digests.
 struct ShareDigest
 {
-    std::uint32_t routers = 0; ///< Hash of the data centre's routers that `author` counts among.
+    std::uint32_t routers = 0; ///< Hash of the router list in which `author` is an index.
     std::uint32_t dataCentres = 0; ///< Hash of the fleet's data centres.
-    std::uint32_t version = 0; ///< Goes up with each digest of the author.
-    std::uint16_t author = 0; ///< Place among the data centre's routers.
-    std::uint16_t dataCentre = 0; ///< Place of the author's data centre.
-    std::uint32_t demand = 0; ///< The author's, in 1/10,000 of the fleet's limit.
-    bool representative = false; ///< Whether the author speaks for its data centre.
+    std::uint32_t version = 0; ///< Increases with each digest of the author.
+    std::uint16_t author = 0; ///< Index of the sender among its data centre's routers.
+    std::uint16_t dataCentre = 0; ///< Index of the author's data centre.
+    std::uint32_t demand = 0; ///< Of the author, in 1/10,000 of the fleet's limit.
+    bool representative = false; ///< Whether the author represents its data centre.
     std::uint32_t dataCentreDemand = 0; ///< Set by a representative; same unit as `demand`.
-    std::uint16_t level = 0; ///< Set by a representative: FairDivision of its data centre's
-    std::uint16_t extra = 0; ///< part, in 1/10,000 of that part.
-    std::vector<ShareCell> routerCells; ///< All from `author`.
+    /// Set by a representative: FairDivision of the share of its data centre, in 1/10,000 of that
+    /// share.
+    std::uint16_t level = 0;
+    std::uint16_t extra = 0;
+    std::vector<ShareCell> routerCells; ///< Transfers by `author` only.
     std::vector<ShareCell> dataCentreCells;
 
     bool operator==(const ShareDigest &) const = default;
 };
 
 constexpr std::size_t maxShareDigestBytes = 96;
-/// Cells, of both kinds, that fit into one digest.
+/// Maximum number of cells in one digest, router and data centre cells together.
 constexpr std::size_t maxShareCells = 10;
 
 std::string encode(const ShareDigest &digest);
--- a/src/libs/admission/shareledger.cpp
+++ b/src/libs/admission/shareledger.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Raises of one cell that wait apart; a later one joins the last.
+// Maximum number of pending credits of one cell; a further credit replaces the last one.
 constexpr std::size_t maxPendingCredits = 8;
 
 } // namespace
@@ -17,8 +17,9 @@
 std::int64_t ShareLedger::initialUnits(std::size_t participants, std::size_t participant)
 {
     const auto count = static_cast<std::int64_t>(participants);
-    const std::int64_t extra = static_cast<std::int64_t>(participant) < totalUnits % count ? 1 : 0;
-    return totalUnits / count + extra;
+    const std::int64_t remainder =
+        static_cast<std::int64_t>(participant) < totalUnits % count ? 1 : 0;
+    return totalUnits / count + remainder;
 }
 
 std::int64_t ShareLedger::units(std::size_t participant, MonoTime now) const
@@ -46,14 +47,14 @@
 
 std::int64_t ShareLedger::transferUnits(Cell cell, std::int64_t amount, MonoTime now)
 {
-    const std::int64_t most = std::min(amount, units(cell.from, now));
-    if (most <= 0)
+    const std::int64_t available = std::min(amount, units(cell.from, now));
+    if (available <= 0)
         return 0;
     const auto found = m_cells.find({cell.from, cell.to});
     const std::int64_t before = found == m_cells.end() ? 0 : found->second.latest;
-    if (before + most > std::numeric_limits<std::uint32_t>::max())
+    if (before + available > std::numeric_limits<std::uint32_t>::max())
         return 0;
-    return merge(cell, static_cast<std::uint32_t>(before + most), now) ? most : 0;
+    return merge(cell, static_cast<std::uint32_t>(before + available), now) ? available : 0;
 }
 
 void ShareLedger::raise(CellState &count, std::uint32_t transferred, MonoTime now) const
--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -10,14 +10,15 @@
 
 namespace Lagoonbank::Admission {
 
-/// Shares of one whole among participants that can only be given away, never taken (the
-/// demarcation protocol, kept as a bounded counter). A cell counts all that one participant ever
-/// gave another one and only goes up, so cells may come late, twice, out of order or not at all:
-/// a lost one leaves a share unused, never used twice.
+/// Divides a fixed number of units among participants; a participant can only transfer units that
+/// it holds and never takes units from another one (the demarcation protocol, implemented as a
+/// bounded counter). A cell counts all units that one participant ever transferred to another one
+/// and only increases, so that messages may be late, duplicated, reordered or lost: a lost message
+/// leaves units unused, but never lets two participants use them.
 class ShareLedger
 {
 public:
-    /// The whole.
+    /// Units of all participants together.
     static constexpr std::int64_t totalUnits = 10'000;
 
     struct Cell
@@ -27,26 +28,29 @@
     };
 
     ShareLedger() = default;
-    /// A gift counts for its receiver only `creditDelay` after this process heard of it; for its
-    /// giver at once. It covers the time in which other processes of the giver learn of the gift.
+    /// A transfer is debited immediately, but credited to its receiver only \a creditDelay after
+    /// this process has received it. The delay covers the time until all processes of the sending
+    /// participant know about the transfer.
     ShareLedger(std::size_t participants, Base::Duration creditDelay)
         : m_participants(participants)
         , m_creditDelay(creditDelay)
     { }
 
     std::size_t participants() const { return m_participants; }
-    /// Equal parts of the whole; the first ones get what does not divide.
+    /// Units of a participant before any transfer: equal parts, with the remainder spread over the
+    /// first participants.
     std::int64_t initialUnits(std::size_t participant) const
     {
         return initialUnits(m_participants, participant);
     }
     static std::int64_t initialUnits(std::size_t participants, std::size_t participant);
-    /// What the participant holds now by what is known here; never negative.
+    /// Units that the participant holds, as far as known to this process; never negative.
     std::int64_t units(std::size_t participant, Base::MonoTime now) const;
 
-    /// Takes a cell's count over if it is higher. False if it is not, or names no participant.
+    /// Updates the count of a cell if \a transferred is higher. Returns false if it is not, or if
+    /// the cell does not name two different participants.
     bool merge(Cell cell, std::uint32_t transferred, Base::MonoTime now);
-    /// Gives at most what `from` holds; returns what was given.
+    /// Transfers \a amount, but at most what `from` holds; returns the number of units transferred.
     std::int64_t transferUnits(Cell cell, std::int64_t amount, Base::MonoTime now);
 
     template<typename Visitor>
@@ -64,9 +68,9 @@
     };
     struct CellState
     {
-        std::uint32_t latest = 0;
-        std::uint32_t credited = 0; // counts for the receiver
-        std::vector<PendingCredit> pendingCredits; // will count; in rising order
+        std::uint32_t latest = 0; // highest count received
+        std::uint32_t credited = 0; // already credited to the receiver
+        std::vector<PendingCredit> pendingCredits; // in increasing order
     };
 
     void raise(CellState &count, std::uint32_t transferred, Base::MonoTime now) const;
@@ -74,7 +78,7 @@
 
     std::size_t m_participants = 1;
     Base::Duration m_creditDelay{};
-    std::map<std::pair<std::uint16_t, std::uint16_t>, CellState> m_cells; // by giver and receiver
+    std::map<std::pair<std::uint16_t, std::uint16_t>, CellState> m_cells; // by sender and receiver
 };
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/workspacegate.cpp
+++ b/src/libs/admission/workspacegate.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr double demandWindowSeconds = 2;
-constexpr double slotSlack = 1e-9; // rounding of a share must not add a slot
-constexpr double holdSmoothing = 0.1;
-constexpr Duration shortestSlotWait = std::chrono::milliseconds(10);
+constexpr double slotTolerance = 1e-9; // rounding errors of a share must not add a slot
+constexpr double slotTimeSmoothing = 0.1;
+constexpr Duration minSlotWait = std::chrono::milliseconds(10);
 
 Gcra::Options requestOptions(const WorkspaceLimits &limits, double share)
 {
@@ -33,7 +33,7 @@
         return {};
     const double rate = limits.tokensPerSecond->value;
     const double burst = limits.tokenBurst ? limits.tokenBurst->value : rate;
-    // A long prompt is one prompt on whichever router it comes: the debt is not split.
+    // The debt is not divided by the share: a long prompt is charged in full on a single router.
     const double debt = limits.tokenDebt ? limits.tokenDebt->value : 0;
     return {.rate = rate * share, .burst = burst * share, .debt = debt + burst * (1 - share)};
 }
@@ -113,10 +113,10 @@
 
 void WorkspaceGate::setShare(double share, MonoTime now)
 {
-    const double wanted = std::clamp(share, 0.0, 1.0);
-    if (wanted == m_share)
+    const double newShare = std::clamp(share, 0.0, 1.0);
+    if (newShare == m_share)
         return;
-    m_share = wanted;
+    m_share = newShare;
     applyShare(now);
 }
 
@@ -157,7 +157,7 @@
 {
     if (!m_limits.concurrency)
         return 0;
-    return static_cast<int>(std::ceil(m_limits.concurrency->value * m_share - slotSlack));
+    return static_cast<int>(std::ceil(m_limits.concurrency->value * m_share - slotTolerance));
 }
 
 std::optional<Refusal> WorkspaceGate::checkService(const Call &call) const
@@ -191,8 +191,8 @@
     std::optional<Duration> deadline = call.deadline;
     if (!deadline && m_limits.defaultDeadline)
         deadline = m_limits.defaultDeadline->value;
-    if (const auto &most = m_limits.maxDeadline)
-        deadline = std::min(deadline.value_or(most->value), most->value);
+    if (const auto &maximum = m_limits.maxDeadline)
+        deadline = std::min(deadline.value_or(maximum->value), maximum->value);
     if (!deadline)
         return std::nullopt;
     if (*deadline <= Duration::zero())
@@ -232,15 +232,15 @@
                    m_limits.tokensPerSecond->source, wait.value_or(Duration::zero())};
 }
 
-// Slots come free at the rate running / mean holding time; before the first call has ended, the
-// running calls' mean age stands in for it.
+// Slots become free at the rate running / mean slot time. Until the first call has ended, the mean
+// age of the running calls is used in place of the mean slot time.
 Duration WorkspaceGate::estimatedSlotWait(MonoTime now) const
 {
     if (m_running == 0)
         return Duration::zero();
     const Duration meanAge = (now - m_origin) - m_startSum / m_running;
-    const double hold = m_meanSlotSeconds > 0 ? m_meanSlotSeconds : Base::toSeconds(meanAge);
-    return std::max(shortestSlotWait, Base::fromSeconds(hold / m_running));
+    const double slotSeconds = m_meanSlotSeconds > 0 ? m_meanSlotSeconds : Base::toSeconds(meanAge);
+    return std::max(minSlotWait, Base::fromSeconds(slotSeconds / m_running));
 }
 
 void WorkspaceGate::releaseSlot(MonoTime admitted)
@@ -249,11 +249,11 @@
     m_startSum -= admitted - m_origin;
 }
 
-void WorkspaceGate::recordSlotTime(Duration held)
+void WorkspaceGate::recordSlotTime(Duration slotTime)
 {
-    const double seconds = Base::toSeconds(held);
+    const double seconds = Base::toSeconds(slotTime);
     m_meanSlotSeconds = m_meanSlotSeconds > 0
-        ? m_meanSlotSeconds + holdSmoothing * (seconds - m_meanSlotSeconds)
+        ? m_meanSlotSeconds + slotTimeSmoothing * (seconds - m_meanSlotSeconds)
         : seconds;
 }
 
@@ -293,14 +293,14 @@
 
 double WorkspaceGate::demandedShare(MonoTime now) const
 {
-    const Demand asked = demand(now);
+    const Demand current = demand(now);
     double share = 0;
     if (m_limits.requestsPerSecond && m_limits.requestsPerSecond->value > 0)
-        share = std::max(share, asked.requestsPerSecond / m_limits.requestsPerSecond->value);
+        share = std::max(share, current.requestsPerSecond / m_limits.requestsPerSecond->value);
     if (m_limits.tokensPerSecond && m_limits.tokensPerSecond->value > 0)
-        share = std::max(share, asked.tokensPerSecond / m_limits.tokensPerSecond->value);
+        share = std::max(share, current.tokensPerSecond / m_limits.tokensPerSecond->value);
     if (m_limits.concurrency && m_limits.concurrency->value > 0)
-        share = std::max(share, asked.concurrency / m_limits.concurrency->value);
+        share = std::max(share, current.concurrency / m_limits.concurrency->value);
     return share;
 }
 
--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -11,19 +11,19 @@
 
 namespace Lagoonbank::Admission {
 
-/// What admission looks at of one call.
+/// Properties of a call that admission checks.
 struct Call
 {
-    std::string priority; ///< Name; empty takes the contract's default.
-    std::optional<Base::Duration> deadline; ///< From now; not set takes the contract's default.
+    std::string priority; ///< Name; if empty, the contract's default applies.
+    std::optional<Base::Duration> deadline; ///< Relative to now; the contract's default if not set.
     std::string service; ///< Name of the plain service; empty for a model call.
     Base::Tokens estimatedTokens; ///< Prompt and expected output; zero for a plain service.
 };
 
 class WorkspaceGate;
 
-/// Holds one slot of the concurrency limit and the charges of one admitted call. Frees the slot
-/// when it goes; a charge that was not settled stays as estimated.
+/// Holds one slot of the concurrency limit and the charges of one admitted call. The destructor
+/// frees the slot; a charge that was not settled stays at the estimate.
 class Ticket
 {
 public:
@@ -36,9 +36,10 @@
     ~Ticket();
 
     bool isHeld() const { return m_held; }
-    /// The call ended after it ran: charges the difference to the estimate and frees the slot.
+    /// To be called when the call ended after it ran: charges the difference between \a actual and
+    /// the estimate, and frees the slot.
     void settle(Base::Tokens actual, Base::MonoTime now);
-    /// The call never ran: gives everything back.
+    /// To be called when the call never ran: refunds all charges and frees the slot.
     void refund(Base::MonoTime now);
 
 private:
@@ -50,19 +51,20 @@
     bool m_held = false;
 };
 
-/// What an admitted call goes on with.
+/// Result for an admitted call.
 struct Admitted
 {
     Ticket ticket;
     int priorityLevel = 0; ///< 0 is the most urgent.
     std::string priority;
-    std::optional<Base::MonoTime> deadline; ///< Not set if neither call nor contract has one.
+    std::optional<Base::MonoTime>
+        deadline; ///< Not set if neither the call nor the contract has one.
 };
 
 using AdmitResult =
     boost::outcome_v2::basic_result<Admitted, Refusal, boost::outcome_v2::policy::terminate>;
 
-/// What a workspace asked for lately, in units a second and slots; refused calls count.
+/// Recent demand of a workspace, in units per second and slots; includes refused calls.
 struct Demand
 {
     double requestsPerSecond = 0;
@@ -79,19 +81,19 @@
     const WorkspaceLimits &limits() const { return m_limits; }
     void setLimits(WorkspaceLimits limits, Base::MonoTime now);
 
-    /// Part of each fleet limit that this router may hand out, 0 to 1. A burst is never under one
-    /// request and slots are rounded up, so that a small share still lets a call pass.
+    /// Fraction of each fleet-wide limit that this router may use, 0 to 1. The request burst is at
+    /// least one and the number of slots is rounded up, so that a small share still admits a call.
     double share() const { return m_share; }
     void setShare(double share, Base::MonoTime now);
 
-    /// Charges nothing unless the call passes every limit.
+    /// Charges nothing unless the call is within all limits.
     AdmitResult admit(const Call &call, Base::MonoTime now);
 
     int running() const { return m_running; }
-    /// This router's part of the concurrency limit; 0 also where no such limit is set.
+    /// This router's share of the concurrency limit; 0 also if there is no concurrency limit.
     int slots() const;
     Demand demand(Base::MonoTime now) const;
-    /// The largest demand as part of the fleet's limit: 1 asks for the whole of one limit.
+    /// Highest demand relative to the fleet-wide limit: 1 means that the demand equals one limit.
     double demandedShare(Base::MonoTime now) const;
 
 private:
@@ -109,7 +111,7 @@
     std::optional<Refusal> checkTokens(const Call &call, Base::MonoTime now) const;
     Base::Duration estimatedSlotWait(Base::MonoTime now) const;
     void releaseSlot(Base::MonoTime admitted);
-    void recordSlotTime(Base::Duration isHeld);
+    void recordSlotTime(Base::Duration slotTime);
     void refundCharges(Base::Tokens estimate, Base::MonoTime now);
     void chargeTokens(double tokens, Base::MonoTime now);
 
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -11,16 +11,21 @@
 namespace {
 
 constexpr auto totalUnits = static_cast<double>(ShareLedger::totalUnits);
-constexpr double headroom = 1.2; ///< Demand is taken for this much more, so that it can grow.
-constexpr double idlePart = 0.125; ///< Of the equal part: what a router without demand keeps.
-constexpr double nearPart = 0.5; ///< Of the share: more demand than this is told to others.
-constexpr double gain = 0.5; ///< Part of a surplus that goes at one step, since views lag.
-/// A representative gives at most this of its data centre's part at one step: two of them at a
-/// time, through differing lists of routers, still give no more than there is.
-constexpr double mostOfDataCentre = 0.5;
-constexpr double leastGift = 0.01; ///< Of the equal part: less is not worth telling.
-constexpr std::size_t mostDataCentreCells = 4; ///< Of one digest.
-constexpr Duration quietTime = std::chrono::seconds(10); ///< Digests go on for this long.
+constexpr double headroom = 1.2; ///< Factor on the demand, so that it can grow.
+constexpr double idleFraction = 0.125; ///< Fraction of the equal share that an idle router keeps.
+/// A participant is active, so that digests are sent for it, if its demand reaches this fraction of
+/// its share, or if its share deviates from the equal share by more than this fraction.
+constexpr double activeFraction = 0.5;
+/// Fraction of a surplus that is transferred in one step, as the views of other routers lag behind.
+constexpr double transferGain = 0.5;
+/// Maximum fraction of its data centre's share that a representative transfers in one step. While
+/// router lists differ, two routers may act as representative at a time; together they still
+/// transfer no more than the data centre holds.
+constexpr double maxDataCentreFraction = 0.5;
+constexpr double minTransfer = 0.01; ///< Fraction of the equal share; less is not worth a message.
+constexpr std::size_t maxDataCentreCells = 4; ///< In one digest.
+/// Digests are still sent for this long after the workspace has become inactive.
+constexpr Duration trailingDigestTime = std::chrono::seconds(10);
 
 std::uint16_t asUnits(double amount)
 {
@@ -29,28 +34,28 @@
 
 } // namespace
 
-WorkspaceShares::WorkspaceShares(const ShareTopology &place, const ShareTiming &timing)
-    : m_topology(place)
+WorkspaceShares::WorkspaceShares(const ShareTopology &topology, const ShareTiming &timing)
+    : m_topology(topology)
     , m_timing(timing)
-    , m_routerLedger(place.routers, Duration::zero())
-    , m_dataCentreLedger(place.dataCentres, timing.propagationTime)
+    , m_routerLedger(topology.routers, Duration::zero())
+    , m_dataCentreLedger(topology.dataCentres, timing.propagationTime)
 { }
 
-void WorkspaceShares::setTopology(const ShareTopology &place, MonoTime now)
+void WorkspaceShares::setTopology(const ShareTopology &topology, MonoTime now)
 {
-    const bool newRouters = place.routersHash != m_topology.routersHash;
-    const bool newDataCentres = place.dataCentresHash != m_topology.dataCentresHash;
+    const bool newRouters = topology.routersHash != m_topology.routersHash;
+    const bool newDataCentres = topology.dataCentresHash != m_topology.dataCentresHash;
     if (!newRouters && !newDataCentres)
         return;
     m_shareCap = share(now);
     m_shareCapUntil = now + m_timing.propagationTime;
-    m_topology = place;
-    m_routerLedger = ShareLedger(place.routers, Duration::zero());
+    m_topology = topology;
+    m_routerLedger = ShareLedger(topology.routers, Duration::zero());
     m_routerDemands.clear();
     m_division.reset();
     if (!newDataCentres)
         return;
-    m_dataCentreLedger = ShareLedger(place.dataCentres, m_timing.propagationTime);
+    m_dataCentreLedger = ShareLedger(topology.dataCentres, m_timing.propagationTime);
     m_dataCentreDemands.clear();
 }
 
@@ -84,10 +89,10 @@
     transferToDataCentres(now);
 }
 
-// From parts of the fleet's limit to parts of the data centre's.
+// Converts a demand from units of the fleet-wide limit to units of the data centre's share.
 double WorkspaceShares::scaledDemand(double demand, MonoTime now) const
 {
-    const double idle = idlePart * totalUnits / m_topology.routers;
+    const double idle = idleFraction * totalUnits / m_topology.routers;
     const double part = dataCentreUnits(now);
     if (part <= 0)
         return idle;
@@ -110,8 +115,8 @@
         return;
     const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - m_division->division.shareOf(scaledDemand(m_demand, now));
-    const double amount = gain * surplus;
-    if (amount >= std::max(1.0, leastGift * totalUnits / m_topology.routers))
+    const double amount = transferGain * surplus;
+    if (amount >= std::max(1.0, minTransfer * totalUnits / m_topology.routers))
         m_routerLedger.transferUnits({m_topology.self, m_representative}, std::llround(amount),
                                      now);
 }
@@ -119,64 +124,65 @@
 void WorkspaceShares::transferToRouters(MonoTime now)
 {
     const FairDivision division = ownDivision(now);
-    std::vector<double> lacks(m_topology.routers);
-    double missing = 0;
+    std::vector<double> deficits(m_topology.routers);
+    double totalDeficit = 0;
     for (std::uint16_t i = 0; i < m_topology.routers; ++i) {
         if (i == m_topology.self)
             continue;
-        const double asked = scaledDemand(routerDemand(i, now), now);
+        const double demand = scaledDemand(routerDemand(i, now), now);
         const auto holding = static_cast<double>(m_routerLedger.units(i, now));
-        lacks[i] = std::max(0.0, division.shareOf(asked) - holding);
-        missing += lacks[i];
+        deficits[i] = std::max(0.0, division.shareOf(demand) - holding);
+        totalDeficit += deficits[i];
     }
     const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - division.shareOf(scaledDemand(m_demand, now));
-    if (surplus <= 0 || missing <= 0)
+    if (surplus <= 0 || totalDeficit <= 0)
         return;
-    const double part = std::min(1.0, surplus / missing);
+    const double part = std::min(1.0, surplus / totalDeficit);
     for (std::uint16_t i = 0; i < m_topology.routers; ++i)
-        m_routerLedger.transferUnits({m_topology.self, i}, std::llround(lacks[i] * part), now);
+        m_routerLedger.transferUnits({m_topology.self, i}, std::llround(deficits[i] * part), now);
 }
 
-// A data centre that was not heard of lately is left out: it keeps what it holds and gets nothing.
+// A data centre without a recent report is left out: it keeps its units and receives none.
 void WorkspaceShares::transferToDataCentres(MonoTime now)
 {
     if (now - m_lastDataCentreTransfer < m_timing.propagationTime)
         return;
-    std::vector<std::uint16_t> places;
+    std::vector<std::uint16_t> indexes;
     std::vector<double> demands;
     double total = 0;
-    const double idle = idlePart * totalUnits / m_topology.dataCentres;
+    const double idle = idleFraction * totalUnits / m_topology.dataCentres;
     for (std::uint16_t i = 0; i < m_topology.dataCentres; ++i) {
         const bool isSelf = i == m_topology.dataCentre;
         if (!isSelf && !isFresh(m_dataCentreDemands, i, m_timing.dataCentreMaxAge, now))
             continue;
-        const double asked = isSelf ? dataCentreDemand(now) : m_dataCentreDemands.at(i).demand;
-        places.push_back(i);
-        demands.push_back(std::max(idle, headroom * asked));
+        const double demand = isSelf ? dataCentreDemand(now) : m_dataCentreDemands.at(i).demand;
+        indexes.push_back(i);
+        demands.push_back(std::max(idle, headroom * demand));
         total += static_cast<double>(m_dataCentreLedger.units(i, now));
     }
     const FairDivision division = divideFairly(demands, total);
 
-    std::vector<double> lacks;
-    double missing = 0;
+    std::vector<double> deficits;
+    double totalDeficit = 0;
     double surplus = 0;
-    for (std::size_t i = 0; i < places.size(); ++i) {
-        const auto holding = static_cast<double>(m_dataCentreLedger.units(places[i], now));
-        const double over = holding - division.shareOf(demands[i]);
-        lacks.push_back(std::max(0.0, -over));
-        missing += lacks.back();
-        if (places[i] == m_topology.dataCentre)
-            surplus = over;
+    for (std::size_t i = 0; i < indexes.size(); ++i) {
+        const auto holding = static_cast<double>(m_dataCentreLedger.units(indexes[i], now));
+        const double excess = holding - division.shareOf(demands[i]);
+        deficits.push_back(std::max(0.0, -excess));
+        totalDeficit += deficits.back();
+        if (indexes[i] == m_topology.dataCentre)
+            surplus = excess;
     }
-    if (surplus <= 0 || missing <= 0)
+    if (surplus <= 0 || totalDeficit <= 0)
         return;
-    const double most = std::min(gain * surplus, mostOfDataCentre * dataCentreUnits(now));
-    if (most < std::max(1.0, leastGift * totalUnits / m_topology.dataCentres))
+    const double maxAmount =
+        std::min(transferGain * surplus, maxDataCentreFraction * dataCentreUnits(now));
+    if (maxAmount < std::max(1.0, minTransfer * totalUnits / m_topology.dataCentres))
         return;
-    for (std::size_t i = 0; i < places.size(); ++i) {
-        const double amount = most * lacks[i] / missing;
-        m_dataCentreLedger.transferUnits({m_topology.dataCentre, places[i]}, std::llround(amount),
+    for (std::size_t i = 0; i < indexes.size(); ++i) {
+        const double amount = maxAmount * deficits[i] / totalDeficit;
+        m_dataCentreLedger.transferUnits({m_topology.dataCentre, indexes[i]}, std::llround(amount),
                                          now);
     }
     m_lastDataCentreTransfer = now;
@@ -198,10 +204,10 @@
         return;
     for (const ShareCell &cell : digest.routerCells)
         m_routerLedger.merge({digest.author, cell.to}, cell.transferred, now);
-    const bool isNews =
+    const bool isNewer =
         recordReport(m_routerDemands, digest.author,
                      {digest.author, digest.version, static_cast<double>(digest.demand), now});
-    if (digest.representative && isNews) {
+    if (digest.representative && isNewer) {
         const FairDivision division{static_cast<double>(digest.level),
                                     static_cast<double>(digest.extra)};
         m_division = Division{digest.author, division, now};
@@ -216,7 +222,7 @@
         m_inactiveSince = now;
     if (m_version == 0 && m_inactiveSince)
         return std::nullopt;
-    if (m_inactiveSince && now - *m_inactiveSince > quietTime)
+    if (m_inactiveSince && now - *m_inactiveSince > trailingDigestTime)
         return std::nullopt;
 
     const FairDivision division = isRepresentative() ? ownDivision(now) : FairDivision{};
@@ -240,7 +246,7 @@
     m_dataCentreLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t transferred) {
         dataCentreCells.push_back({cell.from, cell.to, transferred});
     });
-    digest.dataCentreCells = nextCells(dataCentreCells, mostDataCentreCells, m_nextDataCentreCell);
+    digest.dataCentreCells = nextCells(dataCentreCells, maxDataCentreCells, m_nextDataCentreCell);
     digest.routerCells =
         nextCells(routerCells, maxShareCells - digest.dataCentreCells.size(), m_nextRouterCell);
     return digest;
@@ -255,11 +261,11 @@
         : 0;
 }
 
-bool WorkspaceShares::isFresh(const DemandReports &heard, std::uint16_t from, Duration age,
+bool WorkspaceShares::isFresh(const DemandReports &reports, std::uint16_t from, Duration age,
                               MonoTime now)
 {
-    const auto found = heard.find(from);
-    return found != heard.end() && now - found->second.at <= age;
+    const auto found = reports.find(from);
+    return found != reports.end() && now - found->second.at <= age;
 }
 
 double WorkspaceShares::dataCentreDemand(MonoTime now) const
@@ -274,24 +280,25 @@
 {
     const auto initialUnits = static_cast<double>(m_routerLedger.initialUnits(router));
     const auto holding = static_cast<double>(m_routerLedger.units(router, now));
-    if (std::abs(holding - initialUnits) > nearPart * initialUnits)
+    if (std::abs(holding - initialUnits) > activeFraction * initialUnits)
         return true;
-    return routerDemand(router, now) >= nearPart * holding * dataCentreUnits(now) / totalUnits;
+    return routerDemand(router, now)
+        >= activeFraction * holding * dataCentreUnits(now) / totalUnits;
 }
 
 bool WorkspaceShares::isDataCentreActive(std::uint16_t dataCentre, MonoTime now) const
 {
     const auto initialUnits = static_cast<double>(m_dataCentreLedger.initialUnits(dataCentre));
     const auto holding = static_cast<double>(m_dataCentreLedger.units(dataCentre, now));
-    if (std::abs(holding - initialUnits) > nearPart * initialUnits)
+    if (std::abs(holding - initialUnits) > activeFraction * initialUnits)
         return true;
     if (dataCentre == m_topology.dataCentre)
-        return dataCentreDemand(now) >= nearPart * holding;
+        return dataCentreDemand(now) >= activeFraction * holding;
     return isFresh(m_dataCentreDemands, dataCentre, m_timing.demandMaxAge, now)
-        && m_dataCentreDemands.at(dataCentre).demand >= nearPart * holding;
+        && m_dataCentreDemands.at(dataCentre).demand >= activeFraction * holding;
 }
 
-// A representative speaks also for those that need what others hold.
+// A representative also sends digests on behalf of routers and data centres that need units.
 bool WorkspaceShares::isActive(MonoTime now) const
 {
     if (!isRepresentative())
@@ -307,27 +314,27 @@
     return false;
 }
 
-// Versions of one author rise; those of another one, or after a restart, cannot be compared.
-bool WorkspaceShares::recordReport(DemandReports &heard, std::uint16_t from,
+// Versions are only comparable between digests of the same author that has not restarted.
+bool WorkspaceShares::recordReport(DemandReports &reports, std::uint16_t from,
                                    const DemandReport &entry) const
 {
-    const auto known = heard.find(from);
-    if (known != heard.end() && known->second.author == entry.author
-        && isFresh(heard, from, m_timing.demandMaxAge, entry.at)
+    const auto known = reports.find(from);
+    if (known != reports.end() && known->second.author == entry.author
+        && isFresh(reports, from, m_timing.demandMaxAge, entry.at)
         && entry.version <= known->second.version)
         return false;
-    heard[from] = entry;
+    reports[from] = entry;
     return true;
 }
 
 std::vector<ShareCell> WorkspaceShares::nextCells(const std::vector<ShareCell> &all,
-                                                  std::size_t most, std::size_t &turn)
+                                                  std::size_t maxCells, std::size_t &next)
 {
     std::vector<ShareCell> cells;
-    const std::size_t count = std::min(most, all.size());
+    const std::size_t count = std::min(maxCells, all.size());
     for (std::size_t i = 0; i < count; ++i)
-        cells.push_back(all[(turn + i) % all.size()]);
-    turn = all.empty() ? 0 : (turn + count) % all.size();
+        cells.push_back(all[(next + i) % all.size()]);
+    next = all.empty() ? 0 : (next + count) % all.size();
     return cells;
 }
 
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -12,7 +12,8 @@
 
 namespace Lagoonbank::Admission::Internal {
 
-/// Where this router stands among those that share the limits.
+/// Counts of the routers and data centres that share the limits, and the indexes of this router
+/// and its data centre. The hashes identify the lists that the indexes refer to.
 struct ShareTopology
 {
     std::uint32_t routersHash = 0;
@@ -30,24 +31,25 @@
     Base::Duration dataCentreMaxAge{};
 };
 
-/// The shares of one workspace as one router knows them: one ledger of the data centres over the
-/// fleet's limit, one of the routers over the data centre's part.
+/// One router's view of the shares of one workspace: a ledger that divides the fleet-wide limit
+/// among the data centres, and one that divides the share of this data centre among its routers.
 class WorkspaceShares
 {
 public:
-    WorkspaceShares(const ShareTopology &place, const ShareTiming &timing);
+    WorkspaceShares(const ShareTopology &topology, const ShareTiming &timing);
 
-    /// The routers or the data centres changed. A router that was here before takes the smaller of
-    /// its old and new share until others have had the time to learn of the change.
-    void setTopology(const ShareTopology &place, Base::MonoTime now);
+    /// Updates the lists of routers and data centres. A router that was present before uses the
+    /// smaller of its old and new share for ShareTiming::propagationTime, until the other routers
+    /// know about the change.
+    void setTopology(const ShareTopology &topology, Base::MonoTime now);
     double share(Base::MonoTime now) const;
 
-    /// Takes note of this router's demand and gives away what others need more. `demand` is in
-    /// 1/10,000 of the fleet's limit; `representative` is the place of the router that gathers and
-    /// hands out the parts of this data centre.
+    /// Updates the demand of this router and transfers surplus units to others. \a demand is in
+    /// 1/10,000 of the fleet-wide limit; \a representative is the index of the router that collects
+    /// and distributes the units of this data centre.
     void advance(double demand, std::uint16_t representative, Base::MonoTime now);
     void receive(const ShareDigest &digest, Base::MonoTime now);
-    /// Nothing while there is nothing that others need to know.
+    /// No value while the other routers need no update.
     std::optional<ShareDigest> digest(Base::MonoTime now);
     bool isRepresentative() const { return m_representative == m_topology.self; }
 
@@ -70,7 +72,7 @@
     double ownFraction(Base::MonoTime now) const;
     double dataCentreUnits(Base::MonoTime now) const;
     double routerDemand(std::uint16_t router, Base::MonoTime now) const;
-    static bool isFresh(const DemandReports &heard, std::uint16_t from, Base::Duration age,
+    static bool isFresh(const DemandReports &reports, std::uint16_t from, Base::Duration age,
                         Base::MonoTime now);
     double dataCentreDemand(Base::MonoTime now) const;
     double scaledDemand(double demand, Base::MonoTime now) const;
@@ -81,9 +83,9 @@
     bool isRouterActive(std::uint16_t router, Base::MonoTime now) const;
     bool isDataCentreActive(std::uint16_t dataCentre, Base::MonoTime now) const;
     bool isActive(Base::MonoTime now) const;
-    bool recordReport(DemandReports &heard, std::uint16_t from, const DemandReport &entry) const;
-    static std::vector<ShareCell> nextCells(const std::vector<ShareCell> &all, std::size_t most,
-                                            std::size_t &turn);
+    bool recordReport(DemandReports &reports, std::uint16_t from, const DemandReport &entry) const;
+    static std::vector<ShareCell> nextCells(const std::vector<ShareCell> &all, std::size_t maxCells,
+                                            std::size_t &next);
 
     ShareTopology m_topology;
     ShareTiming m_timing;
@@ -93,11 +95,11 @@
     DemandReports m_dataCentreDemands;
     double m_demand = 0;
     std::uint16_t m_representative = 0;
-    std::optional<Division> m_division; // as the representative said
+    std::optional<Division> m_division; // last reported by the representative
     std::uint32_t m_version = 0;
     std::size_t m_nextRouterCell = 0;
     std::size_t m_nextDataCentreCell = 0;
-    std::optional<double> m_shareCap; // holds until m_shareCapUntil
+    std::optional<double> m_shareCap; // applies until m_shareCapUntil
     Base::MonoTime m_shareCapUntil{};
     Base::MonoTime m_lastDataCentreTransfer{};
     std::optional<Base::MonoTime> m_inactiveSince;
--- a/tests/auto/admission/tst_admission.cpp
+++ b/tests/auto/admission/tst_admission.cpp
@@ -52,8 +52,8 @@
     {
         std::string name;
         Call call;
-        int before; ///< Calls admitted and still running.
-        int beforeEnded; ///< Calls admitted and ended.
+        int runningBefore; ///< Calls admitted and still running.
+        int endedBefore; ///< Calls admitted and ended.
         ErrorKind kind;
         std::string limit;
         std::string source;
@@ -122,11 +122,11 @@
         {
             AdmissionControl admission = withQila();
             std::deque<Ticket> running;
-            const Call small{.estimatedTokens = Tokens(row.before == 1 ? 1000 : 0)};
-            for (int i = 0; i < row.before + row.beforeEnded; ++i) {
+            const Call small{.estimatedTokens = Tokens(row.runningBefore == 1 ? 1000 : 0)};
+            for (int i = 0; i < row.runningBefore + row.endedBefore; ++i) {
                 AdmitResult admitted = admission.admit(qila, small, start);
                 BOOST_REQUIRE(admitted.has_value());
-                if (i < row.before)
+                if (i < row.runningBefore)
                     running.push_back(std::move(admitted.value().ticket));
             }
             const AdmitResult result = admission.admit(qila, row.call, start);
@@ -226,7 +226,8 @@
     admission.setLimits(lipat, sampleLimits(), start);
     int surgeAdmitted = 0;
     int othersRefused = 0;
-    for (int i = 0; i < 10000; ++i) { // 100 s: one at 10 times its rate, the other at its rate
+    // 100 s with one workspace at 10 times its rate and the other one at its rate.
+    for (int i = 0; i < 10000; ++i) {
         const MonoTime now = start + 10ms * i;
         surgeAdmitted += admission.admit(qila, {}, now).has_value() ? 1 : 0;
         if (i % 10 == 0)
--- a/tests/auto/admission/tst_gcra.cpp
+++ b/tests/auto/admission/tst_gcra.cpp
@@ -10,7 +10,7 @@
 
 const MonoTime start{std::chrono::hours(1)};
 
-bool passes(Gcra &gcra, double cost, MonoTime now)
+bool tryCharge(Gcra &gcra, double cost, MonoTime now)
 {
     const auto wait = gcra.waitFor(cost, now);
     if (!wait || *wait > Duration::zero())
@@ -27,24 +27,24 @@
     {
         double rate;
         double burst;
-        Duration every;
+        Duration interval;
         int offered;
         int expected;
     };
     const Row rows[] = {
-        {10, 1, 100ms, 100, 100}, // exactly in time
-        {10, 1, 50ms, 100, 50}, // twice too fast
+        {10, 1, 100ms, 100, 100}, // exactly at the rate
+        {10, 1, 50ms, 100, 50}, // at twice the rate
         {10, 5, 0ms, 100, 5}, // all at once
-        {10, 5, 50ms, 100, 54}, // the burst and then the rate
-        {0, 5, 50ms, 100, 0}, // nothing allowed
-        {0.5, 1, 1s, 100, 50}, // under one a second
+        {10, 5, 50ms, 100, 54}, // the burst, then the rate
+        {0, 5, 50ms, 100, 0}, // no rate: nothing is accepted
+        {0.5, 1, 1s, 100, 50}, // less than one unit per second
     };
     for (const Row &row : rows) {
         Gcra gcra({.rate = row.rate, .burst = row.burst});
-        int passed = 0;
+        int accepted = 0;
         for (int i = 0; i < row.offered; ++i)
-            passed += passes(gcra, 1, start + row.every * i) ? 1 : 0;
-        BOOST_TEST(passed == row.expected);
+            accepted += tryCharge(gcra, 1, start + row.interval * i) ? 1 : 0;
+        BOOST_TEST(accepted == row.expected);
     }
 }
 
@@ -52,22 +52,22 @@
 {
     Gcra gcra({.rate = 7, .burst = 3});
     for (int i = 0; i < 3; ++i)
-        BOOST_TEST(passes(gcra, 1, start));
+        BOOST_TEST(tryCharge(gcra, 1, start));
     const auto wait = gcra.waitFor(1, start);
     BOOST_REQUIRE(wait.has_value());
-    BOOST_TEST(!passes(gcra, 1, start + *wait - 1ms));
-    BOOST_TEST(passes(gcra, 1, start + *wait));
+    BOOST_TEST(!tryCharge(gcra, 1, start + *wait - 1ms));
+    BOOST_TEST(tryCharge(gcra, 1, start + *wait));
 }
 
 BOOST_AUTO_TEST_CASE(largeCostCreatesBoundedDebt)
 {
     Gcra gcra({.rate = 100, .burst = 200, .debt = 300});
     BOOST_TEST(!gcra.waitFor(501, start).has_value());
-    BOOST_TEST(passes(gcra, 500, start));
+    BOOST_TEST(tryCharge(gcra, 500, start));
     BOOST_TEST(gcra.waitFor(1, start)->count() == Duration(3010ms).count());
-    // A second long one has to wait until the burst is whole again.
+    // A second large cost has to wait until nothing of the burst is in use.
     BOOST_TEST(gcra.waitFor(500, start)->count() == Duration(5s).count());
-    // Settling upwards stays within the bound.
+    // A later charge is clamped to the bound.
     gcra.charge(1e9, start);
     BOOST_TEST(gcra.used(start) == 500, boost::test_tools::tolerance(1e-6));
 }
--- a/tests/auto/admission/tst_shareallocator.cpp
+++ b/tests/auto/admission/tst_shareallocator.cpp
@@ -46,11 +46,12 @@
 struct Network
 {
     double loss = 0;
-    Duration shortest = std::chrono::milliseconds(10);
-    Duration longest = std::chrono::milliseconds(400); // other than shortest: reorders
+    Duration minDelay = std::chrono::milliseconds(10);
+    Duration maxDelay = std::chrono::milliseconds(400); // above minDelay: messages are reordered
 };
 
-// Routers whose digests travel late, out of order or not at all; checks the sum at every step.
+// Simulated routers whose digests arrive late, reordered or not at all; tracks the highest sum of
+// all shares at any step.
 class Fleet
 {
 public:
@@ -98,9 +99,9 @@
         for (const MonoTime end = m_now + duration; m_now < end; m_now += step) {
             deliver();
             for (std::size_t i = 0; i < m_routers.size(); ++i) {
-                const auto turn = static_cast<Duration::rep>(i % 10);
-                if ((m_now.time_since_epoch() - step * turn) % period == Duration::zero())
-                    talk(i);
+                const auto offset = static_cast<Duration::rep>(i % 10);
+                if ((m_now.time_since_epoch() - step * offset) % period == Duration::zero())
+                    sendDigests(i);
             }
             highestSum = std::max(highestSum, sum());
         }
@@ -134,7 +135,7 @@
     std::function<bool(const Router &from, const Router &to)> isCut;
 
 private:
-    void talk(std::size_t i)
+    void sendDigests(std::size_t i)
     {
         Router &router = m_routers[i];
         if (!router.alive)
@@ -158,8 +159,8 @@
             return;
         if (std::uniform_real_distribution<>(0, 1)(m_random) < m_network.loss)
             return;
-        std::uniform_int_distribution<Duration::rep> delay(m_network.shortest.count(),
-                                                           m_network.longest.count());
+        std::uniform_int_distribution<Duration::rep> delay(m_network.minDelay.count(),
+                                                           m_network.maxDelay.count());
         m_messages.push({m_now + Duration(delay(m_random)),
                          static_cast<std::size_t>(to - m_routers.begin()), bytes});
     }
@@ -212,7 +213,7 @@
     BOOST_TEST(ledger.units(1, start + 1s) == 2500);
     BOOST_TEST(ledger.units(1, start + 2s) == 5000);
     BOOST_TEST(ledger.transferUnits({0, 2}, 1, start) == 0);
-    BOOST_TEST(!ledger.merge({0, 1}, 2000, start)); // an old count
+    BOOST_TEST(!ledger.merge({0, 1}, 2000, start)); // an outdated count
     BOOST_TEST(!ledger.merge({0, 9}, 1, start));
     BOOST_TEST(!ledger.merge({1, 1}, 1, start));
 }
@@ -248,13 +249,13 @@
         int dataCentres;
         int routers;
         std::vector<double> demands;
-        std::vector<double> least; ///< Share of each router at the end.
+        std::vector<double> minShares; ///< Minimum final share of each router.
     };
     const Row rows[] = {
-        {"one router has it all", 1, 3, {0.9, 0, 0}, {0.85, 0.01, 0.01}},
-        {"one data centre has it all", 4, 1, {0.9, 0, 0, 0}, {0.8, 0.01, 0.01, 0.01}},
-        {"two levels", 2, 2, {0.4, 0.4, 0, 0}, {0.38, 0.38, 0.01, 0.01}},
-        {"all want it all", 2, 2, {2, 2, 2, 2}, {0.24, 0.24, 0.24, 0.24}},
+        {"all demand on one router", 1, 3, {0.9, 0, 0}, {0.85, 0.01, 0.01}},
+        {"all demand on one data centre", 4, 1, {0.9, 0, 0, 0}, {0.8, 0.01, 0.01, 0.01}},
+        {"several routers per data centre", 2, 2, {0.4, 0.4, 0, 0}, {0.38, 0.38, 0.01, 0.01}},
+        {"all demand more than the limit", 2, 2, {2, 2, 2, 2}, {0.24, 0.24, 0.24, 0.24}},
         {"small demand is met first", 3, 1, {5, 5, 0.1}, {0.4, 0.4, 0.1}},
     };
     for (const Row &row : rows) {
@@ -264,8 +265,8 @@
             for (std::size_t i = 0; i < row.demands.size(); ++i)
                 fleet[i].demand = row.demands[i];
             fleet.run(40s);
-            for (std::size_t i = 0; i < row.least.size(); ++i)
-                BOOST_TEST(fleet.share(i) >= row.least[i]);
+            for (std::size_t i = 0; i < row.minShares.size(); ++i)
+                BOOST_TEST(fleet.share(i) >= row.minShares[i]);
             BOOST_TEST(fleet.sum() > 0.9);
             BOOST_TEST(fleet.highestSum <= 1 + rounding);
         }
@@ -288,8 +289,8 @@
 {
     for (const double loss : {0.0, 0.3, 0.7}) {
         for (unsigned seed = 1; seed <= 10; ++seed) {
-            // One router in each data centre: no news have to spread within it.
-            Fleet fleet(5, 1, {.loss = loss, .longest = Duration(5s)}, seed);
+            // One router per data centre: no updates have to propagate within a data centre.
+            Fleet fleet(5, 1, {.loss = loss, .maxDelay = Duration(5s)}, seed);
             std::mt19937 random(seed);
             for (int turn = 0; turn < 20; ++turn) {
                 fleet[random() % 5].demand = static_cast<double>(random() % 100) / 50;
@@ -313,12 +314,13 @@
     }
 }
 
-// News later than the settle time: a router may use a part of its data centre that was given away
-// meanwhile; at most one step of each representative, half of the data centre's part.
+// Digests arrive later than the propagation time: a router may use a share of its data centre that
+// was transferred meanwhile. The excess is at most one step of each representative, which is half
+// of the data centre's share.
 BOOST_AUTO_TEST_CASE(lateDigestsStayWithinDocumentedBound)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
-        Fleet fleet(3, 4, {.loss = 0.5, .longest = Duration(3s)}, seed);
+        Fleet fleet(3, 4, {.loss = 0.5, .maxDelay = Duration(3s)}, seed);
         std::mt19937 random(seed);
         for (int turn = 0; turn < 20; ++turn) {
             fleet[random() % 12].demand = static_cast<double>(random() % 100) / 50;
@@ -337,15 +339,15 @@
     const double before = fleet.sumOf(fleet.dataCentre(0));
     BOOST_TEST(before > 0.5);
 
-    const DataCentreId lost = fleet.dataCentre(0);
+    const DataCentreId partitioned = fleet.dataCentre(0);
     fleet.isCut = [&](const Router &from, const Router &to) {
-        return (from.member.dataCentre == lost) != (to.member.dataCentre == lost);
+        return (from.member.dataCentre == partitioned) != (to.member.dataCentre == partitioned);
     };
     fleet[7].demand = 1;
     fleet.run(5s);
     fleet[0].demand = 0.1;
     fleet.run(60s);
-    BOOST_TEST(fleet.sumOf(lost) == before, boost::test_tools::tolerance(0.01));
+    BOOST_TEST(fleet.sumOf(partitioned) == before, boost::test_tools::tolerance(0.01));
     BOOST_TEST(fleet.highestSum <= 1 + rounding);
 
     fleet.isCut = nullptr;
@@ -363,29 +365,31 @@
     fleet[1].demand = 1;
     fleet.run(2s);
     fleet.updateMembers();
-    const std::size_t fresh = fleet.add(fleet.dataCentre(0), "r0-3");
+    const std::size_t replacement = fleet.add(fleet.dataCentre(0), "r0-3");
     fleet.updateMembers();
     fleet.highestSum = 0;
     fleet.run(40s);
-    BOOST_TEST(fleet.share(fresh) > 0.01);
+    BOOST_TEST(fleet.share(replacement) > 0.01);
     BOOST_TEST(fleet.share(1) > 0.5);
-    // A router that starts takes its equal part at once: one of three in its data centre's part,
-    // of which it does not know yet what was given away.
+    // A started router uses its equal share immediately, one third of its data centre's share,
+    // before it knows which parts were already transferred.
     BOOST_TEST(fleet.highestSum <= 1 + 1.0 / 3);
 }
 
-// Two routers that do not know of each other each take themselves for all of the data centre.
+// Each router's list lacks one of the other routers, so that the equal shares add up to more than
+// the share of the data centre.
 BOOST_AUTO_TEST_CASE(differingRouterListsStayWithinDocumentedBound)
 {
     Fleet fleet(2, 3, {}, 5);
     for (std::size_t i = 0; i < 3; ++i) {
         std::vector<ShareMember> members = fleet.living();
-        members.erase(members.begin() + static_cast<std::ptrdiff_t>((i + 1) % 3)); // misses one
+        // Drop one other router.
+        members.erase(members.begin() + static_cast<std::ptrdiff_t>((i + 1) % 3));
         fleet[i].shares->setRouters(members, start);
     }
     fleet[0].demand = 1;
     fleet.run(10s);
-    // Lists of 2 where there are 3: 3/2 of the data centre's part.
+    // Three routers, each with a list of two: 3/2 of the data centre's share.
     BOOST_TEST(fleet.highestSum <= 0.5 * 3 / 2 + 0.5 + rounding);
     fleet.updateMembers();
     fleet.run(2s);
@@ -412,8 +416,8 @@
     BOOST_TEST(fleet.bytesSent == before);
 }
 
-// 13 data centres of 25 routers, and a workspace that asks for more than it has everywhere. Ten
-// such workspaces at a time have to fit into the 5 KB a second of a router, with room to spare.
+// 13 data centres of 25 routers, and a workspace whose demand in each data centre exceeds its
+// share. The budget of 5 KB per second and router has to cover ten such workspaces, with headroom.
 BOOST_AUTO_TEST_CASE(digestTrafficAtMaximumFleetSize)
 {
     constexpr int dataCentres = 13;
@@ -426,7 +430,7 @@
     const std::uint64_t before = fleet.bytesSent;
     fleet.run(20s);
     const double perSecond = static_cast<double>(fleet.bytesSent - before) / 20 / routers;
-    BOOST_TEST_MESSAGE("bytes a second a router and busy workspace: " << perSecond);
+    BOOST_TEST_MESSAGE("bytes per second per router and busy workspace: " << perSecond);
     BOOST_TEST_MESSAGE("highest sum: " << fleet.highestSum);
     BOOST_TEST(perSecond <= 400);
     BOOST_TEST(fleet.highestSum <= 1 + rounding);
