--- a/src/libs/claims/claim.h
+++ b/src/libs/claims/claim.h
@@ -10,7 +10,7 @@
 
 namespace Lagoonbank::Claims {
 
-/// Names one matter of one workspace, however often it is called.
+/// Identifies one operation of one workspace; all calls of the operation share the key.
 struct ClaimKey
 {
     Base::WorkspaceId workspace;
@@ -25,12 +25,12 @@
     }
 };
 
-/// Hash of what was called, so that another call under the same key is found out.
+/// Hash of the call's content, which detects a different call under the same key.
 using CallHash = Base::StrongNumber<struct CallHashTag, std::uint64_t>;
 
 CallHash hashCall(std::string_view method, std::string_view target, std::string_view body);
 
-/// One start of a router.
+/// One process run of a router; a restart is another instance.
 struct RouterInstance
 {
     Base::VmId vm;
@@ -39,7 +39,7 @@
     bool operator==(const RouterInstance &) const = default;
 };
 
-/// Says that one request wants to run the matter; the first on the log may.
+/// Request for the right to run an operation; the first claim of a key on the log holds it.
 struct Claim
 {
     ClaimKey key;
@@ -48,17 +48,17 @@
     CallHash call;
 };
 
-/// What became of the request that held the claim.
+/// Result of the request that held the claim.
 struct Outcome
 {
     Errors::Ran ran = Errors::Ran::Unknown;
     int status = 0;
     std::string contentType;
     std::string body;
-    bool isBodyKept = true; ///< False where the body was too large to be kept.
+    bool isBodyKept = true; ///< False if the body was too large to be stored.
 };
 
-/// Record of an outcome; repeats the claim so that it stands for itself where the claim is gone.
+/// Record of an outcome. Includes the claim, so that it can be applied without the claim's record.
 struct ClaimOutcome
 {
     Claim claim;
--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -104,7 +104,7 @@
 {
     if (decideFromTable(id))
         return;
-    // Another request holds it; its outcome may come before the deadline.
+    // Another request holds the key; its outcome may arrive before the deadline.
     if (claimStatus(m_pending.at(id).claim) != ClaimStatus::Free)
         return;
     if (!m_isLogUsable)
@@ -126,7 +126,7 @@
 
 void Claimer::appended(PendingId id, AppendState state)
 {
-    // An appended claim counts once it is read back; one of unknown state may still be.
+    // An appended claim is decided when it is read back; one of unknown state may still show up.
     if (state != AppendState::NotAppended || !m_pending.contains(id))
         return;
     m_pending.at(id).isSent = false;
@@ -154,7 +154,7 @@
            {.verdict = Verdict::Running, .holder = m_table.find(pending.claim.key)->claim.request});
 }
 
-/// Decides the request if the table says enough.
+/// Decides the request if the table allows a final decision; returns whether it did.
 bool Claimer::decideFromTable(PendingId id)
 {
     const Claim &claim = m_pending.at(id).claim;
@@ -198,7 +198,7 @@
     }
 }
 
-/// The holder that the request waited for has ended without having run.
+/// Continues a waiting request after the holder of its key has ended without running.
 void Claimer::holderReleased(PendingId id)
 {
     const Pending &pending = m_pending.at(id);
@@ -229,7 +229,7 @@
     return pending;
 }
 
-/// Gives up a claim that may still show up on the log.
+/// Records that the request did not run if its claim may still show up on the log.
 void Claimer::abandon(const Pending &pending)
 {
     if (pending.isSent && !pending.isRead)
@@ -253,7 +253,7 @@
         m_unrecorded.erase(id);
         return;
     }
-    // Appending an outcome again is harmless: its record's id is the same and the first counts.
+    // Appending an outcome twice is harmless: both records have the same id and the first counts.
     m_unrecorded.at(id).retry =
         m_options.timers->start(m_backoff.next(), [this, id] { appendOutcome(id); });
 }
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -16,35 +16,35 @@
 
 namespace Lagoonbank::Claims {
 
-/// What the contract wants where the log takes no claims.
+/// The contract's policy for the case that no claims can be appended to the log.
 enum class LogOutPolicy : std::uint8_t {
     Refuse,
-    LocalOnly ///< Run it if this router knows of no other run; weaker than a claim.
+    LocalOnly ///< Run the request if this router knows of no other run; weaker than a claim.
 };
 
-/// Whether a request may run.
+/// Result of a claim: whether the request may run.
 enum class Verdict : std::uint8_t {
-    Granted, ///< It may run once, and finish() has to be called then.
-    GrantedLocally, ///< The same, but protected on this router alone.
-    Running, ///< Another request of the same matter may be running; this one did not.
-    Ended, ///< Another request ran; its outcome is given.
-    Unknown, ///< Another request may have run; nobody knows.
+    Granted, ///< The request may run once; finish() has to be called afterwards.
+    GrantedLocally, ///< Like Granted, but only this router prevents a second run.
+    Running, ///< Another request of the operation may be running; this one did not run.
+    Ended, ///< Another request has run; its outcome is set.
+    Unknown, ///< Another request may or may not have run.
     KeyReused, ///< The key belongs to a different call; this one did not run.
-    Unavailable ///< No claim could be made; this one did not run.
+    Unavailable ///< No claim could be made; the request did not run.
 };
 
 struct Decision
 {
     Verdict verdict = Verdict::Unavailable;
-    Outcome outcome; ///< With Ended.
-    Base::RequestId holder; ///< With Running, Ended, Unknown and KeyReused.
+    Outcome outcome; ///< Set for Ended.
+    Base::RequestId holder; ///< Set for Running, Ended, Unknown and KeyReused.
 };
 
-/// The error kind for a verdict that is neither a grant nor Ended.
+/// Error kind of a verdict that is neither a grant nor Ended.
 Errors::ErrorKind errorKind(Verdict verdict);
 
-/// Makes claims on the log so that each matter runs at most once over all routers. The log's
-/// stream is the judge: a request is granted only when its claim is read back as the first.
+/// Appends claims to the log so that each operation runs at most once over all routers. The order
+/// of the log decides: a request is granted only once its claim is read back as the first one.
 class Claimer
 {
 public:
@@ -52,15 +52,15 @@
     {
         Runtime::TimerQueue *timers = nullptr;
         ClaimTable::Options table;
-        /// Queues a record for the stream of claims, as BatchAppender::add. Its callbacks must not
-        /// come after the claimer is gone.
+        /// Queues a record for the stream of claims, like BatchAppender::add. Callbacks must not be
+        /// called after the claimer is destroyed.
         std::function<bool(PlatformClient::Record,
                            std::function<void(PlatformClient::AppendOutcome)>)>
             append;
         ClaimTable::IsGone isGone;
-        std::size_t maxPending = 10'000; ///< Claims that wait for the log.
-        std::size_t maxUnrecorded = 20'000; ///< Outcomes that wait for the log.
-        PlatformClient::Backoff::Options backoff; ///< For outcomes that the log did not take.
+        std::size_t maxPending = 10'000; ///< Undecided claims.
+        std::size_t maxUnrecorded = 20'000; ///< Outcomes not yet appended.
+        PlatformClient::Backoff::Options backoff; ///< For outcomes whose append failed.
     };
     using DecisionCallback = std::function<void(const Decision &)>;
     using PendingId = Base::StrongNumber<struct PendingClaimTag, std::uint64_t>;
@@ -70,24 +70,25 @@
     Claimer(const Claimer &) = delete;
     Claimer &operator=(const Claimer &) = delete;
 
-    /// Whether the stream is read up to its end and the log answers.
+    /// Sets whether the stream is read up to its end and the log responds.
     void setLogUsable(bool isUsable) { m_isLogUsable = isUsable; }
-    /// The next record of the stream of claims.
+    /// To be called with each record of the stream of claims, in order.
     void recordReceived(const PlatformClient::StoredRecord &record);
 
-    /// Asks for \a claim; waits up to \a timeout for the log and for the outcome of another
-    /// request that holds it. \a decided is called once, later.
+    /// Requests \a claim and waits up to \a timeout for the log, or for the outcome of another
+    /// request that holds the key. \a decided is called once, never from within this function.
     PendingId claim(const Claim &claim, LogOutPolicy policy, Base::Duration timeout,
                     DecisionCallback decided);
-    /// The caller left before a decision; \a decided is not called any more.
+    /// Cancels an undecided claim, as its caller has disconnected; its callback is not called.
     void cancel(PendingId pending);
-    /// Records what became of a granted request, also where it did not run after all.
+    /// Records the outcome of a granted request, also if it did not run in the end.
     void finish(const Claim &claim, Outcome outcome);
 
     const ClaimTable &table() const { return m_table; }
     std::size_t pending() const { return m_pending.size(); }
     std::size_t unrecorded() const { return m_unrecorded.size(); }
-    /// Records that could not be read and outcomes that were given up, since the start.
+    /// Number of records that could not be parsed, and of outcomes dropped because too many were
+    /// not yet appended.
     std::uint64_t skippedRecords() const { return m_skippedRecords; }
     std::uint64_t droppedOutcomes() const { return m_droppedOutcomes; }
 
@@ -99,7 +100,7 @@
         DecisionCallback decided;
         Runtime::TimerId deadline;
         bool isSent = false;
-        bool isRead = false; ///< Its claim came back from the log.
+        bool isRead = false; ///< The claim was read back from the log.
     };
 
     void startClaim(PendingId id);
--- a/src/libs/claims/claimrecord.cpp
+++ b/src/libs/claims/claimrecord.cpp
@@ -65,7 +65,7 @@
         if (json.get<std::string>() == Errors::toString(ran))
             return ran;
     }
-    throw std::invalid_argument("no such value of ran");
+    throw std::invalid_argument("unknown value of ran");
 }
 
 Outcome readOutcome(const Json &json)
@@ -98,13 +98,13 @@
         const Json json = Json::parse(data);
         if (json.at("version").get<int>() > version)
             return Errors::makeError(Errors::ErrorKind::WrongVersion,
-                                     "A claim is of a newer version.");
+                                     "The claim record has a newer version.");
         if (!json.contains("outcome"))
             return Record(readClaim(json));
         return Record(ClaimOutcome{readClaim(json), readOutcome(json.at("outcome"))});
     } catch (const std::exception &) {
-        // Any way of being malformed: not JSON, a member that lacks or has another type.
-        return Errors::makeError(Errors::ErrorKind::BadMessage, "A record of claims is malformed.");
+        // Thrown for invalid JSON, missing members and members of a wrong type alike.
+        return Errors::makeError(Errors::ErrorKind::BadMessage, "The claim record is malformed.");
     }
 }
 
--- a/src/libs/claims/claimrecord.h
+++ b/src/libs/claims/claimrecord.h
@@ -7,16 +7,16 @@
 #include <string_view>
 #include <variant>
 
-/// Records of the log's stream `claims`.
+/// Records of the log stream `claims`.
 namespace Lagoonbank::Claims {
 
 inline constexpr std::string_view claimsStream = "claims";
-/// Bodies above it are not kept with the outcome.
+/// Larger bodies are not stored with the outcome.
 inline constexpr std::size_t maxKeptBodyBytes = 16 * 1024;
 
 PlatformClient::Record toRecord(const Claim &claim);
 PlatformClient::Record toRecord(const ClaimOutcome &end);
-/// An error for a malformed record or one of a newer version; readers skip it.
+/// Returns an error for a malformed record or one of a newer version; readers skip such records.
 Errors::Result<std::variant<Claim, ClaimOutcome>> parseRecord(std::string_view data);
 
 } // namespace Lagoonbank::Claims
--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -14,7 +14,7 @@
         return insert(claim, std::nullopt, now);
     const Entry &entry = found->second;
     const bool isReleased = entry.outcome && entry.outcome->ran == Ran::No;
-    // A claim that comes in after its own release was given up and stays so.
+    // A claim that is read after the record of its own release remains released.
     if (isReleased && entry.claim.request != claim.request)
         insert(claim, std::nullopt, now);
 }
@@ -31,7 +31,7 @@
             entry.outcome = end.outcome;
         return;
     }
-    // A request that ran without a claim on the log is still known to have run.
+    // A request that was granted locally has no claim on the log, but its outcome counts.
     const bool isReleased = entry.outcome && entry.outcome->ran == Ran::No;
     if (isReleased && end.outcome.ran != Ran::No)
         insert(end.claim, end.outcome, now);
@@ -52,8 +52,8 @@
         return entry->outcome->ran == Ran::Yes ? ClaimStatus::Ended : ClaimStatus::Unknown;
     if (isOwn)
         return ClaimStatus::Held;
-    const bool isLate = now - entry->since > m_options.maxRunTime;
-    return isLate || isGone(entry->claim.router) ? ClaimStatus::Unknown : ClaimStatus::Running;
+    const bool isOverdue = now - entry->since > m_options.maxRunTime;
+    return isOverdue || isGone(entry->claim.router) ? ClaimStatus::Unknown : ClaimStatus::Running;
 }
 
 const ClaimTable::Entry *ClaimTable::find(const ClaimKey &key) const
@@ -79,10 +79,10 @@
 
 void ClaimTable::evictOldest()
 {
-    const EvictionEntry place = std::move(m_order.front());
+    const EvictionEntry oldest = std::move(m_order.front());
     m_order.pop_front();
-    const auto found = m_entries.find(place.key);
-    if (found != m_entries.end() && found->second.sequence == place.sequence)
+    const auto found = m_entries.find(oldest.key);
+    if (found != m_entries.end() && found->second.sequence == oldest.sequence)
         m_entries.erase(found);
 }
 
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -13,29 +13,30 @@
 
 namespace Lagoonbank::Claims {
 
-/// What a request that wants to run a matter finds.
+/// State of a key from the point of view of one request.
 enum class ClaimStatus : std::uint8_t {
-    Free, ///< Nobody holds it.
-    Held, ///< This request holds it.
-    Running, ///< Another request holds it and may be running.
-    Ended, ///< It ran; its outcome is known.
-    Unknown, ///< Another request held it and it cannot be known whether it ran.
+    Free, ///< No request holds the key.
+    Held, ///< This request holds the key.
+    Running, ///< Another request holds the key and may be running.
+    Ended, ///< The operation has run; its outcome is known.
+    Unknown, ///< It is not known whether the request that held the key has run.
     KeyReused ///< The key was used for a different call.
 };
 
-/// The claims of the log's stream, applied in the order of their offsets. Pure: the same records
-/// give the same holders on every router, since the first claim of a key wins.
+/// The claims of the log stream, applied in the order of their offsets. Does no I/O. The same
+/// records result in the same holders on every router, as the first claim of a key wins.
 class ClaimTable
 {
 public:
     struct Options
     {
-        Base::Duration window = std::chrono::hours(1); ///< For which a claim is remembered.
-        /// New claims should be refused above this many.
+        Base::Duration window = std::chrono::hours(1); ///< Claims expire after this time.
+        /// Number of entries from which new claims should be refused.
         std::size_t fullThreshold = 200'000;
-        /// The oldest claims are forgotten above this many, whatever their age.
+        /// Number of entries above which the oldest ones are evicted, whatever their age.
         std::size_t capacity = 400'000;
-        /// After which a claim without an outcome is Unknown, though its router may be alive.
+        /// A claim without an outcome becomes Unknown after this time, even if its router may be
+        /// alive.
         Base::Duration maxRunTime = std::chrono::minutes(15);
     };
     struct Entry
@@ -45,20 +46,21 @@
         std::uint64_t sequence = 0;
         std::optional<Outcome> outcome;
     };
-    /// Whether that run of a router has ended for sure.
+    /// Whether the router instance is known to have ended.
     using IsGone = std::function<bool(const RouterInstance &)>;
 
     explicit ClaimTable(const Options &options)
         : m_options(options)
     { }
 
-    /// A claim loses to an earlier one of the same key, unless that ended without having run.
+    /// Applies a claim; an earlier claim of the same key wins unless it ended without having run.
     void apply(const Claim &claim, Base::MonoTime now);
-    /// The first outcome of a request stays, except that a known one replaces an unknown one.
+    /// Applies an outcome; the first one of a request is kept, except that a known outcome replaces
+    /// an unknown one.
     void apply(const ClaimOutcome &end, Base::MonoTime now);
 
     ClaimStatus claimStatus(const Claim &claim, Base::MonoTime now, const IsGone &isGone) const;
-    /// The holder of \a key; null if there is none.
+    /// The entry of the holder of \a key; null if there is none.
     const Entry *find(const ClaimKey &key) const;
     std::size_t size() const { return m_entries.size(); }
     bool isFull() const { return m_entries.size() >= m_options.fullThreshold; }
@@ -77,8 +79,7 @@
 
     Options m_options;
     absl::flat_hash_map<ClaimKey, Entry> m_entries;
-    std::deque<EvictionEntry>
-        m_order; ///< By age; places of entries that were replaced stay until then.
+    std::deque<EvictionEntry> m_order; ///< By age; includes entries that were replaced.
     std::uint64_t m_lastSequence = 0;
 };
 
--- a/src/libs/orders/lease.cpp
+++ b/src/libs/orders/lease.cpp
@@ -35,10 +35,10 @@
 Errors::Result<LeaseRecord> leaseRecordFromText(std::string_view text)
 {
     if (text.size() > maxRecordBytes)
-        return badRecord("lease record too long");
+        return badRecord("lease record is too long");
     const nlohmann::json json = nlohmann::json::parse(text, nullptr, false);
     if (!json.is_object())
-        return badRecord("lease record is no JSON object");
+        return badRecord("lease record is not a JSON object");
     const auto hasText = [&](const char *key) {
         return json.contains(key) && json[key].is_string();
     };
@@ -47,7 +47,7 @@
     };
     if (!hasText("step") || !hasText("data_centre") || !hasText("holder") || !hasNumber("log_first")
         || !hasNumber("fencing") || (json.contains("base") && !hasNumber("base")))
-        return badRecord("lease record lacks a key or has a wrong type");
+        return badRecord("lease record has a missing key or a value of a wrong type");
     const auto step =
         std::find(stepNames.begin(), stepNames.end(), json["step"].get<std::string>());
     if (step == stepNames.end())
@@ -74,7 +74,7 @@
         m_last = offset;
         return true;
     }
-    // Without a state, because the claim is gone through retention, a renewal tells the state.
+    // Without a known claim, as retention has removed its record, the renewal defines the state.
     if (m_fencing && (record.fencing != *m_fencing || record.holder != m_holder))
         return false;
     m_fencing = record.fencing;
@@ -85,14 +85,14 @@
 
 bool LeaseState::isValidClaim(const LeaseRecord &record) const
 {
-    // A renewal that the claimant had not read makes the claim stale.
+    // The claim is stale if the claimant had not read the latest record, such as a renewal.
     return !m_last || record.base == m_last || *m_last < record.logFirst;
 }
 
 LeaseKeeper::LeaseKeeper(Options options, Base::MonoTime now)
     : m_options(std::move(options))
     , m_state(m_options.dataCentre)
-    // Whoever held the lease before this process started reading may hold it for a whole term.
+    // A holder from before this process started reading may still hold the lease for a full term.
     , m_claimableAt(now + m_options.term)
 { }
 
@@ -126,8 +126,8 @@
 void LeaseKeeper::caughtUp(Base::LogOffset first)
 {
     m_logFirst = first;
-    // While the log could not be read, renewals may have gone unseen; a claim that is based on an
-    // older record loses by the rule of LeaseState, so that reading on is enough.
+    // Renewals may have been missed while the log could not be read. No further check is needed, as
+    // LeaseState rejects a claim that is based on an older record.
     m_isCaughtUp = true;
 }
 
@@ -141,7 +141,7 @@
     if (!m_isCaughtUp)
         return;
     if (!m_pendingId.empty()) {
-        // An answer was lost, or the append failed: the same record again, which does no harm.
+        // The response was lost or the append failed. Appending the same record again is harmless.
         const bool isStale = now - m_pendingSince >= m_options.term - m_options.margin;
         if (isStale) {
             m_pendingId.clear();
--- a/src/libs/orders/lease.h
+++ b/src/libs/orders/lease.h
@@ -14,27 +14,30 @@
 
 enum class LeaseStep : std::uint8_t { Claim, Renew, Release };
 
-/// One record of the stream `leases`.
+/// One record of the log stream `leases`.
 struct LeaseRecord
 {
     LeaseStep step = LeaseStep::Claim;
     Base::DataCentreId dataCentre;
     std::string holder; ///< Member id and incarnation.
-    /// Claim: last record of this data centre that the claimant had read.
+    /// Set for Claim: offset of the data centre's last record that the claimant had read.
     std::optional<Base::LogOffset> base;
-    /// Claim: first offset that the log still kept, so that a base lost to retention can be told.
+    /// Set for Claim: first offset that the log still kept, which shows whether a base was removed
+    /// by retention.
     Base::LogOffset logFirst;
-    /// Renew, Release: offset of the claim.
+    /// Set for Renew and Release: offset of the claim.
     Base::FencingNumber fencing;
 
     bool operator==(const LeaseRecord &) const = default;
 };
 
-/// The JSON text of a record in the log; and back, BadMessage if it is none.
+/// Converts a record to its JSON text in the log and back; fails with BadMessage if the text is not
+/// a valid record.
 std::string toText(const LeaseRecord &record);
 Errors::Result<LeaseRecord> leaseRecordFromText(std::string_view text);
 
-/// The lease of one data centre as every reader of the stream reduces it, by offsets alone.
+/// State of the lease of one data centre. Depends on the records and their offsets alone, so that
+/// all readers of the stream agree on it.
 class LeaseState
 {
 public:
@@ -42,7 +45,8 @@
         : m_dataCentre(std::move(dataCentre))
     { }
 
-    /// Whether the record took effect. Records of other data centres and older offsets have none.
+    /// Returns whether the record took effect. Records of other data centres and records that are
+    /// not newer than the last one have no effect.
     bool apply(Base::LogOffset offset, const LeaseRecord &record);
 
     const std::string &holder() const { return m_holder; } ///< Empty if released or never claimed.
@@ -58,20 +62,21 @@
     std::optional<Base::LogOffset> m_last;
 };
 
-/// Gets, keeps and gives up the lease of one data centre. Pure: time, records and answers come in,
-/// records to append go out.
+/// Acquires, renews and releases the lease of one data centre. Does no I/O and reads no clock: the
+/// caller passes in the time and the records read, and appends the requested records.
 ///
-/// Safety rests on two monotonic clocks that run at nearly the same rate, never on their values:
-/// the holder counts its term from before it sent the record, a follower from after it read it.
+/// Safety requires the monotonic clocks of two controllers to run at nearly the same rate, but does
+/// not depend on their values: the holder counts its term from before it sent the record, a
+/// follower from after it has read it.
 class LeaseKeeper
 {
 public:
     struct Options
     {
         Base::DataCentreId dataCentre;
-        std::string holder; ///< Unique for each start of a process.
+        std::string holder; ///< Unique for each process start.
         Base::Duration term = std::chrono::seconds(9);
-        Base::Duration margin = std::chrono::seconds(1); ///< For clocks that drift.
+        Base::Duration margin = std::chrono::seconds(1); ///< Allowance for clock drift.
         Base::Duration renewPeriod = std::chrono::seconds(3);
         Base::Duration retryPeriod = std::chrono::seconds(1); ///< After a failed append.
         /// Longest time from the sending of an order to its effect.
@@ -80,25 +85,28 @@
 
     LeaseKeeper(Options options, Base::MonoTime now);
 
-    /// A record is to be appended with this id; the same id may be asked for again.
+    /// Called to append a record with this id; a retry uses the same id.
     std::function<void(const std::string &id, const LeaseRecord &record)> appendRequested;
     std::function<void(Base::FencingNumber fencing)> gained;
     std::function<void()> lost;
 
     void recordRead(Base::LogOffset offset, const std::string &id, const LeaseRecord &record,
                     Base::MonoTime now);
-    /// The log answered a read up to its end; \a first is the oldest offset that it keeps.
+    /// To be called when the log was read up to its end; \a first is the oldest offset that it
+    /// keeps.
     void caughtUp(Base::LogOffset first);
-    /// The log could not be read; no claim until it can.
+    /// To be called when reading the log failed. Suspends claims, renewals and retries until the
+    /// next caughtUp().
     void logFailed() { m_isCaughtUp = false; }
-    /// Claims when the lease is free and this controller is a candidate, renews when it is time.
+    /// Claims the lease if it is free and this controller is a candidate, and renews it when due.
     void advance(bool isCandidate, Base::MonoTime now);
-    /// Gives the lease up; only once no order is under way.
+    /// Releases the lease; to be called only while no order is in flight.
     void release(Base::MonoTime now);
 
-    /// The number to send an order with, at this very moment; to be asked just before the first
-    /// byte leaves. None if the lease is not held now, whatever was believed before; for endpoints
-    /// that ignore fencing numbers also none until the old holder's last order has run out.
+    /// The fencing number for an order sent at \a now; to be called right before the first byte is
+    /// sent. No value if the lease is not held at \a now. For endpoints that ignore fencing
+    /// numbers, also no value until the last order of the previous holder can no longer take
+    /// effect.
     std::optional<Base::FencingNumber> mayOrder(bool endpointChecksFencing,
                                                 Base::MonoTime now) const;
     const LeaseState &state() const { return m_state; }
@@ -111,12 +119,13 @@
     LeaseState m_state;
     Base::LogOffset m_logFirst;
     bool m_isCaughtUp = false;
-    bool m_isGained = false;
-    Base::MonoTime m_claimableAt; ///< When a follower may claim.
-    Base::MonoTime m_heldUntil{}; ///< By this process's clock, less the margin.
-    Base::MonoTime m_uncheckedOrdersFrom{}; ///< For endpoints that ignore fencing numbers.
+    bool m_isGained = false; ///< gained() was called, lost() not yet.
+    Base::MonoTime m_claimableAt; ///< Earliest time at which a follower may claim.
+    Base::MonoTime m_heldUntil{}; ///< By this process's clock, minus the margin.
+    /// Earliest time of an order to an endpoint that ignores fencing numbers.
+    Base::MonoTime m_uncheckedOrdersFrom{};
     Base::MonoTime m_lastAttemptAt{};
-    std::string m_pendingId; ///< Of the record whose fate is not known.
+    std::string m_pendingId; ///< Id of the appended record not yet read back; may be empty.
     LeaseRecord m_pending;
     Base::MonoTime m_pendingSince{};
     std::uint64_t m_appendCount = 0;
--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 template<typename T>
-void keepDifference(std::optional<T> &set, const std::optional<T> &desired,
-                    const std::optional<T> &seen)
+void setIfDifferent(std::optional<T> &set, const std::optional<T> &desired,
+                    const std::optional<T> &observed)
 {
-    if (desired && desired != seen)
+    if (desired && desired != observed)
         set = desired;
 }
 
-std::uint64_t hashOf(const std::string &text)
+std::uint64_t hashText(const std::string &text)
 {
     return XXH64(text.data(), text.size(), 0);
 }
@@ -25,22 +25,23 @@
 } // namespace
 
 std::optional<Order> planOrder(const Base::EndpointId &endpoint, const EndpointSettings &desired,
-                               const EndpointSettings &seen, Base::Revision revision)
+                               const EndpointSettings &observed, Base::Revision revision)
 {
     Order order{.endpoint = endpoint};
-    keepDifference(order.set.model, desired.model, seen.model);
-    keepDifference(order.set.adapter, desired.adapter, seen.adapter);
-    keepDifference(order.set.version, desired.version, seen.version);
-    keepDifference(order.set.role, desired.role, seen.role);
-    keepDifference(order.set.draining, desired.draining, seen.draining);
+    setIfDifferent(order.set.model, desired.model, observed.model);
+    setIfDifferent(order.set.adapter, desired.adapter, observed.adapter);
+    setIfDifferent(order.set.version, desired.version, observed.version);
+    setIfDifferent(order.set.role, desired.role, observed.role);
+    setIfDifferent(order.set.draining, desired.draining, observed.draining);
     if (order.set.isEmpty())
         return std::nullopt;
     order.loadsWeights = order.set.model || order.set.adapter || order.set.version;
-    const std::string wish = order.set.model.value_or("-") + '|' + order.set.adapter.value_or("-")
-        + '|' + order.set.version.value_or("-") + '|' + order.set.role.value_or("-") + '|'
+    const std::string settings = order.set.model.value_or("-") + '|'
+        + order.set.adapter.value_or("-") + '|' + order.set.version.value_or("-") + '|'
+        + order.set.role.value_or("-") + '|'
         + (order.set.draining ? (*order.set.draining ? "1" : "0") : "-");
     order.id = endpoint.value() + '@' + std::to_string(revision.value()) + '-'
-        + std::to_string(hashOf(wish));
+        + std::to_string(hashText(settings));
     return order;
 }
 
@@ -64,11 +65,11 @@
     m_nextAt = std::max(m_nextAt, now + retryAfter);
 }
 
-DrainStep nextDrainStep(const DrainView &view, Base::Duration longestExport)
+DrainStep nextDrainStep(const DrainView &view, Base::Duration maxExportTime)
 {
     if (!view.isDraining)
         return DrainStep::OrderDraining;
-    if (view.chatsToExport > 0 && view.sinceDraining < longestExport)
+    if (view.chatsToExport > 0 && view.sinceDraining < maxExportTime)
         return DrainStep::ExportCache;
     return view.inFlight > 0 ? DrainStep::Wait : DrainStep::Done;
 }
@@ -80,7 +81,7 @@
     Result result{.period = m_options.period};
     for (const Base::EndpointId &endpoint : endpoints) {
         const auto weight = [&](const std::string &name) {
-            return std::pair(hashOf(name + '|' + endpoint.value()), name);
+            return std::pair(hashText(name + '|' + endpoint.value()), name);
         };
         const auto own = weight(member);
         const auto above =
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -12,7 +12,7 @@
 
 namespace Lagoonbank::Orders {
 
-/// What orders set on an endpoint; in a desired state an absent field is left as it is.
+/// Settings of an endpoint that orders change. A field without a value is left unchanged.
 struct EndpointSettings
 {
     std::optional<std::string> model;
@@ -25,20 +25,22 @@
     bool isEmpty() const { return *this == EndpointSettings(); }
 };
 
-/// One order: values to set, never changes to add, so that a repeat does no harm.
+/// One order to an endpoint. Contains absolute values, so that repeating it is harmless.
 struct Order
 {
     Base::EndpointId endpoint;
-    std::string id; ///< The same for the same wish, so that an endpoint can tell a repeat.
+    std::string id; ///< Equal for equal settings and revision; lets endpoints detect a repeat.
     EndpointSettings set;
-    bool loadsWeights = false; ///< Counts against the weight store's rate.
+    bool loadsWeights = false; ///< Counts towards the rate limit of the weight store.
 };
 
-/// What is still to be set on an endpoint whose state was read; none if it is as desired.
+/// The order that changes an endpoint from its \a observed to its \a desired settings; no value if
+/// nothing differs.
 std::optional<Order> planOrder(const Base::EndpointId &endpoint, const EndpointSettings &desired,
-                               const EndpointSettings &seen, Base::Revision revision);
+                               const EndpointSettings &observed, Base::Revision revision);
 
-/// Lets few loads of weights run at a time, spaced, and holds back after the store refused one.
+/// Limits the number of concurrent weight loads, spaces their starts, and backs off after the
+/// weight store refused a load.
 class WeightLoadLimiter
 {
 public:
@@ -46,7 +48,8 @@
     {
         std::size_t maxRunning = 2;
         Base::Duration spacing = std::chrono::seconds(1);
-        Base::Duration loadTimeout = std::chrono::minutes(10); ///< Then a load counts as lost.
+        /// A load that takes longer counts as lost.
+        Base::Duration loadTimeout = std::chrono::minutes(10);
     };
 
     explicit WeightLoadLimiter(const Options &options)
@@ -56,7 +59,7 @@
     bool mayStart(Base::MonoTime now);
     void started(const Base::EndpointId &endpoint, Base::MonoTime now);
     void finished(const Base::EndpointId &endpoint) { m_running.erase(endpoint); }
-    /// The store answered 429.
+    /// To be called when the weight store responded with status 429.
     void refused(const Base::EndpointId &endpoint, Base::Duration retryAfter, Base::MonoTime now);
 
 private:
@@ -66,41 +69,42 @@
 };
 
 enum class DrainStep : std::uint8_t {
-    OrderDraining, ///< Set `draining`, and let gossip say that it leaves.
-    ExportCache, ///< Move the KV cache of hot chats.
+    OrderDraining, ///< Set `draining` and announce it by gossip.
+    ExportCache, ///< Move the KV caches of hot chats.
     Wait, ///< Requests are still in flight.
     Done
 };
 
-/// What was seen of an endpoint that is to leave.
+/// Observed state of an endpoint that is to be drained.
 struct DrainView
 {
-    bool isDraining = false; ///< Its state says so.
+    bool isDraining = false; ///< As reported by the endpoint.
     std::size_t chatsToExport = 0;
     std::size_t inFlight = 0; ///< Running and queued.
-    Base::Duration sinceDraining{}; ///< Since it was seen draining.
+    Base::Duration sinceDraining{}; ///< Time since it was first observed draining.
 };
 
-/// The next step of a drain. Exports end after a while; requests in flight are never cut.
+/// The next step of a drain. Exports end after \a maxExportTime; requests in flight are never
+/// interrupted.
 DrainStep nextDrainStep(const DrainView &view,
-                        Base::Duration longestExport = std::chrono::seconds(60));
+                        Base::Duration maxExportTime = std::chrono::seconds(60));
 
-/// Which members of a data centre probe which of its endpoints, by rendezvous hashing, so that a
-/// change of members moves few.
+/// Assigns the endpoints of a data centre to the members that probe them, by rendezvous hashing, so
+/// that a change of members reassigns few endpoints.
 class ProbeSchedule
 {
 public:
     struct Options
     {
         std::size_t probersPerEndpoint = 2;
-        Base::Duration period = std::chrono::seconds(1); ///< Between two probes by one prober.
-        double bytesPerProbe = 600; ///< Request, answer's acknowledgements and headers.
-        double bytesPerSecond = 1500; ///< Share of the control budget.
+        Base::Duration period = std::chrono::seconds(1); ///< Between two probes by the same prober.
+        double bytesPerProbe = 600; ///< Request, TCP acknowledgements of the response, and headers.
+        double bytesPerSecond = 1500; ///< Part of the control traffic budget.
     };
     struct Result
     {
         std::vector<Base::EndpointId> endpoints;
-        Base::Duration period; ///< Longer than asked for where the budget says so.
+        Base::Duration period; ///< Longer than Options::period if the budget requires it.
     };
 
     explicit ProbeSchedule(const Options &options)
--- a/tests/auto/claims/tst_claimer.cpp
+++ b/tests/auto/claims/tst_claimer.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A log that several routers write to; a test says what becomes of each append.
+/// A log shared by several routers; the test decides the result of each append.
 struct SharedLog
 {
     struct Append
@@ -39,20 +39,21 @@
         }
         timers.runDue();
     }
-    /// Takes the oldest append into the log or not, and tells its writer \a told.
-    void take(bool isTaken, AppendState told)
+    /// Completes the oldest pending append: stores its record if \a isStored, and reports \a state
+    /// to the writer, which may differ from what happened.
+    void completeAppend(bool isStored, AppendState state)
     {
         const Append append = std::move(appends.front());
         appends.pop_front();
-        if (isTaken)
+        if (isStored)
             records.push_back(
                 {Base::LogOffset(records.size()), append.record.id, append.record.data});
-        append.appended({.state = told});
+        append.appended({.state = state});
     }
-    void takeAll()
+    void completeAllAppends()
     {
         while (!appends.empty())
-            take(true, AppendState::Appended);
+            completeAppend(true, AppendState::Appended);
     }
 };
 
@@ -60,7 +61,7 @@
 {
     SharedLog &log;
     std::string name;
-    std::set<std::string> gone{}; ///< Routers that this one knows to be gone.
+    std::set<std::string> gone{}; ///< Routers that this one knows to have ended.
     std::unique_ptr<Claimer> claimer = std::make_unique<Claimer>(options());
     std::size_t position = 0;
     std::vector<Decision> decisions{};
@@ -93,7 +94,7 @@
         log.timers.runDue();
         return id;
     }
-    void tail()
+    void readLog()
     {
         while (position < log.records.size())
             claimer->recordReceived(log.records[position++]);
@@ -112,11 +113,11 @@
         a.claimer->setLogUsable(true);
         b.claimer->setLogUsable(true);
     }
-    void spread()
+    void completeAndRead()
     {
-        log.takeAll();
-        a.tail();
-        b.tail();
+        log.completeAllAppends();
+        a.readLog();
+        b.readLog();
     }
 };
 
@@ -126,13 +127,13 @@
 {
     b.claim("b1");
     a.claim("a1");
-    log.takeAll();
-    a.tail();
+    log.completeAllAppends();
+    a.readLog();
     BOOST_TEST(a.decisions.empty());
-    b.tail();
+    b.readLog();
     BOOST_TEST((b.verdict() == Verdict::Granted));
     b.claimer->finish(b.claimOf("b1"), {.ran = Ran::Yes, .status = 201, .body = "receipt 7"});
-    spread();
+    completeAndRead();
     BOOST_TEST((a.verdict() == Verdict::Ended));
     BOOST_TEST(a.decisions[0].outcome.body == "receipt 7");
     BOOST_TEST(a.decisions[0].holder.value() == "b1");
@@ -143,11 +144,11 @@
 {
     a.claim("a1");
     a.claim("a2");
-    spread();
+    completeAndRead();
     BOOST_TEST(a.decisions.size() == 1);
     a.claim("a3");
     log.advance(3s);
-    spread();
+    completeAndRead();
     BOOST_TEST((a.verdict(1) == Verdict::Running));
     BOOST_TEST((a.verdict(2) == Verdict::Running));
 }
@@ -155,7 +156,7 @@
 BOOST_FIXTURE_TEST_CASE(crashBetweenClaimAndOutcomeIsUnknown, Fixture)
 {
     a.claim("a1");
-    spread();
+    completeAndRead();
     BOOST_TEST((a.verdict() == Verdict::Granted));
     b.gone.insert("a");
     b.claim("b1");
@@ -166,23 +167,24 @@
 BOOST_FIXTURE_TEST_CASE(lostAppendResponseIsResolvedByReadingLog, Fixture)
 {
     a.claim("a1");
-    log.take(true, AppendState::Unknown);
+    log.completeAppend(true, AppendState::Unknown);
     BOOST_TEST(a.decisions.empty());
-    a.tail();
+    a.readLog();
     BOOST_TEST((a.verdict() == Verdict::Granted));
 }
 
 BOOST_FIXTURE_TEST_CASE(lostResponseAndRetryThroughAnotherRouterRunOnce, Fixture)
 {
     a.claim("a1");
-    log.take(true, AppendState::Unknown);
+    log.completeAppend(true, AppendState::Unknown);
     b.claim("b1");
-    spread();
+    completeAndRead();
     BOOST_TEST((a.verdict() == Verdict::Granted));
     BOOST_TEST(b.decisions.empty());
     a.claimer->finish(a.claimOf("a1"), {.ran = Ran::Yes, .status = 201, .body = "receipt 8"});
-    log.take(true, AppendState::Unknown); // The outcome's answer is lost too.
-    spread();
+    // The response to the outcome's append is lost, too.
+    log.completeAppend(true, AppendState::Unknown);
+    completeAndRead();
     BOOST_TEST((b.verdict() == Verdict::Ended));
     BOOST_TEST(b.decisions[0].outcome.body == "receipt 8");
     BOOST_TEST(a.decisions.size() == 1U);
@@ -192,13 +194,13 @@
 {
     a.claim("a1");
     const auto late = log.appends.front();
-    log.take(false, AppendState::Unknown);
+    log.completeAppend(false, AppendState::Unknown);
     log.advance(3s);
     BOOST_TEST((a.verdict() == Verdict::Unavailable));
-    spread();
+    completeAndRead();
     log.records.push_back({Base::LogOffset(9), late.record.id, late.record.data});
     b.claim("b1");
-    spread();
+    completeAndRead();
     BOOST_TEST((b.verdict() == Verdict::Granted));
     BOOST_TEST(a.decisions.size() == 1);
 }
@@ -206,7 +208,7 @@
 BOOST_FIXTURE_TEST_CASE(reusedKeyForDifferentCallIsRefused, Fixture)
 {
     a.claim("a1");
-    spread();
+    completeAndRead();
     b.claim("b1", LogOutPolicy::Refuse, 2);
     BOOST_TEST((b.verdict() == Verdict::KeyReused));
 }
@@ -214,11 +216,11 @@
 BOOST_FIXTURE_TEST_CASE(waitingRequestIsGrantedWhenHolderDidNotRun, Fixture)
 {
     a.claim("a1");
-    spread();
+    completeAndRead();
     b.claim("b1");
     a.claimer->finish(a.claimOf("a1"), {.ran = Ran::No});
-    spread();
-    spread();
+    completeAndRead();
+    completeAndRead();
     BOOST_TEST((b.verdict() == Verdict::Granted));
 }
 
@@ -230,11 +232,11 @@
     a.claim("a2", LogOutPolicy::LocalOnly);
     BOOST_TEST((a.verdict(1) == Verdict::GrantedLocally));
     a.claimer->finish(a.claimOf("a2"), {.ran = Ran::Yes, .status = 200});
-    log.take(false, AppendState::NotAppended);
+    log.completeAppend(false, AppendState::NotAppended);
     a.claim("a3", LogOutPolicy::LocalOnly);
     BOOST_TEST((a.verdict(2) == Verdict::Ended));
     log.advance(3s);
-    spread();
+    completeAndRead();
     b.claim("b1");
     BOOST_TEST((b.verdict() == Verdict::Ended));
 }
@@ -242,10 +244,10 @@
 BOOST_FIXTURE_TEST_CASE(failedClaimAppendFollowsContract, Fixture)
 {
     a.claim("a1");
-    log.take(false, AppendState::NotAppended);
+    log.completeAppend(false, AppendState::NotAppended);
     BOOST_TEST((a.verdict() == Verdict::Unavailable));
     a.claim("a2", LogOutPolicy::LocalOnly);
-    log.take(false, AppendState::NotAppended);
+    log.completeAppend(false, AppendState::NotAppended);
     BOOST_TEST((a.verdict(1) == Verdict::GrantedLocally));
     log.isQueueFull = true;
     b.claim("b1");
@@ -256,9 +258,9 @@
 {
     const auto id = a.claim("a1");
     a.claimer->cancel(id);
-    spread();
+    completeAndRead();
     BOOST_TEST(a.decisions.empty());
     b.claim("b1");
-    spread();
+    completeAndRead();
     BOOST_TEST((b.verdict() == Verdict::Granted));
 }
--- a/tests/auto/claims/tst_claimtable.cpp
+++ b/tests/auto/claims/tst_claimtable.cpp
@@ -19,7 +19,7 @@
             .call = CallHash(call)};
 }
 
-/// One record: a claim of `request`, or its end where `ran` is set.
+/// One record: a claim of `request`, or its outcome if `ran` is set.
 struct Step
 {
     std::string request;
@@ -37,9 +37,9 @@
 };
 
 const StatusCase statusCases[] = {
-    {"nobody asked before", {}, claimOf("a"), ClaimStatus::Free},
-    {"the first claim holds", {{"a"}, {"b"}}, claimOf("a"), ClaimStatus::Held},
-    {"the second claim waits", {{"a"}, {"b"}}, claimOf("b"), ClaimStatus::Running},
+    {"no claim yet", {}, claimOf("a"), ClaimStatus::Free},
+    {"first claim holds the key", {{"a"}, {"b"}}, claimOf("a"), ClaimStatus::Held},
+    {"second claim has to wait", {{"a"}, {"b"}}, claimOf("b"), ClaimStatus::Running},
     {"router crashed before the outcome", {{"a"}}, claimOf("b"), ClaimStatus::Unknown, true},
     {"router crashed after the outcome",
      {{"a"}, {"a", Ran::Yes}},
@@ -47,11 +47,11 @@
      ClaimStatus::Ended,
      true},
     {"outcome unknown", {{"a"}, {"a", Ran::Unknown}}, claimOf("b"), ClaimStatus::Unknown},
-    {"outcome found out later",
+    {"unknown outcome resolved later",
      {{"a"}, {"a", Ran::Unknown}, {"a", Ran::Yes}},
      claimOf("b"),
      ClaimStatus::Ended},
-    {"an outcome stays",
+    {"first outcome is kept",
      {{"a"}, {"a", Ran::Yes}, {"a", Ran::No}},
      claimOf("b"),
      ClaimStatus::Ended},
@@ -60,8 +60,8 @@
      {{"a"}, {"a", Ran::No}, {"b"}},
      claimOf("b"),
      ClaimStatus::Held},
-    {"claim read after it was given up", {{"a", Ran::No}, {"a"}}, claimOf("b"), ClaimStatus::Free},
-    {"outcome of a loser is none of the holder's",
+    {"claim read after its release", {{"a", Ran::No}, {"a"}}, claimOf("b"), ClaimStatus::Free},
+    {"outcome of a rejected claim does not affect the holder",
      {{"a"}, {"b"}, {"b", Ran::No}},
      claimOf("c"),
      ClaimStatus::Running},
--- a/tests/auto/orders/tst_lease.cpp
+++ b/tests/auto/orders/tst_lease.cpp
@@ -18,7 +18,7 @@
 
 const DataCentreId gulberg("gulberg");
 
-/// A log in memory, with lost answers, outages and retention.
+/// An in-memory log with delayed appends, outages and retention.
 struct FakeLog
 {
     struct Entry
@@ -28,12 +28,12 @@
     };
     std::vector<Entry> entries;
     std::size_t first = 0;
-    bool isOut = false;
-    /// Appends on their way; each lands once its time has come, whatever became of its sender.
+    bool isUnavailable = false;
+    /// Appends in flight by arrival time; they arrive even if the sender has ended.
     std::multimap<MonoTime, Entry> inFlight;
     Duration delay{};
 
-    void land(MonoTime now)
+    void deliverUntil(MonoTime now)
     {
         while (!inFlight.empty() && inFlight.begin()->first <= now) {
             entries.push_back(inFlight.begin()->second);
@@ -42,7 +42,7 @@
     }
 };
 
-/// A controller's keeper and its place in the log.
+/// A controller's lease keeper and its read position in the log.
 struct Controller
 {
     Controller(FakeLog &shared, const std::string &name, MonoTime now)
@@ -50,16 +50,16 @@
         , keeper({.dataCentre = gulberg, .holder = name}, now)
     {
         keeper.appendRequested = [this](const std::string &id, const LeaseRecord &record) {
-            if (!log.isOut)
-                log.inFlight.insert({turnedAt + log.delay, {id, record}});
+            if (!log.isUnavailable)
+                log.inFlight.insert({polledAt + log.delay, {id, record}});
         };
     }
-    void turn(MonoTime now)
+    void poll(MonoTime now)
     {
         if (isPaused)
             return;
-        turnedAt = now;
-        if (log.isOut) {
+        polledAt = now;
+        if (log.isUnavailable) {
             keeper.logFailed();
         } else {
             next = std::max(next, log.first);
@@ -74,7 +74,7 @@
     FakeLog &log;
     LeaseKeeper keeper;
     std::size_t next = 0;
-    MonoTime turnedAt{};
+    MonoTime polledAt{};
     bool isPaused = false;
     bool isCandidate = true;
 };
@@ -90,14 +90,14 @@
         controllers.push_back(std::make_unique<Controller>(log, name, now));
         return *controllers.back();
     }
-    /// Advances all; never may two that run order at one time.
+    /// Advances all controllers and checks that no two of them may send orders at the same time.
     void run(Duration duration)
     {
         constexpr Duration step = std::chrono::milliseconds(100);
         for (const MonoTime end = now + duration; now < end; now += step) {
-            log.land(now);
+            log.deliverUntil(now);
             for (const auto &controller : controllers)
-                controller->turn(now);
+                controller->poll(now);
             BOOST_REQUIRE(holders(true) <= 1);
             BOOST_REQUIRE(holders(false) <= 1);
         }
@@ -123,11 +123,12 @@
     bench.run(std::chrono::minutes(5));
     BOOST_TEST(bench.holders(true) == 1);
     BOOST_TEST(bench.holders(false) == 1);
-    // One claim each at most, and renewals.
+    // At most one claim per controller, plus renewals.
     BOOST_TEST(bench.log.entries.size() < 130U);
 }
 
-// The holder sleeps past its term and wakes, still believing: no order leaves, to either kind.
+// The holder is paused beyond its term. After it resumes it must not send orders to any endpoint,
+// whether or not the endpoint checks fencing numbers.
 BOOST_DATA_TEST_CASE(pausedHolderIssuesNoOrder, boost::unit_test::data::make({true, false}),
                      checksFencing)
 {
@@ -140,22 +141,22 @@
     BOOST_REQUIRE(old);
 
     a.isPaused = true;
-    MonoTime taken{};
+    MonoTime takenOver{};
     for (int i = 0; i < 400 && !b.keeper.mayOrder(checksFencing, bench.now); ++i)
         bench.run(std::chrono::milliseconds(100));
-    taken = bench.now;
-    BOOST_REQUIRE(b.keeper.mayOrder(checksFencing, taken));
-    // At its first instruction after waking, before it reads anything.
-    BOOST_TEST(!a.keeper.mayOrder(checksFencing, taken));
-    BOOST_TEST((*b.keeper.mayOrder(checksFencing, taken) > *old));
+    takenOver = bench.now;
+    BOOST_REQUIRE(b.keeper.mayOrder(checksFencing, takenOver));
+    // Right after it resumes, before it has read any record.
+    BOOST_TEST(!a.keeper.mayOrder(checksFencing, takenOver));
+    BOOST_TEST((*b.keeper.mayOrder(checksFencing, takenOver) > *old));
     a.isPaused = false;
     bench.run(std::chrono::minutes(1));
     BOOST_TEST(!a.keeper.mayOrder(checksFencing, bench.now));
     BOOST_TEST(bench.holders(checksFencing) == 1);
 }
 
-// Endpoints that ignore fencing numbers get no order of the new holder until the last one of the
-// old, sent at the end of its term, has run out.
+// Endpoints that ignore fencing numbers get no order from the new holder until the last order of
+// the old holder, sent at the end of its term, can no longer take effect.
 BOOST_AUTO_TEST_CASE(uncheckedEndpointsWaitForLongestOrder)
 {
     Bench bench;
@@ -165,7 +166,7 @@
     bench.run(std::chrono::seconds(5));
     MonoTime lastOld{};
     MonoTime firstNew{};
-    a.isPaused = true; // It can't renew, yet may send while its term lasts.
+    a.isPaused = true; // It cannot renew, but may send orders until its term ends.
     for (int i = 0; i < 400 && firstNew == MonoTime{}; ++i) {
         bench.run(std::chrono::milliseconds(100));
         if (a.keeper.mayOrder(false, bench.now))
@@ -185,12 +186,12 @@
     bench.add("b/1");
     bench.run(std::chrono::seconds(12));
     BOOST_REQUIRE(a.keeper.mayOrder(true, bench.now));
-    bench.log.isOut = true;
+    bench.log.isUnavailable = true;
     bench.run(std::chrono::seconds(9));
     BOOST_TEST(bench.holders(true) == 0);
     bench.run(std::chrono::minutes(3));
     BOOST_TEST(bench.holders(true) == 0);
-    bench.log.isOut = false;
+    bench.log.isUnavailable = false;
     bench.run(std::chrono::seconds(20));
     BOOST_TEST(bench.holders(true) == 1);
 }
@@ -209,7 +210,7 @@
     BOOST_TEST(b.keeper.mayOrder(true, bench.now).has_value());
 }
 
-// The old records are gone through retention; a new fleet begins anew and agrees.
+// Retention has removed the old records. Controllers that start without them agree on one holder.
 BOOST_AUTO_TEST_CASE(startsAfterRetention)
 {
     Bench bench;
@@ -229,7 +230,8 @@
                     == bench.controllers.front()->keeper.state().holder()));
 }
 
-// Seeded pauses and outages at random: never two holders (checked each step), and it recovers.
+// Random pauses, outages and append delays from a seed: Bench::run() checks in each step that there
+// are never two holders, and in the end one controller holds the lease.
 BOOST_DATA_TEST_CASE(neverTwoHolders, boost::unit_test::data::xrange(20), seed)
 {
     Bench bench;
@@ -237,13 +239,13 @@
     for (const char *name : {"a/1", "b/1", "c/1"})
         bench.add(name);
     for (int i = 0; i < 60; ++i) {
-        bench.log.isOut = random() % 5 == 0;
+        bench.log.isUnavailable = random() % 5 == 0;
         bench.log.delay = std::chrono::milliseconds(random() % 3 == 0 ? random() % 12000 : 200);
         for (const auto &controller : bench.controllers)
             controller->isPaused = random() % 3 == 0;
         bench.run(std::chrono::milliseconds(500 + random() % 12000));
     }
-    bench.log.isOut = false;
+    bench.log.isUnavailable = false;
     bench.log.delay = {};
     for (const auto &controller : bench.controllers)
         controller->isPaused = false;
@@ -251,7 +253,7 @@
     BOOST_TEST(bench.holders(true) == 1);
 }
 
-// Every reader reduces the stream by the same rule.
+// The state depends on the records and offsets alone.
 BOOST_AUTO_TEST_CASE(stateFollowsTheOffsets)
 {
     struct Row
@@ -262,21 +264,23 @@
     };
     // Claimed by a/1 at offset 5, renewed at offset 6.
     const std::vector<Row> rows{
-        {"claim that had not read the renewal",
+        {"claim based on a record before the renewal",
          {.holder = "b/1", .base = LogOffset(5), .logFirst = LogOffset(1)},
          false},
-        {"claim that had read nothing", {.holder = "b/1", .logFirst = LogOffset(1)}, false},
-        {"claim on the last record",
+        {"claim based on no record", {.holder = "b/1", .logFirst = LogOffset(1)}, false},
+        {"claim based on the last record",
          {.holder = "b/1", .base = LogOffset(6), .logFirst = LogOffset(1)},
          true},
-        {"claim after retention took all", {.holder = "b/1", .logFirst = LogOffset(7)}, true},
+        {"claim after retention removed all records",
+         {.holder = "b/1", .logFirst = LogOffset(7)},
+         true},
         {"renewal of an older lease",
          {.step = LeaseStep::Renew, .holder = "a/1", .fencing = FencingNumber(2)},
          false},
-        {"renewal by another",
+        {"renewal by another holder",
          {.step = LeaseStep::Renew, .holder = "b/1", .fencing = FencingNumber(5)},
          false},
-        {"release by another",
+        {"release by another holder",
          {.step = LeaseStep::Release, .holder = "b/1", .fencing = FencingNumber(5)},
          false},
         {"renewal", {.step = LeaseStep::Renew, .holder = "a/1", .fencing = FencingNumber(5)}, true},
@@ -293,7 +297,7 @@
         record.dataCentre = gulberg;
         BOOST_TEST_CONTEXT(row.name)
         {
-            BOOST_TEST(!state.apply(LogOffset(6), record)); // Seen already.
+            BOOST_TEST(!state.apply(LogOffset(6), record)); // Already applied.
             BOOST_TEST(state.apply(LogOffset(8), record) == row.takesEffect);
         }
         record.dataCentre = DataCentreId("dha");
--- a/tests/auto/orders/tst_orderplan.cpp
+++ b/tests/auto/orders/tst_orderplan.cpp
@@ -16,7 +16,7 @@
     struct Row
     {
         EndpointSettings desired;
-        EndpointSettings seen;
+        EndpointSettings observed;
         std::optional<EndpointSettings> set;
         bool loadsWeights;
     };
@@ -30,14 +30,14 @@
         {{.draining = true}, {}, EndpointSettings{.draining = true}, false},
     };
     for (const Row &row : rows) {
-        const auto order = planOrder(EndpointId("e"), row.desired, row.seen, Revision(4));
+        const auto order = planOrder(EndpointId("e"), row.desired, row.observed, Revision(4));
         BOOST_REQUIRE(order.has_value() == row.set.has_value());
         if (!order)
             continue;
         BOOST_TEST((order->set == *row.set));
         BOOST_TEST(order->loadsWeights == row.loadsWeights);
-        // Asked again after a lost answer it is the same order.
-        const auto again = planOrder(EndpointId("e"), row.desired, row.seen, Revision(4));
+        // A retry after a lost response results in the same order.
+        const auto again = planOrder(EndpointId("e"), row.desired, row.observed, Revision(4));
         BOOST_TEST(again->id == order->id);
     }
 }
@@ -53,7 +53,7 @@
     BOOST_TEST(loads.mayStart(now));
     loads.started(EndpointId("b"), now);
     now += 5s;
-    BOOST_TEST(!loads.mayStart(now)); // Two run.
+    BOOST_TEST(!loads.mayStart(now)); // Two loads are running.
     loads.refused(EndpointId("b"), 30s, now);
     BOOST_TEST(!loads.mayStart(now + 29s));
     BOOST_TEST(loads.mayStart(now + 30s));
@@ -67,7 +67,7 @@
     BOOST_TEST((
         nextDrainStep({.isDraining = true, .chatsToExport = 2, .inFlight = 1, .sinceDraining = 61s})
         == DrainStep::Wait));
-    // Requests in flight are never cut, however long they take.
+    // Requests in flight are never interrupted, however long they take.
     BOOST_TEST((nextDrainStep({.isDraining = true, .inFlight = 1, .sinceDraining = 3600s})
                 == DrainStep::Wait));
     BOOST_TEST((nextDrainStep({.isDraining = true}) == DrainStep::Done));
@@ -95,12 +95,13 @@
     }
     for (const EndpointId &endpoint : endpoints)
         BOOST_TEST(probers[endpoint] == 2);
-    // A controller that sees another list still leaves no endpoint without a prober.
+    // Every endpoint has a prober even if controllers have different member lists.
     const std::vector<std::string> shorter(members.begin(), members.begin() + 20);
     std::map<EndpointId, int> mixed;
     for (std::size_t i = 0; i < members.size(); ++i) {
-        const auto &seen = i % 2 == 0 ? members : shorter;
-        for (const EndpointId &endpoint : schedule.probesOf(members[i], seen, endpoints).endpoints)
+        const auto &visible = i % 2 == 0 ? members : shorter;
+        for (const EndpointId &endpoint :
+             schedule.probesOf(members[i], visible, endpoints).endpoints)
             ++mixed[endpoint];
     }
     for (const EndpointId &endpoint : endpoints)
