--- a/src/libs/membership/rumours.h
+++ b/src/libs/membership/gossipqueue.h
@@ -11,7 +11,7 @@
 
 /// Names of things that are news, with how often each was told; the least told goes first and
 /// each is told a bounded number of times.
-class Rumours
+class GossipQueue
 {
 public:
     void add(const std::string &name) { m_sends[name] = 0; }
--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -69,7 +69,7 @@
 {
     m_self.status = MemberStatus::Alive;
     m_table.merge(m_self, now);
-    m_memberNews.add(m_self.id);
+    m_memberUpdates.add(m_self.id);
     // Members that start together don't probe in step.
     const auto jitter = [this](Base::Duration period) {
         return Base::Duration(
@@ -264,7 +264,7 @@
 
 void Membership::gossip(Base::MonoTime now)
 {
-    const bool hasNews = !m_memberNews.isEmpty() || !m_leavingNews.isEmpty();
+    const bool hasNews = !m_memberUpdates.isEmpty() || !m_leavingUpdates.isEmpty();
     const bool hasLoads = m_loads.hasDue(now);
     if (!hasNews && !hasLoads && !m_demands.hasDue())
         return;
@@ -380,7 +380,7 @@
     m_isLeaving = true;
     m_self.status = MemberStatus::Left;
     m_table.merge(m_self, now);
-    m_memberNews.add(m_self.id);
+    m_memberUpdates.add(m_self.id);
     gossipUrgently(now);
     setUrgent(now);
 }
@@ -442,7 +442,7 @@
     return member.info.region == m_self.region;
 }
 
-std::uint32_t Membership::rumourLimit() const
+std::uint32_t Membership::retransmitLimit() const
 {
     return 3 * static_cast<std::uint32_t>(std::bit_width(m_table.aliveCount() + 1));
 }
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -5,11 +5,11 @@
 #include "membership/controlbudget.h"
 #include "membership/datacentrelinks.h"
 #include "membership/demanddigests.h"
+#include "membership/gossipqueue.h"
 #include "membership/leavingendpoints.h"
 #include "membership/loaddigests.h"
 #include "membership/membertable.h"
 #include "membership/peercodec.h"
-#include "membership/rumours.h"
 #include "runtime/udpsocket.h"
 
 #include <cstddef>
@@ -204,7 +204,7 @@
     std::size_t crossProbes(std::size_t dataCentres, std::size_t processes) const;
     bool isOwnDataCentre(const Member &member) const;
     bool isOwnRegion(const Member &member) const;
-    std::uint32_t rumourLimit() const;
+    std::uint32_t retransmitLimit() const;
     std::uint32_t ownHash() const;
     std::uint32_t fleetHash() const;
     Base::Duration stretched(Base::Duration duration) const;
@@ -218,8 +218,8 @@
     DemandDigests m_demands;
     ConfigurationMark m_mark;
     std::mt19937_64 m_random;
-    Internal::Rumours m_memberNews;
-    Internal::Rumours m_leavingNews;
+    Internal::GossipQueue m_memberUpdates;
+    Internal::GossipQueue m_leavingUpdates;
     std::vector<std::string> m_probeOrder;
     std::map<std::uint32_t, Probe> m_probes;
     std::map<std::uint32_t, Relay> m_relays;
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -190,7 +190,7 @@
 {
     if (!m_leaving.merge(leaving, now))
         return;
-    m_leavingNews.add(leaving.endpoint);
+    m_leavingUpdates.add(leaving.endpoint);
     m_tableChangedAt = now;
     setUrgent(now);
     if (endpointLeaving)
@@ -236,9 +236,9 @@
     else if (peer->info.status != MemberStatus::Alive)
         addMember(peer->info, ControlPriority::Essential);
 
-    for (const std::string &name : m_leavingNews.names()) {
+    for (const std::string &name : m_leavingUpdates.names()) {
         if (!m_leaving.contains(name)) {
-            m_leavingNews.remove(name);
+            m_leavingUpdates.remove(name);
             continue;
         }
         const LeavingEndpoint leaving = m_leaving.entry(name, now);
@@ -246,12 +246,12 @@
             break;
         size += encodedSize(leaving);
         message.leaving.push_back(leaving);
-        m_leavingNews.told(name, rumourLimit());
+        m_leavingUpdates.told(name, retransmitLimit());
     }
-    for (const std::string &name : m_memberNews.names()) {
+    for (const std::string &name : m_memberUpdates.names()) {
         const Member *member = m_table.find(name);
         if (!member) {
-            m_memberNews.remove(name);
+            m_memberUpdates.remove(name);
             continue;
         }
         if (!addMember(member->info, ControlPriority::Membership))
@@ -259,7 +259,8 @@
         // After a cold start or a long cut pulls carry the bulk; news alone would fill the budget.
         constexpr std::size_t manyNews = 32;
         constexpr std::uint32_t fewTimes = 4;
-        m_memberNews.told(name, m_memberNews.count() > manyNews ? fewTimes : rumourLimit());
+        m_memberUpdates.told(name,
+                             m_memberUpdates.count() > manyNews ? fewTimes : retransmitLimit());
     }
 }
 
@@ -306,7 +307,7 @@
     if (m_table.merge(update, now) == MemberTable::Merge::Ignored)
         return;
     m_tableChangedAt = now;
-    m_memberNews.add(update.id);
+    m_memberUpdates.add(update.id);
     Member &member = *m_table.find(update.id);
     member.isListed = std::any_of(m_vmList.begin(), m_vmList.end(),
                                   [&](const ListedVm &vm) { return ipNumber(vm.ip) == update.ip; });
@@ -351,7 +352,7 @@
 {
     m_self.incarnation = above + 1;
     m_table.merge(m_self, now);
-    m_memberNews.add(m_self.id);
+    m_memberUpdates.add(m_self.id);
     m_tableChangedAt = now;
     setUrgent(now);
     if (incarnationRaised)
