--- a/src/libs/membership/gossipqueue.h
+++ b/src/libs/membership/gossipqueue.h
@@ -32,7 +32,7 @@
                          });
         return result;
     }
-    void told(const std::string &name, std::uint32_t limit)
+    void markSent(const std::string &name, std::uint32_t limit)
     {
         const auto found = m_sends.find(name);
         if (found != m_sends.end() && ++found->second >= limit)
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -246,7 +246,7 @@
             break;
         size += encodedSize(leaving);
         message.leaving.push_back(leaving);
-        m_leavingUpdates.told(name, retransmitLimit());
+        m_leavingUpdates.markSent(name, retransmitLimit());
     }
     for (const std::string &name : m_memberUpdates.names()) {
         const Member *member = m_table.find(name);
@@ -259,8 +259,8 @@
         // After a cold start or a long cut pulls carry the bulk; news alone would fill the budget.
         constexpr std::size_t manyNews = 32;
         constexpr std::uint32_t fewTimes = 4;
-        m_memberUpdates.told(name,
-                             m_memberUpdates.count() > manyNews ? fewTimes : retransmitLimit());
+        m_memberUpdates.markSent(name,
+                                 m_memberUpdates.count() > manyNews ? fewTimes : retransmitLimit());
     }
 }
 
