--- a/src/libs/membership/datacentrelinks.cpp
+++ b/src/libs/membership/datacentrelinks.cpp
@@ -6,7 +6,7 @@
 
 namespace Lagoonbank::Membership {
 
-void DataCentreLinks::contacted(const std::string &dataCentre, Base::MonoTime now)
+void DataCentreLinks::recordContact(const std::string &dataCentre, Base::MonoTime now)
 {
     Base::MonoTime &contact = m_contacts[nameKey(dataCentre)];
     contact = std::max(contact, now);
--- a/src/libs/membership/datacentrelinks.h
+++ b/src/libs/membership/datacentrelinks.h
@@ -21,7 +21,7 @@
     { }
 
     /// A member there answered this process.
-    void contacted(const std::string &dataCentre, Base::MonoTime now);
+    void recordContact(const std::string &dataCentre, Base::MonoTime now);
     /// A process of the own data centre tells of its contact.
     void receive(const DataCentreContact &contact, Base::MonoTime now);
     /// A data centre just learnt of counts as reachable for one timeout.
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -101,7 +101,7 @@
         return;
     }
     if (const Member *member = m_table.find(sender.id); member && !isOwnDataCentre(*member))
-        m_links.contacted(member->info.dataCentre, now);
+        m_links.recordContact(member->info.dataCentre, now);
     const auto probe = m_probes.find(message.probe);
     if (probe == m_probes.end() || probe->second.target != message.target)
         return;
