--- a/src/libs/membership/membertable.cpp
+++ b/src/libs/membership/membertable.cpp
@@ -48,7 +48,7 @@
     if (!isNewer(update, member.info))
         return Merge::Ignored;
     if (update.status == MemberStatus::Dead && member.isAlive())
-        punish(member, now);
+        addFlapPenalty(member, now);
     member.info = update;
     member.changedAt = now;
     m_hashesAreOld = true;
@@ -100,7 +100,7 @@
 {
     for (auto it = m_members.begin(); it != m_members.end();) {
         Member &member = it->second;
-        if (member.isDamped && decayedPenalty(member, now) < m_options.restoreAt)
+        if (member.isDamped && decayedPenalty(member, now) < m_options.restoreThreshold)
             member.isDamped = false;
         if (!member.isAlive() && now - member.changedAt > m_options.tombstoneTime)
             it = m_members.erase(it);
@@ -153,11 +153,11 @@
     return result;
 }
 
-void MemberTable::punish(Member &member, Base::MonoTime now)
+void MemberTable::addFlapPenalty(Member &member, Base::MonoTime now)
 {
     member.penalty = decayedPenalty(member, now) + m_options.flapPenalty;
     member.penaltyAt = now;
-    if (member.penalty >= m_options.dampAt)
+    if (member.penalty >= m_options.dampingThreshold)
         member.isDamped = true;
 }
 
--- a/src/libs/membership/membertable.h
+++ b/src/libs/membership/membertable.h
@@ -39,8 +39,8 @@
     {
         Base::Duration tombstoneTime = std::chrono::minutes(10); ///< How long the dead are kept.
         double flapPenalty = 1.0; ///< Added each time that a member dies.
-        double dampAt = 2.5; ///< Penalty from which a member is damped.
-        double restoreAt = 0.8; ///< Penalty under which it no longer is.
+        double dampingThreshold = 2.5; ///< Penalty from which a member is damped.
+        double restoreThreshold = 0.8; ///< Penalty under which it no longer is.
         Base::Duration penaltyHalfLife = std::chrono::seconds(60);
     };
     enum class Merge : std::uint8_t { Ignored, Added, Changed };
@@ -73,7 +73,7 @@
     std::vector<MemberUpdate> differing(const std::vector<TableHash> &known) const;
 
 private:
-    void punish(Member &member, Base::MonoTime now);
+    void addFlapPenalty(Member &member, Base::MonoTime now);
     double decayedPenalty(const Member &member, Base::MonoTime now) const;
     void rehash() const;
 
