--- a/src/libs/membership/membertable.cpp
+++ b/src/libs/membership/membertable.cpp
@@ -41,7 +41,7 @@
     const auto found = m_members.find(update.id);
     if (found == m_members.end()) {
         m_members.emplace(update.id, Member{.info = update, .changedAt = now});
-        m_hashesAreOld = true;
+        m_hashesAreStale = true;
         return Merge::Added;
     }
     Member &member = found->second;
@@ -51,7 +51,7 @@
         addFlapPenalty(member, now);
     member.info = update;
     member.changedAt = now;
-    m_hashesAreOld = true;
+    m_hashesAreStale = true;
     return Merge::Changed;
 }
 
@@ -112,7 +112,7 @@
 void MemberTable::remove(const std::string &id)
 {
     m_members.erase(id);
-    m_hashesAreOld = true;
+    m_hashesAreStale = true;
 }
 
 std::uint32_t MemberTable::hash(const std::string &dataCentre) const
@@ -170,7 +170,7 @@
 
 void MemberTable::rehash() const
 {
-    if (!m_hashesAreOld)
+    if (!m_hashesAreStale)
         return;
     m_hashes.clear();
     m_fleetHash = 0;
@@ -185,7 +185,7 @@
         ++m_aliveCount;
         m_suspectCount += member.info.status == MemberStatus::Suspect ? 1 : 0;
     }
-    m_hashesAreOld = false;
+    m_hashesAreStale = false;
 }
 
 } // namespace Lagoonbank::Membership
--- a/src/libs/membership/membertable.h
+++ b/src/libs/membership/membertable.h
@@ -79,7 +79,7 @@
 
     Options m_options;
     std::map<std::string, Member> m_members;
-    mutable bool m_hashesAreOld = true;
+    mutable bool m_hashesAreStale = true;
     mutable std::map<std::string, std::uint32_t> m_hashes;
     mutable std::uint32_t m_fleetHash = 0;
     mutable std::size_t m_aliveCount = 0;
