--- a/src/libs/membership/loaddigests.h
+++ b/src/libs/membership/loaddigests.h
@@ -22,7 +22,7 @@
     struct Options
     {
         Base::Duration maxAge = std::chrono::seconds(5); ///< Older samples aren't passed on.
-        Base::Duration peerWorkTime = std::chrono::seconds(2); ///< How long a peer's word counts.
+        Base::Duration peerWorkMaxAge = std::chrono::seconds(2); ///< How long a peer's word counts.
         /// How often a sample or a change of own work is sent on.
         std::uint32_t sends = 4;
     };
