--- a/src/libs/membership/peercodec.cpp
+++ b/src/libs/membership/peercodec.cpp
@@ -202,9 +202,10 @@
     return out;
 }
 
-std::optional<Opened> PeerCodec::open(std::string_view datagram, std::optional<Sender> *outdated)
+std::optional<OpenedMessage> PeerCodec::open(std::string_view datagram,
+                                             std::optional<Sender> *outdated)
 {
-    std::optional<Opened> opened = openSealed(datagram, maxDatagramBytes);
+    std::optional<OpenedMessage> opened = openSealed(datagram, maxDatagramBytes);
     if (!opened)
         return std::nullopt;
     Window &window = m_windows[opened->sender.id];
@@ -223,7 +224,7 @@
     return opened;
 }
 
-std::optional<Opened> PeerCodec::openPulled(std::string_view sealed)
+std::optional<OpenedMessage> PeerCodec::openPulled(std::string_view sealed)
 {
     return openSealed(sealed, maxPullBytes);
 }
@@ -253,7 +254,7 @@
     });
 }
 
-std::optional<Opened> PeerCodec::openSealed(std::string_view sealed, std::size_t maxBytes)
+std::optional<OpenedMessage> PeerCodec::openSealed(std::string_view sealed, std::size_t maxBytes)
 {
     const auto drop = [this](DropReason reason) {
         countDrop(reason);
@@ -276,7 +277,7 @@
         return drop(DropReason::WrongKey);
 
     std::string_view rest = data.substr(fixedHeadBytes);
-    Opened opened;
+    OpenedMessage opened;
     opened.sender.id = std::string(rest.substr(0, idSize));
     rest.remove_prefix(idSize);
     opened.sender.incarnation = readNumber(rest);
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -49,7 +49,7 @@
 };
 
 /// A message whose seal was right.
-struct Opened
+struct OpenedMessage
 {
     Sender sender;
     std::string_view body; ///< Part of the datagram that was opened.
@@ -116,10 +116,10 @@
     /// Checks size, magic, version, seal and, for datagrams, the replay window, in this order;
     /// nothing is allocated for a message before its seal is known to be right. On a drop the
     /// reason is counted; for OldIncarnation \a outdated gets the sender.
-    std::optional<Opened> open(std::string_view datagram,
-                               std::optional<Sender> *outdated = nullptr);
+    std::optional<OpenedMessage> open(std::string_view datagram,
+                                      std::optional<Sender> *outdated = nullptr);
     /// The same for a body over TCP: bound to its request by the caller instead of a window.
-    std::optional<Opened> openPulled(std::string_view sealed);
+    std::optional<OpenedMessage> openPulled(std::string_view sealed);
     void countDrop(DropReason reason) { ++m_drops[static_cast<std::size_t>(reason)]; }
 
     std::uint64_t drops(DropReason reason) const
@@ -141,7 +141,7 @@
 
     static Mac mac(std::string_view key, std::string_view data);
     bool isSealRight(std::string_view data, std::string_view seal) const;
-    std::optional<Opened> openSealed(std::string_view sealed, std::size_t maxBytes);
+    std::optional<OpenedMessage> openSealed(std::string_view sealed, std::size_t maxBytes);
 
     Options m_options;
     std::uint64_t m_sequence = 0;
--- a/src/libs/membership/peertransport.cpp
+++ b/src/libs/membership/peertransport.cpp
@@ -159,7 +159,7 @@
 void PeerTransport::receive(const Runtime::SocketAddress &from, std::string_view datagram)
 {
     std::optional<Sender> outdated;
-    const std::optional<Opened> opened = m_codec.open(datagram, &outdated);
+    const std::optional<OpenedMessage> opened = m_codec.open(datagram, &outdated);
     if (outdated)
         m_options.membership->receiveOutdated(*outdated, from,
                                               m_codec.seenIncarnation(outdated->id), now());
@@ -194,7 +194,7 @@
     };
     if (request.method != "POST" || !request.path.starts_with(pullPath))
         return refuse(Errors::ErrorKind::NotFound);
-    const std::optional<Opened> opened = m_codec.openPulled(request.body);
+    const std::optional<OpenedMessage> opened = m_codec.openPulled(request.body);
     if (!opened)
         return refuse(Errors::ErrorKind::WrongPeerKey);
     const std::optional<Frame> asked = readFrame(opened->body);
@@ -256,7 +256,7 @@
         pulled(Errors::makeError(ErrorKind::EndpointUnreachable, "the peer gave no answer"));
         return;
     }
-    const std::optional<Opened> opened = m_codec.openPulled(result.body);
+    const std::optional<OpenedMessage> opened = m_codec.openPulled(result.body);
     if (!opened) {
         pulled(Errors::makeError(ErrorKind::WrongPeerKey, "the answer's seal is wrong"));
         return;
