--- a/src/libs/membership/peercodec.cpp
+++ b/src/libs/membership/peercodec.cpp
@@ -246,7 +246,7 @@
     return cut;
 }
 
-bool PeerCodec::isSealRight(std::string_view data, std::string_view seal) const
+bool PeerCodec::hasValidSeal(std::string_view data, std::string_view seal) const
 {
     return std::any_of(m_options.keys.begin(), m_options.keys.end(), [&](const std::string &key) {
         const Mac right = mac(key, data);
@@ -273,7 +273,7 @@
         return drop(DropReason::Truncated);
 
     const std::string_view data = sealed.substr(0, sealed.size() - macBytes);
-    if (!isSealRight(data, sealed.substr(data.size())))
+    if (!hasValidSeal(data, sealed.substr(data.size())))
         return drop(DropReason::WrongKey);
 
     std::string_view rest = data.substr(fixedHeadBytes);
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -140,7 +140,7 @@
     using Mac = std::array<unsigned char, 16>;
 
     static Mac mac(std::string_view key, std::string_view data);
-    bool isSealRight(std::string_view data, std::string_view seal) const;
+    bool hasValidSeal(std::string_view data, std::string_view seal) const;
     std::optional<OpenedMessage> openSealed(std::string_view sealed, std::size_t maxBytes);
 
     Options m_options;
