--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -99,7 +99,7 @@
         probeCross(now);
     }
     if (now >= m_joinAt) {
-        m_joinAt = now + (m_table.aliveCount() > 1 ? timing.joinPeriod : timing.lonelyJoinPeriod);
+        m_joinAt = now + (m_table.aliveCount() > 1 ? timing.joinPeriod : timing.isolatedJoinPeriod);
         join(now);
     }
     if (now >= m_gossipAt) {
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -60,7 +60,7 @@
         Base::Duration gossipPeriod = std::chrono::milliseconds(200);
         Base::Duration urgentDelay = std::chrono::milliseconds(20);
         Base::Duration joinPeriod = std::chrono::seconds(5); ///< Trying listed, unknown addresses.
-        Base::Duration lonelyJoinPeriod = std::chrono::milliseconds(500);
+        Base::Duration isolatedJoinPeriod = std::chrono::milliseconds(500);
         Base::Duration pullPeriod = std::chrono::seconds(3); ///< Between pulls of state.
         Base::Duration quietTime = std::chrono::seconds(2); ///< Before hashes are compared.
         Base::Duration forgetTime = std::chrono::minutes(10); ///< Unreachable and not listed.
