--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -325,7 +325,8 @@
         startProbe(*suspect, false, now);
     const std::vector<const Member *> gone = peersWhere([&](const Member &member) {
         return member.isAlive() && !isOwnDataCentre(member) && !member.isListed && !m_vmList.empty()
-            && now - m_links.lastContact(member.info.dataCentre) > m_options.timing.forgetTime;
+            && now - m_links.lastContact(member.info.dataCentre)
+            > m_options.timing.unreachableMemberTimeout;
     });
     for (const Member *member : gone) {
         MemberUpdate dead = member->info;
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -63,7 +63,8 @@
         Base::Duration isolatedJoinPeriod = std::chrono::milliseconds(500);
         Base::Duration pullPeriod = std::chrono::seconds(3); ///< Between pulls of state.
         Base::Duration quietTime = std::chrono::seconds(2); ///< Before hashes are compared.
-        Base::Duration forgetTime = std::chrono::minutes(10); ///< Unreachable and not listed.
+        Base::Duration unreachableMemberTimeout =
+            std::chrono::minutes(10); ///< Unreachable and not listed.
         /// A longer gap between calls of advance() was a pause of this process.
         Base::Duration pauseLimit = std::chrono::milliseconds(1500);
     };
