--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -82,7 +82,7 @@
 
 void Membership::advance(Base::MonoTime now)
 {
-    noticePause(now);
+    detectPause(now);
     if (m_urgentAt && now >= *m_urgentAt)
         gossipUrgently(now);
     if (m_isLeaving)
@@ -122,7 +122,7 @@
     return due;
 }
 
-void Membership::noticePause(Base::MonoTime now)
+void Membership::detectPause(Base::MonoTime now)
 {
     const Base::Duration gap = now - m_advancedAt;
     m_advancedAt = now;
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -158,7 +158,7 @@
     };
 
     // Time.
-    void noticePause(Base::MonoTime now);
+    void detectPause(Base::MonoTime now);
     void probeOwn(Base::MonoTime now);
     void probeCross(Base::MonoTime now);
     void join(Base::MonoTime now);
