--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -92,11 +92,11 @@
     const Timing &timing = m_options.timing;
     if (now >= m_probeAt) {
         m_probeAt = now + stretched(timing.probePeriod);
-        probeOwn(now);
+        probeOwnDataCentre(now);
     }
     if (now >= m_crossAt) {
         m_crossAt = now + timing.crossProbePeriod;
-        probeCross(now);
+        probeOtherDataCentres(now);
     }
     if (now >= m_joinAt) {
         m_joinAt = now + (m_table.aliveCount() > 1 ? timing.joinPeriod : timing.isolatedJoinPeriod);
@@ -134,7 +134,7 @@
         m_table.find(id)->suspectUntil += gap;
 }
 
-void Membership::probeOwn(Base::MonoTime now)
+void Membership::probeOwnDataCentre(Base::MonoTime now)
 {
     const auto isTarget = [this](const Member &member) {
         return isOwnDataCentre(member) && member.isAlive();
@@ -231,7 +231,7 @@
         return;
     if (probe.isCross) {
         // Tries that data centre again at once, before it counts as out of reach.
-        m_crossTries.erase(member->info.dataCentre);
+        m_crossProbedAt.erase(member->info.dataCentre);
         return;
     }
     m_awareness = std::min(m_awareness + 1, maxAwareness);
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -159,8 +159,8 @@
 
     // Time.
     void detectPause(Base::MonoTime now);
-    void probeOwn(Base::MonoTime now);
-    void probeCross(Base::MonoTime now);
+    void probeOwnDataCentre(Base::MonoTime now);
+    void probeOtherDataCentres(Base::MonoTime now);
     void join(Base::MonoTime now);
     void checkProbes(Base::MonoTime now);
     void askOthers(std::uint32_t number, const Probe &probe, Base::MonoTime now);
@@ -197,12 +197,12 @@
     std::vector<const Member *> peersWhere(const std::function<bool(const Member &)> &is) const;
     const Member *randomOf(const std::vector<const Member *> &members);
     /// The members' data centres, the one that was heard of or tried longest ago first.
-    std::vector<std::string> crossOrder(const std::vector<const Member *> &members) const;
+    std::vector<std::string> dataCentresToProbe(const std::vector<const Member *> &members) const;
     /// When a data centre was last heard of or tried.
-    Base::MonoTime crossTouched(const std::string &dataCentre) const;
+    Base::MonoTime lastContactOrProbe(const std::string &dataCentre) const;
     /// This process's place among those of its data centre by id, and how many they are.
     std::pair<std::size_t, std::size_t> ownRank() const;
-    std::size_t crossProbes(std::size_t dataCentres, std::size_t processes) const;
+    std::size_t crossProbeCount(std::size_t dataCentres, std::size_t processes) const;
     bool isOwnDataCentre(const Member &member) const;
     bool isOwnRegion(const Member &member) const;
     std::uint32_t retransmitLimit() const;
@@ -224,7 +224,7 @@
     std::vector<std::string> m_probeOrder;
     std::map<std::uint32_t, Probe> m_probes;
     std::map<std::uint32_t, Relay> m_relays;
-    std::map<std::string, Base::MonoTime> m_crossTries; ///< By data centre.
+    std::map<std::string, Base::MonoTime> m_crossProbedAt; ///< By data centre.
     std::vector<ListedVm> m_vmList;
     std::vector<Runtime::SocketAddress> m_joinable; ///< Addresses of seeds and of listed VMs.
     std::size_t m_joinCursor = 0;
--- a/src/libs/membership/membershipcross.cpp
+++ b/src/libs/membership/membershipcross.cpp
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Membership {
 
-void Membership::probeCross(Base::MonoTime now)
+void Membership::probeOtherDataCentres(Base::MonoTime now)
 {
     // Each process of the own data centre takes another one of those that were heard of longest
     // ago, so that all are tried in turn; every second time only those of the own region.
@@ -24,15 +24,15 @@
             [&](const Member &member) { return member.isAlive() && !isOwnDataCentre(member); });
     if (members.empty())
         return;
-    const std::vector<std::string> order = crossOrder(members);
+    const std::vector<std::string> order = dataCentresToProbe(members);
     const auto [rank, processes] = ownRank();
-    const std::size_t probes = crossProbes(order.size(), processes);
+    const std::size_t probes = crossProbeCount(order.size(), processes);
     std::vector<std::string> chosen;
     chosen.reserve(probes + 1);
     for (std::size_t i = 0; i < probes; ++i)
         chosen.push_back(order[(rank + i * processes) % order.size()]);
     // What others heard may not have come here; so a late one is tried by this process as well.
-    const bool isLate = crossTouched(order.front()) + m_options.timing.linkTimeout / 2 < now;
+    const bool isLate = lastContactOrProbe(order.front()) + m_options.timing.linkTimeout / 2 < now;
     if (isLate && std::ranges::find(chosen, order.front()) == chosen.end())
         chosen.push_back(order.front());
     for (const std::string &dataCentre : chosen) {
@@ -40,26 +40,27 @@
         std::ranges::copy_if(members, std::back_inserter(there), [&](const Member *member) {
             return member->info.dataCentre == dataCentre;
         });
-        m_crossTries[dataCentre] = now;
+        m_crossProbedAt[dataCentre] = now;
         startProbe(*randomOf(there), true, now);
     }
 }
 
-Base::MonoTime Membership::crossTouched(const std::string &dataCentre) const
+Base::MonoTime Membership::lastContactOrProbe(const std::string &dataCentre) const
 {
-    const auto tried = m_crossTries.find(dataCentre);
+    const auto tried = m_crossProbedAt.find(dataCentre);
     const Base::MonoTime contact = m_links.lastContact(dataCentre);
-    return tried == m_crossTries.end() ? contact : std::max(contact, tried->second);
+    return tried == m_crossProbedAt.end() ? contact : std::max(contact, tried->second);
 }
 
-std::vector<std::string> Membership::crossOrder(const std::vector<const Member *> &members) const
+std::vector<std::string>
+Membership::dataCentresToProbe(const std::vector<const Member *> &members) const
 {
     std::set<std::string> names;
     for (const Member *member : members)
         names.insert(member->info.dataCentre);
     std::vector<std::string> order(names.begin(), names.end());
     std::ranges::stable_sort(order, {},
-                             [this](const std::string &name) { return crossTouched(name); });
+                             [this](const std::string &name) { return lastContactOrProbe(name); });
     return order;
 }
 
@@ -77,7 +78,7 @@
     return {before, others + 1};
 }
 
-std::size_t Membership::crossProbes(std::size_t dataCentres, std::size_t processes) const
+std::size_t Membership::crossProbeCount(std::size_t dataCentres, std::size_t processes) const
 {
     // The own data centre tries each other one three times within the time after which it is lost.
     constexpr std::int64_t triesInTime = 3;
