--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -64,7 +64,7 @@
     , m_joinable(m_options.seeds)
     , m_advancedAt(now)
     , m_joinAt(now)
-    , m_houseAt(now + housePeriod)
+    , m_housekeepingAt(now + housePeriod)
     , m_tableChangedAt(now)
 {
     m_self.status = MemberStatus::Alive;
@@ -106,15 +106,15 @@
         m_gossipAt = now + timing.gossipPeriod;
         gossip(now);
     }
-    if (now >= m_houseAt) {
-        m_houseAt = now + housePeriod;
-        keepHouse(now);
+    if (now >= m_housekeepingAt) {
+        m_housekeepingAt = now + housePeriod;
+        doHousekeeping(now);
     }
 }
 
 Base::MonoTime Membership::nextDue() const
 {
-    Base::MonoTime due = std::min({m_probeAt, m_crossAt, m_joinAt, m_gossipAt, m_houseAt});
+    Base::MonoTime due = std::min({m_probeAt, m_crossAt, m_joinAt, m_gossipAt, m_housekeepingAt});
     if (m_urgentAt)
         due = std::min(due, *m_urgentAt);
     for (const auto &[number, probe] : m_probes)
@@ -312,7 +312,7 @@
              ControlPriority::Configuration, now);
 }
 
-void Membership::keepHouse(Base::MonoTime now)
+void Membership::doHousekeeping(Base::MonoTime now)
 {
     m_table.age(now);
     m_leaving.age(now);
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -168,7 +168,7 @@
     void confirmSuspects(Base::MonoTime now);
     void gossip(Base::MonoTime now);
     void gossipUrgently(Base::MonoTime now);
-    void keepHouse(Base::MonoTime now);
+    void doHousekeeping(Base::MonoTime now);
     void startProbe(const Member &member, bool isCross, Base::MonoTime now);
 
     // Messages.
@@ -239,7 +239,7 @@
     Base::MonoTime m_crossAt;
     Base::MonoTime m_joinAt;
     Base::MonoTime m_gossipAt;
-    Base::MonoTime m_houseAt;
+    Base::MonoTime m_housekeepingAt;
     std::optional<Base::MonoTime> m_urgentAt;
     Base::MonoTime m_tableChangedAt;
     Base::MonoTime m_pulledAt{};
