--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -118,7 +118,7 @@
     if (m_urgentAt)
         due = std::min(due, *m_urgentAt);
     for (const auto &[number, probe] : m_probes)
-        due = std::min(due, probe.othersAsked ? probe.deadline : probe.askOthersAt);
+        due = std::min(due, probe.isIndirectProbeSent ? probe.deadline : probe.indirectProbeAt);
     return due;
 }
 
@@ -159,7 +159,7 @@
 {
     const std::uint32_t number = ++m_probeNumber;
     m_probes[number] = {.target = member.info.id,
-                        .askOthersAt = now + stretched(m_options.timing.ackTimeout),
+                        .indirectProbeAt = now + stretched(m_options.timing.ackTimeout),
                         .deadline = now + stretched(m_options.timing.probeTimeout),
                         .isCross = isCross};
     PeerMessage ping{.type = MessageType::Ping, .probe = number, .target = member.info.id};
@@ -185,9 +185,9 @@
     std::vector<Probe> failed;
     for (auto it = m_probes.begin(); it != m_probes.end();) {
         Probe &probe = it->second;
-        if (!probe.othersAsked && now >= probe.askOthersAt) {
-            probe.othersAsked = true;
-            askOthers(it->first, probe, now);
+        if (!probe.isIndirectProbeSent && now >= probe.indirectProbeAt) {
+            probe.isIndirectProbeSent = true;
+            probeIndirectly(it->first, probe, now);
         }
         if (now < probe.deadline) {
             ++it;
@@ -201,7 +201,7 @@
     std::erase_if(m_relays, [&](const auto &item) { return now > item.second.until; });
 }
 
-void Membership::askOthers(std::uint32_t number, const Probe &probe, Base::MonoTime now)
+void Membership::probeIndirectly(std::uint32_t number, const Probe &probe, Base::MonoTime now)
 {
     if (probe.isCross)
         return;
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -145,10 +145,10 @@
     struct Probe
     {
         std::string target;
-        Base::MonoTime askOthersAt;
+        Base::MonoTime indirectProbeAt;
         Base::MonoTime deadline;
         bool isCross = false;
-        bool othersAsked = false;
+        bool isIndirectProbeSent = false;
     };
     struct Relay
     {
@@ -163,7 +163,7 @@
     void probeOtherDataCentres(Base::MonoTime now);
     void join(Base::MonoTime now);
     void checkProbes(Base::MonoTime now);
-    void askOthers(std::uint32_t number, const Probe &probe, Base::MonoTime now);
+    void probeIndirectly(std::uint32_t number, const Probe &probe, Base::MonoTime now);
     void probeFailed(const Probe &probe, Base::MonoTime now);
     void confirmSuspects(Base::MonoTime now);
     void gossip(Base::MonoTime now);
