--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -198,7 +198,7 @@
     }
     for (const Probe &probe : failed)
         probeFailed(probe, now);
-    std::erase_if(m_relays, [&](const auto &item) { return now > item.second.until; });
+    std::erase_if(m_relays, [&](const auto &item) { return now > item.second.expiresAt; });
 }
 
 void Membership::probeIndirectly(std::uint32_t number, const Probe &probe, Base::MonoTime now)
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -152,9 +152,9 @@
     };
     struct Relay
     {
-        Runtime::SocketAddress asker;
+        Runtime::SocketAddress requester;
         std::uint32_t probe = 0;
-        Base::MonoTime until;
+        Base::MonoTime expiresAt;
     };
 
     // Time.
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -95,9 +95,9 @@
     if (relay != m_relays.end()) {
         PeerMessage ack{
             .type = MessageType::Ack, .probe = relay->second.probe, .target = message.target};
-        const Runtime::SocketAddress asker = relay->second.asker;
+        const Runtime::SocketAddress requester = relay->second.requester;
         m_relays.erase(relay);
-        send(asker, nullptr, std::move(ack), ControlPriority::Essential, now);
+        send(requester, nullptr, std::move(ack), ControlPriority::Essential, now);
         return;
     }
     if (const Member *member = m_table.find(sender.id); member && !isOwnDataCentre(*member))
@@ -117,8 +117,9 @@
     if (!target || m_relays.size() >= maxRelays)
         return;
     const std::uint32_t number = ++m_probeNumber;
-    m_relays[number] = {
-        .asker = from, .probe = message.probe, .until = now + m_options.timing.probeTimeout};
+    m_relays[number] = {.requester = from,
+                        .probe = message.probe,
+                        .expiresAt = now + m_options.timing.probeTimeout};
     PeerMessage ping{.type = MessageType::Ping, .probe = number, .target = target->info.id};
     send(toSocketAddress(target->info), target, std::move(ping), ControlPriority::Essential, now);
 }
