--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -91,7 +91,7 @@
     confirmSuspects(now);
     const Timing &timing = m_options.timing;
     if (now >= m_probeAt) {
-        m_probeAt = now + stretched(timing.probePeriod);
+        m_probeAt = now + scaledByAwareness(timing.probePeriod);
         probeOwnDataCentre(now);
     }
     if (now >= m_crossAt) {
@@ -159,8 +159,8 @@
 {
     const std::uint32_t number = ++m_probeNumber;
     m_probes[number] = {.target = member.info.id,
-                        .indirectProbeAt = now + stretched(m_options.timing.ackTimeout),
-                        .deadline = now + stretched(m_options.timing.probeTimeout),
+                        .indirectProbeAt = now + scaledByAwareness(m_options.timing.ackTimeout),
+                        .deadline = now + scaledByAwareness(m_options.timing.probeTimeout),
                         .isCross = isCross};
     PeerMessage ping{.type = MessageType::Ping, .probe = number, .target = member.info.id};
     send(toSocketAddress(member.info), &member, std::move(ping), ControlPriority::Essential, now);
@@ -458,7 +458,7 @@
     return m_table.fleetHash() ^ m_leaving.hash();
 }
 
-Base::Duration Membership::stretched(Base::Duration duration) const
+Base::Duration Membership::scaledByAwareness(Base::Duration duration) const
 {
     return duration * (1 + m_awareness);
 }
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -208,7 +208,7 @@
     std::uint32_t retransmitLimit() const;
     std::uint32_t ownHash() const;
     std::uint32_t fleetHash() const;
-    Base::Duration stretched(Base::Duration duration) const;
+    Base::Duration scaledByAwareness(Base::Duration duration) const;
 
     Options m_options;
     MemberUpdate m_self;
