--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -356,7 +356,7 @@
     const bool isNew = mark != m_mark;
     m_mark = mark;
     if (isNew)
-        setUrgent(now);
+        scheduleUrgentGossip(now);
 }
 
 void Membership::announceLeaving(const Base::EndpointId &endpoint, Base::Incarnation incarnation,
@@ -383,7 +383,7 @@
     m_table.merge(m_self, now);
     m_memberUpdates.add(m_self.id);
     gossipUrgently(now);
-    setUrgent(now);
+    scheduleUrgentGossip(now);
 }
 
 bool Membership::isReachable(const Member &member, Base::MonoTime now) const
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -193,7 +193,7 @@
     void supersedeAddress(const MemberUpdate &update, Base::MonoTime now);
     void raiseIncarnation(std::uint64_t above, Base::MonoTime now);
     void notify(const Member &member, const std::optional<MemberUpdate> &before);
-    void setUrgent(Base::MonoTime now);
+    void scheduleUrgentGossip(Base::MonoTime now);
     std::vector<const Member *> peersWhere(const std::function<bool(const Member &)> &is) const;
     const Member *randomOf(const std::vector<const Member *> &members);
     /// The members' data centres, the one that was heard of or tried longest ago first.
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -193,7 +193,7 @@
         return;
     m_leavingUpdates.add(leaving.endpoint);
     m_tableChangedAt = now;
-    setUrgent(now);
+    scheduleUrgentGossip(now);
     if (endpointLeaving)
         endpointLeaving(Base::EndpointId(leaving.endpoint), Base::Incarnation(leaving.incarnation));
 }
@@ -321,7 +321,7 @@
     if (member.isAlive())
         supersedeAddress(update, now);
     if (!member.isDamped)
-        setUrgent(now);
+        scheduleUrgentGossip(now);
     notify(member, before);
 }
 
@@ -355,7 +355,7 @@
     m_table.merge(m_self, now);
     m_memberUpdates.add(m_self.id);
     m_tableChangedAt = now;
-    setUrgent(now);
+    scheduleUrgentGossip(now);
     if (incarnationRaised)
         incarnationRaised(Base::Incarnation(m_self.incarnation));
 }
@@ -389,7 +389,7 @@
         memberChanged(member, MemberEvent::Restarted);
 }
 
-void Membership::setUrgent(Base::MonoTime now)
+void Membership::scheduleUrgentGossip(Base::MonoTime now)
 {
     if (!m_urgentAt)
         m_urgentAt = now + m_options.timing.urgentDelay;
