--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -183,7 +183,8 @@
     void receiveLeaving(const LeavingEndpoint &leaving, Base::MonoTime now);
     void send(const Runtime::SocketAddress &to, const Member *peer, PeerMessage message,
               ControlPriority priority, Base::MonoTime now);
-    void fillNews(PeerMessage &message, const Member *peer, std::size_t &size, Base::MonoTime now);
+    void fillUpdates(PeerMessage &message, const Member *peer, std::size_t &size,
+                     Base::MonoTime now);
     void fillDigests(PeerMessage &message, const Member &peer, std::size_t &size,
                      Base::MonoTime now);
 
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -206,7 +206,7 @@
     message.fleetHash = fleetHash();
     message.configuration = m_mark;
     std::size_t size = encodedSize(message) + sealSize(m_self.id) + datagramOverheadBytes;
-    fillNews(message, peer, size, now);
+    fillUpdates(message, peer, size, now);
     if (peer && message.type != MessageType::Outdated)
         fillDigests(message, *peer, size, now);
     size = encodedSize(message) + sealSize(m_self.id) + datagramOverheadBytes;
@@ -216,8 +216,8 @@
         messageReady(to, message);
 }
 
-void Membership::fillNews(PeerMessage &message, const Member *peer, std::size_t &size,
-                          Base::MonoTime now)
+void Membership::fillUpdates(PeerMessage &message, const Member *peer, std::size_t &size,
+                             Base::MonoTime now)
 {
     const auto room = [&](ControlPriority priority) {
         return std::min(fillLimit, std::max(m_options.budget->available(priority, now), size))
