--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -319,7 +319,7 @@
     if (!isOwnDataCentre(member))
         m_links.addDataCentre(update.dataCentre, now);
     if (member.isAlive())
-        supersedeAddress(update, now);
+        markReplacedMembersDead(update, now);
     if (!member.isDamped)
         scheduleUrgentGossip(now);
     notify(member, before);
@@ -335,7 +335,7 @@
         raiseIncarnation(update.incarnation, now);
 }
 
-void Membership::supersedeAddress(const MemberUpdate &update, Base::MonoTime now)
+void Membership::markReplacedMembersDead(const MemberUpdate &update, Base::MonoTime now)
 {
     std::vector<MemberUpdate> replaced;
     for (const Member *member : peersWhere([&](const Member &member) {
