--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -190,7 +190,7 @@
 
     // Members.
     void apply(const MemberUpdate &update, Base::MonoTime now);
-    void applyAboutSelf(const MemberUpdate &update, Base::MonoTime now);
+    void applyOwnUpdate(const MemberUpdate &update, Base::MonoTime now);
     void markReplacedMembersDead(const MemberUpdate &update, Base::MonoTime now);
     void raiseIncarnation(std::uint64_t above, Base::MonoTime now);
     void notify(const Member &member, const std::optional<MemberUpdate> &before);
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -297,7 +297,7 @@
 void Membership::apply(const MemberUpdate &update, Base::MonoTime now)
 {
     if (update.id == m_self.id) {
-        applyAboutSelf(update, now);
+        applyOwnUpdate(update, now);
         return;
     }
     if (update.id.empty() || m_table.members().size() >= maxKnownMembers)
@@ -325,7 +325,7 @@
     notify(member, before);
 }
 
-void Membership::applyAboutSelf(const MemberUpdate &update, Base::MonoTime now)
+void Membership::applyOwnUpdate(const MemberUpdate &update, Base::MonoTime now)
 {
     if (update.incarnation < m_self.incarnation)
         return;
