--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -193,7 +193,7 @@
     void applyOwnUpdate(const MemberUpdate &update, Base::MonoTime now);
     void markReplacedMembersDead(const MemberUpdate &update, Base::MonoTime now);
     void raiseIncarnation(std::uint64_t above, Base::MonoTime now);
-    void notify(const Member &member, const std::optional<MemberUpdate> &before);
+    void notifyMemberChanged(const Member &member, const std::optional<MemberUpdate> &before);
     void scheduleUrgentGossip(Base::MonoTime now);
     std::vector<const Member *> peersWhere(const std::function<bool(const Member &)> &is) const;
     const Member *randomOf(const std::vector<const Member *> &members);
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -322,7 +322,7 @@
         markReplacedMembersDead(update, now);
     if (!member.isDamped)
         scheduleUrgentGossip(now);
-    notify(member, before);
+    notifyMemberChanged(member, before);
 }
 
 void Membership::applyOwnUpdate(const MemberUpdate &update, Base::MonoTime now)
@@ -360,7 +360,8 @@
         incarnationRaised(Base::Incarnation(m_self.incarnation));
 }
 
-void Membership::notify(const Member &member, const std::optional<MemberUpdate> &before)
+void Membership::notifyMemberChanged(const Member &member,
+                                     const std::optional<MemberUpdate> &before)
 {
     if (!memberChanged)
         return;
