--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -85,7 +85,7 @@
     std::function<void(const Member &member, MemberEvent event)> memberChanged;
     /// State is to be pulled from this peer over TCP and given to mergeState().
     std::function<void(const Runtime::SocketAddress &peer, const StateRequest &request)>
-        stateWanted;
+        statePullNeeded;
     /// A peer has applied more of the configuration stream.
     std::function<void(const Runtime::SocketAddress &peer, const ConfigurationMark &mark)>
         configurationAhead;
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -163,7 +163,7 @@
     const Member *member = m_table.find(sender.id);
     const bool isSame = member && isOwnDataCentre(*member) ? message.ownHash == ownHash()
                                                            : message.fleetHash == fleetHash();
-    if (isSame || !stateWanted)
+    if (isSame || !statePullNeeded)
         return;
     const Timing &timing = m_options.timing;
     const bool isQuiet = now - m_tableChangedAt >= timing.quietTime;
@@ -171,7 +171,7 @@
         return;
     m_hasPulled = true;
     m_pulledAt = now;
-    stateWanted(from, {.tables = m_table.hashes()});
+    statePullNeeded(from, {.tables = m_table.hashes()});
 }
 
 StateAnswer Membership::answer(const StateRequest &request, Base::MonoTime now) const
--- a/src/libs/membership/peertransport.cpp
+++ b/src/libs/membership/peertransport.cpp
@@ -118,7 +118,7 @@
     *m_isAlive = false;
     m_options.loop->timers().cancel(m_timer);
     m_options.membership->messageReady = nullptr;
-    m_options.membership->stateWanted = nullptr;
+    m_options.membership->statePullNeeded = nullptr;
     m_options.membership->incarnationRaised = nullptr;
 }
 
@@ -133,8 +133,8 @@
     membership.incarnationRaised = [this](Base::Incarnation incarnation) {
         m_codec.setIncarnation(incarnation.value());
     };
-    membership.stateWanted = [this](const Runtime::SocketAddress &peer,
-                                    const StateRequest &request) { pullState(peer, request); };
+    membership.statePullNeeded = [this](const Runtime::SocketAddress &peer,
+                                        const StateRequest &request) { pullState(peer, request); };
     m_socket->setReceived([this](const Runtime::SocketAddress &from, std::string_view datagram) {
         receive(from, datagram);
     });
--- a/tests/auto/membership/fakefleet.h
+++ b/tests/auto/membership/fakefleet.h
@@ -220,8 +220,8 @@
                                                      Base::Incarnation) {
             m_nodes[i]->leavingSeen.insert(endpoint.value());
         };
-        node.membership->stateWanted = [this, i](const Runtime::SocketAddress &peer,
-                                                 const Membership::StateRequest &request) {
+        node.membership->statePullNeeded = [this, i](const Runtime::SocketAddress &peer,
+                                                     const Membership::StateRequest &request) {
             m_pulls.push_back(
                 {i, m_byAddress.at({Membership::ipNumber(peer.ip), peer.port}), request});
         };
