--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -244,8 +244,8 @@
     std::optional<Base::MonoTime> m_urgentAt;
     Base::MonoTime m_tableChangedAt;
     Base::MonoTime m_pulledAt{};
-    Base::MonoTime m_markAskedAt{};
-    std::uint64_t m_markAsked = 0;
+    Base::MonoTime m_offsetRequestedAt{};
+    std::uint64_t m_requestedOffset = 0;
 };
 
 } // namespace Lagoonbank::Membership
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -152,9 +152,9 @@
 {
     const ConfigurationMark &mark = message.configuration;
     if (mark.offset > m_mark.offset && configurationAhead
-        && (mark.offset > m_markAsked || now - m_markAskedAt >= markAskPeriod)) {
-        m_markAsked = mark.offset;
-        m_markAskedAt = now;
+        && (mark.offset > m_requestedOffset || now - m_offsetRequestedAt >= markAskPeriod)) {
+        m_requestedOffset = mark.offset;
+        m_offsetRequestedAt = now;
         configurationAhead(from, mark);
     }
     if (mark.offset == m_mark.offset && mark.hash != m_mark.hash)
