--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -96,7 +96,7 @@
     /// This process takes a higher incarnation, to refute; its datagrams must carry it.
     std::function<void(Base::Incarnation incarnation)> incarnationRaised;
     /// Gives the logical time of a message that leaves. Unset, messages carry none.
-    std::function<MessageTime()> timeAsked;
+    std::function<MessageTime()> messageTimeProvider;
     /// A peer's message carries this logical time; called before the message is acted on.
     std::function<void(const MessageTime &time)> timeReceived;
 
@@ -111,7 +111,10 @@
     void receiveOutdated(const Sender &sender, const Runtime::SocketAddress &from,
                          std::uint64_t knownIncarnation, Base::MonoTime now);
     /// The time that a message from this process is to carry now.
-    MessageTime stamp() const { return timeAsked ? timeAsked() : MessageTime(); }
+    MessageTime stamp() const
+    {
+        return messageTimeProvider ? messageTimeProvider() : MessageTime();
+    }
     /// Hands on the time that came with a message, unless it carries none.
     void receiveTime(const MessageTime &time) const;
     StateAnswer answer(const StateRequest &request, Base::MonoTime now) const;
--- a/src/libs/node/logicaltime.cpp
+++ b/src/libs/node/logicaltime.cpp
@@ -9,7 +9,7 @@
 void connectClock(Membership::Membership &membership, Timeline::EventLog &events,
                   const Runtime::Clock &clock)
 {
-    membership.timeAsked = [&events, &clock] {
+    membership.messageTimeProvider = [&events, &clock] {
         const Timeline::HybridTime time = events.clock().tick(clock.wallNow());
         return Membership::MessageTime{.wallMs = static_cast<std::uint64_t>(time.wallMs),
                                        .counter = time.counter};
--- a/tests/auto/membership/tst_peertransport.cpp
+++ b/tests/auto/membership/tst_peertransport.cpp
@@ -107,8 +107,8 @@
     Process a(loop, "vm-a/router", {});
     Process b(loop, "vm-b/router", {});
     std::vector<std::string> seen;
-    a.membership->timeAsked = [] { return MessageTime{.wallMs = 2000, .counter = 1}; };
-    b.membership->timeAsked = [] { return MessageTime{.wallMs = 1000, .counter = 300}; };
+    a.membership->messageTimeProvider = [] { return MessageTime{.wallMs = 2000, .counter = 1}; };
+    b.membership->messageTimeProvider = [] { return MessageTime{.wallMs = 1000, .counter = 300}; };
     a.membership->timeReceived = [&](const MessageTime &time) {
         seen.push_back("asked " + std::to_string(time.wallMs) + "+" + std::to_string(time.counter));
     };
