--- a/src/libs/membership/peertransport.cpp
+++ b/src/libs/membership/peertransport.cpp
@@ -217,7 +217,7 @@
 }
 
 void PeerTransport::pull(const Runtime::SocketAddress &peer, const std::string &name,
-                         std::string_view argument, Pulled pulled)
+                         std::string_view argument, PullCallback pulled)
 {
     const MemberUpdate &self = m_options.membership->self();
     const std::string binding = bindingOf(self.id, self.incarnation, ++m_pullNumber);
@@ -249,7 +249,7 @@
 }
 
 void PeerTransport::finishPull(const std::string &binding, const Http::CallResult &result,
-                               const Pulled &pulled)
+                               const PullCallback &pulled)
 {
     using Errors::ErrorKind;
     if (result.end != Http::CallEnd::Whole || result.status != 200) {
--- a/src/libs/membership/peertransport.h
+++ b/src/libs/membership/peertransport.h
@@ -34,7 +34,7 @@
     };
     /// Answers a pull; `argument` is what the asker sent. Both are opaque here.
     using Provider = std::function<Errors::Result<std::string>(std::string_view argument)>;
-    using Pulled = std::function<void(Errors::Result<std::string> answer)>;
+    using PullCallback = std::function<void(Errors::Result<std::string> answer)>;
 
     /// Binds both sockets and starts the membership's clockwork.
     static Errors::Result<std::unique_ptr<PeerTransport>> start(Options options);
@@ -46,7 +46,7 @@
     void setProvider(const std::string &name, Provider provider);
     /// Asks a peer's provider; \a pulled is called once, never from within this call.
     void pull(const Runtime::SocketAddress &peer, const std::string &name,
-              std::string_view argument, Pulled pulled);
+              std::string_view argument, PullCallback pulled);
     /// Sends a sealed datagram that is not for the Membership: \a body begins with directMark.
     /// False if the budget does not allow it.
     bool sendDirect(const Runtime::SocketAddress &to, std::string_view body);
@@ -64,7 +64,7 @@
     void receive(const Runtime::SocketAddress &from, std::string_view datagram);
     void answer(const Http::Request &request, Http::Responder &responder);
     void finishPull(const std::string &binding, const Http::CallResult &result,
-                    const Pulled &pulled);
+                    const PullCallback &pulled);
     void pullState(const Runtime::SocketAddress &peer, const StateRequest &request);
     void tick();
     Base::MonoTime now() const { return m_options.loop->clock().now(); }
