--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -61,7 +61,7 @@
     , m_self(m_options.self)
     , m_links(m_options.timing.linkTimeout)
     , m_random(m_options.randomSeed)
-    , m_joinable(m_options.seeds)
+    , m_joinCandidates(m_options.seeds)
     , m_advancedAt(now)
     , m_joinAt(now)
     , m_housekeepingAt(now + housePeriod)
@@ -168,8 +168,9 @@
 
 void Membership::join(Base::MonoTime now)
 {
-    for (std::size_t i = 0; i < m_joinable.size(); ++i) {
-        const Runtime::SocketAddress address = m_joinable[m_joinCursor++ % m_joinable.size()];
+    for (std::size_t i = 0; i < m_joinCandidates.size(); ++i) {
+        const Runtime::SocketAddress address =
+            m_joinCandidates[m_joinCursor++ % m_joinCandidates.size()];
         const std::uint32_t ip = ipNumber(address.ip);
         const bool isSelf = ip == m_self.ip && address.port == m_self.port;
         if (isSelf || m_table.findAlive(ip, address.port))
@@ -338,12 +339,12 @@
 void Membership::setVmList(const std::vector<ListedVm> &vms)
 {
     m_vmList = vms;
-    m_joinable = m_options.seeds;
+    m_joinCandidates = m_options.seeds;
     std::set<std::uint32_t> listed;
     for (const ListedVm &vm : vms) {
         listed.insert(ipNumber(vm.ip));
         for (const std::uint16_t port : m_options.listedPorts)
-            m_joinable.push_back({.ip = vm.ip, .port = port});
+            m_joinCandidates.push_back({.ip = vm.ip, .port = port});
     }
     for (const auto &[id, member] : m_table.members())
         m_table.find(id)->isListed = listed.contains(member.info.ip);
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -230,7 +230,7 @@
     std::map<std::uint32_t, Relay> m_relays;
     std::map<std::string, Base::MonoTime> m_crossProbedAt; ///< By data centre.
     std::vector<ListedVm> m_vmList;
-    std::vector<Runtime::SocketAddress> m_joinable; ///< Addresses of seeds and of listed VMs.
+    std::vector<Runtime::SocketAddress> m_joinCandidates; ///< Addresses of seeds and of listed VMs.
     std::size_t m_joinCursor = 0;
     std::uint32_t m_probeNumber = 0;
     std::uint32_t m_awareness = 0; ///< Failed own probes in a row; this process may be at fault.
