--- a/tests/auto/membership/tst_membership.cpp
+++ b/tests/auto/membership/tst_membership.cpp
@@ -52,7 +52,7 @@
 }
 
 // A crash is seen by every member; the time is bounded.
-BOOST_DATA_TEST_CASE(crashIsSeen, boost::unit_test::data::make({6, 24, 60}), vms)
+BOOST_DATA_TEST_CASE(crashIsDetected, boost::unit_test::data::make({6, 24, 60}), vms)
 {
     FakeFleet fleet({.seed = 3, .loss = 0.02, .vms = static_cast<std::size_t>(vms)});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
@@ -63,7 +63,7 @@
     BOOST_TEST(toSeconds(*time) < 15.0);
 }
 
-BOOST_AUTO_TEST_CASE(plannedLeaveIsSeenAtOnce)
+BOOST_AUTO_TEST_CASE(plannedLeaveSpreadsAtOnce)
 {
     FakeFleet fleet({.vms = 24});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
@@ -102,7 +102,7 @@
 }
 
 // A cut data centre is out of reach as a whole; nobody dies, and healing needs no refutation.
-BOOST_AUTO_TEST_CASE(cutDataCentreComesBack)
+BOOST_AUTO_TEST_CASE(partitionedDataCentreRecovers)
 {
     FakeFleet fleet({.seed = 5, .vms = 12, .withControllers = true});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
@@ -146,7 +146,7 @@
 
 // One direction between two members of a data centre is lost: others vouch, nobody dies.
 // With many data centres each one stays within reach of all, also of one with a single process.
-BOOST_DATA_TEST_CASE(manyDataCentresStayInReach, boost::unit_test::data::make({13, 65}), vms)
+BOOST_DATA_TEST_CASE(manyDataCentresStayReachable, boost::unit_test::data::make({13, 65}), vms)
 {
     FakeFleet fleet({.seed = 11, .vms = static_cast<std::size_t>(vms), .dataCentres = 13});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
@@ -243,7 +243,7 @@
 }
 
 // A process that was paused for long neither kills the others nor stays dead itself.
-BOOST_AUTO_TEST_CASE(pausedProcessWakes)
+BOOST_AUTO_TEST_CASE(pausedProcessResumes)
 {
     FakeFleet fleet({.vms = 8, .dataCentres = 2});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
@@ -258,7 +258,7 @@
 }
 
 // News of a leaving endpoint and of a configuration reach every member within a second.
-BOOST_DATA_TEST_CASE(urgentNewsIsFast, boost::unit_test::data::make({0.0, 0.1}), loss)
+BOOST_DATA_TEST_CASE(urgentUpdatesSpreadFast, boost::unit_test::data::make({0.0, 0.1}), loss)
 {
     FakeFleet fleet({.vms = 24, .withControllers = true});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
--- a/tests/auto/membership/tst_peercodec.cpp
+++ b/tests/auto/membership/tst_peercodec.cpp
@@ -56,7 +56,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(messageComesBackWhole)
+BOOST_AUTO_TEST_CASE(messageRoundTrips)
 {
     const PeerMessage message = fullMessage();
     const std::string body = encodeMessage(message).value();
@@ -138,7 +138,7 @@
     BOOST_TEST(receiver.drops(DropReason::Replayed) == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(oldIncarnationIsTold)
+BOOST_AUTO_TEST_CASE(oldIncarnationIsReported)
 {
     PeerCodec older = makeCodec("vm-1/router", {oldKey}, 5);
     PeerCodec newer = makeCodec("vm-1/router", {oldKey}, 6);
@@ -178,7 +178,7 @@
 }
 
 // Bodies with a right seal but wrong contents, as from a faulty peer: an error, never a crash.
-BOOST_AUTO_TEST_CASE(hostileBodiesAreErrors)
+BOOST_AUTO_TEST_CASE(malformedBodiesAreErrors)
 {
     const std::string good = encodeMessage(fullMessage()).value();
     for (std::size_t size = 0; size < good.size(); ++size)
@@ -195,7 +195,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(overlongFieldsAreNotSent)
+BOOST_AUTO_TEST_CASE(overlongFieldsAreRejected)
 {
     PeerMessage message;
     message.target = std::string(maxNameBytes + 1, 'x');
--- a/tests/auto/membership/tst_peertransport.cpp
+++ b/tests/auto/membership/tst_peertransport.cpp
@@ -77,7 +77,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(processesFindEachOtherAndPull)
+BOOST_AUTO_TEST_CASE(processesDiscoverEachOtherAndPull)
 {
     Runtime::Loop loop;
     Process a(loop, "vm-a/router", {});
@@ -128,7 +128,7 @@
     BOOST_TEST(seen == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(strangersAreDropped)
+BOOST_AUTO_TEST_CASE(wrongKeyIsRejected)
 {
     Runtime::Loop loop;
     Process a(loop, "vm-a/router", {});
