--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -58,7 +58,7 @@
 void Exchange::place()
 {
     const auto self = shared_from_this();
-    Abandon abandon = m_options.hooks.place(
+    CancelPlacement abandon = m_options.hooks.place(
         m_options.route, [self](Placement placement) { self->placed(std::move(placement)); });
     if (!m_target && !m_finished)
         m_abandon = std::move(abandon);
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -55,7 +55,7 @@
 
 using Placement = std::variant<Target, Refusal>;
 /// Drops a placement that is still waiting.
-using Abandon = std::function<void()>;
+using CancelPlacement = std::function<void()>;
 
 /// How one attempt at an endpoint ended.
 struct AttemptResult
@@ -92,7 +92,8 @@
 struct Hooks
 {
     /// Finds an endpoint; \a placed is called once, at once or later, unless abandoned.
-    std::function<Abandon(const RouteQuery &query, std::function<void(Placement)> placed)> place;
+    std::function<CancelPlacement(const RouteQuery &query, std::function<void(Placement)> placed)>
+        place;
     std::function<void(const Target &target)> attemptStarted;
     /// Tokens of the answer have come; \a isFirst with the first ones of an attempt.
     std::function<void(const Target &target, Base::Tokens tokens, bool isFirst)> progressed;
@@ -187,7 +188,7 @@
 
     Options m_options;
     bool m_finished = false;
-    Abandon m_abandon;
+    CancelPlacement m_abandon;
     std::optional<Target> m_target;
     std::optional<Http::CallId> m_call;
     bool m_left = false; ///< A byte of the running attempt may have left.
--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -196,8 +196,8 @@
             .retryAfter = queue.retryAfter(m_loop.clock().now())};
 }
 
-Exchange::Abandon Placer::place(const Exchange::RouteQuery &query,
-                                std::function<void(Exchange::Placement)> placed)
+Exchange::CancelPlacement Placer::place(const Exchange::RouteQuery &query,
+                                        std::function<void(Exchange::Placement)> placed)
 {
     const Routing::Decision decision = choose(query, {});
     if (decision.outcome == Routing::Outcome::Send) {
--- a/src/libs/router/placer.h
+++ b/src/libs/router/placer.h
@@ -53,8 +53,8 @@
     /// Calls \a placed once with a target or a refusal, possibly before this function returns. The
     /// returned function removes the request if it is still waiting; it is empty if the request was
     /// placed at once.
-    Exchange::Abandon place(const Exchange::RouteQuery &query,
-                            std::function<void(Exchange::Placement)> placed);
+    Exchange::CancelPlacement place(const Exchange::RouteQuery &query,
+                                    std::function<void(Exchange::Placement)> placed);
     void attemptStarted(const Exchange::Target &target);
     /// Deducts the work of \a tokens received tokens of an answer from the work in flight. The
     /// first token also ends the prefill.
--- a/tests/auto/placing/tst_placer.cpp
+++ b/tests/auto/placing/tst_placer.cpp
@@ -79,7 +79,7 @@
                            .routing = {.dataCentre = Base::DataCentreId("dc")},
                            .queue = {.limit = 2, .maximumWait = std::chrono::seconds(1)}}};
     std::uint64_t chat = 0;
-    Exchange::Abandon abandon;
+    Exchange::CancelPlacement abandon;
     std::optional<Refusal> lastRefusal;
 };
 
