--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -61,19 +61,19 @@
     CancelPlacement abandon = m_options.hooks.place(
         m_options.route, [self](Placement placement) { self->placed(std::move(placement)); });
     if (!m_target && !m_finished)
-        m_abandon = std::move(abandon);
+        m_cancelPlacement = std::move(abandon);
 }
 
 void Exchange::placed(Placement placement)
 {
-    m_abandon = nullptr;
+    m_cancelPlacement = nullptr;
     if (m_finished)
         return;
     if (auto *refusal = std::get_if<Refusal>(&placement)) {
         if (refusal->error.kind == ErrorKind::NoEndpoint && m_runs > 0)
             refusal->error = lastRunError(); // There were some, and all have failed it.
         refusal->error.ran = ranSoFar();
-        giveUp(std::move(*refusal));
+        failRequest(std::move(*refusal));
         return;
     }
     m_target = std::get<Target>(std::move(placement));
@@ -82,7 +82,7 @@
 
 void Exchange::startAttempt(bool resume)
 {
-    m_left = false;
+    m_mayHaveSent = false;
     m_status = 0;
     m_load.clear();
     m_attemptTokens = 0;
@@ -104,7 +104,7 @@
     const auto self = shared_from_this();
     m_call = m_options.client->start(
         std::move(call),
-        {.leaving = [self] { self->m_left = true; },
+        {.leaving = [self] { self->m_mayHaveSent = true; },
          .headReceived =
              [self](int status, const Http::Headers &headers) {
                  self->m_status = status;
@@ -153,7 +153,7 @@
     m_end.cachedTokens = tokens;
 }
 
-Base::Duration Exchange::silenceLimit() const
+Base::Duration Exchange::stallTimeout() const
 {
     const Timeouts &timeouts = m_options.timeouts;
     if (m_attemptTokens > 0)
@@ -166,17 +166,18 @@
 
 void Exchange::watchProgress()
 {
-    const Base::Duration wait = m_lastProgress + silenceLimit() - now();
+    const Base::Duration wait = m_lastProgress + stallTimeout() - now();
     const auto self = shared_from_this();
     m_progressTimer = m_options.loop->timers().start(wait, [self] {
         self->m_progressTimer.reset();
         if (self->m_finished || !self->m_call)
             return;
-        if (self->now() < self->m_lastProgress + self->silenceLimit()) {
+        if (self->now() < self->m_lastProgress + self->stallTimeout()) {
             self->watchProgress();
             return;
         }
-        self->failAttempt({ErrorKind::EndpointTimeout, {}, self->m_left ? Ran::Unknown : Ran::No});
+        self->failAttempt(
+            {ErrorKind::EndpointTimeout, {}, self->m_mayHaveSent ? Ran::Unknown : Ran::No});
     });
 }
 
@@ -194,7 +195,7 @@
             {ErrorKind::EndpointRefused, "Status " + std::to_string(result.status) + ".", Ran::No});
         return;
     }
-    onCallWhole(std::move(result));
+    onCallCompleted(std::move(result));
 }
 
 void Exchange::stopCall()
@@ -254,18 +255,19 @@
     const Retry::AttemptFailure failure = failureOf(error);
     const Retry::RequestTraits before = traits();
     endAttempt(false, error);
-    nextStep(m_options.hooks.decide(m_options.route.workspace, m_target->endpoint, failure, before),
-             error);
+    applyDecision(
+        m_options.hooks.decide(m_options.route.workspace, m_target->endpoint, failure, before),
+        error);
 }
 
-void Exchange::nextStep(const Retry::RetryDecision &decision, const Error &error)
+void Exchange::applyDecision(const Retry::RetryDecision &decision, const Error &error)
 {
     if (decision.action == Retry::RetryAction::Fail) {
         if (decision.ran != Ran::No)
             cancelUpstream(*m_target);
         // A refused resume is not why the run before it broke.
         const Error cause = decision.kind == error.kind ? lastRunError() : Error{decision.kind};
-        giveUp({.error = {cause.kind, cause.detail, decision.ran}});
+        failRequest({.error = {cause.kind, cause.detail, decision.ran}});
         return;
     }
     const bool resume = decision.action == Retry::RetryAction::ResumeSameEndpoint;
@@ -311,7 +313,7 @@
     return headers;
 }
 
-void Exchange::finishWhole(int status)
+void Exchange::finishSuccess(int status)
 {
     endAttempt(true, {});
     ExchangeEnd end = std::move(m_end);
@@ -325,7 +327,7 @@
     m_options.responder->abort();
 }
 
-void Exchange::giveUp(Refusal refusal)
+void Exchange::failRequest(Refusal refusal)
 {
     ExchangeEnd end = std::move(m_end);
     end.status = Errors::errorRow(refusal.error.kind).httpStatus;
@@ -347,7 +349,7 @@
     if (m_finished)
         return;
     const bool isRunning = m_call.has_value();
-    const bool mayHaveLeft = m_left;
+    const bool mayHaveLeft = m_mayHaveSent;
     if (isRunning) {
         const Error error{ErrorKind::CallerLeft, {}, mayHaveLeft ? Ran::Unknown : Ran::No};
         endAttempt(false, error);
@@ -366,17 +368,17 @@
     if (m_finished)
         return;
     if (m_call) {
-        endAttempt(false, {ErrorKind::DeadlinePassed, {}, m_left ? Ran::Unknown : Ran::No});
+        endAttempt(false, {ErrorKind::DeadlinePassed, {}, m_mayHaveSent ? Ran::Unknown : Ran::No});
         cancelUpstream(*m_target);
     }
-    giveUp({.error = {ErrorKind::DeadlinePassed, {}, ranSoFar()}});
+    failRequest({.error = {ErrorKind::DeadlinePassed, {}, ranSoFar()}});
 }
 
 void Exchange::finish(ExchangeEnd end)
 {
     m_finished = true;
-    if (m_abandon)
-        std::exchange(m_abandon, nullptr)();
+    if (m_cancelPlacement)
+        std::exchange(m_cancelPlacement, nullptr)();
     stopCall();
     Runtime::TimerQueue &timers = m_options.loop->timers();
     if (m_deadlineTimer)
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -146,7 +146,7 @@
     virtual void onHead(int status, const Http::Headers &headers) = 0;
     virtual void onPiece(std::string_view piece) = 0;
     /// The answer's head was 200 or the kind of call passes any status on; the call has ended.
-    virtual void onCallWhole(Http::CallResult result) = 0;
+    virtual void onCallCompleted(Http::CallResult result) = 0;
     /// Whether a part of the answer has gone to the caller, so that a status can no longer be sent.
     virtual bool hasBegun() const { return false; }
     /// Tokens of the answer that are kept or sent, so that a further attempt can go on behind them.
@@ -157,7 +157,7 @@
 
     /// Ends the running attempt with \a error and decides what comes next.
     void failAttempt(const Errors::Error &error);
-    void finishWhole(int status);
+    void finishSuccess(int status);
     void noteProgress();
     void setFirstToken();
     void countAnswerTokens(std::int64_t count);
@@ -175,11 +175,11 @@
     void endAttempt(bool whole, Errors::Error error);
     void stopCall();
     void watchProgress();
-    Base::Duration silenceLimit() const;
-    void nextStep(const Retry::RetryDecision &decision, const Errors::Error &error);
+    Base::Duration stallTimeout() const;
+    void applyDecision(const Retry::RetryDecision &decision, const Errors::Error &error);
     Retry::AttemptFailure failureOf(const Errors::Error &error) const;
     Retry::RequestTraits traits() const;
-    void giveUp(Refusal refusal);
+    void failRequest(Refusal refusal);
     void callerLeft();
     void deadlinePassed();
     Errors::Error lastRunError() const;
@@ -188,10 +188,10 @@
 
     Options m_options;
     bool m_finished = false;
-    CancelPlacement m_abandon;
+    CancelPlacement m_cancelPlacement;
     std::optional<Target> m_target;
     std::optional<Http::CallId> m_call;
-    bool m_left = false; ///< A byte of the running attempt may have left.
+    bool m_mayHaveSent = false; ///< A byte of the running attempt may have left.
     bool m_mayHaveRun = false; ///< An attempt before may have run.
     int m_status = 0;
     std::string m_load;
--- a/src/libs/exchange/modelexchange.cpp
+++ b/src/libs/exchange/modelexchange.cpp
@@ -73,7 +73,7 @@
     }
     forward();
     if (m_done)
-        answerWhole();
+        sendAnswer();
 }
 
 void ModelExchange::onEvent(const StreamEvent &event)
@@ -115,7 +115,7 @@
     m_unsent.clear();
 }
 
-void ModelExchange::answerWhole()
+void ModelExchange::sendAnswer()
 {
     const auto self = shared_from_this();
     setCachedTokens(m_done->cachedTokens);
@@ -131,10 +131,10 @@
         responder->send(statusOk, headers,
                         completionBody(request(), m_call.model, m_text, *m_done));
     }
-    finishWhole(statusOk);
+    finishSuccess(statusOk);
 }
 
-void ModelExchange::onCallWhole(Http::CallResult result)
+void ModelExchange::onCallCompleted(Http::CallResult result)
 {
     const std::string detail = result.status == statusOk
         ? "The stream ended before its last event."
--- a/src/libs/exchange/modelexchange.h
+++ b/src/libs/exchange/modelexchange.h
@@ -17,7 +17,7 @@
     Http::Call makeCall(const Target &target, bool resume) override;
     void onHead(int status, const Http::Headers &headers) override;
     void onPiece(std::string_view piece) override;
-    void onCallWhole(Http::CallResult result) override;
+    void onCallCompleted(Http::CallResult result) override;
     bool hasBegun() const override { return m_begun; }
     Base::Tokens keptTokens() const override { return Base::Tokens(m_nextIndex); }
     void endBroken(const Refusal &refusal) override;
@@ -26,7 +26,7 @@
 private:
     void onEvent(const StreamEvent &event);
     void forward();
-    void answerWhole();
+    void sendAnswer();
 
     ModelCall m_call;
     EventStreamReader m_reader;
--- a/src/libs/exchange/serviceexchange.cpp
+++ b/src/libs/exchange/serviceexchange.cpp
@@ -37,7 +37,7 @@
     m_body.append(piece);
 }
 
-void ServiceExchange::onCallWhole(Http::CallResult result)
+void ServiceExchange::onCallCompleted(Http::CallResult result)
 {
     const auto self = shared_from_this();
     if (!result.headers.find("x-request-id")) {
@@ -54,7 +54,7 @@
     if (!answer.contentType.empty())
         headers.add("content-type", answer.contentType);
     options().responder->send(answer.status, headers, std::move(answer.body));
-    finishWhole(answer.status);
+    finishSuccess(answer.status);
 }
 
 } // namespace Lagoonbank::Exchange
--- a/src/libs/exchange/serviceexchange.h
+++ b/src/libs/exchange/serviceexchange.h
@@ -35,7 +35,7 @@
     Http::Call makeCall(const Target &target, bool resume) override;
     void onHead(int status, const Http::Headers &headers) override;
     void onPiece(std::string_view piece) override;
-    void onCallWhole(Http::CallResult result) override;
+    void onCallCompleted(Http::CallResult result) override;
 
 private:
     ServiceCall m_call;
