--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -71,7 +71,7 @@
         raise(EventKind::SnapshotSeen, record.offset, snapshot->id);
 }
 
-void Reducer::recordHeard(const LogRecord &record)
+void Reducer::recordFromPeer(const LogRecord &record)
 {
     if (record.offset < m_readNext)
         return;
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -69,7 +69,7 @@
     /// repeated records; a repeated or older one changes nothing.
     void recordRead(const LogRecord &record);
     /// A record that a peer passed on, in any order, any number of times.
-    void recordHeard(const LogRecord &record);
+    void recordFromPeer(const LogRecord &record);
     /// The records before `first` are gone from the log.
     void gapFound(Base::LogOffset first);
     /// The end of the log has been reached.
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -344,6 +344,6 @@
 
     Reducer eager(Reducer::Options{.maxEarly = 3});
     for (std::size_t i = log.records.size(); i-- > 0;)
-        eager.recordHeard(log.records[i]);
+        eager.recordFromPeer(log.records[i]);
     BOOST_TEST(eager.next() == Base::LogOffset(3));
 }
--- a/tests/auto/configuration/tst_reducerorders.cpp
+++ b/tests/auto/configuration/tst_reducerorders.cpp
@@ -80,7 +80,7 @@
             reducer.recordRead(records[i]);
         break;
     case 2: // A peer passes on any record, old or early.
-        reducer.recordHeard(records[random() % records.size()]);
+        reducer.recordFromPeer(records[random() % records.size()]);
         break;
     case 3: // A peer's state as of anywhere.
         if (random() % 4 == 0) {
@@ -153,8 +153,8 @@
     do {
         Reducer reducer;
         for (const std::size_t i : order) {
-            reducer.recordHeard(log.records[i]);
-            reducer.recordHeard(log.records[i]);
+            reducer.recordFromPeer(log.records[i]);
+            reducer.recordFromPeer(log.records[i]);
         }
         BOOST_TEST(reducer.hash() == reference.hash());
         BOOST_TEST(reducer.judgements().size() == reference.judgements().size());
