--- a/src/libs/controller/controlleradmin.cpp
+++ b/src/libs/controller/controlleradmin.cpp
@@ -14,7 +14,7 @@
 using Json = nlohmann::ordered_json;
 using Node::AdminPort;
 
-std::string leaseState(const LeaseDesk &lease)
+std::string leaseState(const LeaseCoordinator &lease)
 {
     if (lease.mayOrder(true))
         return "held";
@@ -56,7 +56,7 @@
 
 AdminPort::Answer ControllerAdmin::status() const
 {
-    const LeaseDesk &lease = *m_sources.lease;
+    const LeaseCoordinator &lease = *m_sources.lease;
     Json leaseJson{{"holder", lease.state().holder()}, {"fencing", nullptr}};
     if (lease.state().fencing())
         leaseJson["fencing"] = lease.state().fencing()->value();
--- a/src/libs/controller/controlleradmin.h
+++ b/src/libs/controller/controlleradmin.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "controller/controllermetrics.h"
-#include "controller/leasedesk.h"
+#include "controller/leasecoordinator.h"
 #include "controller/orderdesk.h"
 #include "controller/prober.h"
 #include "node/adminport.h"
@@ -25,7 +25,7 @@
         const Timeline::EventLog *events = nullptr;
         const Node::ConfigurationFollower *configuration = nullptr;
         const Node::PeerLink *peers = nullptr;
-        const LeaseDesk *lease = nullptr;
+        const LeaseCoordinator *lease = nullptr;
         const OrderDesk *orders = nullptr;
         const Prober *prober = nullptr;
         std::function<bool()> isReady;
--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -187,15 +187,15 @@
 
 void ControllerProcess::makeLease()
 {
-    m_lease = std::make_unique<LeaseDesk>(
-        LeaseDesk::Options{.timers = &m_loop.timers(),
-                           .log = m_log.get(),
-                           .lease = {.dataCentre = m_settings.dataCentre,
-                                     .holder = m_run,
-                                     .term = m_settings.lease,
-                                     .margin = m_settings.leaseMargin,
-                                     .renewPeriod = m_settings.lease / 3,
-                                     .longestOrder = m_settings.longestOrder}});
+    m_lease = std::make_unique<LeaseCoordinator>(
+        LeaseCoordinator::Options{.timers = &m_loop.timers(),
+                                  .log = m_log.get(),
+                                  .lease = {.dataCentre = m_settings.dataCentre,
+                                            .holder = m_run,
+                                            .term = m_settings.lease,
+                                            .margin = m_settings.leaseMargin,
+                                            .renewPeriod = m_settings.lease / 3,
+                                            .longestOrder = m_settings.longestOrder}});
     m_lease->gained = [this](Base::FencingNumber fencing) {
         noteEvent(EventType::LeaseTaken, {.subject = std::to_string(fencing.value())});
         m_logger.info("Holds the lease with fencing number {}.", fencing);
--- a/src/libs/controller/controllerprocess.h
+++ b/src/libs/controller/controllerprocess.h
@@ -3,7 +3,7 @@
 #include "configuration/objecttable.h"
 #include "controller/controlleradmin.h"
 #include "controller/controllermetrics.h"
-#include "controller/leasedesk.h"
+#include "controller/leasecoordinator.h"
 #include "controller/orderdesk.h"
 #include "controller/prober.h"
 #include "controller/snapshotwriter.h"
@@ -80,7 +80,7 @@
     std::unique_ptr<Node::ConfigurationFollower> m_configuration;
     std::unique_ptr<Node::PeerLink> m_peers;
     std::unique_ptr<SnapshotWriter> m_snapshots;
-    std::unique_ptr<LeaseDesk> m_lease;
+    std::unique_ptr<LeaseCoordinator> m_lease;
     std::unique_ptr<Prober> m_prober;
     std::unique_ptr<OrderDesk> m_orders;
     std::unique_ptr<Node::AdminPort> m_adminPort;
--- a/src/libs/controller/leasedesk.cpp
+++ b/src/libs/controller/leasecoordinator.cpp
@@ -1,4 +1,4 @@
-#include "controller/leasedesk.h"
+#include "controller/leasecoordinator.h"
 
 namespace Lagoonbank::Controller {
 
@@ -8,7 +8,7 @@
 
 } // namespace
 
-LeaseDesk::LeaseDesk(const Options &options)
+LeaseCoordinator::LeaseCoordinator(const Options &options)
     : m_options(options)
     , m_keeper(options.lease, options.timers->clock().now())
     , m_tailer({.log = options.log, .timers = options.timers, .stream = streamName})
@@ -29,33 +29,33 @@
     m_tailer.setGapFound([this](Base::LogOffset, Base::LogOffset first) { m_logFirst = first; });
 }
 
-LeaseDesk::~LeaseDesk()
+LeaseCoordinator::~LeaseCoordinator()
 {
     m_options.timers->cancel(m_timer);
     m_tailer.stop();
 }
 
-void LeaseDesk::start()
+void LeaseCoordinator::start()
 {
     m_tailer.start();
     turn();
 }
 
-void LeaseDesk::recordRead(const PlatformClient::StoredRecord &stored)
+void LeaseCoordinator::recordRead(const PlatformClient::StoredRecord &stored)
 {
     const auto record = Orders::leaseRecordFromText(stored.data);
     if (record)
         m_keeper.recordRead(stored.offset, stored.id, record.value(), now());
 }
 
-void LeaseDesk::append(const std::string &id, const Orders::LeaseRecord &record)
+void LeaseCoordinator::append(const std::string &id, const Orders::LeaseRecord &record)
 {
     // What became of it shows when the stream is read.
     m_options.log->append(streamName, {{.id = id, .data = Orders::toText(record)}},
                           [](const PlatformClient::AppendResult &) {});
 }
 
-void LeaseDesk::turn()
+void LeaseCoordinator::turn()
 {
     m_timer = m_options.timers->start(turnInterval, [this] { turn(); });
     if (m_tailer.health().isUp && m_tailer.isCaughtUp())
@@ -68,19 +68,19 @@
     m_keeper.advance(m_isCandidate && !m_hasReleased, now());
 }
 
-void LeaseDesk::release()
+void LeaseCoordinator::release()
 {
     m_hasReleased = true;
     m_keeper.release(now());
 }
 
-bool LeaseDesk::isReleasing() const
+bool LeaseCoordinator::isReleasing() const
 {
     return m_hasReleased && m_keeper.state().fencing()
         && m_keeper.state().holder() == m_options.lease.holder;
 }
 
-std::optional<Base::FencingNumber> LeaseDesk::mayOrder(bool endpointChecksFencing) const
+std::optional<Base::FencingNumber> LeaseCoordinator::mayOrder(bool endpointChecksFencing) const
 {
     return m_keeper.mayOrder(endpointChecksFencing, now());
 }
--- a/src/libs/controller/leasedesk.h
+++ b/src/libs/controller/leasecoordinator.h
@@ -12,7 +12,7 @@
 namespace Lagoonbank::Controller {
 
 /// Joins the lease of a data centre to the log's stream `leases`.
-class LeaseDesk
+class LeaseCoordinator
 {
 public:
     struct Options
@@ -24,10 +24,10 @@
 
     static constexpr const char *streamName = "leases";
 
-    explicit LeaseDesk(const Options &options);
-    ~LeaseDesk();
-    LeaseDesk(const LeaseDesk &) = delete;
-    LeaseDesk &operator=(const LeaseDesk &) = delete;
+    explicit LeaseCoordinator(const Options &options);
+    ~LeaseCoordinator();
+    LeaseCoordinator(const LeaseCoordinator &) = delete;
+    LeaseCoordinator &operator=(const LeaseCoordinator &) = delete;
 
     void start();
     /// Whether this controller may claim a lease that is free.
--- a/src/libs/controller/orderdesk.h
+++ b/src/libs/controller/orderdesk.h
@@ -48,7 +48,7 @@
     {
         Runtime::TimerQueue *timers = nullptr;
         EndpointCalls calls;
-        /// See LeaseDesk::mayOrder().
+        /// See LeaseCoordinator::mayOrder().
         std::function<std::optional<Base::FencingNumber>(bool checksFencing)> mayOrder;
         /// Asks the weight store to give weights out.
         std::function<void(const Base::ModelId &model, const std::string &version,
--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -1,7 +1,7 @@
 #define BOOST_TEST_MODULE ControllerLease
 #include <boost/test/unit_test.hpp>
 
-#include "controller/leasedesk.h"
+#include "controller/leasecoordinator.h"
 #include "controller/orderdesk.h"
 #include "controller/prober.h"
 #include "fakeengines.h"
@@ -63,7 +63,7 @@
     bool isPaused = false;
     Runtime::TimerQueue timers;
     PlatformClient::LogClient log;
-    LeaseDesk lease;
+    LeaseCoordinator lease;
     OrderDesk orders;
     Prober prober;
     int reports = 0;
