--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -49,16 +49,16 @@
 void Reducer::recordRead(const LogRecord &record)
 {
     if (record.offset < m_readNext) {
-        notePassed(record);
+        noteCoveredRecord(record);
         return;
     }
-    take(record);
-    drainEarly();
+    consume(record);
+    applyOutOfOrder();
 }
 
 /// A peer's state came before this record; a snapshot is still to be told of, or this process would
 /// think that none stands in the log.
-void Reducer::notePassed(const LogRecord &record)
+void Reducer::noteCoveredRecord(const LogRecord &record)
 {
     const auto decoded = decode(record.data);
     if (!decoded)
@@ -66,7 +66,7 @@
     const auto *part = std::get_if<SnapshotPart>(&decoded.value());
     if (!part)
         return;
-    const std::optional<Snapshot> snapshot = m_passedSnapshots.add(*part);
+    const std::optional<Snapshot> snapshot = m_coveredSnapshots.add(*part);
     if (snapshot)
         raise(EventKind::SnapshotSeen, record.offset, snapshot->id);
 }
@@ -75,19 +75,19 @@
 {
     if (record.offset < m_readNext)
         return;
-    m_early.emplace(record.offset, record);
-    if (m_early.size() > m_options.maxEarly)
-        m_early.erase(std::prev(m_early.end()));
-    drainEarly();
+    m_outOfOrder.emplace(record.offset, record);
+    if (m_outOfOrder.size() > m_options.maxOutOfOrder)
+        m_outOfOrder.erase(std::prev(m_outOfOrder.end()));
+    applyOutOfOrder();
 }
 
-void Reducer::drainEarly()
+void Reducer::applyOutOfOrder()
 {
-    while (!m_early.empty() && m_early.begin()->first <= m_readNext) {
-        const LogRecord record = std::move(m_early.begin()->second);
-        m_early.erase(m_early.begin());
+    while (!m_outOfOrder.empty() && m_outOfOrder.begin()->first <= m_readNext) {
+        const LogRecord record = std::move(m_outOfOrder.begin()->second);
+        m_outOfOrder.erase(m_outOfOrder.begin());
         if (record.offset == m_readNext)
-            take(record);
+            consume(record);
     }
 }
 
@@ -98,11 +98,11 @@
     raise(EventKind::GapFound, first,
           "records from " + std::to_string(m_readNext.value()) + " on are gone");
     m_hasGap = true;
-    m_held.clear();
+    m_buffered.clear();
     m_snapshots.clear();
-    m_heldFrom = first;
+    m_bufferedFrom = first;
     m_readNext = first;
-    drainEarly();
+    applyOutOfOrder();
 }
 
 void Reducer::endReached()
@@ -112,11 +112,11 @@
     updateReady();
 }
 
-void Reducer::take(const LogRecord &record)
+void Reducer::consume(const LogRecord &record)
 {
     m_readNext = record.offset + one;
     if (m_hasGap) {
-        hold(record);
+        bufferAfterGap(record);
         return;
     }
     m_next = m_readNext;
@@ -124,17 +124,17 @@
     updateReady();
 }
 
-void Reducer::hold(const LogRecord &record)
+void Reducer::bufferAfterGap(const LogRecord &record)
 {
-    m_held.emplace(record.offset, record);
-    if (m_held.size() > m_options.maxHeld) {
-        m_heldFrom = m_held.begin()->first + one;
-        m_held.erase(m_held.begin());
+    m_buffered.emplace(record.offset, record);
+    if (m_buffered.size() > m_options.maxBuffered) {
+        m_bufferedFrom = m_buffered.begin()->first + one;
+        m_buffered.erase(m_buffered.begin());
     }
     const Errors::Result<Record> decoded = decodeRecord(record);
     const auto *part = decoded ? std::get_if<SnapshotPart>(&decoded.value()) : nullptr;
     const std::optional<Snapshot> snapshot = part ? m_snapshots.add(*part) : std::nullopt;
-    if (!snapshot || snapshot->through < m_heldFrom)
+    if (!snapshot || snapshot->through < m_bufferedFrom)
         return;
     const Errors::Result<void> adopted = m_state.adopt(snapshot->objects, true, snapshot->hash);
     if (!adopted) {
@@ -152,7 +152,7 @@
     m_snapshots.clear();
     m_next = std::max(from, m_readNext);
     m_readNext = m_next;
-    const std::map<Base::LogOffset, LogRecord> held = std::exchange(m_held, {});
+    const std::map<Base::LogOffset, LogRecord> held = std::exchange(m_buffered, {});
     if (hadGap)
         raise(EventKind::GapClosed, from, how);
     if (m_stateChanged)
@@ -240,7 +240,7 @@
         return adopted;
     }
     raise(EventKind::StateImported, state.next, std::to_string(state.objects.size()) + " objects");
-    const bool staysInGap = m_hasGap && state.next < m_heldFrom;
+    const bool staysInGap = m_hasGap && state.next < m_bufferedFrom;
     if (staysInGap) {
         m_next = state.next;
         m_isWhole = true;
@@ -249,7 +249,7 @@
     } else {
         closeGap(state.next, "a peer's state");
     }
-    drainEarly();
+    applyOutOfOrder();
     updateReady();
     return boost::outcome_v2::success();
 }
@@ -271,13 +271,13 @@
 
 void Reducer::raiseFloor(Base::LogOffset offset)
 {
-    m_floor = std::max(m_floor, offset);
+    m_requiredOffset = std::max(m_requiredOffset, offset);
     updateReady();
 }
 
 void Reducer::updateReady()
 {
-    m_isReady = m_isReady || (m_isWhole && m_next >= m_floor);
+    m_isReady = m_isReady || (m_isWhole && m_next >= m_requiredOffset);
 }
 
 const Judgement *Reducer::judgementOf(const std::string &recordId) const
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -47,8 +47,8 @@
     struct Options
     {
         std::size_t maxJudgements = 1024; ///< Latest ones that are kept for the history.
-        std::size_t maxHeld = 65536; ///< Records kept after a gap until a snapshot fills it.
-        std::size_t maxEarly = 1024; ///< Records from peers that are ahead.
+        std::size_t maxBuffered = 65536; ///< Records kept after a gap until a snapshot fills it.
+        std::size_t maxOutOfOrder = 1024; ///< Records from peers that are ahead.
     };
 
     explicit Reducer(const Options &options);
@@ -106,29 +106,29 @@
     const Judgement *judgementOf(const std::string &recordId) const;
 
 private:
-    void notePassed(const LogRecord &record);
-    void take(const LogRecord &record);
-    void hold(const LogRecord &record);
+    void noteCoveredRecord(const LogRecord &record);
+    void consume(const LogRecord &record);
+    void bufferAfterGap(const LogRecord &record);
     void apply(const LogRecord &record);
     void applyChange(const LogRecord &record, const ChangeRecord &change);
     void noteSnapshot(const LogRecord &record, const SnapshotPart &part);
     void skip(const LogRecord &record, const Errors::Error &error);
     void addJudgement(Judgement judgement);
     void closeGap(Base::LogOffset from, const std::string &how);
-    void drainEarly();
+    void applyOutOfOrder();
     void updateReady();
     void raise(EventKind kind, Base::LogOffset offset, std::string detail);
 
     Options m_options;
     State m_state;
     SnapshotCollector m_snapshots;
-    SnapshotCollector m_passedSnapshots; ///< Of records that a peer's state went past.
+    SnapshotCollector m_coveredSnapshots; ///< Of records that a peer's state went past.
     Base::LogOffset m_next;
     Base::LogOffset m_readNext;
-    Base::LogOffset m_heldFrom; ///< All records read from here on are held.
-    Base::LogOffset m_floor;
-    std::map<Base::LogOffset, LogRecord> m_held;
-    std::map<Base::LogOffset, LogRecord> m_early;
+    Base::LogOffset m_bufferedFrom; ///< All records read from here on are held.
+    Base::LogOffset m_requiredOffset;
+    std::map<Base::LogOffset, LogRecord> m_buffered;
+    std::map<Base::LogOffset, LogRecord> m_outOfOrder;
     std::deque<Judgement> m_judgements;
     bool m_hasGap = false;
     bool m_isWhole = false;
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -334,7 +334,7 @@
     log.append(old);
     log.readInto(peer);
 
-    Reducer small(Reducer::Options{.maxHeld = 5});
+    Reducer small(Reducer::Options{.maxBuffered = 5});
     log.readInto(small, 5);
     BOOST_TEST(small.hasGap()); // What came after the snapshot's state was dropped in part.
     log.append(peer.makeSnapshot("new", "vm"));
@@ -342,7 +342,7 @@
     BOOST_TEST(!small.hasGap());
     BOOST_TEST(small.hash() == peer.hash());
 
-    Reducer eager(Reducer::Options{.maxEarly = 3});
+    Reducer eager(Reducer::Options{.maxOutOfOrder = 3});
     for (std::size_t i = log.records.size(); i-- > 0;)
         eager.recordFromPeer(log.records[i]);
     BOOST_TEST(eager.next() == Base::LogOffset(3));
