--- a/src/libs/controller/controlleradmin.h
+++ b/src/libs/controller/controlleradmin.h
@@ -2,7 +2,7 @@
 
 #include "controller/controllermetrics.h"
 #include "controller/leasecoordinator.h"
-#include "controller/orderdesk.h"
+#include "controller/ordercoordinator.h"
 #include "controller/prober.h"
 #include "node/adminport.h"
 #include "node/configurationfollower.h"
@@ -26,7 +26,7 @@
         const Node::ConfigurationFollower *configuration = nullptr;
         const Node::PeerLink *peers = nullptr;
         const LeaseCoordinator *lease = nullptr;
-        const OrderDesk *orders = nullptr;
+        const OrderCoordinator *orders = nullptr;
         const Prober *prober = nullptr;
         std::function<bool()> isReady;
     };
--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -260,13 +260,13 @@
 
 void ControllerProcess::makeOrders()
 {
-    m_orders = std::make_unique<OrderDesk>(OrderDesk::Options{
+    m_orders = std::make_unique<OrderCoordinator>(OrderCoordinator::Options{
         .timers = &m_loop.timers(),
         .calls = httpEndpointCalls(m_loop, m_client),
         .mayOrder = [this](bool checksFencing) { return m_lease->mayOrder(checksFencing); },
         .fetchWeights =
             [this](const Base::ModelId &model, const std::string &version,
-                   OrderDesk::WeightsFetched fetched) {
+                   OrderCoordinator::WeightsFetched fetched) {
                 m_weightStore->fetch(model, version, std::move(fetched));
             },
         .spend =
--- a/src/libs/controller/controllerprocess.h
+++ b/src/libs/controller/controllerprocess.h
@@ -4,7 +4,7 @@
 #include "controller/controlleradmin.h"
 #include "controller/controllermetrics.h"
 #include "controller/leasecoordinator.h"
-#include "controller/orderdesk.h"
+#include "controller/ordercoordinator.h"
 #include "controller/prober.h"
 #include "controller/snapshotwriter.h"
 #include "errors/result.h"
@@ -82,7 +82,7 @@
     std::unique_ptr<SnapshotWriter> m_snapshots;
     std::unique_ptr<LeaseCoordinator> m_lease;
     std::unique_ptr<Prober> m_prober;
-    std::unique_ptr<OrderDesk> m_orders;
+    std::unique_ptr<OrderCoordinator> m_orders;
     std::unique_ptr<Node::AdminPort> m_adminPort;
     std::unique_ptr<ControllerAdmin> m_admin;
     Configuration::ObjectTable m_objects;
--- a/src/libs/controller/orderdesk.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -1,4 +1,4 @@
-#include "controller/orderdesk.h"
+#include "controller/ordercoordinator.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,23 +19,23 @@
 
 } // namespace
 
-OrderDesk::OrderDesk(Options options)
+OrderCoordinator::OrderCoordinator(Options options)
     : m_options(std::move(options))
     , m_weightLoads(m_options.weightLoads)
 { }
 
-OrderDesk::~OrderDesk()
+OrderCoordinator::~OrderCoordinator()
 {
     *m_alive = false;
     m_options.timers->cancel(m_timer);
 }
 
-void OrderDesk::start()
+void OrderCoordinator::start()
 {
     turn();
 }
 
-void OrderDesk::setTargets(const std::vector<OrderTarget> &targets)
+void OrderCoordinator::setTargets(const std::vector<OrderTarget> &targets)
 {
     std::set<Base::EndpointId> wanted;
     for (const OrderTarget &target : targets) {
@@ -55,7 +55,7 @@
     std::erase_if(m_loading, [&](const auto &endpoint) { return !wanted.contains(endpoint); });
 }
 
-void OrderDesk::leaseGained()
+void OrderCoordinator::leaseGained()
 {
     for (auto &[endpoint, entry] : m_entries) {
         entry.isConverged = false;
@@ -63,14 +63,14 @@
     }
 }
 
-std::size_t OrderDesk::pending() const
+std::size_t OrderCoordinator::pending() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_entries.begin(), m_entries.end(),
                       [](const auto &entry) { return !entry.second.isConverged; }));
 }
 
-void OrderDesk::turn()
+void OrderCoordinator::turn()
 {
     m_timer = m_options.timers->start(turnInterval, [this] { turn(); });
     if (m_isStopped)
@@ -88,7 +88,7 @@
     }
 }
 
-Http::Call OrderDesk::callOf(const Entry &entry) const
+Http::Call OrderCoordinator::callOf(const Entry &entry) const
 {
     // An order that has not been answered by then counts as lost. It may still take effect for a
     // while, which longestOrder allows for.
@@ -101,7 +101,7 @@
             .maxBodyBytes = maxAnswerBytes};
 }
 
-void OrderDesk::readState(Entry &entry)
+void OrderCoordinator::readState(Entry &entry)
 {
     entry.isBusy = true;
     Http::Call call = callOf(entry);
@@ -115,7 +115,7 @@
         });
 }
 
-OrderDesk::Entry *OrderDesk::take(const Ticket &ticket)
+OrderCoordinator::Entry *OrderCoordinator::take(const Ticket &ticket)
 {
     const auto found = m_entries.find(ticket.endpoint);
     if (found == m_entries.end())
@@ -128,18 +128,18 @@
     return nullptr;
 }
 
-void OrderDesk::checkAgain(Entry &entry, Base::Duration delay)
+void OrderCoordinator::checkAgain(Entry &entry, Base::Duration delay)
 {
     entry.checkAt = now() + delay;
 }
 
-void OrderDesk::report(const Entry &entry, const std::string &why) const
+void OrderCoordinator::report(const Entry &entry, const std::string &why) const
 {
     if (failed)
         failed(entry.target, why);
 }
 
-void OrderDesk::stateRead(const Ticket &ticket, const Http::CallResult &result)
+void OrderCoordinator::stateRead(const Ticket &ticket, const Http::CallResult &result)
 {
     Entry *entry = take(ticket);
     if (!entry)
@@ -161,7 +161,7 @@
         converged(*entry, seen.value().isLoading);
 }
 
-void OrderDesk::converged(Entry &entry, bool isLoading)
+void OrderCoordinator::converged(Entry &entry, bool isLoading)
 {
     if (isLoading) {
         m_loading.insert(entry.target.endpoint);
@@ -178,7 +178,7 @@
         readLoad(entry);
 }
 
-void OrderDesk::advance(Entry &entry, const Orders::Order &order, const StateAnswer &seen)
+void OrderCoordinator::advance(Entry &entry, const Orders::Order &order, const StateAnswer &seen)
 {
     entry.isConverged = false;
     if (m_isStopped)
@@ -190,7 +190,7 @@
     sendOrder(entry, order);
 }
 
-void OrderDesk::moveCache(Entry &entry)
+void OrderCoordinator::moveCache(Entry &entry)
 {
     entry.isBusy = true;
     const OrderTarget &target = entry.target;
@@ -216,7 +216,7 @@
     mover->start();
 }
 
-void OrderDesk::cacheWasMoved(Entry &entry, const CacheMover::Moved &moved)
+void OrderCoordinator::cacheWasMoved(Entry &entry, const CacheMover::Moved &moved)
 {
     entry.isLateCacheMoved = std::exchange(entry.isCacheMoved, true);
     entry.nextCacheEvent = moved.nextEvent;
@@ -226,7 +226,7 @@
         cacheMoved(entry.target, moved);
 }
 
-void OrderDesk::readLoad(Entry &entry)
+void OrderCoordinator::readLoad(Entry &entry)
 {
     entry.isBusy = true;
     Http::Call call = callOf(entry);
@@ -240,7 +240,7 @@
         });
 }
 
-void OrderDesk::loadRead(const Ticket &ticket, const Http::CallResult &result)
+void OrderCoordinator::loadRead(const Ticket &ticket, const Http::CallResult &result)
 {
     Entry *entry = take(ticket);
     if (!entry)
@@ -266,7 +266,7 @@
         drained(entry->target);
 }
 
-std::vector<CacheHome> OrderDesk::homesFor(const Entry &entry) const
+std::vector<CacheHome> OrderCoordinator::homesFor(const Entry &entry) const
 {
     std::vector<CacheHome> homes;
     for (const auto &[endpoint, other] : m_entries) {
@@ -278,7 +278,7 @@
     return homes;
 }
 
-bool OrderDesk::isModelLoading(const Entry &entry) const
+bool OrderCoordinator::isModelLoading(const Entry &entry) const
 {
     return std::any_of(m_loading.begin(), m_loading.end(), [&](const Base::EndpointId &loading) {
         return loading != entry.target.endpoint
@@ -286,7 +286,8 @@
     });
 }
 
-void OrderDesk::fetchWeights(Entry &entry, const Orders::Order &order, const StateAnswer &seen)
+void OrderCoordinator::fetchWeights(Entry &entry, const Orders::Order &order,
+                                    const StateAnswer &seen)
 {
     // An engine takes no requests while it loads: one of a model at a time.
     if (isModelLoading(entry) || !m_weightLoads.mayStart(now()))
@@ -321,7 +322,7 @@
         });
 }
 
-void OrderDesk::sendOrder(Entry &entry, const Orders::Order &order)
+void OrderCoordinator::sendOrder(Entry &entry, const Orders::Order &order)
 {
     const bool checksFencing = entry.target.checksFencing;
     const auto fencing = m_options.mayOrder(checksFencing);
@@ -349,7 +350,7 @@
         });
 }
 
-void OrderDesk::orderEnded(const Ticket &ticket, const Http::CallResult &result)
+void OrderCoordinator::orderEnded(const Ticket &ticket, const Http::CallResult &result)
 {
     --m_underWay;
     Entry *entry = take(ticket);
--- a/src/libs/controller/orderdesk.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -40,7 +40,7 @@
 /// Brings the engines of a data centre to what the configuration wants, as long as the lease is
 /// held: reads an engine's state, sends what differs as values to set, and reads again. What
 /// became of an order is never guessed; a lost answer is settled by reading the state.
-class OrderDesk
+class OrderCoordinator
 {
 public:
     using WeightsFetched = std::function<void(Errors::Result<Base::Bytes>)>;
@@ -66,10 +66,10 @@
         std::size_t mostMovedChats = 64;
     };
 
-    explicit OrderDesk(Options options);
-    ~OrderDesk();
-    OrderDesk(const OrderDesk &) = delete;
-    OrderDesk &operator=(const OrderDesk &) = delete;
+    explicit OrderCoordinator(Options options);
+    ~OrderCoordinator();
+    OrderCoordinator(const OrderCoordinator &) = delete;
+    OrderCoordinator &operator=(const OrderCoordinator &) = delete;
 
     void start();
     void setTargets(const std::vector<OrderTarget> &targets);
--- a/src/libs/controller/targets.h
+++ b/src/libs/controller/targets.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "configuration/objecttable.h"
-#include "controller/orderdesk.h"
+#include "controller/ordercoordinator.h"
 #include "controller/prober.h"
 
 #include <functional>
--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -2,7 +2,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "controller/leasecoordinator.h"
-#include "controller/orderdesk.h"
+#include "controller/ordercoordinator.h"
 #include "controller/prober.h"
 #include "fakeengines.h"
 #include "fakelog.h"
@@ -64,7 +64,7 @@
     Runtime::TimerQueue timers;
     PlatformClient::LogClient log;
     LeaseCoordinator lease;
-    OrderDesk orders;
+    OrderCoordinator orders;
     Prober prober;
     int reports = 0;
 };
--- a/tests/auto/controller/tst_orderdesk.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -1,7 +1,7 @@
-#define BOOST_TEST_MODULE OrderDesk
+#define BOOST_TEST_MODULE OrderCoordinator
 #include <boost/test/unit_test.hpp>
 
-#include "controller/orderdesk.h"
+#include "controller/ordercoordinator.h"
 #include "fakeengines.h"
 #include "routing/rendezvous.h"
 
@@ -69,14 +69,14 @@
     int done = 0;
     std::vector<int> refusals;
     std::size_t movedChats = 0;
-    OrderDesk desk{
+    OrderCoordinator desk{
         {.timers = &timers,
          .calls = engines.calls(),
          .mayOrder =
              [this](bool checks) { return checks || mayOrderUnchecked ? fencing : std::nullopt; },
          .fetchWeights =
              [this](const Base::ModelId &model, const std::string &version,
-                    const OrderDesk::WeightsFetched &weightsFetched) {
+                    const OrderCoordinator::WeightsFetched &weightsFetched) {
                  fetched.push_back(model.value() + '/' + version);
                  timers.start(10ms, [this, weightsFetched] {
                      if (hasWeights)
