--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -269,7 +269,7 @@
     return Configuration::makeSnapshot(m_state, m_next, id, writer);
 }
 
-void Reducer::raiseFloor(Base::LogOffset offset)
+void Reducer::raiseRequiredOffset(Base::LogOffset offset)
 {
     m_requiredOffset = std::max(m_requiredOffset, offset);
     updateReady();
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -82,7 +82,7 @@
     /// objects.
     std::optional<Schema::ConfigurationState> exportState(Base::LogOffset since) const;
     /// Peers hold the configuration up to this offset; not ready before it is reached.
-    void raiseFloor(Base::LogOffset offset);
+    void raiseRequiredOffset(Base::LogOffset offset);
 
     /// A whole configuration is held that is as new as what peers held at the start. Once true it
     /// stays true.
--- a/src/libs/node/configurationfollower.h
+++ b/src/libs/node/configurationfollower.h
@@ -55,7 +55,7 @@
     /// Takes a peer's answer in; an error asks for the whole state next time.
     Errors::Result<void> take(std::string_view answer);
     /// A peer holds the configuration up to this offset.
-    void peerIsAhead(Base::LogOffset next) { m_reducer.raiseFloor(next); }
+    void peerIsAhead(Base::LogOffset next) { m_reducer.raiseRequiredOffset(next); }
 
     /// The objects in force have changed, or the configuration has become whole.
     std::function<void()> changed;
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -163,7 +163,7 @@
 
     // The log is out: a peer's state is as good, but not one older than what others hold.
     Reducer joining;
-    joining.raiseFloor(Base::LogOffset(2));
+    joining.raiseRequiredOffset(Base::LogOffset(2));
     BOOST_REQUIRE(joining.importState(exported(reader)));
     BOOST_TEST(regionOf(joining, "north") == "r");
     BOOST_TEST(!joining.isReady());
@@ -172,7 +172,7 @@
     BOOST_REQUIRE(joining.importState(exported(reader, 1)));
     BOOST_TEST(joining.isReady());
     BOOST_TEST(regionOf(joining, "north") == "new");
-    joining.raiseFloor(Base::LogOffset(50));
+    joining.raiseRequiredOffset(Base::LogOffset(50));
     BOOST_TEST(joining.isReady());
 }
 
