--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -95,7 +95,7 @@
     if (!call.body.empty())
         call.headers.add("content-type", "application/json");
     m_options.calls.start(
-        std::move(call), m_options.mayLeave,
+        std::move(call), m_options.maySend,
         [self = shared_from_this(), ended = std::move(ended)](const Http::CallResult &result) {
             if (!self->m_isFinished)
                 ended(result);
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -40,7 +40,7 @@
     {
         Runtime::TimerQueue *timers = nullptr;
         EndpointCalls calls;
-        EndpointCalls::MayLeave mayLeave;
+        EndpointCalls::MaySend maySend;
         CacheHome from;
         std::vector<CacheHome> homes; ///< Without \a from.
         std::uint64_t firstEvent = 0; ///< Offset of the first cache event to look at.
--- a/src/libs/controller/endpointcalls.cpp
+++ b/src/libs/controller/endpointcalls.cpp
@@ -20,16 +20,16 @@
 EndpointCalls httpEndpointCalls(Runtime::Loop &loop, Http::Client &client)
 {
     EndpointCalls calls;
-    calls.start = [&loop, &client](Http::Call call, EndpointCalls::MayLeave mayLeave,
+    calls.start = [&loop, &client](Http::Call call, EndpointCalls::MaySend maySend,
                                    EndpointCalls::Finished finished) {
-        if (!mayLeave())
+        if (!maySend())
             return finishUnsent(loop, std::move(finished));
         // On a pooled connection the first byte leaves within start(), right after the check above.
         // A new connection takes a while to make, so there the check is made again.
         const auto id = std::make_shared<std::optional<Http::CallId>>();
         Http::Hooks hooks;
-        hooks.leaving = [&loop, &client, id, mayLeave = std::move(mayLeave), finished] {
-            if (!*id || mayLeave())
+        hooks.leaving = [&loop, &client, id, maySend = std::move(maySend), finished] {
+            if (!*id || maySend())
                 return;
             client.cancel(**id);
             finishUnsent(loop, finished);
--- a/src/libs/controller/endpointcalls.h
+++ b/src/libs/controller/endpointcalls.h
@@ -12,12 +12,12 @@
 /// How a controller reaches endpoints; tests put their own in.
 struct EndpointCalls
 {
-    using MayLeave = std::function<bool()>;
+    using MaySend = std::function<bool()>;
     using Finished = std::function<void(const Http::CallResult &result)>;
 
-    /// Starts a call. \a mayLeave is asked just before the first byte leaves, and if it says no
+    /// Starts a call. \a maySend is asked just before the first byte leaves, and if it says no
     /// the call ends as NotConnected with nothing sent. Finished is called once, later.
-    std::function<void(Http::Call call, MayLeave mayLeave, Finished finished)> start;
+    std::function<void(Http::Call call, MaySend maySend, Finished finished)> start;
 };
 
 EndpointCalls httpEndpointCalls(Runtime::Loop &loop, Http::Client &client);
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -197,7 +197,7 @@
     const auto mover = std::make_shared<CacheMover>(
         CacheMover::Options{.timers = m_options.timers,
                             .calls = m_options.calls,
-                            .mayLeave =
+                            .maySend =
                                 [this, alive = m_alive, checks = target.checksFencing] {
                                     return *alive && m_options.mayOrder(checks).has_value();
                                 },
--- a/tests/auto/controller/fakeengines.h
+++ b/tests/auto/controller/fakeengines.h
@@ -37,11 +37,10 @@
 
     Lagoonbank::Controller::EndpointCalls calls(const bool *isPaused = nullptr)
     {
-        return {
-            .start = [this, isPaused](Lagoonbank::Http::Call call, auto mayLeave, auto finished) {
-                m_calls.push_back(
-                    {std::move(call), std::move(mayLeave), std::move(finished), isPaused});
-            }};
+        return {.start = [this, isPaused](Lagoonbank::Http::Call call, auto maySend,
+                                          auto finished) {
+            m_calls.push_back({std::move(call), std::move(maySend), std::move(finished), isPaused});
+        }};
     }
 
     /// Answers all calls of callers that are not paused, those that the answers bring included.
@@ -55,9 +54,9 @@
             const std::string &silent = m_engines[call.call.server.port].silentPath;
             if (!silent.empty() && call.call.target.starts_with(silent))
                 continue;
-            call.finished(call.mayLeave() ? answer(call.call)
-                                          : Lagoonbank::Http::CallResult{
-                                              .end = Lagoonbank::Http::CallEnd::NotConnected});
+            call.finished(call.maySend() ? answer(call.call)
+                                         : Lagoonbank::Http::CallResult{
+                                             .end = Lagoonbank::Http::CallEnd::NotConnected});
         }
     }
     std::size_t waiting() const { return m_calls.size(); }
@@ -66,7 +65,7 @@
     struct Pending
     {
         Lagoonbank::Http::Call call;
-        Lagoonbank::Controller::EndpointCalls::MayLeave mayLeave;
+        Lagoonbank::Controller::EndpointCalls::MaySend maySend;
         Lagoonbank::Controller::EndpointCalls::Finished finished;
         const bool *isPaused = nullptr;
     };
