--- a/src/libs/configuration/state.cpp
+++ b/src/libs/configuration/state.cpp
@@ -81,7 +81,7 @@
     std::optional<Schema::ConfigurationObject> object;
     judge(record, change, judgement, object);
     if (judgement.verdict == Verdict::Accepted)
-        take(record, change, std::move(object));
+        storeChange(record, change, std::move(object));
     judgement.revision = revision(change.key);
     return judgement;
 }
@@ -131,8 +131,8 @@
         judgement.detail = firstOf(errors);
 }
 
-void State::take(const LogRecord &record, const ChangeRecord &change,
-                 std::optional<Schema::ConfigurationObject> object)
+void State::storeChange(const LogRecord &record, const ChangeRecord &change,
+                        std::optional<Schema::ConfigurationObject> object)
 {
     Schema::ObjectState &entry = m_entries[change.key];
     entry = {.kind = change.key.kind,
@@ -166,7 +166,7 @@
         m_table.set(std::move(read.value()));
 }
 
-Errors::Result<void> State::checkForward(const State &next) const
+Errors::Result<void> State::checkNotOlder(const State &next) const
 {
     for (const auto &[key, entry] : m_entries) {
         const auto it = next.m_entries.find(key);
@@ -190,7 +190,7 @@
         next.put(object);
     if (next.hash() != expectedHash)
         return refusal("the hash does not come out");
-    Errors::Result<void> forward = checkForward(next);
+    Errors::Result<void> forward = checkNotOlder(next);
     if (!forward)
         return forward;
     *this = std::move(next);
--- a/src/libs/configuration/state.h
+++ b/src/libs/configuration/state.h
@@ -67,9 +67,9 @@
 private:
     void judge(const LogRecord &record, const ChangeRecord &change, Judgement &judgement,
                std::optional<Schema::ConfigurationObject> &object) const;
-    void take(const LogRecord &record, const ChangeRecord &change,
-              std::optional<Schema::ConfigurationObject> object);
-    Errors::Result<void> checkForward(const State &next) const;
+    void storeChange(const LogRecord &record, const ChangeRecord &change,
+                     std::optional<Schema::ConfigurationObject> object);
+    Errors::Result<void> checkNotOlder(const State &next) const;
     void put(const Schema::ObjectState &object);
 
     Entries m_entries;
