--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -47,15 +47,15 @@
     return chats;
 }
 
-const CacheHome *nextHome(const std::string &chat, const std::vector<CacheHome> &homes)
+const CacheEngine *migrationTarget(const std::string &chat, const std::vector<CacheEngine> &homes)
 {
     const auto hash = Routing::chatHashFromName(chat);
     if (!hash)
         return nullptr;
     const Routing::RendezvousCost order(*hash);
-    const CacheHome *best = nullptr;
+    const CacheEngine *best = nullptr;
     double cost = std::numeric_limits<double>::infinity();
-    for (const CacheHome &home : homes) {
+    for (const CacheEngine &home : homes) {
         if (order.improves(Routing::stableHash(home.endpoint.value()), home.capacity, &cost))
             best = &home;
     }
@@ -84,7 +84,7 @@
     return std::max(m_deadline - m_options.timers->clock().now(), Base::Duration(1));
 }
 
-void CacheMover::call(const CacheHome &home, std::string method, std::string target,
+void CacheMover::call(const CacheEngine &home, std::string method, std::string target,
                       std::string body, std::function<void(const Http::CallResult &)> ended)
 {
     Http::Call call{.server = home.address,
@@ -149,7 +149,7 @@
 
 void CacheMover::importChat(const std::string &chat, const std::string &body)
 {
-    const CacheHome *home = nextHome(chat, m_options.homes);
+    const CacheEngine *home = migrationTarget(chat, m_options.homes);
     call(*home, "POST", "/v1/cache/import", body,
          [this, bytes = body.size()](const Http::CallResult &result) {
              chatEnded(isGood(result), bytes);
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -17,7 +17,7 @@
 namespace Lagoonbank::Controller {
 
 /// An engine as a place for cached prefixes.
-struct CacheHome
+struct CacheEngine
 {
     Base::EndpointId endpoint;
     Runtime::SocketAddress address;
@@ -29,7 +29,7 @@
 
 /// The engine among \a homes to which routers send the chat once its own is gone: the first in
 /// rendezvous order. Null if there is none.
-const CacheHome *nextHome(const std::string &chat, const std::vector<CacheHome> &homes);
+const CacheEngine *migrationTarget(const std::string &chat, const std::vector<CacheEngine> &homes);
 
 /// Moves the KV cache of an engine's hot chats to other engines of its model, a bounded number in
 /// a bounded time, since the engine's draining waits for it.
@@ -41,8 +41,8 @@
         Runtime::TimerQueue *timers = nullptr;
         EndpointCalls calls;
         EndpointCalls::MaySend maySend;
-        CacheHome from;
-        std::vector<CacheHome> homes; ///< Without \a from.
+        CacheEngine from;
+        std::vector<CacheEngine> homes; ///< Without \a from.
         std::uint64_t firstEvent = 0; ///< Offset of the first cache event to look at.
         std::size_t mostChats = 64;
         std::size_t mostRunning = 4;
@@ -71,7 +71,7 @@
     void importChat(const std::string &chat, const std::string &body);
     void chatEnded(bool isMoved, std::size_t bytes);
     void finish();
-    void call(const CacheHome &home, std::string method, std::string target, std::string body,
+    void call(const CacheEngine &home, std::string method, std::string target, std::string body,
               std::function<void(const Http::CallResult &)> ended);
     Base::Duration timeLeft() const;
 
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -202,7 +202,7 @@
                                     return *alive && m_options.mayOrder(checks).has_value();
                                 },
                             .from = {target.endpoint, target.address, target.capacity},
-                            .homes = homesFor(entry),
+                            .homes = migrationCandidates(entry),
                             .firstEvent = entry.nextCacheEvent,
                             .mostChats = m_options.mostMovedChats,
                             .longest = m_options.longestMove});
@@ -266,9 +266,9 @@
         drained(entry->target);
 }
 
-std::vector<CacheHome> OrderCoordinator::homesFor(const Entry &entry) const
+std::vector<CacheEngine> OrderCoordinator::migrationCandidates(const Entry &entry) const
 {
-    std::vector<CacheHome> homes;
+    std::vector<CacheEngine> homes;
     for (const auto &[endpoint, other] : m_entries) {
         const bool isLeaving = other.target.desired.draining.value_or(false);
         if (endpoint != entry.target.endpoint && !isLeaving
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -131,7 +131,7 @@
     void checkAgain(Entry &entry, Base::Duration delay);
     void report(const Entry &entry, const std::string &why) const;
     bool isModelLoading(const Entry &entry) const;
-    std::vector<CacheHome> homesFor(const Entry &entry) const;
+    std::vector<CacheEngine> migrationCandidates(const Entry &entry) const;
     Http::Call callOf(const Entry &entry) const;
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
 
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -239,8 +239,8 @@
 {
     Bench bench;
     const auto others = [&] {
-        return std::vector<CacheHome>{{bench.targets[1].endpoint, bench.targets[1].address, 1},
-                                      {bench.targets[2].endpoint, bench.targets[2].address, 1}};
+        return std::vector<CacheEngine>{{bench.targets[1].endpoint, bench.targets[1].address, 1},
+                                        {bench.targets[2].endpoint, bench.targets[2].address, 1}};
     };
     constexpr std::size_t chats = 100;
     for (std::size_t i = 0; i < chats; ++i)
@@ -260,7 +260,7 @@
     BOOST_TEST(bench.engine(1).chats.size() + bench.engine(2).chats.size() == mostMoved);
     for (const int i : {1, 2}) {
         for (const std::string &chat : bench.engine(i).chats)
-            BOOST_TEST(nextHome(chat, others())->address.port == Bench::port(i));
+            BOOST_TEST(migrationTarget(chat, others())->address.port == Bench::port(i));
     }
     BOOST_TEST(
         std::count(bench.engine(1).chats.begin(), bench.engine(1).chats.end(), Routing::chatName(0))
