--- a/src/libs/configuration/objecttable.cpp
+++ b/src/libs/configuration/objecttable.cpp
@@ -26,7 +26,7 @@
 void ObjectTable::set(Schema::ConfigurationObject object)
 {
     const ObjectKey key = keyOf(object);
-    forgetKeys(key);
+    removeContractKeys(key);
     const auto shared = std::make_shared<const Schema::ConfigurationObject>(std::move(object));
     if (const auto *contract = std::get_if<Schema::Contract>(shared.get())) {
         for (const std::string &hash : contract->keys)
@@ -37,11 +37,11 @@
 
 void ObjectTable::remove(const ObjectKey &key)
 {
-    forgetKeys(key);
+    removeContractKeys(key);
     m_objects.erase(key);
 }
 
-void ObjectTable::forgetKeys(const ObjectKey &key)
+void ObjectTable::removeContractKeys(const ObjectKey &key)
 {
     const auto it = m_objects.find(key);
     if (it == m_objects.end() || key.kind != ObjectKind::Contract)
--- a/src/libs/configuration/objecttable.h
+++ b/src/libs/configuration/objecttable.h
@@ -67,7 +67,7 @@
 private:
     template<typename T>
     const T *findAs(Schema::ObjectKind kind, const std::string &name) const;
-    void forgetKeys(const ObjectKey &key);
+    void removeContractKeys(const ObjectKey &key);
 
     std::map<ObjectKey, Object> m_objects;
     absl::flat_hash_map<std::string, Object> m_contractOfKey;
