--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -47,7 +47,8 @@
     return chats;
 }
 
-const CacheEngine *migrationTarget(const std::string &chat, const std::vector<CacheEngine> &homes)
+const CacheEngine *migrationTarget(const std::string &chat,
+                                   const std::vector<CacheEngine> &candidates)
 {
     const auto hash = Routing::chatHashFromName(chat);
     if (!hash)
@@ -55,7 +56,7 @@
     const Routing::RendezvousCost order(*hash);
     const CacheEngine *best = nullptr;
     double cost = std::numeric_limits<double>::infinity();
-    for (const CacheEngine &home : homes) {
+    for (const CacheEngine &home : candidates) {
         if (order.improves(Routing::stableHash(home.endpoint.value()), home.capacity, &cost))
             best = &home;
     }
@@ -72,7 +73,7 @@
     m_moved.nextEvent = m_options.firstEvent;
     m_timer =
         m_options.timers->start(m_options.longest, [self = shared_from_this()] { self->finish(); });
-    if (m_options.homes.empty()) {
+    if (m_options.candidates.empty()) {
         m_options.timers->start({}, [self = shared_from_this()] { self->finish(); });
         return;
     }
@@ -149,7 +150,7 @@
 
 void CacheMover::importChat(const std::string &chat, const std::string &body)
 {
-    const CacheEngine *home = migrationTarget(chat, m_options.homes);
+    const CacheEngine *home = migrationTarget(chat, m_options.candidates);
     call(*home, "POST", "/v1/cache/import", body,
          [this, bytes = body.size()](const Http::CallResult &result) {
              chatEnded(isGood(result), bytes);
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -29,7 +29,8 @@
 
 /// The engine among \a homes to which routers send the chat once its own is gone: the first in
 /// rendezvous order. Null if there is none.
-const CacheEngine *migrationTarget(const std::string &chat, const std::vector<CacheEngine> &homes);
+const CacheEngine *migrationTarget(const std::string &chat,
+                                   const std::vector<CacheEngine> &candidates);
 
 /// Moves the KV cache of an engine's hot chats to other engines of its model, a bounded number in
 /// a bounded time, since the engine's draining waits for it.
@@ -42,7 +43,7 @@
         EndpointCalls calls;
         EndpointCalls::MaySend maySend;
         CacheEngine from;
-        std::vector<CacheEngine> homes; ///< Without \a from.
+        std::vector<CacheEngine> candidates; ///< Without \a from.
         std::uint64_t firstEvent = 0; ///< Offset of the first cache event to look at.
         std::size_t mostChats = 64;
         std::size_t mostRunning = 4;
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -202,7 +202,7 @@
                                     return *alive && m_options.mayOrder(checks).has_value();
                                 },
                             .from = {target.endpoint, target.address, target.capacity},
-                            .homes = migrationCandidates(entry),
+                            .candidates = migrationCandidates(entry),
                             .firstEvent = entry.nextCacheEvent,
                             .mostChats = m_options.mostMovedChats,
                             .longest = m_options.longestMove});
@@ -268,14 +268,14 @@
 
 std::vector<CacheEngine> OrderCoordinator::migrationCandidates(const Entry &entry) const
 {
-    std::vector<CacheEngine> homes;
+    std::vector<CacheEngine> candidates;
     for (const auto &[endpoint, other] : m_entries) {
         const bool isLeaving = other.target.desired.draining.value_or(false);
         if (endpoint != entry.target.endpoint && !isLeaving
             && other.target.model == entry.target.model)
-            homes.push_back({endpoint, other.target.address, other.target.capacity});
+            candidates.push_back({endpoint, other.target.address, other.target.capacity});
     }
-    return homes;
+    return candidates;
 }
 
 bool OrderCoordinator::isModelLoading(const Entry &entry) const
