--- a/tests/auto/configuration/tst_configurationrecord.cpp
+++ b/tests/auto/configuration/tst_configurationrecord.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(recordsComeBack)
+BOOST_AUTO_TEST_CASE(recordsSurviveRoundTrip)
 {
     const ChangeRecord change = dataCentreChange("north", 7);
     BOOST_TEST((std::get<ChangeRecord>(decode(encode(change)).value()) == change));
@@ -62,7 +62,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(refusesWhatItCannotRead)
+BOOST_AUTO_TEST_CASE(rejectsUnreadableRecords)
 {
     const std::string change = encode(dataCentreChange("north", 7));
     const std::string part = encode(makePart());
--- a/tests/auto/configuration/tst_configurationrules.cpp
+++ b/tests/auto/configuration/tst_configurationrules.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(acceptsWhatFitsTogether)
+BOOST_AUTO_TEST_CASE(acceptsConsistentObjects)
 {
     const std::string text = base
         + contract("hall", 'a',
@@ -54,7 +54,7 @@
     BOOST_TEST(table.value().policy().loadBound == 1.25);
 }
 
-BOOST_AUTO_TEST_CASE(namesEachMistakeWithItsLine)
+BOOST_AUTO_TEST_CASE(reportsEachErrorWithItsLine)
 {
     const std::vector<std::pair<std::string, std::string>> cases{
         {contract("hall", 'a', "default_priority: urgent\n"),
@@ -95,7 +95,7 @@
         BOOST_TEST(errorsOf(base + text) == wanted);
 }
 
-BOOST_AUTO_TEST_CASE(keepsWhatOthersName)
+BOOST_AUTO_TEST_CASE(refusesRemovalOfReferencedObjects)
 {
     const auto table = makeTable(
         Schema::readObjects("f.yaml", base + endpoint("type: engine\nmodel: small\n")).value());
@@ -107,7 +107,7 @@
     BOOST_TEST(checkRemoval({ObjectKind::Service, "booking"}, table.value()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(publishOrderMeetsReferences)
+BOOST_AUTO_TEST_CASE(publishOrderSatisfiesReferences)
 {
     const auto documents = Schema::readObjects(
         "f.yaml",
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -75,7 +75,7 @@
     BOOST_TEST(regionOf(reducer, "north") == "r6");
 }
 
-BOOST_AUTO_TEST_CASE(aRaceHasOneWinnerAndAClearLoser)
+BOOST_AUTO_TEST_CASE(concurrentChangesHaveOneWinner)
 {
     TestLog log;
     log.append("first", dataCentreChange("north", 0));
@@ -93,7 +93,7 @@
     BOOST_TEST(reducer.judgementOf("cleo-1") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(aRetryAfterALostAnswerFindsTheAcceptance)
+BOOST_AUTO_TEST_CASE(repeatedRecordAfterLostAnswerStaysAccepted)
 {
     TestLog log;
     log.append("ann-1", dataCentreChange("north", 0));
@@ -130,7 +130,7 @@
                   "correct the name (and 1 more)");
 }
 
-BOOST_AUTO_TEST_CASE(whatCannotBeReadIsSkippedWithAnEvent)
+BOOST_AUTO_TEST_CASE(unreadableRecordsAreSkippedWithAnEvent)
 {
     TestLog log;
     log.append("1", dataCentreChange("north", 0));
@@ -176,7 +176,7 @@
     BOOST_TEST(joining.isReady());
 }
 
-BOOST_AUTO_TEST_CASE(aSnapshotStartsAReaderAfterRetention)
+BOOST_AUTO_TEST_CASE(snapshotInitializesReaderAfterRetention)
 {
     TestLog log;
     log.append("1", dataCentreChange("north", 0));
@@ -238,7 +238,7 @@
     BOOST_TEST(regionOf(reader, "north") == "missed");
 }
 
-BOOST_AUTO_TEST_CASE(snapshotThatAPeersStateWentPastIsStillSeen)
+BOOST_AUTO_TEST_CASE(reportsSnapshotCoveredByPeerState)
 {
     TestLog log;
     log.append("1", dataCentreChange("north", 0));
@@ -256,7 +256,7 @@
     BOOST_TEST(reader.hash() == peer.hash());
 }
 
-BOOST_AUTO_TEST_CASE(nothingTakesAnObjectBack)
+BOOST_AUTO_TEST_CASE(neverRevertsAnObject)
 {
     TestLog log;
     log.append("1", dataCentreChange("north", 0, "old"));
@@ -306,7 +306,7 @@
     BOOST_TEST(reader.isReady());
 }
 
-BOOST_AUTO_TEST_CASE(differingStatesAreToldOf)
+BOOST_AUTO_TEST_CASE(reportsDifferingStates)
 {
     TestLog log;
     log.append("1", dataCentreChange("north", 0));
@@ -321,7 +321,7 @@
     BOOST_TEST(watch.count(EventKind::StateDiffers) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(heldRecordsAreBounded)
+BOOST_AUTO_TEST_CASE(bufferedRecordsAreBounded)
 {
     TestLog log;
     for (int i = 0; i < 10; ++i)
--- a/tests/auto/configuration/tst_reducerorders.cpp
+++ b/tests/auto/configuration/tst_reducerorders.cpp
@@ -107,7 +107,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(everyPathGivesTheStateOfItsOffset)
+BOOST_AUTO_TEST_CASE(everyPathYieldsStateOfItsOffset)
 {
     std::size_t closedGaps = 0;
     for (unsigned seed = 1; seed <= 120; ++seed) {
--- a/tests/auto/configuration/tst_snapshotscheduler.cpp
+++ b/tests/auto/configuration/tst_snapshotscheduler.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(comesAfterTheLastOneByRank)
+BOOST_AUTO_TEST_CASE(isDueAfterLastSnapshotByRank)
 {
     SnapshotScheduler scheduler(options, start);
     BOOST_TEST(!scheduler.isDue(start + 4s, 0));
@@ -29,7 +29,7 @@
     BOOST_TEST(scheduler.isDue(start + 108s, 1));
 }
 
-BOOST_AUTO_TEST_CASE(anAppendWithoutEffectIsTriedAgain)
+BOOST_AUTO_TEST_CASE(retriesAppendWithoutEffect)
 {
     SnapshotScheduler scheduler(options, start);
     scheduler.appendStarted(start + 5s);
