--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -69,10 +69,10 @@
 
 void CacheMover::start()
 {
-    m_deadline = m_options.timers->clock().now() + m_options.longest;
+    m_deadline = m_options.timers->clock().now() + m_options.maxDuration;
     m_moved.nextEvent = m_options.firstEvent;
-    m_timer =
-        m_options.timers->start(m_options.longest, [self = shared_from_this()] { self->finish(); });
+    m_timer = m_options.timers->start(m_options.maxDuration,
+                                      [self = shared_from_this()] { self->finish(); });
     if (m_options.candidates.empty()) {
         m_options.timers->start({}, [self = shared_from_this()] { self->finish(); });
         return;
@@ -118,9 +118,9 @@
     m_events.insert(m_events.end(), read.events.begin(), read.events.end());
     m_moved.nextEvent = std::max(from, read.next);
     const bool hasMore = !read.events.empty() && read.next > from;
-    if (hasMore && ++m_pages < m_options.mostEventPages)
+    if (hasMore && ++m_pages < m_options.maxEventPages)
         return readEvents(read.next);
-    for (std::string &chat : hotChats(m_events, m_options.mostChats))
+    for (std::string &chat : hotChats(m_events, m_options.maxChats))
         m_chats.push_back(std::move(chat));
     pump();
 }
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -45,10 +45,10 @@
         CacheEngine from;
         std::vector<CacheEngine> candidates; ///< Without \a from.
         std::uint64_t firstEvent = 0; ///< Offset of the first cache event to look at.
-        std::size_t mostChats = 64;
+        std::size_t maxChats = 64;
         std::size_t mostRunning = 4;
-        std::size_t mostEventPages = 64;
-        Base::Duration longest = std::chrono::seconds(2);
+        std::size_t maxEventPages = 64;
+        Base::Duration maxDuration = std::chrono::seconds(2);
     };
     struct Moved
     {
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -204,8 +204,8 @@
                             .from = {target.endpoint, target.address, target.capacity},
                             .candidates = migrationCandidates(entry),
                             .firstEvent = entry.nextCacheEvent,
-                            .mostChats = m_options.mostMovedChats,
-                            .longest = m_options.longestMove});
+                            .maxChats = m_options.maxMovedChats,
+                            .maxDuration = m_options.maxMoveDuration});
     const Ticket ticket{.endpoint = target.endpoint, .round = entry.round};
     mover->finished = [this, alive = m_alive, ticket](const CacheMover::Moved &moved) {
         if (!*alive)
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -62,8 +62,8 @@
         Base::Duration checkPeriod = std::chrono::seconds(30); ///< Of engines that are as wanted.
         std::size_t mostRunning = 8; ///< Engines that are dealt with at a time.
         Orders::WeightLoadLimiter::Options weightLoads;
-        Base::Duration longestMove = std::chrono::seconds(2); ///< See CacheMover.
-        std::size_t mostMovedChats = 64;
+        Base::Duration maxMoveDuration = std::chrono::seconds(2); ///< See CacheMover.
+        std::size_t maxMovedChats = 64;
     };
 
     explicit OrderCoordinator(Options options);
