--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -127,7 +127,7 @@
 
 void CacheMover::pump()
 {
-    while (!m_chats.empty() && m_running < m_options.mostRunning) {
+    while (!m_chats.empty() && m_running < m_options.maxConcurrentTransfers) {
         const std::string chat = std::move(m_chats.front());
         m_chats.pop_front();
         ++m_running;
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -46,7 +46,7 @@
         std::vector<CacheEngine> candidates; ///< Without \a from.
         std::uint64_t firstEvent = 0; ///< Offset of the first cache event to look at.
         std::size_t maxChats = 64;
-        std::size_t mostRunning = 4;
+        std::size_t maxConcurrentTransfers = 4;
         std::size_t maxEventPages = 64;
         Base::Duration maxDuration = std::chrono::seconds(2);
     };
