--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -60,7 +60,7 @@
         Base::Duration longestOrder = std::chrono::seconds(5);
         Base::Duration retryPeriod = std::chrono::seconds(1);
         Base::Duration checkPeriod = std::chrono::seconds(30); ///< Of engines that are as wanted.
-        std::size_t mostRunning = 8; ///< Engines that are dealt with at a time.
+        std::size_t maxConcurrentEngines = 8; ///< Engines that are dealt with at a time.
         Orders::WeightLoadLimiter::Options weightLoads;
         Base::Duration maxMoveDuration = std::chrono::seconds(2); ///< See CacheMover.
         std::size_t maxMovedChats = 64;
