--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -70,14 +70,14 @@
 void CacheMover::start()
 {
     m_deadline = m_options.timers->clock().now() + m_options.maxDuration;
-    m_moved.nextEvent = m_options.firstEvent;
+    m_result.nextEventOffset = m_options.firstEventOffset;
     m_timer = m_options.timers->start(m_options.maxDuration,
                                       [self = shared_from_this()] { self->finish(); });
     if (m_options.candidates.empty()) {
         m_options.timers->start({}, [self = shared_from_this()] { self->finish(); });
         return;
     }
-    readEvents(m_options.firstEvent);
+    readEvents(m_options.firstEventOffset);
 }
 
 Base::Duration CacheMover::timeLeft() const
@@ -106,26 +106,26 @@
 void CacheMover::readEvents(std::uint64_t from)
 {
     call(m_options.from, "GET", "/v1/cache/events?from=" + std::to_string(from), {},
-         [this, from](const Http::CallResult &result) { eventsRead(from, result); });
+         [this, from](const Http::CallResult &result) { handleEvents(from, result); });
 }
 
-void CacheMover::eventsRead(std::uint64_t from, const Http::CallResult &result)
+void CacheMover::handleEvents(std::uint64_t from, const Http::CallResult &result)
 {
     const auto page = readCacheEvents(result.body);
     if (!isGood(result) || !page)
         return finish();
     const CacheEventPage &read = page.value();
     m_events.insert(m_events.end(), read.events.begin(), read.events.end());
-    m_moved.nextEvent = std::max(from, read.next);
+    m_result.nextEventOffset = std::max(from, read.next);
     const bool hasMore = !read.events.empty() && read.next > from;
     if (hasMore && ++m_pages < m_options.maxEventPages)
         return readEvents(read.next);
     for (std::string &chat : hotChats(m_events, m_options.maxChats))
         m_chats.push_back(std::move(chat));
-    pump();
+    startTransfers();
 }
 
-void CacheMover::pump()
+void CacheMover::startTransfers()
 {
     while (!m_chats.empty() && m_running < m_options.maxConcurrentTransfers) {
         const std::string chat = std::move(m_chats.front());
@@ -144,7 +144,7 @@
              if (isGood(result))
                  importChat(chat, result.body);
              else
-                 chatEnded(false, 0);
+                 finishChat(false, 0);
          });
 }
 
@@ -153,20 +153,20 @@
     const CacheEngine *home = migrationTarget(chat, m_options.candidates);
     call(*home, "POST", "/v1/cache/import", body,
          [this, bytes = body.size()](const Http::CallResult &result) {
-             chatEnded(isGood(result), bytes);
+             finishChat(isGood(result), bytes);
          });
 }
 
-void CacheMover::chatEnded(bool isMoved, std::size_t bytes)
+void CacheMover::finishChat(bool isMoved, std::size_t bytes)
 {
     --m_running;
     if (isMoved) {
-        ++m_moved.chats;
-        m_moved.bytes += bytes;
+        ++m_result.chats;
+        m_result.bytes += bytes;
     } else {
-        ++m_moved.failures;
+        ++m_result.failures;
     }
-    pump();
+    startTransfers();
 }
 
 void CacheMover::finish()
@@ -175,7 +175,7 @@
         return;
     m_options.timers->cancel(m_timer);
     if (finished)
-        finished(m_moved);
+        finished(m_result);
 }
 
 } // namespace Lagoonbank::Controller
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -44,33 +44,33 @@
         EndpointCalls::MaySend maySend;
         CacheEngine from;
         std::vector<CacheEngine> candidates; ///< Without \a from.
-        std::uint64_t firstEvent = 0; ///< Offset of the first cache event to look at.
+        std::uint64_t firstEventOffset = 0; ///< Offset of the first cache event to look at.
         std::size_t maxChats = 64;
         std::size_t maxConcurrentTransfers = 4;
         std::size_t maxEventPages = 64;
         Base::Duration maxDuration = std::chrono::seconds(2);
     };
-    struct Moved
+    struct MoveResult
     {
         std::size_t chats = 0;
         std::size_t failures = 0;
         std::uint64_t bytes = 0;
-        std::uint64_t nextEvent = 0; ///< Where to look on for what was cached since.
+        std::uint64_t nextEventOffset = 0; ///< Where to look on for what was cached since.
     };
 
     explicit CacheMover(Options options);
 
     /// Called once, when all is moved or time is up.
-    std::function<void(const Moved &moved)> finished;
+    std::function<void(const MoveResult &moved)> finished;
     void start();
 
 private:
     void readEvents(std::uint64_t from);
-    void eventsRead(std::uint64_t from, const Http::CallResult &result);
-    void pump();
+    void handleEvents(std::uint64_t from, const Http::CallResult &result);
+    void startTransfers();
     void exportChat(const std::string &chat);
     void importChat(const std::string &chat, const std::string &body);
-    void chatEnded(bool isMoved, std::size_t bytes);
+    void finishChat(bool isMoved, std::size_t bytes);
     void finish();
     void call(const CacheEngine &home, std::string method, std::string target, std::string body,
               std::function<void(const Http::CallResult &)> ended);
@@ -82,7 +82,7 @@
     std::size_t m_pages = 0;
     std::deque<std::string> m_chats;
     std::size_t m_running = 0;
-    Moved m_moved;
+    MoveResult m_result;
     bool m_isFinished = false;
     Runtime::TimerId m_timer;
 };
--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -304,7 +304,7 @@
         m_metrics.orderFailures.increment();
         m_logger.warning("Endpoint {}: {}.", target.endpoint, why);
     };
-    m_orders->cacheMoved = [this](const OrderTarget &target, const CacheMover::Moved &moved) {
+    m_orders->cacheMoved = [this](const OrderTarget &target, const CacheMover::MoveResult &moved) {
         m_metrics.movedChats.increment(static_cast<double>(moved.chats));
         m_metrics.movedBytes.increment(static_cast<double>(moved.bytes));
         if (moved.chats == 0)
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -203,11 +203,11 @@
                                 },
                             .from = {target.endpoint, target.address, target.capacity},
                             .candidates = migrationCandidates(entry),
-                            .firstEvent = entry.nextCacheEvent,
+                            .firstEventOffset = entry.nextCacheEventOffset,
                             .maxChats = m_options.maxMovedChats,
                             .maxDuration = m_options.maxMoveDuration});
     const Ticket ticket{.endpoint = target.endpoint, .round = entry.round};
-    mover->finished = [this, alive = m_alive, ticket](const CacheMover::Moved &moved) {
+    mover->finished = [this, alive = m_alive, ticket](const CacheMover::MoveResult &moved) {
         if (!*alive)
             return;
         if (Entry *waiting = take(ticket))
@@ -216,10 +216,10 @@
     mover->start();
 }
 
-void OrderCoordinator::cacheWasMoved(Entry &entry, const CacheMover::Moved &moved)
+void OrderCoordinator::cacheWasMoved(Entry &entry, const CacheMover::MoveResult &moved)
 {
     entry.isLateCacheMoved = std::exchange(entry.isCacheMoved, true);
-    entry.nextCacheEvent = moved.nextEvent;
+    entry.nextCacheEventOffset = moved.nextEventOffset;
     // The state is read again, since the moving took a while.
     checkAgain(entry, {});
     if (cacheMoved)
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -89,7 +89,7 @@
     std::function<void(const OrderTarget &target)> orderDone;
     std::function<void(const OrderTarget &target, int status)> orderRefused;
     std::function<void(const OrderTarget &target, const std::string &why)> failed;
-    std::function<void(const OrderTarget &target, const CacheMover::Moved &moved)> cacheMoved;
+    std::function<void(const OrderTarget &target, const CacheMover::MoveResult &moved)> cacheMoved;
     /// Nothing is in flight any more on an engine that was ordered to drain; it may be stopped.
     std::function<void(const OrderTarget &target)> drained;
 
@@ -105,7 +105,7 @@
         bool isCacheMoved = false; ///< Before the order to drain.
         bool isLateCacheMoved = false; ///< Of what was in flight then.
         bool isDrained = false;
-        std::uint64_t nextCacheEvent = 0;
+        std::uint64_t nextCacheEventOffset = 0;
         std::string weightsFor; ///< Id of the order that the weight store gave weights out for.
     };
     /// Which entry a call belongs to, and to which wish for it.
@@ -121,7 +121,7 @@
     void converged(Entry &entry, bool isLoading);
     void advance(Entry &entry, const Orders::Order &order, const StateAnswer &seen);
     void moveCache(Entry &entry);
-    void cacheWasMoved(Entry &entry, const CacheMover::Moved &moved);
+    void cacheWasMoved(Entry &entry, const CacheMover::MoveResult &moved);
     void readLoad(Entry &entry);
     void loadRead(const Ticket &ticket, const Http::CallResult &result);
     void fetchWeights(Entry &entry, const Orders::Order &order, const StateAnswer &seen);
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -31,7 +31,7 @@
         }
         desk.orderDone = [this](const OrderTarget &) { ++done; };
         desk.orderRefused = [this](const OrderTarget &, int status) { refusals.push_back(status); };
-        desk.cacheMoved = [this](const OrderTarget &, const CacheMover::Moved &moved) {
+        desk.cacheMoved = [this](const OrderTarget &, const CacheMover::MoveResult &moved) {
             movedChats += moved.chats;
         };
         desk.start();
