--- a/src/libs/controller/leasecoordinator.cpp
+++ b/src/libs/controller/leasecoordinator.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr Base::Duration turnInterval = std::chrono::milliseconds(100);
+constexpr Base::Duration tickInterval = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -38,7 +38,7 @@
 void LeaseCoordinator::start()
 {
     m_tailer.start();
-    turn();
+    tick();
 }
 
 void LeaseCoordinator::recordRead(const PlatformClient::StoredRecord &stored)
@@ -55,9 +55,9 @@
                           [](const PlatformClient::AppendResult &) {});
 }
 
-void LeaseCoordinator::turn()
+void LeaseCoordinator::tick()
 {
-    m_timer = m_options.timers->start(turnInterval, [this] { turn(); });
+    m_timer = m_options.timers->start(tickInterval, [this] { tick(); });
     if (m_tailer.health().isUp && m_tailer.isCaughtUp())
         m_keeper.caughtUp(m_logFirst);
     else
--- a/src/libs/controller/leasecoordinator.h
+++ b/src/libs/controller/leasecoordinator.h
@@ -49,7 +49,7 @@
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
     void recordRead(const PlatformClient::StoredRecord &stored);
     void append(const std::string &id, const Orders::LeaseRecord &record);
-    void turn();
+    void tick();
 
     Options m_options;
     Orders::LeaseKeeper m_keeper;
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Base::Duration turnInterval = std::chrono::milliseconds(100);
+constexpr Base::Duration tickInterval = std::chrono::milliseconds(100);
 /// How often an engine that loads weights is looked at.
 constexpr Base::Duration loadingPeriod = std::chrono::seconds(1);
 /// How long the weight store is left alone after it failed.
@@ -32,7 +32,7 @@
 
 void OrderCoordinator::start()
 {
-    turn();
+    tick();
 }
 
 void OrderCoordinator::setTargets(const std::vector<OrderTarget> &targets)
@@ -70,9 +70,9 @@
                       [](const auto &entry) { return !entry.second.isConverged; }));
 }
 
-void OrderCoordinator::turn()
+void OrderCoordinator::tick()
 {
-    m_timer = m_options.timers->start(turnInterval, [this] { turn(); });
+    m_timer = m_options.timers->start(tickInterval, [this] { tick(); });
     if (m_isStopped)
         return;
     auto running = static_cast<std::size_t>(std::count_if(
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -115,7 +115,7 @@
         std::uint64_t round = 0;
     };
 
-    void turn();
+    void tick();
     void readState(Entry &entry);
     void stateRead(const Ticket &ticket, const Http::CallResult &result);
     void converged(Entry &entry, bool isLoading);
--- a/src/libs/controller/prober.cpp
+++ b/src/libs/controller/prober.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Base::Duration turnInterval = std::chrono::milliseconds(100);
+constexpr Base::Duration tickInterval = std::chrono::milliseconds(100);
 constexpr int httpOk = 200;
 constexpr std::size_t maxAnswerBytes = 16 * 1024;
 
@@ -24,7 +24,7 @@
 
 void Prober::start()
 {
-    turn();
+    tick();
 }
 
 void Prober::setTargets(const std::vector<Target> &targets)
@@ -40,9 +40,9 @@
     m_options.schedule.period = period;
 }
 
-void Prober::turn()
+void Prober::tick()
 {
-    m_timer = m_options.timers->start(turnInterval, [this] { turn(); });
+    m_timer = m_options.timers->start(tickInterval, [this] { tick(); });
     std::vector<Base::EndpointId> endpoints;
     endpoints.reserve(m_targets.size());
     for (const auto &[endpoint, target] : m_targets)
--- a/src/libs/controller/prober.h
+++ b/src/libs/controller/prober.h
@@ -58,7 +58,7 @@
     std::size_t share() const { return m_share; }
 
 private:
-    void turn();
+    void tick();
     void probe(const Target &target);
     void ended(const Base::EndpointId &endpoint, Base::MonoTime sentAt,
                const Http::CallResult &result);
--- a/src/libs/controller/snapshotwriter.cpp
+++ b/src/libs/controller/snapshotwriter.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Base::Duration turnInterval = std::chrono::milliseconds(500);
+constexpr Base::Duration tickInterval = std::chrono::milliseconds(500);
 
 /// What became of the parts of one snapshot.
 struct Progress
@@ -30,7 +30,7 @@
 
 void SnapshotWriter::start()
 {
-    turn();
+    tick();
 }
 
 void SnapshotWriter::snapshotSeen()
@@ -38,9 +38,9 @@
     m_scheduler.snapshotSeen(m_options.timers->clock().now());
 }
 
-void SnapshotWriter::turn()
+void SnapshotWriter::tick()
 {
-    m_timer = m_options.timers->start(turnInterval, [this] { turn(); });
+    m_timer = m_options.timers->start(tickInterval, [this] { tick(); });
     const auto rank = m_options.rank();
     const Base::MonoTime now = m_options.timers->clock().now();
     if (!rank || !m_options.reducer->canWriteSnapshot() || !m_scheduler.isDue(now, *rank))
--- a/src/libs/controller/snapshotwriter.h
+++ b/src/libs/controller/snapshotwriter.h
@@ -41,7 +41,7 @@
     std::function<void(const std::string &id)> failed;
 
 private:
-    void turn();
+    void tick();
     void write();
 
     Options m_options;
