--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -228,7 +228,7 @@
         .timers = &m_loop.timers(),
         .calls = httpEndpointCalls(m_loop, m_client),
         .member = m_peers->membership().self().id,
-        .spend = [this](std::size_t bytes) {
+        .takeFromBudget = [this](std::size_t bytes) {
             return m_peers->budget().take(Membership::ControlPriority::Load,
                                           Membership::ControlTraffic::Probe, bytes, now());
         }});
@@ -269,7 +269,7 @@
                    OrderCoordinator::WeightsFetched fetched) {
                 m_weightStore->fetch(model, version, std::move(fetched));
             },
-        .spend =
+        .takeFromBudget =
             [this](std::size_t bytes) {
                 return m_peers->budget().take(Membership::ControlPriority::Configuration,
                                               Membership::ControlTraffic::Probe, bytes, now());
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -81,7 +81,7 @@
         const bool isDue = !entry.isBusy && now() >= entry.checkAt;
         if (!isDue || !m_options.mayOrder(entry.target.checksFencing))
             continue;
-        if (running >= m_options.maxConcurrentEngines || !m_options.spend(bytesPerCheck))
+        if (running >= m_options.maxConcurrentEngines || !m_options.takeFromBudget(bytesPerCheck))
             return;
         ++running;
         readState(entry);
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -55,7 +55,7 @@
                            WeightsFetched fetched)>
             fetchWeights;
         /// Takes bytes from the control budget; false if it has none left.
-        std::function<bool(std::size_t bytes)> spend;
+        std::function<bool(std::size_t bytes)> takeFromBudget;
         /// By when an order has taken effect or never will.
         Base::Duration longestOrder = std::chrono::seconds(5);
         Base::Duration retryPeriod = std::chrono::seconds(1);
--- a/src/libs/controller/prober.cpp
+++ b/src/libs/controller/prober.cpp
@@ -55,7 +55,7 @@
         Base::MonoTime &due = m_dueAt[endpoint];
         if (now < due || m_running.contains(endpoint))
             continue;
-        if (!m_options.spend(static_cast<std::size_t>(m_options.schedule.bytesPerProbe))) {
+        if (!m_options.takeFromBudget(static_cast<std::size_t>(m_options.schedule.bytesPerProbe))) {
             if (putOff)
                 putOff();
             return;
--- a/src/libs/controller/prober.h
+++ b/src/libs/controller/prober.h
@@ -30,7 +30,7 @@
         EndpointCalls calls;
         std::string member; ///< This process.
         /// Takes bytes from the control budget; false if it has none left.
-        std::function<bool(std::size_t bytes)> spend;
+        std::function<bool(std::size_t bytes)> takeFromBudget;
         Orders::ProbeSchedule::Options schedule;
         Base::Duration timeout = std::chrono::seconds(1);
     };
--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -40,12 +40,12 @@
         , orders({.timers = &timers,
                   .calls = engines.calls(&isPaused),
                   .mayOrder = [this](bool checks) { return lease.mayOrder(checks); },
-                  .spend = [](std::size_t) { return true; },
+                  .takeFromBudget = [](std::size_t) { return true; },
                   .longestOrder = longestOrder})
         , prober({.timers = &timers,
                   .calls = engines.calls(&isPaused),
                   .member = name,
-                  .spend = [](std::size_t) { return true; }})
+                  .takeFromBudget = [](std::size_t) { return true; }})
     {
         lease.gained = [this](Base::FencingNumber) { orders.leaseGained(); };
         prober.reported = [this](const Base::EndpointId &, const LoadAnswer &, Base::MonoTime) {
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -85,7 +85,7 @@
                          weightsFetched(Errors::makeError(Errors::ErrorKind::EndpointRefused));
                  });
              },
-         .spend = [](std::size_t) { return true; }}};
+         .takeFromBudget = [](std::size_t) { return true; }}};
 };
 
 std::size_t count(const FakeEngines::Engine &engine, const std::string &request)
--- a/tests/auto/controller/tst_prober.cpp
+++ b/tests/auto/controller/tst_prober.cpp
@@ -26,11 +26,13 @@
             targets.push_back({Base::EndpointId("e" + std::to_string(i)),
                                {"10.0.0.1", static_cast<std::uint16_t>(i)}});
         for (const std::string &name : names) {
-            probers.push_back(std::make_unique<Prober>(Prober::Options{
-                .timers = &timers,
-                .calls = engines.calls(),
-                .member = name,
-                .spend = [this](std::size_t bytes) { return hasBudget && (spent += bytes) > 0; }}));
+            probers.push_back(std::make_unique<Prober>(
+                Prober::Options{.timers = &timers,
+                                .calls = engines.calls(),
+                                .member = name,
+                                .takeFromBudget = [this](std::size_t bytes) {
+                                    return hasBudget && (spent += bytes) > 0;
+                                }}));
             Prober &prober = *probers.back();
             prober.setMembers(names);
             prober.setTargets(targets);
