--- a/src/libs/controller/controllermetrics.h
+++ b/src/libs/controller/controllermetrics.h
@@ -20,7 +20,7 @@
     Metrics::Gauge probedEndpoints = registry.gauge("lagoonbank_probed_endpoints");
     Metrics::Counter probes = registry.counter("lagoonbank_probes_total");
     Metrics::Counter probeFailures = registry.counter("lagoonbank_probe_failures_total");
-    Metrics::Counter probesPutOff = registry.counter("lagoonbank_probes_put_off_total");
+    Metrics::Counter probesDeferred = registry.counter("lagoonbank_probes_put_off_total");
     Metrics::Gauge ordersPending = registry.gauge("lagoonbank_orders_pending");
     Metrics::Counter ordersSent = registry.counter("lagoonbank_orders_sent_total");
     Metrics::Counter ordersRefused = registry.counter("lagoonbank_orders_refused_total");
--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -232,7 +232,7 @@
             return m_peers->budget().take(Membership::ControlPriority::Load,
                                           Membership::ControlTraffic::Probe, bytes, now());
         }});
-    m_prober->putOff = [this] { m_metrics.probesPutOff.increment(); };
+    m_prober->deferred = [this] { m_metrics.probesDeferred.increment(); };
     m_prober->reported = [this](const Base::EndpointId &endpoint, const LoadAnswer &load,
                                 Base::MonoTime sampledAt) {
         m_metrics.probes.increment();
--- a/src/libs/controller/prober.cpp
+++ b/src/libs/controller/prober.cpp
@@ -56,8 +56,8 @@
         if (now < due || m_running.contains(endpoint))
             continue;
         if (!m_options.takeFromBudget(static_cast<std::size_t>(m_options.schedule.bytesPerProbe))) {
-            if (putOff)
-                putOff();
+            if (deferred)
+                deferred();
             return;
         }
         due = now + mine.period;
--- a/src/libs/controller/prober.h
+++ b/src/libs/controller/prober.h
@@ -52,7 +52,7 @@
         reported;
     std::function<void(const Base::EndpointId &endpoint, const std::string &why)> failed;
     /// A probe waits because the budget is spent.
-    std::function<void()> putOff;
+    std::function<void()> deferred;
 
     /// Endpoints that this process probes at present.
     std::size_t share() const { return m_share; }
--- a/tests/auto/controller/tst_prober.cpp
+++ b/tests/auto/controller/tst_prober.cpp
@@ -101,15 +101,15 @@
 BOOST_AUTO_TEST_CASE(probesWaitWhileTheBudgetIsSpent)
 {
     Bench bench(1, 3);
-    int putOff = 0;
-    bench.probers[0]->putOff = [&] { ++putOff; };
+    int deferred = 0;
+    bench.probers[0]->deferred = [&] { ++deferred; };
     bench.run(2s);
     bench.hasBudget = false;
     const std::map<Base::EndpointId, int> before = bench.reports;
     BOOST_TEST(before.size() == 3U);
     bench.run(5s);
     BOOST_TEST((bench.reports == before));
-    BOOST_TEST(putOff > 0);
+    BOOST_TEST(deferred > 0);
     bench.hasBudget = true;
     bench.run(2s);
     for (const auto &[endpoint, reports] : bench.reports)
