--- a/src/libs/controller/controlleradmin.cpp
+++ b/src/libs/controller/controlleradmin.cpp
@@ -42,7 +42,7 @@
     metrics.members.set(static_cast<double>(
         m_sources.peers->membership().usableMembers(m_sources.clock->now(), true).size()));
     metrics.leaseHeld.set(m_sources.lease->mayOrder(true) ? 1 : 0);
-    metrics.probedEndpoints.set(static_cast<double>(m_sources.prober->share()));
+    metrics.probedEndpoints.set(static_cast<double>(m_sources.prober->probedEndpointCount()));
     metrics.ordersPending.set(static_cast<double>(ordersPending()));
     return {.contentType = std::string(Metrics::Registry::textType),
             .body = metrics.registry.text()};
@@ -68,7 +68,7 @@
          {"members", Node::membersJson(*m_sources.peers, m_sources.clock->now())},
          {"lease", std::move(leaseJson)},
          {"orders_pending", ordersPending()},
-         {"probed_endpoints", m_sources.prober->share()}});
+         {"probed_endpoints", m_sources.prober->probedEndpointCount()}});
 }
 
 } // namespace Lagoonbank::Controller
--- a/src/libs/controller/prober.cpp
+++ b/src/libs/controller/prober.cpp
@@ -49,7 +49,7 @@
         endpoints.push_back(endpoint);
     const Orders::ProbeSchedule schedule(m_options.schedule);
     const auto mine = schedule.probesOf(m_options.member, m_members, endpoints);
-    m_share = mine.endpoints.size();
+    m_probedEndpointCount = mine.endpoints.size();
     const Base::MonoTime now = m_options.timers->clock().now();
     for (const Base::EndpointId &endpoint : mine.endpoints) {
         Base::MonoTime &due = m_dueAt[endpoint];
--- a/src/libs/controller/prober.h
+++ b/src/libs/controller/prober.h
@@ -55,7 +55,7 @@
     std::function<void()> deferred;
 
     /// Endpoints that this process probes at present.
-    std::size_t share() const { return m_share; }
+    std::size_t probedEndpointCount() const { return m_probedEndpointCount; }
 
 private:
     void tick();
@@ -68,7 +68,7 @@
     std::map<Base::EndpointId, Target> m_targets;
     std::map<Base::EndpointId, Base::MonoTime> m_running;
     std::map<Base::EndpointId, Base::MonoTime> m_dueAt;
-    std::size_t m_share = 0;
+    std::size_t m_probedEndpointCount = 0;
     Runtime::TimerId m_timer;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For calls that outlive it.
 };
--- a/tests/auto/controller/tst_prober.cpp
+++ b/tests/auto/controller/tst_prober.cpp
@@ -86,7 +86,7 @@
             BOOST_TEST(bench.reports.size() == static_cast<std::size_t>(each.endpoints));
             std::size_t shares = 0;
             for (const auto &prober : bench.probers)
-                shares += prober->share();
+                shares += prober->probedEndpointCount();
             BOOST_TEST(shares
                        == static_cast<std::size_t>(each.endpoints * std::min(each.members, 2)));
             constexpr double mostBytesPerSecond = 1500;
