--- a/src/libs/controller/prober.cpp
+++ b/src/libs/controller/prober.cpp
@@ -32,7 +32,8 @@
     m_targets.clear();
     for (const Target &target : targets)
         m_targets.emplace(target.endpoint, target);
-    std::erase_if(m_dueAt, [this](const auto &due) { return !m_targets.contains(due.first); });
+    std::erase_if(m_nextProbeAt,
+                  [this](const auto &due) { return !m_targets.contains(due.first); });
 }
 
 void Prober::setPeriod(Base::Duration period)
@@ -52,8 +53,8 @@
     m_probedEndpointCount = mine.endpoints.size();
     const Base::MonoTime now = m_options.timers->clock().now();
     for (const Base::EndpointId &endpoint : mine.endpoints) {
-        Base::MonoTime &due = m_dueAt[endpoint];
-        if (now < due || m_running.contains(endpoint))
+        Base::MonoTime &due = m_nextProbeAt[endpoint];
+        if (now < due || m_inFlight.contains(endpoint))
             continue;
         if (!m_options.takeFromBudget(static_cast<std::size_t>(m_options.schedule.bytesPerProbe))) {
             if (deferred)
@@ -68,7 +69,7 @@
 void Prober::probe(const Target &target)
 {
     const Base::MonoTime sentAt = m_options.timers->clock().now();
-    m_running[target.endpoint] = sentAt;
+    m_inFlight[target.endpoint] = sentAt;
     Http::Call call{.server = target.address,
                     .target = "/v1/load",
                     .connectTimeout = m_options.timeout,
@@ -80,14 +81,14 @@
         std::move(call), [] { return true; },
         [this, alive = m_alive, endpoint = target.endpoint, sentAt](const auto &result) {
             if (*alive)
-                ended(endpoint, sentAt, result);
+                handleResult(endpoint, sentAt, result);
         });
 }
 
-void Prober::ended(const Base::EndpointId &endpoint, Base::MonoTime sentAt,
-                   const Http::CallResult &result)
+void Prober::handleResult(const Base::EndpointId &endpoint, Base::MonoTime sentAt,
+                          const Http::CallResult &result)
 {
-    m_running.erase(endpoint);
+    m_inFlight.erase(endpoint);
     if (!m_targets.contains(endpoint))
         return;
     const auto load = readLoadAnswer(result.body);
--- a/src/libs/controller/prober.h
+++ b/src/libs/controller/prober.h
@@ -60,14 +60,14 @@
 private:
     void tick();
     void probe(const Target &target);
-    void ended(const Base::EndpointId &endpoint, Base::MonoTime sentAt,
-               const Http::CallResult &result);
+    void handleResult(const Base::EndpointId &endpoint, Base::MonoTime sentAt,
+                      const Http::CallResult &result);
 
     Options m_options;
     std::vector<std::string> m_members;
     std::map<Base::EndpointId, Target> m_targets;
-    std::map<Base::EndpointId, Base::MonoTime> m_running;
-    std::map<Base::EndpointId, Base::MonoTime> m_dueAt;
+    std::map<Base::EndpointId, Base::MonoTime> m_inFlight;
+    std::map<Base::EndpointId, Base::MonoTime> m_nextProbeAt;
     std::size_t m_probedEndpointCount = 0;
     Runtime::TimerId m_timer;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For calls that outlive it.
