--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -381,7 +381,7 @@
     if (m_isStopping)
         return;
     m_isStopping = true;
-    m_logger.info("Stopping; {} orders are under way.", m_orders->underWay());
+    m_logger.info("Stopping; {} orders are under way.", m_orders->ordersInFlight());
     noteEvent(EventType::ProcessDraining, {.subject = m_settings.vm.value()});
     m_orders->stop();
     m_lease->setCandidate(false);
@@ -394,9 +394,9 @@
 {
     constexpr Base::Duration interval = std::chrono::milliseconds(50);
     // An order may take effect for a while after it was sent; the next holder must not come first.
-    if (m_orders->underWay() == 0)
+    if (m_orders->ordersInFlight() == 0)
         m_lease->release();
-    const bool isIdle = m_orders->underWay() == 0 && !m_lease->isReleasing();
+    const bool isIdle = m_orders->ordersInFlight() == 0 && !m_lease->isReleasing();
     if (isIdle || now() >= m_stopBy) {
         m_logger.info("Stopped.");
         m_loop.stop();
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -330,7 +330,7 @@
         return;
     entry.isBusy = true;
     entry.wasOrdered = true;
-    ++m_underWay;
+    ++m_ordersInFlight;
     Http::Call call = callOf(entry);
     call.method = "POST";
     call.target = "/v1/order";
@@ -352,7 +352,7 @@
 
 void OrderCoordinator::orderEnded(const Ticket &ticket, const Http::CallResult &result)
 {
-    --m_underWay;
+    --m_ordersInFlight;
     Entry *entry = take(ticket);
     if (!entry)
         return;
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -78,7 +78,7 @@
     /// No new orders from now on.
     void stop() { m_isStopped = true; }
     /// Orders whose fate is not known.
-    std::size_t underWay() const { return m_underWay; }
+    std::size_t ordersInFlight() const { return m_ordersInFlight; }
     /// Engines that are not known to be as wanted.
     std::size_t pending() const;
 
@@ -139,7 +139,7 @@
     Orders::WeightLoadLimiter m_weightLoads;
     std::map<Base::EndpointId, Entry> m_entries;
     std::set<Base::EndpointId> m_loading; ///< Engines that load weights, or are about to.
-    std::size_t m_underWay = 0;
+    std::size_t m_ordersInFlight = 0;
     bool m_isStopped = false;
     Runtime::TimerId m_timer;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For calls that outlive it.
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -145,7 +145,7 @@
         BOOST_TEST(bench.engine(0).state["role"] == "prefill");
         BOOST_TEST(bench.engine(0).orders.size() == 1U);
         BOOST_TEST(bench.done == 1);
-        BOOST_TEST(bench.desk.underWay() == 0U);
+        BOOST_TEST(bench.desk.ordersInFlight() == 0U);
     }
 }
 
@@ -361,5 +361,5 @@
     bench.desk.stop(); // The state is being read.
     bench.run(5s);
     BOOST_TEST(bench.engine(0).orders.empty());
-    BOOST_TEST(bench.desk.underWay() == 0U);
+    BOOST_TEST(bench.desk.ordersInFlight() == 0U);
 }
