--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -44,12 +44,12 @@
         if (entry.target == target)
             continue;
         entry.target = target;
-        ++entry.round;
+        ++entry.generation;
         entry.isConverged = false;
-        entry.checkAt = now();
+        entry.nextCheckAt = now();
         if (target.desired.draining.value_or(false))
             continue;
-        entry.isCacheMoved = entry.isLateCacheMoved = entry.isDrained = false;
+        entry.isCacheMoved = entry.isRemainingCacheMoved = entry.isDrained = false;
     }
     std::erase_if(m_entries, [&](const auto &entry) { return !wanted.contains(entry.first); });
     std::erase_if(m_loading, [&](const auto &endpoint) { return !wanted.contains(endpoint); });
@@ -59,7 +59,7 @@
 {
     for (auto &[endpoint, entry] : m_entries) {
         entry.isConverged = false;
-        entry.checkAt = now();
+        entry.nextCheckAt = now();
     }
 }
 
@@ -78,7 +78,7 @@
     auto running = static_cast<std::size_t>(std::count_if(
         m_entries.begin(), m_entries.end(), [](const auto &entry) { return entry.second.isBusy; }));
     for (auto &[endpoint, entry] : m_entries) {
-        const bool isDue = !entry.isBusy && now() >= entry.checkAt;
+        const bool isDue = !entry.isBusy && now() >= entry.nextCheckAt;
         if (!isDue || !m_options.mayOrder(entry.target.checksFencing))
             continue;
         if (running >= m_options.maxConcurrentEngines || !m_options.takeFromBudget(bytesPerCheck))
@@ -88,7 +88,7 @@
     }
 }
 
-Http::Call OrderCoordinator::callOf(const Entry &entry) const
+Http::Call OrderCoordinator::makeCall(const Entry &entry) const
 {
     // An order that has not been answered by then counts as lost. It may still take effect for a
     // while, which longestOrder allows for.
@@ -104,9 +104,9 @@
 void OrderCoordinator::readState(Entry &entry)
 {
     entry.isBusy = true;
-    Http::Call call = callOf(entry);
+    Http::Call call = makeCall(entry);
     call.target = "/v1/state";
-    const Ticket ticket{.endpoint = entry.target.endpoint, .round = entry.round};
+    const Ticket ticket{.endpoint = entry.target.endpoint, .generation = entry.generation};
     m_options.calls.start(
         std::move(call), [] { return true; },
         [this, alive = m_alive, ticket](const Http::CallResult &result) {
@@ -115,25 +115,25 @@
         });
 }
 
-OrderCoordinator::Entry *OrderCoordinator::take(const Ticket &ticket)
+OrderCoordinator::Entry *OrderCoordinator::finishCall(const Ticket &ticket)
 {
     const auto found = m_entries.find(ticket.endpoint);
     if (found == m_entries.end())
         return nullptr;
     Entry &entry = found->second;
     entry.isBusy = false;
-    if (entry.round == ticket.round)
+    if (entry.generation == ticket.generation)
         return &entry;
-    entry.checkAt = now();
+    entry.nextCheckAt = now();
     return nullptr;
 }
 
 void OrderCoordinator::checkAgain(Entry &entry, Base::Duration delay)
 {
-    entry.checkAt = now() + delay;
+    entry.nextCheckAt = now() + delay;
 }
 
-void OrderCoordinator::report(const Entry &entry, const std::string &why) const
+void OrderCoordinator::reportFailure(const Entry &entry, const std::string &why) const
 {
     if (failed)
         failed(entry.target, why);
@@ -141,7 +141,7 @@
 
 void OrderCoordinator::stateRead(const Ticket &ticket, const Http::CallResult &result)
 {
-    Entry *entry = take(ticket);
+    Entry *entry = finishCall(ticket);
     if (!entry)
         return;
     checkAgain(*entry, m_options.retryPeriod);
@@ -151,12 +151,12 @@
         // It may be gone; the others of its model need not wait for it.
         m_loading.erase(ticket.endpoint);
         m_weightLoads.finished(ticket.endpoint);
-        return report(*entry, "its state could not be read");
+        return reportFailure(*entry, "its state could not be read");
     }
     const auto order = Orders::planOrder(ticket.endpoint, entry->target.desired,
                                          seen.value().settings, entry->target.revision);
     if (order)
-        advance(*entry, *order, seen.value());
+        reconcile(*entry, *order, seen.value());
     else
         converged(*entry, seen.value().isLoading);
 }
@@ -169,7 +169,7 @@
     }
     m_loading.erase(entry.target.endpoint);
     m_weightLoads.finished(entry.target.endpoint);
-    entry.weightsFor.clear();
+    entry.weightsOrderId.clear();
     entry.isConverged = true;
     checkAgain(entry, m_options.checkPeriod);
     if (std::exchange(entry.wasOrdered, false) && orderDone)
@@ -178,14 +178,14 @@
         readLoad(entry);
 }
 
-void OrderCoordinator::advance(Entry &entry, const Orders::Order &order, const StateAnswer &seen)
+void OrderCoordinator::reconcile(Entry &entry, const Orders::Order &order, const StateAnswer &seen)
 {
     entry.isConverged = false;
     if (m_isStopped)
         return;
     if (order.set.draining.value_or(false) && !entry.isCacheMoved)
         return moveCache(entry);
-    if (order.loadsWeights && entry.weightsFor != order.id)
+    if (order.loadsWeights && entry.weightsOrderId != order.id)
         return fetchWeights(entry, order, seen);
     sendOrder(entry, order);
 }
@@ -206,19 +206,19 @@
                             .firstEventOffset = entry.nextCacheEventOffset,
                             .maxChats = m_options.maxMovedChats,
                             .maxDuration = m_options.maxMoveDuration});
-    const Ticket ticket{.endpoint = target.endpoint, .round = entry.round};
+    const Ticket ticket{.endpoint = target.endpoint, .generation = entry.generation};
     mover->finished = [this, alive = m_alive, ticket](const CacheMover::MoveResult &moved) {
         if (!*alive)
             return;
-        if (Entry *waiting = take(ticket))
-            cacheWasMoved(*waiting, moved);
+        if (Entry *waiting = finishCall(ticket))
+            handleCacheMoved(*waiting, moved);
     };
     mover->start();
 }
 
-void OrderCoordinator::cacheWasMoved(Entry &entry, const CacheMover::MoveResult &moved)
+void OrderCoordinator::handleCacheMoved(Entry &entry, const CacheMover::MoveResult &moved)
 {
-    entry.isLateCacheMoved = std::exchange(entry.isCacheMoved, true);
+    entry.isRemainingCacheMoved = std::exchange(entry.isCacheMoved, true);
     entry.nextCacheEventOffset = moved.nextEventOffset;
     // The state is read again, since the moving took a while.
     checkAgain(entry, {});
@@ -229,9 +229,9 @@
 void OrderCoordinator::readLoad(Entry &entry)
 {
     entry.isBusy = true;
-    Http::Call call = callOf(entry);
+    Http::Call call = makeCall(entry);
     call.target = "/v1/load";
-    const Ticket ticket{.endpoint = entry.target.endpoint, .round = entry.round};
+    const Ticket ticket{.endpoint = entry.target.endpoint, .generation = entry.generation};
     m_options.calls.start(
         std::move(call), [] { return true; },
         [this, alive = m_alive, ticket](const Http::CallResult &result) {
@@ -242,7 +242,7 @@
 
 void OrderCoordinator::loadRead(const Ticket &ticket, const Http::CallResult &result)
 {
-    Entry *entry = take(ticket);
+    Entry *entry = finishCall(ticket);
     if (!entry)
         return;
     checkAgain(*entry, m_options.retryPeriod);
@@ -251,7 +251,7 @@
         return;
     const std::size_t inFlight = load.value().running + load.value().queued;
     // What was in flight at the order may have left chats in the cache since.
-    const bool hasLateChats = inFlight == 0 && !entry->isLateCacheMoved;
+    const bool hasLateChats = inFlight == 0 && !entry->isRemainingCacheMoved;
     const Orders::DrainView view{
         .isDraining = true, .chatsToExport = hasLateChats ? 1U : 0U, .inFlight = inFlight};
     // The mover keeps to a time of its own.
@@ -297,11 +297,11 @@
     m_loading.insert(endpoint);
     const auto &version = order.set.version ? order.set.version : seen.settings.version;
     if (!version || version->empty()) {
-        entry.weightsFor = order.id;
+        entry.weightsOrderId = order.id;
         return checkAgain(entry, {});
     }
     entry.isBusy = true;
-    const Ticket ticket{.endpoint = endpoint, .round = entry.round};
+    const Ticket ticket{.endpoint = endpoint, .generation = entry.generation};
     m_options.fetchWeights(
         entry.target.model, *version,
         [this, alive = m_alive, ticket, id = order.id](const Errors::Result<Base::Bytes> &size) {
@@ -311,14 +311,14 @@
                 m_weightLoads.refused(ticket.endpoint, weightsRetry, now());
                 m_loading.erase(ticket.endpoint);
             }
-            Entry *waiting = take(ticket);
+            Entry *waiting = finishCall(ticket);
             if (!waiting)
                 return;
             checkAgain(*waiting, size ? Base::Duration() : m_options.retryPeriod);
             if (size)
-                waiting->weightsFor = id;
+                waiting->weightsOrderId = id;
             else
-                report(*waiting, "the weight store gave no weights out");
+                reportFailure(*waiting, "the weight store gave no weights out");
         });
 }
 
@@ -331,14 +331,14 @@
     entry.isBusy = true;
     entry.wasOrdered = true;
     ++m_ordersInFlight;
-    Http::Call call = callOf(entry);
+    Http::Call call = makeCall(entry);
     call.method = "POST";
     call.target = "/v1/order";
     call.headers.add("content-type", "application/json");
     call.body = orderBody(order, *fencing);
     if (orderSent)
         orderSent(entry.target, order, *fencing);
-    const Ticket ticket{.endpoint = entry.target.endpoint, .round = entry.round};
+    const Ticket ticket{.endpoint = entry.target.endpoint, .generation = entry.generation};
     m_options.calls.start(
         std::move(call),
         [this, alive = m_alive, checksFencing, fencing] {
@@ -353,14 +353,14 @@
 void OrderCoordinator::orderEnded(const Ticket &ticket, const Http::CallResult &result)
 {
     --m_ordersInFlight;
-    Entry *entry = take(ticket);
+    Entry *entry = finishCall(ticket);
     if (!entry)
         return;
     const bool isTaken = result.end == Http::CallEnd::Whole && result.status == httpOk;
     // Whatever the answer, or without one: the state tells what is still to be done.
     checkAgain(*entry, isTaken ? Base::Duration() : m_options.retryPeriod);
     if (result.end != Http::CallEnd::Whole)
-        return report(*entry, "an order was not answered");
+        return reportFailure(*entry, "an order was not answered");
     if (!isTaken && orderRefused)
         orderRefused(entry->target, result.status);
 }
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -97,42 +97,42 @@
     struct Entry
     {
         OrderTarget target;
-        std::uint64_t round = 0; ///< Raised when the target changes.
-        Base::MonoTime checkAt{};
+        std::uint64_t generation = 0; ///< Raised when the target changes.
+        Base::MonoTime nextCheckAt{};
         bool isBusy = false;
         bool isConverged = false;
         bool wasOrdered = false;
         bool isCacheMoved = false; ///< Before the order to drain.
-        bool isLateCacheMoved = false; ///< Of what was in flight then.
+        bool isRemainingCacheMoved = false; ///< Of what was in flight then.
         bool isDrained = false;
         std::uint64_t nextCacheEventOffset = 0;
-        std::string weightsFor; ///< Id of the order that the weight store gave weights out for.
+        std::string weightsOrderId; ///< Id of the order that the weight store gave weights out for.
     };
     /// Which entry a call belongs to, and to which wish for it.
     struct Ticket
     {
         Base::EndpointId endpoint;
-        std::uint64_t round = 0;
+        std::uint64_t generation = 0;
     };
 
     void tick();
     void readState(Entry &entry);
     void stateRead(const Ticket &ticket, const Http::CallResult &result);
     void converged(Entry &entry, bool isLoading);
-    void advance(Entry &entry, const Orders::Order &order, const StateAnswer &seen);
+    void reconcile(Entry &entry, const Orders::Order &order, const StateAnswer &seen);
     void moveCache(Entry &entry);
-    void cacheWasMoved(Entry &entry, const CacheMover::MoveResult &moved);
+    void handleCacheMoved(Entry &entry, const CacheMover::MoveResult &moved);
     void readLoad(Entry &entry);
     void loadRead(const Ticket &ticket, const Http::CallResult &result);
     void fetchWeights(Entry &entry, const Orders::Order &order, const StateAnswer &seen);
     void sendOrder(Entry &entry, const Orders::Order &order);
     void orderEnded(const Ticket &ticket, const Http::CallResult &result);
-    Entry *take(const Ticket &ticket);
+    Entry *finishCall(const Ticket &ticket);
     void checkAgain(Entry &entry, Base::Duration delay);
-    void report(const Entry &entry, const std::string &why) const;
+    void reportFailure(const Entry &entry, const std::string &why) const;
     bool isModelLoading(const Entry &entry) const;
     std::vector<CacheEngine> migrationCandidates(const Entry &entry) const;
-    Http::Call callOf(const Entry &entry) const;
+    Http::Call makeCall(const Entry &entry) const;
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
 
     Options m_options;
