--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -396,7 +396,7 @@
     // An order may take effect for a while after it was sent; the next holder must not come first.
     if (m_orders->ordersInFlight() == 0)
         m_lease->release();
-    const bool isIdle = m_orders->ordersInFlight() == 0 && !m_lease->isReleasing();
+    const bool isIdle = m_orders->ordersInFlight() == 0 && !m_lease->isReleasePending();
     if (isIdle || now() >= m_stopBy) {
         m_logger.info("Stopped.");
         m_loop.stop();
--- a/src/libs/controller/leasecoordinator.cpp
+++ b/src/libs/controller/leasecoordinator.cpp
@@ -63,20 +63,20 @@
     else
         m_keeper.logFailed();
     // A claim that was under way at the release may have won since.
-    if (m_hasReleased && mayOrder(true))
+    if (m_isReleaseRequested && mayOrder(true))
         m_keeper.release(now());
-    m_keeper.advance(m_isCandidate && !m_hasReleased, now());
+    m_keeper.advance(m_isCandidate && !m_isReleaseRequested, now());
 }
 
 void LeaseCoordinator::release()
 {
-    m_hasReleased = true;
+    m_isReleaseRequested = true;
     m_keeper.release(now());
 }
 
-bool LeaseCoordinator::isReleasing() const
+bool LeaseCoordinator::isReleasePending() const
 {
-    return m_hasReleased && m_keeper.state().fencing()
+    return m_isReleaseRequested && m_keeper.state().fencing()
         && m_keeper.state().holder() == m_options.lease.holder;
 }
 
--- a/src/libs/controller/leasecoordinator.h
+++ b/src/libs/controller/leasecoordinator.h
@@ -35,7 +35,7 @@
     /// Gives the lease up and claims none any more; only once no order is under way.
     void release();
     /// Whether a release is not on the log yet.
-    bool isReleasing() const;
+    bool isReleasePending() const;
 
     /// The number to send an order with at this moment; see Orders::LeaseKeeper::mayOrder().
     std::optional<Base::FencingNumber> mayOrder(bool endpointChecksFencing) const;
@@ -56,7 +56,7 @@
     PlatformClient::Tailer m_tailer;
     Base::LogOffset m_logFirst;
     bool m_isCandidate = false;
-    bool m_hasReleased = false;
+    bool m_isReleaseRequested = false;
     Runtime::TimerId m_timer;
 };
 
--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -231,9 +231,9 @@
     bench.run(1s);
     bench.a().orders.stop();
     bench.a().lease.release();
-    BOOST_TEST(bench.a().lease.isReleasing());
+    BOOST_TEST(bench.a().lease.isReleasePending());
     bench.run(1s);
-    BOOST_TEST(!bench.a().lease.isReleasing());
+    BOOST_TEST(!bench.a().lease.isReleasePending());
     BOOST_TEST(bench.b().holds());
     bench.b().lease.release();
     bench.run(toTake + term);
