--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -18,9 +18,9 @@
 
 /// Controllers of a data centre that may claim its lease.
 constexpr std::size_t candidatesPerDataCentre = 2;
-constexpr Base::Duration dutyInterval = std::chrono::seconds(1);
+constexpr Base::Duration roleUpdateInterval = std::chrono::seconds(1);
 /// How long a stop waits for the log and for what is under way.
-constexpr Base::Duration longestStop = std::chrono::seconds(10);
+constexpr Base::Duration stopTimeout = std::chrono::seconds(10);
 
 } // namespace
 
@@ -29,7 +29,7 @@
     , m_settings(std::move(settings))
     , m_incarnation(Node::incarnationAt(loop.clock().wallNow()))
     , m_backoff(Node::backoffOf(m_settings.vm.value() + "/controller", m_incarnation))
-    , m_run(m_settings.vm.value() + "/controller#" + std::to_string(m_incarnation.value()))
+    , m_instanceId(m_settings.vm.value() + "/controller#" + std::to_string(m_incarnation.value()))
     , m_client({.loop = &loop})
     , m_events(
           {.process = m_settings.vm.value() + "/controller", .capacity = m_settings.eventRingSize})
@@ -37,12 +37,12 @@
 
 ControllerProcess::~ControllerProcess()
 {
-    m_loop.timers().cancel(m_dutyTimer);
+    m_loop.timers().cancel(m_roleTimer);
 }
 
 Result<void> ControllerProcess::start()
 {
-    noteEvent(EventType::ProcessStarted, {.subject = m_settings.vm.value()});
+    recordEvent(EventType::ProcessStarted, {.subject = m_settings.vm.value()});
     BOOST_OUTCOME_TRYV(startPlatform());
     m_configuration =
         std::make_unique<Node::ConfigurationFollower>(Node::ConfigurationFollower::Options{
@@ -60,7 +60,7 @@
     m_prober->start();
     m_orders->start();
     m_snapshots->start();
-    checkDuties();
+    updateRoles();
     return boost::outcome_v2::success();
 }
 
@@ -99,7 +99,7 @@
     m_peers = std::move(peers);
     m_peers->memberChanged = [this](const Membership::Member &member,
                                     Membership::MemberEvent event) {
-        noteEvent(Node::eventTypeOf(event), {.subject = member.info.id});
+        recordEvent(Node::eventTypeOf(event), {.subject = member.info.id});
         m_logger.info("Member {} {}.", member.info.id, Membership::toString(event));
     };
     return m_peers->start();
@@ -129,7 +129,7 @@
 {
     m_configuration->changed = [this] { configurationChanged(); };
     m_configuration->logHealthChanged = [this](bool isUp) {
-        noteEvent(isUp ? EventType::LogBack : EventType::LogLost, {.subject = "configuration"});
+        recordEvent(isUp ? EventType::LogBack : EventType::LogLost, {.subject = "configuration"});
         if (isUp)
             m_logger.info("The log answers.");
         else
@@ -158,12 +158,12 @@
                                 .appender = m_snapshotAppender.get(),
                                 .reducer = &m_configuration->reducer(),
                                 .schedule = {.retention = m_settings.retention},
-                                .writer = m_run,
+                                .writer = m_instanceId,
                                 .rank = [this] { return snapshotRank(); }});
     m_snapshots->appended = [this](const std::string &id, std::size_t parts) {
         m_metrics.snapshots.increment();
-        noteEvent(EventType::SnapshotAppended,
-                  {.subject = id, .detail = std::to_string(parts) + " parts"});
+        recordEvent(EventType::SnapshotAppended,
+                    {.subject = id, .detail = std::to_string(parts) + " parts"});
     };
     m_snapshots->failed = [this](const std::string &id) {
         m_metrics.snapshotFailures.increment();
@@ -191,27 +191,27 @@
         LeaseCoordinator::Options{.timers = &m_loop.timers(),
                                   .log = m_log.get(),
                                   .lease = {.dataCentre = m_settings.dataCentre,
-                                            .holder = m_run,
+                                            .holder = m_instanceId,
                                             .term = m_settings.lease,
                                             .margin = m_settings.leaseMargin,
                                             .renewPeriod = m_settings.lease / 3,
                                             .longestOrder = m_settings.longestOrder}});
     m_lease->gained = [this](Base::FencingNumber fencing) {
-        noteEvent(EventType::LeaseTaken, {.subject = std::to_string(fencing.value())});
+        recordEvent(EventType::LeaseTaken, {.subject = std::to_string(fencing.value())});
         m_logger.info("Holds the lease with fencing number {}.", fencing);
         m_orders->leaseGained();
     };
     m_lease->lost = [this] {
-        noteEvent(EventType::LeaseLost,
-                  {.subject = m_settings.dataCentre.value(),
-                   .detail = m_isStopping ? "given up" : "not renewed in time or taken over"});
+        recordEvent(EventType::LeaseLost,
+                    {.subject = m_settings.dataCentre.value(),
+                     .detail = m_isStopping ? "given up" : "not renewed in time or taken over"});
         m_logger.info("Holds the lease no longer.");
         if (!m_isStopping)
             m_metrics.leaseLosses.increment();
     };
 }
 
-std::vector<std::string> ControllerProcess::probers() const
+std::vector<std::string> ControllerProcess::probingControllers() const
 {
     std::vector<std::string> names;
     for (const Membership::MemberUpdate &member : m_peers->membership().usableMembers(now())) {
@@ -237,23 +237,23 @@
                                 Base::MonoTime sampledAt) {
         m_metrics.probes.increment();
         m_peers->membership().loads().report(endpoint, load.work, sampledAt);
-        noteProbe(endpoint, true, {});
+        recordProbe(endpoint, true, {});
     };
     m_prober->failed = [this](const Base::EndpointId &endpoint, const std::string &why) {
         m_metrics.probeFailures.increment();
-        noteProbe(endpoint, false, why);
+        recordProbe(endpoint, false, why);
     };
 }
 
-void ControllerProcess::noteProbe(const Base::EndpointId &endpoint, bool isAnswered,
-                                  const std::string &detail)
+void ControllerProcess::recordProbe(const Base::EndpointId &endpoint, bool isAnswered,
+                                    const std::string &detail)
 {
     const bool hasChanged =
-        isAnswered ? m_silent.erase(endpoint) > 0 : m_silent.insert(endpoint).second;
+        isAnswered ? m_unresponsive.erase(endpoint) > 0 : m_unresponsive.insert(endpoint).second;
     if (!hasChanged)
         return;
-    noteEvent(isAnswered ? EventType::EndpointTrusted : EventType::EndpointSuspected,
-              {.endpoint = endpoint, .detail = isAnswered ? "answers probes" : detail});
+    recordEvent(isAnswered ? EventType::EndpointTrusted : EventType::EndpointSuspected,
+                {.endpoint = endpoint, .detail = isAnswered ? "answers probes" : detail});
     m_logger.info("Endpoint {} {}.", endpoint,
                   isAnswered ? "answers again" : "does not answer a probe");
 }
@@ -283,21 +283,21 @@
     m_orders->orderSent = [this](const OrderTarget &target, const Orders::Order &order,
                                  Base::FencingNumber fencing) {
         m_metrics.ordersSent.increment();
-        noteEvent(EventType::OrderSent,
-                  {.endpoint = target.endpoint,
-                   .subject = order.id,
-                   .detail = "fencing number " + std::to_string(fencing.value())});
+        recordEvent(EventType::OrderSent,
+                    {.endpoint = target.endpoint,
+                     .subject = order.id,
+                     .detail = "fencing number " + std::to_string(fencing.value())});
     };
     m_orders->orderDone = [this](const OrderTarget &target) {
-        noteEvent(EventType::OrderDone, {.endpoint = target.endpoint});
+        recordEvent(EventType::OrderDone, {.endpoint = target.endpoint});
         m_logger.info("Endpoint {} is as the configuration wants.", target.endpoint);
     };
     m_orders->orderRefused = [this](const OrderTarget &target, int status) {
         const std::string text = std::to_string(status);
         m_metrics.registry.counter("lagoonbank_orders_refused_total", {{"status", text}})
             .increment();
-        noteEvent(EventType::OrderRefused,
-                  {.endpoint = target.endpoint, .detail = "status " + text});
+        recordEvent(EventType::OrderRefused,
+                    {.endpoint = target.endpoint, .detail = "status " + text});
         m_logger.warning("Endpoint {} refused an order with status {}.", target.endpoint, status);
     };
     m_orders->failed = [this](const OrderTarget &target, const std::string &why) {
@@ -309,13 +309,13 @@
         m_metrics.movedBytes.increment(static_cast<double>(moved.bytes));
         if (moved.chats == 0)
             return;
-        noteEvent(EventType::EndpointDraining,
-                  {.endpoint = target.endpoint,
-                   .detail = "caches of " + std::to_string(moved.chats) + " chats moved"});
+        recordEvent(EventType::EndpointDraining,
+                    {.endpoint = target.endpoint,
+                     .detail = "caches of " + std::to_string(moved.chats) + " chats moved"});
     };
     m_orders->drained = [this](const OrderTarget &target) {
-        noteEvent(EventType::EndpointDraining,
-                  {.endpoint = target.endpoint, .detail = "nothing is in flight any more"});
+        recordEvent(EventType::EndpointDraining,
+                    {.endpoint = target.endpoint, .detail = "nothing is in flight any more"});
         m_logger.info("Endpoint {} is drained.", target.endpoint);
     };
 }
@@ -327,13 +327,13 @@
         // Not before: a part of the configuration must not be ordered as if it were all.
         updateTargets();
         if (!std::exchange(m_isReady, true)) {
-            noteEvent(EventType::ProcessReady, {.subject = m_settings.vm.value()});
+            recordEvent(EventType::ProcessReady, {.subject = m_settings.vm.value()});
             m_logger.info("Ready.");
         }
     }
     m_peers->configurationChanged();
-    noteEvent(EventType::ConfigurationApplied,
-              {.subject = std::to_string(m_configuration->reducer().next().value())});
+    recordEvent(EventType::ConfigurationApplied,
+                {.subject = std::to_string(m_configuration->reducer().next().value())});
 }
 
 void ControllerProcess::updateTargets()
@@ -345,33 +345,33 @@
     m_prober->setPeriod(m_objects.policy().probeInterval);
     m_prober->setTargets(probed);
     m_orders->setTargets(orderTargets(m_objects, m_settings.dataCentre, revisionOf));
-    for (const Base::EndpointId &old : m_probed) {
+    for (const Base::EndpointId &old : m_probedEndpoints) {
         const bool isKept = std::any_of(probed.begin(), probed.end(),
                                         [&](const auto &target) { return target.endpoint == old; });
         if (!isKept)
-            forget(old);
+            removeEndpoint(old);
     }
-    m_probed.clear();
+    m_probedEndpoints.clear();
     for (const Prober::Target &target : probed)
-        m_probed.push_back(target.endpoint);
+        m_probedEndpoints.push_back(target.endpoint);
 }
 
-void ControllerProcess::forget(const Base::EndpointId &endpoint)
+void ControllerProcess::removeEndpoint(const Base::EndpointId &endpoint)
 {
-    m_silent.erase(endpoint);
+    m_unresponsive.erase(endpoint);
     m_peers->membership().loads().remove(endpoint);
 }
 
-void ControllerProcess::checkDuties()
+void ControllerProcess::updateRoles()
 {
-    m_dutyTimer = m_loop.timers().start(dutyInterval, [this] { checkDuties(); });
+    m_roleTimer = m_loop.timers().start(roleUpdateInterval, [this] { updateRoles(); });
     const bool isCandidate =
         m_peers->membership().rankInDataCentre(now()) < candidatesPerDataCentre;
     m_lease->setCandidate(isCandidate && m_isReady && !m_isStopping);
-    m_prober->setMembers(probers());
+    m_prober->setMembers(probingControllers());
 }
 
-void ControllerProcess::noteEvent(EventType type, Timeline::EventFields fields)
+void ControllerProcess::recordEvent(EventType type, Timeline::EventFields fields)
 {
     m_events.record(type, std::move(fields), m_loop.clock().wallNow());
 }
@@ -382,11 +382,11 @@
         return;
     m_isStopping = true;
     m_logger.info("Stopping; {} orders are under way.", m_orders->ordersInFlight());
-    noteEvent(EventType::ProcessDraining, {.subject = m_settings.vm.value()});
+    recordEvent(EventType::ProcessDraining, {.subject = m_settings.vm.value()});
     m_orders->stop();
     m_lease->setCandidate(false);
     m_peers->leave();
-    m_stopBy = now() + longestStop;
+    m_stopDeadline = now() + stopTimeout;
     stopWhenIdle();
 }
 
@@ -397,7 +397,7 @@
     if (m_orders->ordersInFlight() == 0)
         m_lease->release();
     const bool isIdle = m_orders->ordersInFlight() == 0 && !m_lease->isReleasePending();
-    if (isIdle || now() >= m_stopBy) {
+    if (isIdle || now() >= m_stopDeadline) {
         m_logger.info("Stopped.");
         m_loop.stop();
         return;
--- a/src/libs/controller/controllerprocess.h
+++ b/src/libs/controller/controllerprocess.h
@@ -55,12 +55,12 @@
     void wireOrders();
     void configurationChanged();
     void updateTargets();
-    void forget(const Base::EndpointId &endpoint);
-    void checkDuties();
+    void removeEndpoint(const Base::EndpointId &endpoint);
+    void updateRoles();
     std::optional<std::size_t> snapshotRank() const;
-    std::vector<std::string> probers() const;
-    void noteProbe(const Base::EndpointId &endpoint, bool isAnswered, const std::string &detail);
-    void noteEvent(Timeline::EventType type, Timeline::EventFields fields);
+    std::vector<std::string> probingControllers() const;
+    void recordProbe(const Base::EndpointId &endpoint, bool isAnswered, const std::string &detail);
+    void recordEvent(Timeline::EventType type, Timeline::EventFields fields);
     void stopWhenIdle();
     Base::MonoTime now() const { return m_loop.clock().now(); }
 
@@ -69,7 +69,7 @@
     Logging::Logger m_logger{"controller"};
     Base::Incarnation m_incarnation;
     PlatformClient::Backoff::Options m_backoff;
-    std::string m_run; ///< Names this start of the process.
+    std::string m_instanceId; ///< Names this start of the process.
     Http::Client m_client;
     ControllerMetrics m_metrics;
     Timeline::EventLog m_events;
@@ -86,12 +86,12 @@
     std::unique_ptr<Node::AdminPort> m_adminPort;
     std::unique_ptr<ControllerAdmin> m_admin;
     Configuration::ObjectTable m_objects;
-    std::vector<Base::EndpointId> m_probed;
-    std::set<Base::EndpointId> m_silent; ///< Endpoints whose last probe failed.
+    std::vector<Base::EndpointId> m_probedEndpoints;
+    std::set<Base::EndpointId> m_unresponsive; ///< Endpoints whose last probe failed.
     bool m_isReady = false;
     bool m_isStopping = false;
-    Base::MonoTime m_stopBy;
-    Runtime::TimerId m_dutyTimer;
+    Base::MonoTime m_stopDeadline;
+    Runtime::TimerId m_roleTimer;
 };
 
 } // namespace Lagoonbank::Controller
