--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -208,7 +208,7 @@
     m_progressTimer.reset();
 }
 
-void Exchange::endAttempt(bool whole, Error error)
+void Exchange::endAttempt(bool succeeded, Error error)
 {
     stopCall();
     AttemptResult result{.endpoint = m_target->endpoint,
@@ -216,13 +216,13 @@
                          .started = m_attemptStarted,
                          .ended = now(),
                          .work = m_target->work,
-                         .whole = whole,
+                         .succeeded = succeeded,
                          .error = std::move(error),
                          .load = m_load,
                          .cachedTokens = m_end.cachedTokens,
                          .answerTokens = Base::Tokens(m_attemptTokens),
                          .resumed = m_resumed};
-    if (!whole && result.error.ran != Ran::No)
+    if (!succeeded && result.error.ran != Ran::No)
         m_mayHaveRun = true;
     m_end.endpoint = m_target->endpoint;
     m_end.attempts.push_back(result);
@@ -317,7 +317,7 @@
 {
     endAttempt(true, {});
     ExchangeEnd end = std::move(m_end);
-    end.whole = true;
+    end.succeeded = true;
     end.status = status;
     finish(std::move(end));
 }
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -65,7 +65,7 @@
     Base::MonoTime started;
     Base::MonoTime ended;
     Base::WorkUnits work;
-    bool whole = false;
+    bool succeeded = false;
     Errors::Error error; ///< Meaningful if not whole.
     std::string load; ///< The endpoint's X-Load header; empty if none came.
     Base::Tokens cachedTokens;
@@ -76,7 +76,7 @@
 /// How a request ended, for the outcome ring and the accounts of admission.
 struct ExchangeEnd
 {
-    bool whole = false;
+    bool succeeded = false;
     std::optional<Refusal> refusal; ///< Set if not whole.
     bool cutOff = false; ///< The caller got a part and then a clear end.
     int status = 0; ///< Of the answer to the caller; 0 if the caller had left.
@@ -172,7 +172,7 @@
     void placed(Placement placement);
     void startAttempt(bool resume);
     void callFinished(Http::CallResult result);
-    void endAttempt(bool whole, Errors::Error error);
+    void endAttempt(bool succeeded, Errors::Error error);
     void stopCall();
     void watchProgress();
     Base::Duration stallTimeout() const;
--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -284,7 +284,7 @@
     if (!result.answer.contentType.empty())
         headers.add("content-type", result.answer.contentType);
     context->responder->send(result.answer.status, headers, std::move(result.answer.body));
-    finished(context, {.whole = true, .status = result.answer.status});
+    finished(context, {.succeeded = true, .status = result.answer.status});
 }
 
 void CallerApi::runServiceCall(const ContextPtr &context, Exchange::ServiceCall call, bool claimed)
@@ -340,7 +340,7 @@
         .attemptEnded =
             [this, context](const Exchange::AttemptResult &result) {
                 m_options.placer->attemptEnded(result);
-                if (result.whole)
+                if (result.succeeded)
                     m_options.retries->noteSuccess(context->info.workspace, result.endpoint,
                                                    m_options.loop->clock().now());
                 if (attemptEnded)
@@ -385,10 +385,10 @@
         else
             context->ticket.settle(end.promptTokens + end.answerTokens, now);
     }
-    if (end.whole && context->route.hasChat)
+    if (end.succeeded && context->route.hasChat)
         m_options.placer->chatServed(context->route.chatHash, end.endpoint,
                                      end.promptTokens + end.answerTokens);
-    if (context->isClaimed && !end.whole && claimFailed)
+    if (context->isClaimed && !end.succeeded && claimFailed)
         claimFailed(context->info, end.refusal ? end.refusal->error.ran : Ran::Unknown);
     if (requestEnded)
         requestEnded(context->info, end);
--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -22,7 +22,7 @@
 
 Routing::ExchangeResult toExchangeResult(const Exchange::AttemptResult &result)
 {
-    if (result.whole || result.error.kind == ErrorKind::EndpointRefused)
+    if (result.succeeded || result.error.kind == ErrorKind::EndpointRefused)
         return Routing::ExchangeResult::Answered;
     if (result.error.kind == ErrorKind::EndpointUnreachable)
         return Routing::ExchangeResult::Unreachable;
@@ -43,7 +43,7 @@
 /// deadline that expires does not.
 bool affectsHealth(const Exchange::AttemptResult &result)
 {
-    return result.whole
+    return result.succeeded
         || (result.error.kind != ErrorKind::CallerLeft
             && result.error.kind != ErrorKind::DeadlinePassed);
 }
--- a/src/libs/router/requestrecorder.cpp
+++ b/src/libs/router/requestrecorder.cpp
@@ -20,7 +20,7 @@
 
 std::string resultName(const Exchange::AttemptResult &result)
 {
-    return result.whole ? "whole" : std::string(Errors::toString(result.error.kind));
+    return result.succeeded ? "whole" : std::string(Errors::toString(result.error.kind));
 }
 
 } // namespace
@@ -63,7 +63,7 @@
 void RequestRecorder::attemptEnded(const RequestInfo &info, const Exchange::AttemptResult &result)
 {
     std::string name = resultName(result);
-    if (!result.whole)
+    if (!result.succeeded)
         m_options.metrics->registry.counter("lagoonbank_retries_total", {{"kind", name}})
             .increment();
     m_ring.attemptEnded(info.id, name, m_options.clock->now());
@@ -92,7 +92,7 @@
     metrics.duration.observe(Base::toSeconds(now - info.started));
     if (end.firstToken)
         metrics.firstToken.observe(Base::toSeconds(*end.firstToken - info.started));
-    if (end.whole) {
+    if (end.succeeded) {
         metrics.promptTokens.increment(static_cast<double>(end.promptTokens.value()));
         metrics.cachedTokens.increment(static_cast<double>(end.cachedTokens.value()));
         metrics.answerTokens.increment(static_cast<double>(end.answerTokens.value()));
--- a/tests/auto/placing/tst_placer.cpp
+++ b/tests/auto/placing/tst_placer.cpp
@@ -116,7 +116,8 @@
     BOOST_REQUIRE(!sent.empty());
     BOOST_TEST(placer.waiting() == 1U);
     for (const Target &target : sent)
-        placer.attemptEnded({.endpoint = target.endpoint, .ticket = target.ticket, .whole = true});
+        placer.attemptEnded(
+            {.endpoint = target.endpoint, .ticket = target.ticket, .succeeded = true});
     run(std::chrono::milliseconds(200));
     BOOST_TEST(placer.waiting() == 0U);
     BOOST_TEST(!lastRefusal.has_value());
@@ -159,7 +160,8 @@
 {
     for (const Target &target : fill()) {
         placer.attemptProgressed(target, Base::Tokens(1), true);
-        placer.attemptEnded({.endpoint = target.endpoint, .ticket = target.ticket, .whole = true});
+        placer.attemptEnded(
+            {.endpoint = target.endpoint, .ticket = target.ticket, .succeeded = true});
     }
     abandon();
     for (Routing::EndpointIndex i = 0; i < placer.routing().endpoints().size(); ++i)
