--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -150,7 +150,7 @@
     BOOST_TEST(!reducer.canWriteSnapshot());
 }
 
-BOOST_AUTO_TEST_CASE(readyOnlyWithAWholeConfiguration)
+BOOST_AUTO_TEST_CASE(readyOnlyWithCompleteConfiguration)
 {
     TestLog log;
     log.append("1", dataCentreChange("north", 0));
--- a/tests/auto/configuration/tst_reducerorders.cpp
+++ b/tests/auto/configuration/tst_reducerorders.cpp
@@ -139,7 +139,7 @@
     BOOST_TEST(closedGaps > 20U);
 }
 
-BOOST_AUTO_TEST_CASE(everyOrderOfAPushedBatchGivesTheSameState)
+BOOST_AUTO_TEST_CASE(everyOrderOfReceivedRecordsYieldsSameState)
 {
     TestLog log;
     log.append("1", dataCentreChange("a", 0));
--- a/tests/auto/configuration/tst_snapshotscheduler.cpp
+++ b/tests/auto/configuration/tst_snapshotscheduler.cpp
@@ -49,7 +49,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(oneOfManyControllersWrites)
+BOOST_AUTO_TEST_CASE(onlyOneControllerWrites)
 {
     // Each tick every controller looks; a snapshot is seen by all a tick later.
     std::vector<SnapshotScheduler> controllers(6, SnapshotScheduler(options, start));
