--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -108,7 +108,7 @@
 void Reducer::endReached()
 {
     if (!m_hasGap)
-        m_isWhole = true;
+        m_isComplete = true;
     updateReady();
 }
 
@@ -147,7 +147,7 @@
 void Reducer::closeGap(Base::LogOffset from, const std::string &how)
 {
     const bool hadGap = std::exchange(m_hasGap, false);
-    m_isWhole = true;
+    m_isComplete = true;
     m_hasSkippedNewer = false;
     m_snapshots.clear();
     m_next = std::max(from, m_readNext);
@@ -226,10 +226,10 @@
                                  "the peer's state begins after ours");
     }
     if (state.next <= m_next) {
-        const bool isComparable = state.next == m_next && m_isWhole && !m_hasSkippedNewer;
+        const bool isComparable = state.next == m_next && m_isComplete && !m_hasSkippedNewer;
         if (isComparable && state.hash != m_state.hash())
             raise(EventKind::StateDiffers, state.next, "a peer's state");
-        m_isWhole = m_isWhole || !m_hasGap;
+        m_isComplete = m_isComplete || !m_hasGap;
         updateReady();
         return boost::outcome_v2::success();
     }
@@ -243,7 +243,7 @@
     const bool staysInGap = m_hasGap && state.next < m_bufferedFrom;
     if (staysInGap) {
         m_next = state.next;
-        m_isWhole = true;
+        m_isComplete = true;
         if (m_stateChanged)
             m_stateChanged();
     } else {
@@ -256,7 +256,7 @@
 
 std::optional<Schema::ConfigurationState> Reducer::exportState(Base::LogOffset since) const
 {
-    if (!m_isWhole)
+    if (!m_isComplete)
         return std::nullopt;
     Schema::ConfigurationState state{.since = since, .next = m_next, .hash = m_state.hash()};
     state.objects = m_state.changedSince(since);
@@ -277,7 +277,7 @@
 
 void Reducer::updateReady()
 {
-    m_isReady = m_isReady || (m_isWhole && m_next >= m_requiredOffset);
+    m_isReady = m_isReady || (m_isComplete && m_next >= m_requiredOffset);
 }
 
 const Judgement *Reducer::judgementOf(const std::string &recordId) const
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -90,7 +90,7 @@
     /// Records are missing that neither a snapshot nor a peer has made good yet.
     bool hasGap() const { return m_hasGap; }
     /// Whether a snapshot of this state may be appended: it is whole and leaves nothing out.
-    bool canWriteSnapshot() const { return m_isWhole && !m_hasGap && !m_hasSkippedNewer; }
+    bool canWriteSnapshot() const { return m_isComplete && !m_hasGap && !m_hasSkippedNewer; }
     std::vector<SnapshotPart> makeSnapshot(const std::string &id, const std::string &writer) const;
 
     /// First record that the state does not take in.
@@ -131,7 +131,7 @@
     std::map<Base::LogOffset, LogRecord> m_outOfOrder;
     std::deque<Judgement> m_judgements;
     bool m_hasGap = false;
-    bool m_isWhole = false;
+    bool m_isComplete = false;
     bool m_isReady = false;
     bool m_hasSkippedNewer = false;
     std::function<void(const Judgement &)> m_judged;
