--- a/src/libs/configuration/snapshotscheduler.cpp
+++ b/src/libs/configuration/snapshotscheduler.cpp
@@ -10,11 +10,11 @@
     const Base::Duration period = m_options.retention / m_options.snapshotsPerRetention;
     const auto steps = static_cast<Base::Duration::rep>(std::min<std::size_t>(rank, 1U << 20U));
     const Base::Duration headStart = std::min(m_options.rankStep * steps, period);
-    const Base::MonoTime due = m_seen
-        ? *m_seen + period + headStart
+    const Base::MonoTime due = m_lastSnapshotSeen
+        ? *m_lastSnapshotSeen + period + headStart
         : m_start + std::min(m_options.startDelay, period) + headStart;
-    if (m_tried && (!m_seen || *m_tried > *m_seen))
-        return std::max(due, *m_tried + m_options.retryDelay);
+    if (m_lastAppendStarted && (!m_lastSnapshotSeen || *m_lastAppendStarted > *m_lastSnapshotSeen))
+        return std::max(due, *m_lastAppendStarted + m_options.retryDelay);
     return due;
 }
 
--- a/src/libs/configuration/snapshotscheduler.h
+++ b/src/libs/configuration/snapshotscheduler.h
@@ -29,9 +29,9 @@
 
     /// A whole snapshot came in while the end of the log had been reached. The age of those read
     /// before that is not known, and they do not count.
-    void snapshotSeen(Base::MonoTime now) { m_seen = now; }
+    void snapshotSeen(Base::MonoTime now) { m_lastSnapshotSeen = now; }
     /// This process began to append one.
-    void appendStarted(Base::MonoTime now) { m_tried = now; }
+    void appendStarted(Base::MonoTime now) { m_lastAppendStarted = now; }
 
     /// `rank` counts the live controllers that come before this one.
     Base::MonoTime dueAt(std::size_t rank) const;
@@ -40,8 +40,8 @@
 private:
     Options m_options;
     Base::MonoTime m_start;
-    std::optional<Base::MonoTime> m_seen;
-    std::optional<Base::MonoTime> m_tried;
+    std::optional<Base::MonoTime> m_lastSnapshotSeen;
+    std::optional<Base::MonoTime> m_lastAppendStarted;
 };
 
 } // namespace Lagoonbank::Configuration
