--- a/tests/auto/controller/fakeengines.h
+++ b/tests/auto/controller/fakeengines.h
@@ -23,9 +23,9 @@
         std::uint64_t fencing = 0; ///< Highest seen.
         bool checksFencing = true;
         bool isDown = false;
-        int ordersToLose = 0; ///< Orders that never arrive.
-        int answersToLose = 0; ///< Orders that take effect without an answer.
-        std::string silentPath; ///< Calls of it are never answered.
+        int ordersToDrop = 0; ///< Orders that never arrive.
+        int responsesToDrop = 0; ///< Orders that take effect without an answer.
+        std::string unresponsivePath; ///< Calls of it are never answered.
         bool loadsForever = false; ///< Stays loading after an order of another version.
         int running = 0;
         std::vector<std::string> chats;
@@ -51,7 +51,7 @@
              next != m_calls.end(); next = std::find_if(m_calls.begin(), m_calls.end(), isAwake)) {
             const Pending call = std::move(*next);
             m_calls.erase(next);
-            const std::string &silent = m_engines[call.call.server.port].silentPath;
+            const std::string &silent = m_engines[call.call.server.port].unresponsivePath;
             if (!silent.empty() && call.call.target.starts_with(silent))
                 continue;
             call.finished(call.maySend() ? answer(call.call)
@@ -59,7 +59,7 @@
                                              .end = Lagoonbank::Http::CallEnd::NotConnected});
         }
     }
-    std::size_t waiting() const { return m_calls.size(); }
+    std::size_t pendingCalls() const { return m_calls.size(); }
 
 private:
     struct Pending
@@ -83,8 +83,8 @@
         const std::string path = call.target.substr(0, call.target.find('?'));
         if (engine.isDown)
             return broken();
-        if (path == "/v1/order" && engine.ordersToLose > 0) {
-            --engine.ordersToLose;
+        if (path == "/v1/order" && engine.ordersToDrop > 0) {
+            --engine.ordersToDrop;
             return broken();
         }
         engine.requests.push_back(call.method + ' ' + path);
@@ -115,8 +115,8 @@
         engine.state.update(body["set"]);
         if (engine.loadsForever && body["set"].contains("version"))
             engine.state["loading"] = true;
-        if (engine.answersToLose > 0) {
-            --engine.answersToLose;
+        if (engine.responsesToDrop > 0) {
+            --engine.responsesToDrop;
             return broken();
         }
         return ok(engine.state);
--- a/tests/auto/controller/fakelog.h
+++ b/tests/auto/controller/fakelog.h
@@ -14,8 +14,8 @@
 class FakeLog
 {
 public:
-    bool isOut = false;
-    int answersToLose = 0; ///< Of appends that take effect.
+    bool isUnavailable = false;
+    int responsesToDrop = 0; ///< Of appends that take effect.
 
     Lagoonbank::PlatformClient::Transport transport(const bool *isPaused)
     {
@@ -35,8 +35,8 @@
     /// takes effect all the same.
     void deliver()
     {
-        std::deque<Pending> waiting = std::exchange(m_calls, {});
-        for (Pending &call : waiting) {
+        std::deque<Pending> pendingCalls = std::exchange(m_calls, {});
+        for (Pending &call : pendingCalls) {
             if (!call.isAnswered) {
                 call.isAnswered = true;
                 call.result = answer(call.call);
@@ -63,7 +63,7 @@
     Lagoonbank::Http::CallResult answer(const Lagoonbank::Http::Call &call)
     {
         using nlohmann::json;
-        if (isOut)
+        if (isUnavailable)
             return {.mayHaveLeft = true, .status = 503, .body = R"({"error": "out"})"};
         if (call.method == "POST") {
             json offsets = json::array();
@@ -72,8 +72,8 @@
                 offsets.push_back(m_records.size());
                 m_records.push_back(record);
             }
-            if (answersToLose > 0) {
-                --answersToLose;
+            if (responsesToDrop > 0) {
+                --responsesToDrop;
                 return {.end = Lagoonbank::Http::CallEnd::Broken, .mayHaveLeft = true};
             }
             return {.mayHaveLeft = true, .status = 200, .body = json{{"offsets", offsets}}.dump()};
--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -166,7 +166,7 @@
     // Its next call, for an engine's state, is under way when it stands still.
     bench.clock.advance(100ms);
     bench.a().timers.runDue();
-    BOOST_REQUIRE(bench.engines.waiting() >= 2U);
+    BOOST_REQUIRE(bench.engines.pendingCalls() >= 2U);
     bench.a().isPaused = true;
     bench.b().orders.stop();
     bench.run(term + toTake);
@@ -194,7 +194,7 @@
 BOOST_AUTO_TEST_CASE(logOutMeansNoLeaseAndNoOrdersButProbesGoOn)
 {
     Bench bench;
-    bench.log.isOut = true;
+    bench.log.isUnavailable = true;
     bench.run(term);
     BOOST_TEST(!bench.a().holds());
     bench.want("prefill");
@@ -206,7 +206,7 @@
     BOOST_TEST(bench.orders(checkingPort) + bench.orders(ignoringPort) == 0U);
     BOOST_TEST(bench.a().reports >= reports + minutes * 60 - 2);
 
-    bench.log.isOut = false;
+    bench.log.isUnavailable = false;
     bench.run(toTake + longestOrder + 2s);
     BOOST_TEST((bench.a().holds() || bench.b().holds()));
     BOOST_TEST(bench.engines[checkingPort].state["role"] == "prefill");
@@ -219,7 +219,7 @@
     Bench bench;
     const auto fencing = bench.a().lease.mayOrder(true);
     for (int i = 0; i < 5; ++i) {
-        bench.log.answersToLose = 1;
+        bench.log.responsesToDrop = 1;
         bench.run(term);
         BOOST_TEST((bench.a().lease.mayOrder(true) == fencing));
     }
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -133,13 +133,13 @@
 {
     struct Case
     {
-        int ordersToLose;
-        int answersToLose;
+        int ordersToDrop;
+        int responsesToDrop;
     };
     for (const Case each : {Case{0, 1}, Case{1, 0}, Case{2, 1}}) {
         Bench bench;
-        bench.engine(0).ordersToLose = each.ordersToLose;
-        bench.engine(0).answersToLose = each.answersToLose;
+        bench.engine(0).ordersToDrop = each.ordersToDrop;
+        bench.engine(0).responsesToDrop = each.responsesToDrop;
         bench.set(0, {.role = "prefill"});
         bench.run(6s);
         BOOST_TEST(bench.engine(0).state["role"] == "prefill");
@@ -184,7 +184,7 @@
                 if (when == LostWhen::BeforeReading)
                     lapse();
                 bench.set(0, {.role = "prefill"});
-                for (int i = 0; i < 10 && bench.engines.waiting() == 0; ++i)
+                for (int i = 0; i < 10 && bench.engines.pendingCalls() == 0; ++i)
                     bench.step();
                 if (when == LostWhen::WhileReading)
                     lapse();
@@ -307,9 +307,10 @@
             bench.targets[2].desired.draining = true;
         }
         if (trouble == Trouble::Silent)
-            bench.engine(0).silentPath = "/v1/cache";
+            bench.engine(0).unresponsivePath = "/v1/cache";
         if (trouble == Trouble::SilentImport)
-            bench.engine(1).silentPath = bench.engine(2).silentPath = "/v1/cache/import";
+            bench.engine(1).unresponsivePath = bench.engine(2).unresponsivePath =
+                "/v1/cache/import";
         bench.set(0, {.draining = true});
         bench.run(3s);
         BOOST_TEST(bench.engine(0).state["draining"] == true);
@@ -357,7 +358,7 @@
     bench.set(0, {.role = "prefill"});
     bench.step();
     bench.step();
-    BOOST_REQUIRE(bench.engines.waiting() > 0U);
+    BOOST_REQUIRE(bench.engines.pendingCalls() > 0U);
     bench.desk.stop(); // The state is being read.
     bench.run(5s);
     BOOST_TEST(bench.engine(0).orders.empty());
