--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -19,7 +19,7 @@
 constexpr Base::Duration term = 6s;
 constexpr Base::Duration longestOrder = 5s;
 /// Longest time in which a free lease is taken by a controller that reads the log.
-constexpr Base::Duration toTake = term + 1s;
+constexpr Base::Duration maxAcquisitionTime = term + 1s;
 constexpr std::uint16_t checkingPort = 1;
 constexpr std::uint16_t ignoringPort = 2;
 
@@ -58,7 +58,7 @@
         orders.start();
         prober.start();
     }
-    bool holds() const { return lease.mayOrder(true).has_value(); }
+    bool holdsLease() const { return lease.mayOrder(true).has_value(); }
 
     bool isPaused = false;
     Runtime::TimerQueue timers;
@@ -75,19 +75,19 @@
     {
         engines[ignoringPort].checksFencing = false;
         add("a");
-        run(toTake);
-        BOOST_REQUIRE(a().holds());
+        run(maxAcquisitionTime);
+        BOOST_REQUIRE(a().holdsLease());
         add("b");
     }
     void add(const std::string &name)
     {
         controllers.push_back(std::make_unique<ControllerParts>(name, clock, log, engines));
-        want(role);
+        setDesiredRole(role);
     }
     ControllerParts &a() { return *controllers.at(0); }
     ControllerParts &b() { return *controllers.at(1); }
 
-    void want(const std::string &wanted)
+    void setDesiredRole(const std::string &wanted)
     {
         role = wanted;
         revision += Base::Revision(1);
@@ -117,7 +117,7 @@
             engines.deliver();
             const auto holders =
                 std::count_if(controllers.begin(), controllers.end(),
-                              [](const auto &controller) { return controller->holds(); });
+                              [](const auto &controller) { return controller->holdsLease(); });
             BOOST_TEST(holders <= 1);
         }
     }
@@ -141,18 +141,18 @@
         bench.b().lease.setCandidate(isTakenOver);
         bench.run(1s);
         bench.a().isPaused = true;
-        bench.run(term + toTake);
-        BOOST_TEST(bench.b().holds() == isTakenOver);
+        bench.run(term + maxAcquisitionTime);
+        BOOST_TEST(bench.b().holdsLease() == isTakenOver);
         const std::size_t checking = bench.orders(checkingPort);
         const std::size_t ignoring = bench.orders(ignoringPort);
 
         // What the woken one believes to be wanted, it alone wants.
         bench.b().orders.stop();
-        bench.want("prefill");
+        bench.setDesiredRole("prefill");
         bench.a().lease.setCandidate(false);
         bench.a().isPaused = false;
         bench.run(10s);
-        BOOST_TEST(!bench.a().holds());
+        BOOST_TEST(!bench.a().holdsLease());
         BOOST_TEST(bench.orders(checkingPort) == checking);
         BOOST_TEST(bench.orders(ignoringPort) == ignoring);
     }
@@ -162,15 +162,15 @@
 {
     Bench bench;
     bench.run(longestOrder);
-    bench.want("prefill");
+    bench.setDesiredRole("prefill");
     // Its next call, for an engine's state, is under way when it stands still.
     bench.clock.advance(100ms);
     bench.a().timers.runDue();
     BOOST_REQUIRE(bench.engines.pendingCalls() >= 2U);
     bench.a().isPaused = true;
     bench.b().orders.stop();
-    bench.run(term + toTake);
-    BOOST_TEST(bench.b().holds());
+    bench.run(term + maxAcquisitionTime);
+    BOOST_TEST(bench.b().holdsLease());
     bench.a().isPaused = false;
     bench.run(5s);
     BOOST_TEST(bench.orders(checkingPort) == 0U);
@@ -181,9 +181,9 @@
 {
     Bench bench;
     bench.a().isPaused = true;
-    while (!bench.b().holds())
+    while (!bench.b().holdsLease())
         bench.run(100ms);
-    bench.want("prefill");
+    bench.setDesiredRole("prefill");
     bench.run(longestOrder - 1s);
     BOOST_TEST(bench.orders(checkingPort) == 1U);
     BOOST_TEST(bench.orders(ignoringPort) == 0U);
@@ -196,19 +196,19 @@
     Bench bench;
     bench.log.isUnavailable = true;
     bench.run(term);
-    BOOST_TEST(!bench.a().holds());
-    bench.want("prefill");
+    BOOST_TEST(!bench.a().holdsLease());
+    bench.setDesiredRole("prefill");
     const int reports = bench.a().reports;
     constexpr int minutes = 2;
     bench.run(std::chrono::minutes(minutes));
-    BOOST_TEST(!bench.a().holds());
-    BOOST_TEST(!bench.b().holds());
+    BOOST_TEST(!bench.a().holdsLease());
+    BOOST_TEST(!bench.b().holdsLease());
     BOOST_TEST(bench.orders(checkingPort) + bench.orders(ignoringPort) == 0U);
     BOOST_TEST(bench.a().reports >= reports + minutes * 60 - 2);
 
     bench.log.isUnavailable = false;
-    bench.run(toTake + longestOrder + 2s);
-    BOOST_TEST((bench.a().holds() || bench.b().holds()));
+    bench.run(maxAcquisitionTime + longestOrder + 2s);
+    BOOST_TEST((bench.a().holdsLease() || bench.b().holdsLease()));
     BOOST_TEST(bench.engines[checkingPort].state["role"] == "prefill");
     BOOST_TEST(bench.engines[ignoringPort].state["role"] == "prefill");
     BOOST_TEST(bench.orders(checkingPort) == 1U);
@@ -234,9 +234,9 @@
     BOOST_TEST(bench.a().lease.isReleasePending());
     bench.run(1s);
     BOOST_TEST(!bench.a().lease.isReleasePending());
-    BOOST_TEST(bench.b().holds());
+    BOOST_TEST(bench.b().holdsLease());
     bench.b().lease.release();
-    bench.run(toTake + term);
-    BOOST_TEST(!bench.a().holds());
-    BOOST_TEST(!bench.b().holds());
+    bench.run(maxAcquisitionTime + term);
+    BOOST_TEST(!bench.a().holdsLease());
+    BOOST_TEST(!bench.b().holdsLease());
 }
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -29,12 +29,14 @@
                                .desired = {.model = "m", .version = "v1", .draining = false},
                                .revision = Base::Revision(1)});
         }
-        desk.orderDone = [this](const OrderTarget &) { ++done; };
-        desk.orderRefused = [this](const OrderTarget &, int status) { refusals.push_back(status); };
-        desk.cacheMoved = [this](const OrderTarget &, const CacheMover::MoveResult &moved) {
+        coordinator.orderDone = [this](const OrderTarget &) { ++done; };
+        coordinator.orderRefused = [this](const OrderTarget &, int status) {
+            refusals.push_back(status);
+        };
+        coordinator.cacheMoved = [this](const OrderTarget &, const CacheMover::MoveResult &moved) {
             movedChats += moved.chats;
         };
-        desk.start();
+        coordinator.start();
     }
     static std::uint16_t port(int engine) { return static_cast<std::uint16_t>(firstPort + engine); }
     FakeEngines::Engine &engine(int i) { return engines[port(i)]; }
@@ -43,7 +45,7 @@
     {
         targets[static_cast<std::size_t>(engine)].desired = desired;
         targets[static_cast<std::size_t>(engine)].revision += Base::Revision(1);
-        desk.setTargets(targets);
+        coordinator.setTargets(targets);
     }
     void step()
     {
@@ -69,7 +71,7 @@
     int done = 0;
     std::vector<int> refusals;
     std::size_t movedChats = 0;
-    OrderCoordinator desk{
+    OrderCoordinator coordinator{
         {.timers = &timers,
          .calls = engines.calls(),
          .mayOrder =
@@ -120,7 +122,7 @@
         {
             BOOST_REQUIRE(orders.size() == (each.set.empty() ? 0U : 1U));
             BOOST_TEST(bench.done == (each.set.empty() ? 0 : 1));
-            BOOST_TEST(bench.desk.pending() == 0U);
+            BOOST_TEST(bench.coordinator.pending() == 0U);
             if (!orders.empty()) {
                 BOOST_TEST(orders[0]["set"].dump() == each.set);
                 BOOST_TEST(orders[0]["fencing"] == 5U);
@@ -145,7 +147,7 @@
         BOOST_TEST(bench.engine(0).state["role"] == "prefill");
         BOOST_TEST(bench.engine(0).orders.size() == 1U);
         BOOST_TEST(bench.done == 1);
-        BOOST_TEST(bench.desk.ordersInFlight() == 0U);
+        BOOST_TEST(bench.coordinator.ordersInFlight() == 0U);
     }
 }
 
@@ -190,10 +192,10 @@
                     lapse();
                 if (when == LostWhen::WhileConnecting) {
                     // The answer of the state starts the order's call within deliver().
-                    bench.desk.orderSent = [&](const OrderTarget &, const Orders::Order &,
-                                               Base::FencingNumber) {
+                    bench.coordinator.orderSent = [&](const OrderTarget &, const Orders::Order &,
+                                                      Base::FencingNumber) {
                         lapse();
-                        bench.desk.orderSent = nullptr;
+                        bench.coordinator.orderSent = nullptr;
                     };
                 }
                 bench.run(10s);
@@ -271,7 +273,7 @@
 {
     Bench bench;
     int drained = 0;
-    bench.desk.drained = [&](const OrderTarget &) { ++drained; };
+    bench.coordinator.drained = [&](const OrderTarget &) { ++drained; };
     bench.engine(0).running = 2;
     bench.engine(0).chats.push_back(Routing::chatName(1));
     bench.set(0, {.draining = true});
@@ -334,7 +336,7 @@
             bench.engine(i).state["loading"] = false;
     }
     bench.run(10s);
-    BOOST_TEST(bench.desk.pending() == 0U);
+    BOOST_TEST(bench.coordinator.pending() == 0U);
     BOOST_TEST(bench.fetched.size() == 3U);
 }
 
@@ -359,8 +361,8 @@
     bench.step();
     bench.step();
     BOOST_REQUIRE(bench.engines.pendingCalls() > 0U);
-    bench.desk.stop(); // The state is being read.
+    bench.coordinator.stop(); // The state is being read.
     bench.run(5s);
     BOOST_TEST(bench.engine(0).orders.empty());
-    BOOST_TEST(bench.desk.ordersInFlight() == 0U);
+    BOOST_TEST(bench.coordinator.ordersInFlight() == 0U);
 }
