--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -133,7 +133,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(pausedHolderIssuesNoOrderAfterWaking)
+BOOST_AUTO_TEST_CASE(pausedHolderSendsNoOrderAfterResuming)
 {
     // A pause that ends while the lease is free, and one that ends under another holder.
     for (const bool isTakenOver : {false, true}) {
@@ -158,7 +158,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(holderPausedWithAnOrderConnectingDoesNotSendIt)
+BOOST_AUTO_TEST_CASE(holderPausedWhileConnectingSendsNoOrder)
 {
     Bench bench;
     bench.run(longestOrder);
@@ -191,7 +191,7 @@
     BOOST_TEST(bench.orders(ignoringPort) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(logOutMeansNoLeaseAndNoOrdersButProbesGoOn)
+BOOST_AUTO_TEST_CASE(logOutageStopsLeaseAndOrdersButNotProbes)
 {
     Bench bench;
     bench.log.isUnavailable = true;
@@ -214,7 +214,7 @@
     BOOST_TEST(bench.orders(checkingPort) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(lostAnswersOfTheLogDoNotCostTheLease)
+BOOST_AUTO_TEST_CASE(lostLogResponsesDoNotLoseTheLease)
 {
     Bench bench;
     const auto fencing = bench.a().lease.mayOrder(true);
@@ -225,7 +225,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(releasedLeaseIsTakenAtOnceAndNotClaimedAgain)
+BOOST_AUTO_TEST_CASE(releasedLeaseIsAcquiredByStandbyAndNotReclaimed)
 {
     Bench bench;
     bench.run(1s);
--- a/tests/auto/controller/tst_endpointanswers.cpp
+++ b/tests/auto/controller/tst_endpointanswers.cpp
@@ -36,7 +36,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(answersAreReadAsEnginesGiveThem)
+BOOST_AUTO_TEST_CASE(validAnswersAreParsed)
 {
     const auto load = readLoadAnswer(R"({"running": 2, "queued": 1, "work": 96.5, "age_ms": 30,
         "capacity": 8192, "incarnation": 17, "draining": true, "news": []})");
@@ -52,7 +52,7 @@
     BOOST_TEST(!state.value().isLoading);
 }
 
-BOOST_AUTO_TEST_CASE(hotChatsAreThoseStoredLast)
+BOOST_AUTO_TEST_CASE(hotChatsAreMostRecentlyStored)
 {
     const auto name = [](std::uint64_t chat) { return Routing::chatName(chat); };
     const std::vector<CacheEvent> events{
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -98,7 +98,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(ordersWhatDiffersAndNothingElse)
+BOOST_AUTO_TEST_CASE(orderSetsOnlyDifferingValues)
 {
     struct Case
     {
@@ -131,7 +131,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(orderWithoutAnswerIsSettledByTheState)
+BOOST_AUTO_TEST_CASE(unansweredOrderIsResolvedByReadingState)
 {
     struct Case
     {
@@ -151,7 +151,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(repeatedWishHasTheSameIdAndALaterOneAnother)
+BOOST_AUTO_TEST_CASE(repeatedOrderKeepsIdAndNewRevisionGetsNewId)
 {
     Bench bench;
     bench.set(0, {.role = "prefill"});
@@ -168,7 +168,7 @@
     BOOST_TEST(orders[0]["order_id"] != orders[3]["order_id"]);
 }
 
-BOOST_AUTO_TEST_CASE(noOrderLeavesOnceTheLeaseIsLost)
+BOOST_AUTO_TEST_CASE(noOrderIsSentAfterLeaseLoss)
 {
     enum class LostWhen { BeforeReading, WhileReading, WhileConnecting };
     for (const bool checksFencing : {true, false}) {
@@ -208,7 +208,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(engineThatIgnoresFencingWaitsOutTheOldLease)
+BOOST_AUTO_TEST_CASE(engineWithoutFencingWaitsForOldLeaseToExpire)
 {
     Bench bench;
     bench.mayOrderUnchecked = false;
@@ -223,7 +223,7 @@
     BOOST_TEST(bench.engine(1).orders.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(refusedOrderIsTriedAgainLater)
+BOOST_AUTO_TEST_CASE(refusedOrderIsRetried)
 {
     Bench bench;
     bench.engine(0).fencing = 6; // A newer holder was here.
@@ -237,7 +237,7 @@
     BOOST_TEST(bench.engine(0).state["role"] == "prefill");
 }
 
-BOOST_AUTO_TEST_CASE(hotChatsMoveBeforeTheOrderToDrain)
+BOOST_AUTO_TEST_CASE(hotChatsMoveBeforeDrainOrder)
 {
     Bench bench;
     const auto others = [&] {
@@ -269,7 +269,7 @@
         == 0);
 }
 
-BOOST_AUTO_TEST_CASE(drainEndsOnceNothingIsInFlight)
+BOOST_AUTO_TEST_CASE(drainCompletesWhenNoRequestIsInFlight)
 {
     Bench bench;
     int drained = 0;
@@ -295,7 +295,7 @@
     BOOST_TEST(drained == 2);
 }
 
-BOOST_AUTO_TEST_CASE(drainDoesNotWaitForCachesThatCannotMove)
+BOOST_AUTO_TEST_CASE(drainDoesNotWaitForFailedCacheMoves)
 {
     enum class Trouble { Silent, SilentImport, OthersDown, NoOthers };
     for (const Trouble trouble :
@@ -340,7 +340,7 @@
     BOOST_TEST(bench.fetched.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(noVersionIsOrderedThatTheWeightStoreDoesNotGiveOut)
+BOOST_AUTO_TEST_CASE(versionWithoutWeightsIsNotOrdered)
 {
     Bench bench;
     bench.hasWeights = false;
@@ -354,7 +354,7 @@
     BOOST_TEST(bench.engine(0).state["version"] == "v2");
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsOrderedAfterStop)
+BOOST_AUTO_TEST_CASE(noOrderIsSentAfterStop)
 {
     Bench bench;
     bench.set(0, {.role = "prefill"});
--- a/tests/auto/controller/tst_prober.cpp
+++ b/tests/auto/controller/tst_prober.cpp
@@ -98,7 +98,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(probesWaitWhileTheBudgetIsSpent)
+BOOST_AUTO_TEST_CASE(probesAreDeferredWhileBudgetIsExhausted)
 {
     Bench bench(1, 3);
     int deferred = 0;
@@ -116,7 +116,7 @@
         BOOST_TEST(reports > before.at(endpoint));
 }
 
-BOOST_AUTO_TEST_CASE(silentEndpointDoesNotHoldUpOthers)
+BOOST_AUTO_TEST_CASE(unresponsiveEndpointDoesNotDelayOthers)
 {
     Bench bench(1, 2);
     bench.engines[0].isDown = true;
--- a/tests/auto/controller/tst_targets.cpp
+++ b/tests/auto/controller/tst_targets.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(enginesOfTheDataCentreAreOrdered)
+BOOST_AUTO_TEST_CASE(targetsIncludeOnlyEndpointsOfTheDataCentre)
 {
     Configuration::ObjectTable objects;
     Schema::Model model;
