--- a/src/libs/membership/controlbudget.cpp
+++ b/src/libs/membership/controlbudget.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Part of the burst that a priority leaves to those above it.
+/// Fraction of the burst that each priority leaves to the higher ones.
 constexpr std::array<double, 5> reserves{0.0, 0.0, 0.05, 0.3, 0.45};
 
 } // namespace
--- a/src/libs/membership/controlbudget.h
+++ b/src/libs/membership/controlbudget.h
@@ -10,42 +10,44 @@
 
 namespace Lagoonbank::Membership {
 
-/// Who goes first when the budget is short.
+/// Which messages are sent first when the budget is nearly exhausted, highest priority first.
 enum class ControlPriority : std::uint8_t {
-    Essential, ///< Pings and acks themselves; may overdraw a little.
-    Configuration, ///< Leaving endpoints, configuration revision.
+    Essential, ///< Pings and acks; may overdraw the budget up to Options::overdraftBytes.
+    Configuration, ///< Leaving endpoints and the configuration revision.
     Membership,
     Load,
     Demand
 };
 
-/// What control bytes were spent on.
+/// The kind of message that control bytes are accounted to.
 enum class ControlTraffic : std::uint8_t {
     Ping,
     Ack,
     PingRequest,
     Gossip,
     Outdated,
-    Pull, ///< Requests and answers over TCP; metered, with a bucket of their own.
-    Probe, ///< Probes of endpoints.
-    Beacon ///< Work in flight, told directly.
+    Pull, ///< Requests and answers over TCP; limited by a separate bucket.
+    Probe, ///< Health probes of endpoints.
+    Beacon ///< Work in flight, sent to peers in direct datagrams.
 };
 constexpr std::size_t controlTrafficCount = 8;
 std::string_view toString(ControlTraffic traffic);
 
-/// Token bucket over what a process sends for control, headers of UDP and IP included.
+/// Token bucket that limits the control traffic a process sends, IP and UDP headers included.
 class ControlBudget
 {
 public:
     struct Options
     {
-        /// Under 5 KB/s by a margin, so that bursts stay under it over ten seconds as well.
+        /// Leaves a margin below 5 KB/s, so that the average over ten seconds stays below 5 KB/s
+        /// even with a burst.
         double bytesPerSecond = 4600;
         double burstBytes = 4600;
-        /// How far pings and acks may overdraw, so that a full bucket of digests can't make a
-        /// member look dead.
+        /// How far pings and acks may overdraw the bucket, so that a member whose budget is used
+        /// up by digests is not declared dead.
         double overdraftBytes = 2300;
-        /// Pulls over TCP happen at starts and after partitions.
+        /// Limits of the bucket for pulls over TCP, which are made after a start and after a
+        /// partition.
         double pullBytesPerSecond = 65536;
         double pullBurstBytes = 2.0 * 1024 * 1024;
     };
@@ -53,12 +55,14 @@
     ControlBudget();
     explicit ControlBudget(const Options &options);
 
-    /// Bytes that something of this priority may take now; each leaves a reserve for those above.
+    /// Bytes that a message of this priority may take now. Each priority leaves a reserve to the
+    /// higher ones.
     std::size_t available(ControlPriority priority, Base::MonoTime now);
-    /// Takes \a bytes if the priority may; false if it has to wait.
+    /// Takes \a bytes from the bucket; false, and nothing is taken, if fewer are available to
+    /// this priority.
     bool take(ControlPriority priority, ControlTraffic traffic, std::size_t bytes,
               Base::MonoTime now);
-    /// The same for a pull, whose bucket is apart.
+    /// Like take(), from the separate bucket for pulls.
     bool takePull(std::size_t bytes, Base::MonoTime now);
 
     std::uint64_t spentBytes() const;
@@ -68,7 +72,7 @@
     }
     std::uint64_t refusals() const { return m_refusals; }
 
-    /// For metrics.
+    /// Called for all bytes taken from either bucket, for metrics.
     std::function<void(ControlTraffic traffic, std::size_t bytes)> spent;
 
 private:
--- a/src/libs/membership/datacentrelinks.h
+++ b/src/libs/membership/datacentrelinks.h
@@ -10,9 +10,10 @@
 
 namespace Lagoonbank::Membership {
 
-/// Which other data centres are within reach: some process of the own data centre had an answer
-/// from there lately. So a cut between data centres marks a whole data centre, and no member of it
-/// is declared dead from outside.
+/// Tracks which other data centres are reachable: a data centre is reachable if any process of the
+/// own data centre received an answer from it within the timeout. A partition between data centres
+/// thus makes a whole data centre unreachable; members of other data centres neither suspect its
+/// members nor, as long as the VM list contains them, declare them dead.
 class DataCentreLinks
 {
 public:
@@ -20,19 +21,21 @@
         : m_timeout(timeout)
     { }
 
-    /// A member there answered this process.
+    /// Records that a member of \a dataCentre answered this process.
     void recordContact(const std::string &dataCentre, Base::MonoTime now);
-    /// A process of the own data centre tells of its contact.
+    /// Merges a contact reported by another process of the own data centre. Contacts of data
+    /// centres that were not added are ignored.
     void receive(const DataCentreContact &contact, Base::MonoTime now);
-    /// A data centre just learnt of counts as reachable for one timeout.
+    /// Adds a newly discovered data centre, which counts as reachable for one timeout.
     void addDataCentre(const std::string &dataCentre, Base::MonoTime now);
 
     bool isReachable(const std::string &dataCentre, Base::MonoTime now) const;
-    /// Last contact; nullopt-like minimum if there was none.
+    /// Time of the last contact; MonoTime::min() if there was none.
     Base::MonoTime lastContact(const std::string &dataCentre) const;
-    /// For datagrams within the own data centre.
+    /// Contacts within the timeout, to be sent to the own data centre.
     std::vector<DataCentreContact> contacts(Base::MonoTime now) const;
-    /// After a pause of this process: silence during it says nothing.
+    /// Moves all contacts forward by \a pause, during which this process did not run and so could
+    /// not receive answers.
     void shift(Base::Duration pause);
 
 private:
--- a/src/libs/membership/demanddigests.cpp
+++ b/src/libs/membership/demanddigests.cpp
@@ -38,7 +38,7 @@
         m_entries.emplace(key, Entry{.digest = digest, .writtenAt = writtenAt});
         return true;
     }
-    // A restarted router counts from one again; the time tells that apart.
+    // Versions begin at one again when a router restarts, which a much later time indicates.
     const bool isRestart = writtenAt - found->second.writtenAt > m_options.maxAge / 2;
     if (digest.version <= found->second.digest.version && !isRestart)
         return false;
--- a/src/libs/membership/demanddigests.h
+++ b/src/libs/membership/demanddigests.h
@@ -13,28 +13,31 @@
 
 namespace Lagoonbank::Membership {
 
-/// What routers say of workspaces near their limit, kept by router and workspace; opaque here.
+/// Digests that routers send about workspaces near their limit, by router and workspace. The
+/// contents of a digest are opaque to this class.
 class DemandDigests
 {
 public:
     struct Options
     {
         Base::Duration maxAge = std::chrono::seconds(10); ///< Older digests are dropped.
-        std::uint32_t sends = 6; ///< How often a version is passed on.
-        std::size_t maxEntries = 4096; ///< Bound on what peers can make this process keep.
+        std::uint32_t sends = 6; ///< How many times each version of a digest is sent.
+        std::size_t maxEntries = 4096; ///< Limits the memory that peers' digests can use here.
     };
 
     DemandDigests();
     explicit DemandDigests(const Options &options);
 
-    /// What this router says from now on; the digest has at most maxDemandBytes.
+    /// Sets the current digest of \a workspace from this router, with at most maxDemandBytes.
     void set(std::uint32_t origin, const Base::WorkspaceId &workspace, std::string bytes,
              Base::MonoTime now);
-    /// True if it was newer than what is known.
+    /// Merges a digest from a peer; true if it is newer than the stored one.
     bool receive(const DemandDigest &digest, Base::MonoTime now);
-    /// Digests due that fit into \a bytes; marks them as sent.
+    /// Returns the due digests that fit into \a bytes, least often sent first, and counts them as
+    /// sent once more.
     std::vector<DemandDigest> take(std::size_t bytes, Base::MonoTime now);
     bool hasDue() const;
+    /// Drops digests older than Options::maxAge.
     void age(Base::MonoTime now);
     std::size_t size() const { return m_entries.size(); }
 
--- a/src/libs/membership/gossipqueue.h
+++ b/src/libs/membership/gossipqueue.h
@@ -9,8 +9,8 @@
 
 namespace Lagoonbank::Membership::Internal {
 
-/// Names of things that are news, with how often each was told; the least told goes first and
-/// each is told a bounded number of times.
+/// Names of the updates to be gossiped, with the number of times that each was sent. The least
+/// often sent update goes first, and each is sent a limited number of times.
 class GossipQueue
 {
 public:
@@ -19,7 +19,7 @@
     bool isEmpty() const { return m_sends.empty(); }
     std::size_t count() const { return m_sends.size(); }
 
-    /// Names in the order of telling.
+    /// Names in the order in which they are to be sent.
     std::vector<std::string> names() const
     {
         std::vector<std::string> result;
@@ -32,6 +32,7 @@
                          });
         return result;
     }
+    /// Counts \a name as sent once more, and removes it once it was sent \a limit times.
     void markSent(const std::string &name, std::uint32_t limit)
     {
         const auto found = m_sends.find(name);
--- a/src/libs/membership/leavingendpoints.h
+++ b/src/libs/membership/leavingendpoints.h
@@ -12,13 +12,14 @@
 
 namespace Lagoonbank::Membership {
 
-/// Endpoints that take no new work. An entry never goes back; an endpoint that is added again has
-/// a higher incarnation, which the entry does not cover.
+/// Endpoints that are leaving and accept no new work. Leaving can't be revoked; an endpoint that is
+/// added again has a higher incarnation, which the entry does not cover.
 class LeavingEndpoints
 {
 public:
     struct Options
     {
+        /// Time after which an entry is dropped.
         Base::Duration keepTime = std::chrono::minutes(30);
         std::size_t maxEntries = 512;
     };
@@ -26,14 +27,15 @@
     LeavingEndpoints();
     explicit LeavingEndpoints(const Options &options);
 
-    /// True if it was not known.
+    /// True if the entry is new, or has a higher incarnation than the stored one.
     bool merge(const LeavingEndpoint &leaving, Base::MonoTime now);
     bool covers(const Base::EndpointId &endpoint, Base::Incarnation incarnation) const;
     LeavingEndpoint entry(const std::string &endpoint, Base::MonoTime now) const;
     std::vector<LeavingEndpoint> entries(Base::MonoTime now) const;
     bool contains(const std::string &endpoint) const { return m_entries.contains(endpoint); }
+    /// Drops entries older than Options::keepTime.
     void age(Base::MonoTime now);
-    /// The same on members that know the same.
+    /// Hash of all entries; equal on members that have the same entries.
     std::uint32_t hash() const;
 
 private:
--- a/src/libs/membership/loaddigests.cpp
+++ b/src/libs/membership/loaddigests.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Own work is told anew once it has changed by this part.
-constexpr double tellableChange = 0.1;
+/// Relative change of the own work from which it is sent again.
+constexpr double significantChange = 0.1;
 constexpr std::size_t maxReports = 512;
 
 std::uint32_t toWire(double work)
 {
-    constexpr double most = std::numeric_limits<std::uint32_t>::max();
-    return static_cast<std::uint32_t>(std::clamp(std::round(work), 0.0, most));
+    constexpr double maximum = std::numeric_limits<std::uint32_t>::max();
+    return static_cast<std::uint32_t>(std::clamp(std::round(work), 0.0, maximum));
 }
 
 } // namespace
@@ -48,7 +48,7 @@
 {
     Entry &entry = m_entries[nameKey(endpoint.value())];
     const double change = std::abs(work.value() - entry.sentSince);
-    if (change > tellableChange * std::max(entry.sentSince, 1.0))
+    if (change > significantChange * std::max(entry.sentSince, 1.0))
         entry.sends = 0;
     entry.sentSince = work.value();
 }
@@ -64,9 +64,10 @@
         entry.peers.push_back({origin, static_cast<double>(report.sentSince), now});
     if (entry.hasSample && sampledAt <= entry.sampledAt)
         return false;
-    // The age is in whole milliseconds: the same sample coming back looks a little fresher.
-    constexpr Base::Duration sameSample = std::chrono::milliseconds(2);
-    const bool isSame = entry.hasSample && sampledAt - entry.sampledAt <= sameSample
+    // Ages are truncated to whole milliseconds, so the same sample seems a little newer when it is
+    // received again.
+    constexpr Base::Duration sameSampleTolerance = std::chrono::milliseconds(2);
+    const bool isSame = entry.hasSample && sampledAt - entry.sampledAt <= sameSampleTolerance
         && toWire(entry.work) == report.work;
     if (isSame)
         return false;
--- a/src/libs/membership/loaddigests.h
+++ b/src/libs/membership/loaddigests.h
@@ -13,17 +13,18 @@
 
 namespace Lagoonbank::Membership {
 
-/// The freshest load sample of each endpoint, whoever saw it, and what peers sent since.
-/// Samples are passed on a few times each, those passed on least first, so that a long table
-/// rotates through the datagrams.
+/// The newest load sample of each endpoint, taken by any router, and the work that peers sent to
+/// the endpoint after its sample. Each sample is sent a limited number of times, the least often
+/// sent first, so that successive datagrams cover a table that does not fit into one.
 class LoadDigests
 {
 public:
     struct Options
     {
-        Base::Duration maxAge = std::chrono::seconds(5); ///< Older samples aren't passed on.
-        Base::Duration peerWorkMaxAge = std::chrono::seconds(2); ///< How long a peer's word counts.
-        /// How often a sample or a change of own work is sent on.
+        Base::Duration maxAge = std::chrono::seconds(5); ///< Older samples are not sent.
+        /// Older reports of work sent by peers are ignored.
+        Base::Duration peerWorkMaxAge = std::chrono::seconds(2);
+        /// How many times a sample, or a change of the work sent by this process, is sent.
         std::uint32_t sends = 4;
     };
     struct Sample
@@ -35,21 +36,23 @@
     LoadDigests();
     explicit LoadDigests(const Options &options);
 
-    /// A report that this process got from the endpoint itself; false if a fresher one is known.
+    /// Records a sample that this process received from the endpoint itself; false if the stored
+    /// one is as new or newer.
     bool report(const Base::EndpointId &endpoint, Base::WorkUnits work, Base::MonoTime sampledAt);
-    /// Work that this process sent to the endpoint after its freshest sample.
+    /// Sets the work that this process sent to the endpoint after its newest sample.
     void setSentSince(const Base::EndpointId &endpoint, Base::WorkUnits work);
-    /// A peer's report; true if its sample was fresher than the known one.
+    /// Merges a report of the peer \a origin; true if its sample is newer than the stored one.
     bool receive(std::uint32_t origin, const LoadReport &report, Base::MonoTime now);
 
     std::optional<Sample> sample(const Base::EndpointId &endpoint) const;
     std::optional<Sample> sample(std::uint32_t endpointKey) const;
-    /// Sum of what peers said, in the last moments, that they sent after the sample.
+    /// Total work that peers sent after the sample, by their reports of the last
+    /// Options::peerWorkMaxAge.
     Base::WorkUnits peersSentSince(const Base::EndpointId &endpoint, Base::MonoTime now) const;
 
-    /// Reports due that fit into \a bytes; marks them as sent.
+    /// Returns the due reports that fit into \a bytes and counts them as sent once more.
     std::vector<LoadReport> take(std::size_t bytes, Base::MonoTime now);
-    /// Whether take() would return any.
+    /// Whether any report is due.
     bool hasDue(Base::MonoTime now) const;
     void remove(const Base::EndpointId &endpoint);
     std::size_t size() const { return m_entries.size(); }
--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr std::size_t pingHelpers = 3;
+constexpr std::size_t indirectProbeCount = 3;
 constexpr std::size_t urgentFanout = 3;
 constexpr std::size_t leaveFanout = 6;
 constexpr std::uint32_t maxAwareness = 4;
-constexpr Base::Duration housePeriod = std::chrono::seconds(1);
-/// A digest alone isn't worth the headers of a datagram under this room.
+constexpr Base::Duration housekeepingPeriod = std::chrono::seconds(1);
+/// Minimum budget for a gossip datagram; smaller ones would consist mostly of headers.
 constexpr std::size_t minGossipBytes = 300;
 
 } // namespace
@@ -64,13 +64,13 @@
     , m_joinCandidates(m_options.seeds)
     , m_advancedAt(now)
     , m_joinAt(now)
-    , m_housekeepingAt(now + housePeriod)
+    , m_housekeepingAt(now + housekeepingPeriod)
     , m_tableChangedAt(now)
 {
     m_self.status = MemberStatus::Alive;
     m_table.merge(m_self, now);
     m_memberUpdates.add(m_self.id);
-    // Members that start together don't probe in step.
+    // Random offsets keep members that start together from probing in step.
     const auto jitter = [this](Base::Duration period) {
         return Base::Duration(
             static_cast<std::int64_t>(m_random() % static_cast<std::uint64_t>(period.count())));
@@ -107,7 +107,7 @@
         gossip(now);
     }
     if (now >= m_housekeepingAt) {
-        m_housekeepingAt = now + housePeriod;
+        m_housekeepingAt = now + housekeepingPeriod;
         doHousekeeping(now);
     }
 }
@@ -139,7 +139,7 @@
     const auto isTarget = [this](const Member &member) {
         return isOwnDataCentre(member) && member.isAlive();
     };
-    // Every member is probed once before any is probed again, in an order that is drawn anew.
+    // Every member is probed once, in random order, before a new random order is drawn.
     for (int round = 0; round < 2; ++round) {
         while (!m_probeOrder.empty()) {
             const Member *member = m_table.find(m_probeOrder.back());
@@ -216,7 +216,7 @@
         });
     }
     std::shuffle(helpers.begin(), helpers.end(), m_random);
-    helpers.resize(std::min(helpers.size(), pingHelpers));
+    helpers.resize(std::min(helpers.size(), indirectProbeCount));
     for (const Member *helper : helpers) {
         PeerMessage request{
             .type = MessageType::PingRequest, .probe = number, .target = probe.target};
@@ -231,7 +231,7 @@
     if (!member)
         return;
     if (probe.isCross) {
-        // Tries that data centre again at once, before it counts as out of reach.
+        // The data centre is probed again in the next period, before it counts as unreachable.
         m_crossProbedAt.erase(member->info.dataCentre);
         return;
     }
@@ -241,7 +241,7 @@
     MemberUpdate suspected = member->info;
     suspected.status = MemberStatus::Suspect;
     apply(suspected, now);
-    // Told at once, so that it can refute.
+    // The suspect itself is informed at once, so that it can refute the suspicion.
     member = m_table.find(probe.target);
     PeerMessage message{.type = MessageType::Gossip};
     send(toSocketAddress(member->info), member, std::move(message), ControlPriority::Membership,
@@ -265,20 +265,20 @@
 
 void Membership::gossip(Base::MonoTime now)
 {
-    const bool hasNews = !m_memberUpdates.isEmpty() || !m_leavingUpdates.isEmpty();
+    const bool hasUpdates = !m_memberUpdates.isEmpty() || !m_leavingUpdates.isEmpty();
     const bool hasLoads = m_loads.hasDue(now);
-    if (!hasNews && !hasLoads && !m_demands.hasDue())
+    if (!hasUpdates && !hasLoads && !m_demands.hasDue())
         return;
     ControlPriority priority = ControlPriority::Demand;
     if (hasLoads)
         priority = ControlPriority::Load;
-    if (hasNews)
+    if (hasUpdates)
         priority = ControlPriority::Membership;
     if (m_options.budget->available(priority, now) < minGossipBytes)
         return;
     const std::vector<const Member *> peers = peersWhere([&](const Member &member) {
         return member.info.status == MemberStatus::Alive && isOwnRegion(member)
-            && isReachable(member, now) && (hasNews || member.info.role == MemberRole::Router);
+            && isReachable(member, now) && (hasUpdates || member.info.role == MemberRole::Router);
     });
     const Member *peer = randomOf(peers);
     if (!peer)
@@ -318,18 +318,18 @@
     m_table.age(now);
     m_leaving.age(now);
     m_demands.age(now);
-    // A suspect hears of it again each second, from everyone, so that loss can't keep its answer
-    // away.
+    // Every member pings the suspects once a second. The ping carries the suspicion, so a suspect
+    // that is alive refutes it even if some datagrams are lost.
     for (const Member *suspect : peersWhere([this](const Member &member) {
              return member.info.status == MemberStatus::Suspect && isOwnDataCentre(member);
          }))
         startProbe(*suspect, false, now);
-    const std::vector<const Member *> gone = peersWhere([&](const Member &member) {
+    const std::vector<const Member *> unreachable = peersWhere([&](const Member &member) {
         return member.isAlive() && !isOwnDataCentre(member) && !member.isListed && !m_vmList.empty()
             && now - m_links.lastContact(member.info.dataCentre)
             > m_options.timing.unreachableMemberTimeout;
     });
-    for (const Member *member : gone) {
+    for (const Member *member : unreachable) {
         MemberUpdate dead = member->info;
         dead.status = MemberStatus::Dead;
         apply(dead, now);
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -24,8 +24,9 @@
 
 namespace Lagoonbank::Membership {
 
-/// The address of a member; and back. An address that is no IPv4 number gives 0.
+/// The address and port of a member.
 Runtime::SocketAddress toSocketAddress(const MemberUpdate &update);
+/// The numeric form of an IPv4 address; 0 if \a ip is not one.
 std::uint32_t ipNumber(const std::string &ip);
 
 /// One entry of the platform's VM list.
@@ -40,32 +41,46 @@
 enum class MemberEvent : std::uint8_t { Joined, Restarted, Suspected, Restored, Died, Left };
 std::string_view toString(MemberEvent event);
 
-/// Who is in the fleet, by gossip in the manner of SWIM: members ping each other within a data
-/// centre, suspect and confirm, and refute by raising their incarnation; between data centres few
-/// pings tell whether the other data centre is within reach. Datagrams carry sections of news and
-/// digests by priority under the ControlBudget.
+/// Membership of the fleet by a gossip protocol like SWIM. Within a data centre, members ping each
+/// other, suspect a member that does not answer, and declare it dead after a timeout unless it
+/// refutes the suspicion with a higher incarnation. Between data centres, a few pings detect
+/// whether the other data centre is reachable. Datagrams carry sections with membership updates and
+/// digests, by priority and within the ControlBudget.
 ///
-/// Pure: time comes in with each call, messages go out through messageReady.
+/// Does no input or output: each call passes the time, and messages leave through messageReady.
 class Membership
 {
 public:
     struct Timing
     {
         Base::Duration probePeriod = std::chrono::seconds(1);
+        /// Time between probes of other data centres.
         Base::Duration crossProbePeriod = std::chrono::seconds(1);
-        Base::Duration ackTimeout = std::chrono::milliseconds(300); ///< Then others are asked.
-        Base::Duration probeTimeout = std::chrono::milliseconds(900); ///< Then it is suspected.
+        /// A member that does not answer a ping for this long is probed through other members.
+        Base::Duration ackTimeout = std::chrono::milliseconds(300);
+        /// A member that does not answer a ping or an indirect probe for this long is a suspect.
+        Base::Duration probeTimeout = std::chrono::milliseconds(900);
+        /// A suspect is declared dead after this time, or after half of it if the VM list is not
+        /// empty and lacks its address.
         Base::Duration suspicionTime = std::chrono::seconds(4);
-        Base::Duration linkTimeout = std::chrono::seconds(6); ///< Of another data centre.
+        /// A data centre without contact for this long is unreachable.
+        Base::Duration linkTimeout = std::chrono::seconds(6);
         Base::Duration gossipPeriod = std::chrono::milliseconds(200);
         Base::Duration urgentDelay = std::chrono::milliseconds(20);
-        Base::Duration joinPeriod = std::chrono::seconds(5); ///< Trying listed, unknown addresses.
+        /// Time between pings of the addresses of seeds and listed VMs where no living member is
+        /// known.
+        Base::Duration joinPeriod = std::chrono::seconds(5);
+        /// Replaces joinPeriod while no other member is known.
         Base::Duration isolatedJoinPeriod = std::chrono::milliseconds(500);
-        Base::Duration pullPeriod = std::chrono::seconds(3); ///< Between pulls of state.
-        Base::Duration quietTime = std::chrono::seconds(2); ///< Before hashes are compared.
-        Base::Duration unreachableMemberTimeout =
-            std::chrono::minutes(10); ///< Unreachable and not listed.
-        /// A longer gap between calls of advance() was a pause of this process.
+        /// Minimum time between pulls of state.
+        Base::Duration pullPeriod = std::chrono::seconds(3);
+        /// After the first pull, a hash that differs causes a pull only if the member table has not
+        /// changed for this long, as gossip usually removes the difference.
+        Base::Duration quietTime = std::chrono::seconds(2);
+        /// A member whose data centre had no contact for this long is declared dead, unless the VM
+        /// list contains its address or is empty.
+        Base::Duration unreachableMemberTimeout = std::chrono::minutes(10);
+        /// A longer gap between calls of advance() means that this process was paused.
         Base::Duration pauseLimit = std::chrono::milliseconds(1500);
     };
     struct Options
@@ -83,63 +98,66 @@
     // Hooks.
     std::function<void(const Runtime::SocketAddress &to, const PeerMessage &message)> messageReady;
     std::function<void(const Member &member, MemberEvent event)> memberChanged;
-    /// State is to be pulled from this peer over TCP and given to mergeState().
+    /// The state of this peer is to be pulled over TCP and passed to mergeState().
     std::function<void(const Runtime::SocketAddress &peer, const StateRequest &request)>
         statePullNeeded;
-    /// A peer has applied more of the configuration stream.
+    /// A peer has applied more of the configuration stream than this process.
     std::function<void(const Runtime::SocketAddress &peer, const ConfigurationMark &mark)>
         configurationAhead;
     std::function<void(const Base::EndpointId &endpoint, Base::Incarnation incarnation)>
         endpointLeaving;
     std::function<void(const LoadReport &report, Base::MonoTime sampledAt)> loadReceived;
     std::function<void(const DemandDigest &digest)> demandReceived;
-    /// This process takes a higher incarnation, to refute; its datagrams must carry it.
+    /// This process raised its incarnation to refute an update about itself; its datagrams have to
+    /// carry the new one.
     std::function<void(Base::Incarnation incarnation)> incarnationRaised;
-    /// Gives the logical time of a message that leaves. Unset, messages carry none.
+    /// Returns the logical time for an outgoing message. If unset, messages carry none.
     std::function<MessageTime()> messageTimeProvider;
-    /// A peer's message carries this logical time; called before the message is acted on.
+    /// Called with the logical time of a received message before the message is processed.
     std::function<void(const MessageTime &time)> timeReceived;
 
-    // Time and messages in.
+    // Input of time, messages and state.
     void advance(Base::MonoTime now);
-    /// When advance() has something to do next, at the latest.
+    /// The time by which advance() has to be called next.
     Base::MonoTime nextDue() const;
     void receive(const Sender &sender, const Runtime::SocketAddress &from,
                  const PeerMessage &message, Base::MonoTime now);
-    /// A datagram of an older incarnation came; its sender may be a new process whose wall clock
-    /// was behind, and is told so.
+    /// Answers a datagram of an older incarnation with an Outdated message. Its sender may be a new
+    /// process that derived a lower incarnation from a wall clock that is behind.
     void receiveOutdated(const Sender &sender, const Runtime::SocketAddress &from,
                          std::uint64_t knownIncarnation, Base::MonoTime now);
-    /// The time that a message from this process is to carry now.
+    /// Logical time for a message that this process sends now.
     MessageTime stamp() const
     {
         return messageTimeProvider ? messageTimeProvider() : MessageTime();
     }
-    /// Hands on the time that came with a message, unless it carries none.
+    /// Calls timeReceived with the logical time of a received message, unless it carries none.
     void receiveTime(const MessageTime &time) const;
     StateAnswer answer(const StateRequest &request, Base::MonoTime now) const;
     void mergeState(const StateAnswer &state, Base::MonoTime now);
     void setVmList(const std::vector<ListedVm> &vms);
 
-    // What this process has to say.
+    // State that this process publishes.
     void setConfigurationMark(const ConfigurationMark &mark, Base::MonoTime now);
     void announceLeaving(const Base::EndpointId &endpoint, Base::Incarnation incarnation,
                          Base::MonoTime now);
     bool isLeaving(const Base::EndpointId &endpoint, Base::Incarnation incarnation) const;
     LoadDigests &loads() { return m_loads; }
     void setDemand(const Base::WorkspaceId &workspace, std::string bytes, Base::MonoTime now);
-    /// Tells the others that this process leaves as planned; afterwards it only repeats that.
+    /// Announces a planned leave of this process, which afterwards only repeats the announcement.
     void leave(Base::MonoTime now);
 
-    // What is known.
+    // Current state.
     const MemberUpdate &self() const { return m_self; }
     const MemberTable &table() const { return m_table; }
     bool isReachable(const Member &member, Base::MonoTime now) const;
     bool isReachable(const Base::DataCentreId &dataCentre, Base::MonoTime now) const;
-    /// Living, reachable and, if asked for, not damped members, this one included; sorted by id.
+    /// Living and reachable members, this process included, sorted by id. Damped ones are left out
+    /// unless \a withDamped.
     std::vector<MemberUpdate> usableMembers(Base::MonoTime now, bool withDamped = false) const;
-    /// Places of this process among the usable ones of its role and data centre, so that few
-    /// share a job: rank 0 and 1 tail the log, for one.
+    /// Number of usable members of the own role and data centre whose id sorts before that of this
+    /// process. Limits a task to a few processes of a data centre; for example, only ranks 0 and 1
+    /// read the log.
     std::size_t rankInDataCentre(Base::MonoTime now) const;
     const ConfigurationMark &configurationMark() const { return m_mark; }
     std::uint64_t configurationConflicts() const { return m_configurationConflicts; }
@@ -160,7 +178,7 @@
         Base::MonoTime expiresAt;
     };
 
-    // Time.
+    // Periodic work.
     void detectPause(Base::MonoTime now);
     void probeOwnDataCentre(Base::MonoTime now);
     void probeOtherDataCentres(Base::MonoTime now);
@@ -200,18 +218,21 @@
     void scheduleUrgentGossip(Base::MonoTime now);
     std::vector<const Member *> peersWhere(const std::function<bool(const Member &)> &is) const;
     const Member *randomOf(const std::vector<const Member *> &members);
-    /// The members' data centres, the one that was heard of or tried longest ago first.
+    /// The data centres of \a members, sorted by lastContactOrProbe(), the oldest first.
     std::vector<std::string> dataCentresToProbe(const std::vector<const Member *> &members) const;
-    /// When a data centre was last heard of or tried.
+    /// Time of the last contact with a data centre or of the last probe of it, if that is later.
     Base::MonoTime lastContactOrProbe(const std::string &dataCentre) const;
-    /// This process's place among those of its data centre by id, and how many they are.
+    /// Rank by id of this process among the living members of its data centre, and their number.
     std::pair<std::size_t, std::size_t> ownRank() const;
+    /// Number of data centres that this process probes per period.
     std::size_t crossProbeCount(std::size_t dataCentres, std::size_t processes) const;
     bool isOwnDataCentre(const Member &member) const;
     bool isOwnRegion(const Member &member) const;
+    /// How many times an update is sent; logarithmic in the number of members.
     std::uint32_t retransmitLimit() const;
     std::uint32_t ownHash() const;
     std::uint32_t fleetHash() const;
+    /// Lengthens a timeout while own probes fail, as this process may be the faulty one.
     Base::Duration scaledByAwareness(Base::Duration duration) const;
 
     Options m_options;
@@ -228,13 +249,13 @@
     std::vector<std::string> m_probeOrder;
     std::map<std::uint32_t, Probe> m_probes;
     std::map<std::uint32_t, Relay> m_relays;
-    std::map<std::string, Base::MonoTime> m_crossProbedAt; ///< By data centre.
+    std::map<std::string, Base::MonoTime> m_crossProbedAt; ///< Last probe by data centre.
     std::vector<ListedVm> m_vmList;
     std::vector<Runtime::SocketAddress> m_joinCandidates; ///< Addresses of seeds and of listed VMs.
     std::size_t m_joinCursor = 0;
     std::uint32_t m_probeNumber = 0;
-    std::uint32_t m_awareness = 0; ///< Failed own probes in a row; this process may be at fault.
-    std::uint32_t m_crossTurn = 0;
+    std::uint32_t m_awareness = 0; ///< Rises with failed probes and falls with acks.
+    std::uint32_t m_crossTurn = 0; ///< Number of calls of probeOtherDataCentres().
     std::uint64_t m_configurationConflicts = 0;
     bool m_hasPulled = false;
     bool m_isLeaving = false;
--- a/src/libs/membership/membershipcross.cpp
+++ b/src/libs/membership/membershipcross.cpp
@@ -1,4 +1,4 @@
-/// \file Which other data centres a process probes.
+/// \file Membership: selection of the other data centres that a process probes.
 
 #include "membership/membership.h"
 
@@ -11,8 +11,9 @@
 
 void Membership::probeOtherDataCentres(Base::MonoTime now)
 {
-    // Each process of the own data centre takes another one of those that were heard of longest
-    // ago, so that all are tried in turn; every second time only those of the own region.
+    // The processes of the own data centre each probe different data centres, those with the oldest
+    // contact or probe first, so that all are probed in turn. Every second period probes only data
+    // centres of the own region.
     const bool ownRegionOnly = ++m_crossTurn % 2 == 0;
     const auto isCandidate = [&](const Member &member) {
         return member.isAlive() && !isOwnDataCentre(member)
@@ -31,25 +32,27 @@
     chosen.reserve(probes + 1);
     for (std::size_t i = 0; i < probes; ++i)
         chosen.push_back(order[(rank + i * processes) % order.size()]);
-    // What others heard may not have come here; so a late one is tried by this process as well.
-    const bool isLate = lastContactOrProbe(order.front()) + m_options.timing.linkTimeout / 2 < now;
-    if (isLate && std::ranges::find(chosen, order.front()) == chosen.end())
+    // Contacts of the other processes may not have been received here, so this process also probes
+    // the data centre with the oldest contact or probe if that is older than half the timeout.
+    const bool isOverdue =
+        lastContactOrProbe(order.front()) + m_options.timing.linkTimeout / 2 < now;
+    if (isOverdue && std::ranges::find(chosen, order.front()) == chosen.end())
         chosen.push_back(order.front());
     for (const std::string &dataCentre : chosen) {
-        std::vector<const Member *> there;
-        std::ranges::copy_if(members, std::back_inserter(there), [&](const Member *member) {
+        std::vector<const Member *> targets;
+        std::ranges::copy_if(members, std::back_inserter(targets), [&](const Member *member) {
             return member->info.dataCentre == dataCentre;
         });
         m_crossProbedAt[dataCentre] = now;
-        startProbe(*randomOf(there), true, now);
+        startProbe(*randomOf(targets), true, now);
     }
 }
 
 Base::MonoTime Membership::lastContactOrProbe(const std::string &dataCentre) const
 {
-    const auto tried = m_crossProbedAt.find(dataCentre);
+    const auto probedAt = m_crossProbedAt.find(dataCentre);
     const Base::MonoTime contact = m_links.lastContact(dataCentre);
-    return tried == m_crossProbedAt.end() ? contact : std::max(contact, tried->second);
+    return probedAt == m_crossProbedAt.end() ? contact : std::max(contact, probedAt->second);
 }
 
 std::vector<std::string>
@@ -66,27 +69,28 @@
 
 std::pair<std::size_t, std::size_t> Membership::ownRank() const
 {
-    std::size_t before = 0;
+    std::size_t rank = 0;
     std::size_t others = 0;
     for (const auto &[id, member] : m_table.members()) {
         if (id == m_self.id || !member.isAlive() || !isOwnDataCentre(member))
             continue;
         ++others;
         if (id < m_self.id)
-            ++before;
+            ++rank;
     }
-    return {before, others + 1};
+    return {rank, others + 1};
 }
 
 std::size_t Membership::crossProbeCount(std::size_t dataCentres, std::size_t processes) const
 {
-    // The own data centre tries each other one three times within the time after which it is lost.
-    constexpr std::int64_t triesInTime = 3;
-    constexpr std::size_t most = 6;
-    const auto turns = static_cast<std::size_t>(std::max<std::int64_t>(
-        1, m_options.timing.linkTimeout / (m_options.timing.crossProbePeriod * triesInTime)));
-    const std::size_t needed = (dataCentres + processes * turns - 1) / (processes * turns);
-    return std::min({needed, most, dataCentres});
+    // The processes of the own data centre together probe each other data centre three times within
+    // the timeout after which it counts as unreachable.
+    constexpr std::int64_t probesPerTimeout = 3;
+    constexpr std::size_t maxProbes = 6;
+    const auto periods = static_cast<std::size_t>(std::max<std::int64_t>(
+        1, m_options.timing.linkTimeout / (m_options.timing.crossProbePeriod * probesPerTimeout)));
+    const std::size_t needed = (dataCentres + processes * periods - 1) / (processes * periods);
+    return std::min({needed, maxProbes, dataCentres});
 }
 
 } // namespace Lagoonbank::Membership
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -1,4 +1,5 @@
-// The part of Membership that reads and writes messages.
+/// \file Membership: processing of received messages and filling of sent ones.
+
 #include "membership/membership.h"
 
 #include <algorithm>
@@ -8,11 +9,13 @@
 
 namespace {
 
-/// Leaves a byte more for the count of each section.
+/// Size up to which sections are filled. Reserves one more byte for the entry count of each of the
+/// five sections, which needs two bytes if a section has many entries.
 constexpr std::size_t fillLimit = maxDatagramBytes + datagramOverheadBytes - 5;
 constexpr std::size_t maxRelays = 256;
 constexpr std::size_t maxKnownMembers = 4096;
-constexpr Base::Duration markAskPeriod = std::chrono::milliseconds(500);
+/// Minimum time between repeated requests for the same configuration offset.
+constexpr Base::Duration offsetRequestPeriod = std::chrono::milliseconds(500);
 
 ControlTraffic trafficOf(MessageType type)
 {
@@ -38,7 +41,7 @@
 {
     if (sender.id == m_self.id)
         return;
-    // Also one that leaves records events that others cause.
+    // A leaving process merges the time too, as it still records events that messages cause.
     receiveTime(message.time);
     if (m_isLeaving)
         return;
@@ -152,7 +155,7 @@
 {
     const ConfigurationMark &mark = message.configuration;
     if (mark.offset > m_mark.offset && configurationAhead
-        && (mark.offset > m_requestedOffset || now - m_offsetRequestedAt >= markAskPeriod)) {
+        && (mark.offset > m_requestedOffset || now - m_offsetRequestedAt >= offsetRequestPeriod)) {
         m_requestedOffset = mark.offset;
         m_offsetRequestedAt = now;
         configurationAhead(from, mark);
@@ -219,19 +222,20 @@
 void Membership::fillUpdates(PeerMessage &message, const Member *peer, std::size_t &size,
                              Base::MonoTime now)
 {
-    const auto room = [&](ControlPriority priority) {
+    const auto availableBytes = [&](ControlPriority priority) {
         return std::min(fillLimit, std::max(m_options.budget->available(priority, now), size))
             - size;
     };
     const auto addMember = [&](const MemberUpdate &update, ControlPriority priority) {
         const std::size_t bytes = encodedSize(update);
-        if (bytes > room(priority))
+        if (bytes > availableBytes(priority))
             return false;
         message.members.push_back(update);
         size += bytes;
         return true;
     };
-    // Who doesn't know this process, or is thought dead, has to be told first of all.
+    // An address that may not know this process first gets its entry; a peer that is not considered
+    // alive gets that update about itself, so that it can refute it.
     if (!peer)
         addMember(m_self, ControlPriority::Essential);
     else if (peer->info.status != MemberStatus::Alive)
@@ -243,7 +247,7 @@
             continue;
         }
         const LeavingEndpoint leaving = m_leaving.entry(name, now);
-        if (encodedSize(leaving) > room(ControlPriority::Configuration))
+        if (encodedSize(leaving) > availableBytes(ControlPriority::Configuration))
             break;
         size += encodedSize(leaving);
         message.leaving.push_back(leaving);
@@ -257,18 +261,19 @@
         }
         if (!addMember(member->info, ControlPriority::Membership))
             break;
-        // After a cold start or a long cut pulls carry the bulk; news alone would fill the budget.
-        constexpr std::size_t manyNews = 32;
-        constexpr std::uint32_t fewTimes = 4;
-        m_memberUpdates.markSent(name,
-                                 m_memberUpdates.count() > manyNews ? fewTimes : retransmitLimit());
+        // After a cold start or a long partition, most updates arrive by pulls; gossiping all of
+        // them with the full limit would use up the budget.
+        constexpr std::size_t manyUpdates = 32;
+        constexpr std::uint32_t reducedLimit = 4;
+        m_memberUpdates.markSent(
+            name, m_memberUpdates.count() > manyUpdates ? reducedLimit : retransmitLimit());
     }
 }
 
 void Membership::fillDigests(PeerMessage &message, const Member &peer, std::size_t &size,
                              Base::MonoTime now)
 {
-    const auto room = [&](ControlPriority priority) {
+    const auto availableBytes = [&](ControlPriority priority) {
         return std::min(fillLimit, std::max(m_options.budget->available(priority, now), size))
             - size;
     };
@@ -277,19 +282,19 @@
         std::size_t bytes = 0;
         for (const DataCentreContact &contact : contacts)
             bytes += encodedSize(contact);
-        if (bytes <= room(ControlPriority::Membership)) {
+        if (bytes <= availableBytes(ControlPriority::Membership)) {
             message.contacts = std::move(contacts);
             size += bytes;
         }
     }
-    const bool takesLoads = peer.info.role == MemberRole::Router && isOwnRegion(peer)
+    const bool acceptsLoads = peer.info.role == MemberRole::Router && isOwnRegion(peer)
         && message.type != MessageType::PingRequest;
-    if (!takesLoads)
+    if (!acceptsLoads)
         return;
-    message.loads = m_loads.take(room(ControlPriority::Load), now);
+    message.loads = m_loads.take(availableBytes(ControlPriority::Load), now);
     for (const LoadReport &report : message.loads)
         size += encodedSize(report);
-    message.demands = m_demands.take(room(ControlPriority::Demand), now);
+    message.demands = m_demands.take(availableBytes(ControlPriority::Demand), now);
     for (const DemandDigest &digest : message.demands)
         size += encodedSize(digest);
 }
@@ -329,9 +334,9 @@
 {
     if (update.incarnation < m_self.incarnation)
         return;
-    const bool isRight =
+    const bool isCurrent =
         update.incarnation == m_self.incarnation && update.status == MemberStatus::Alive;
-    if (!isRight)
+    if (!isCurrent)
         raiseIncarnation(update.incarnation, now);
 }
 
--- a/src/libs/membership/membertable.h
+++ b/src/libs/membership/membertable.h
@@ -13,16 +13,16 @@
 
 namespace Lagoonbank::Membership {
 
-/// What is known of one process of the fleet.
+/// State of one process of the fleet.
 struct Member
 {
     MemberUpdate info;
     Base::MonoTime changedAt{}; ///< When the status or the incarnation last changed.
-    Base::MonoTime suspectUntil{}; ///< When a suspect is confirmed dead.
-    bool isListed = false; ///< Whether the VM list has its address.
-    double penalty = 0; ///< Of its flaps, as of penaltyAt.
+    Base::MonoTime suspectUntil{}; ///< When a suspect is declared dead unless it refutes.
+    bool isListed = false; ///< Whether the platform's VM list contains its address.
+    double penalty = 0; ///< Flap damping penalty at penaltyAt; decays exponentially.
     Base::MonoTime penaltyAt{};
-    bool isDamped = false; ///< Flaps too much; not to be relied on.
+    bool isDamped = false; ///< Died too often recently to be relied on.
 
     bool isAlive() const
     {
@@ -30,17 +30,18 @@
     }
 };
 
-/// Members by id, merged so that the order in which updates come does not matter: the higher
-/// incarnation wins, then the later status.
+/// Members by id. Updates are merged independently of the order in which they arrive: the higher
+/// incarnation wins, then the later status in the order of MemberStatus.
 class MemberTable
 {
 public:
     struct Options
     {
-        Base::Duration tombstoneTime = std::chrono::minutes(10); ///< How long the dead are kept.
+        Base::Duration tombstoneTime =
+            std::chrono::minutes(10); ///< How long dead members are kept.
         double flapPenalty = 1.0; ///< Added each time that a member dies.
-        double dampingThreshold = 2.5; ///< Penalty from which a member is damped.
-        double restoreThreshold = 0.8; ///< Penalty under which it no longer is.
+        double dampingThreshold = 2.5; ///< Members with at least this penalty are damped.
+        double restoreThreshold = 0.8; ///< Damping ends below this penalty.
         Base::Duration penaltyHalfLife = std::chrono::seconds(60);
     };
     enum class Merge : std::uint8_t { Ignored, Added, Changed };
@@ -48,33 +49,37 @@
     MemberTable();
     explicit MemberTable(const Options &options);
 
-    /// Takes an update in; Ignored if nothing new was learnt.
+    /// Merges an update; Ignored if it is not newer than the stored state.
     Merge merge(const MemberUpdate &update, Base::MonoTime now);
     const Member *find(const std::string &id) const;
     Member *find(const std::string &id);
     /// The living member at an address; null if there is none.
     const Member *findAlive(std::uint32_t ip, std::uint16_t port) const;
-    /// In order of ids.
+    /// All members, sorted by id; dead ones too until their tombstones expire.
     const std::map<std::string, Member> &members() const { return m_members; }
     std::size_t aliveCount(const std::string &dataCentre) const;
     std::size_t aliveCount() const;
     std::size_t suspectCount() const;
 
-    /// Drops old tombstones and lifts damping that has decayed.
+    /// Drops expired tombstones and ends the damping of members whose penalty has decayed.
     void age(Base::MonoTime now);
     void remove(const std::string &id);
 
-    /// Over id and incarnation of the living; the same on members that know the same.
+    /// Hash over id and incarnation of the living members of \a dataCentre; equal on processes
+    /// that have the same members.
     std::uint32_t hash(const std::string &dataCentre) const;
+    /// The same over all data centres.
     std::uint32_t fleetHash() const;
-    /// Hashes of all data centres, for a pull.
+    /// hash() of each data centre, to be sent with a pull request.
     std::vector<TableHash> hashes() const;
-    /// Members of the data centres whose hash differs from \a known.
+    /// Members of the data centres whose hash differs from the one in \a known, at most
+    /// maxStateMembers.
     std::vector<MemberUpdate> differing(const std::vector<TableHash> &known) const;
 
 private:
     void addFlapPenalty(Member &member, Base::MonoTime now);
     double decayedPenalty(const Member &member, Base::MonoTime now) const;
+    /// Recomputes the hashes and the counts of members if m_hashesAreStale.
     void rehash() const;
 
     Options m_options;
--- a/src/libs/membership/peercodec.cpp
+++ b/src/libs/membership/peercodec.cpp
@@ -20,13 +20,13 @@
 constexpr unsigned char protocolVersion = 1;
 constexpr std::size_t macBytes = 16;
 constexpr std::size_t numberBytes = 8;
-/// Magic, version, length of the sender's id.
+/// Size of magic, version and length of the sender's id.
 constexpr std::size_t fixedHeadBytes = magic.size() + 2;
 constexpr std::size_t minSealedBytes = fixedHeadBytes + 2 * numberBytes + macBytes;
 constexpr std::size_t minKeyBytes = 16;
 constexpr std::size_t maxKeys = 2;
 
-/// Of a variable-length integer: seven bits a byte.
+/// Encoded size of a variable-length integer, which has seven bits in each byte.
 std::size_t countSize(std::uint64_t value)
 {
     constexpr std::size_t bitsPerByte = 7;
@@ -178,10 +178,11 @@
 {
     using Errors::ErrorKind;
     if (keys.empty() || keys.size() > maxKeys)
-        return Errors::makeError(ErrorKind::BadSettings, "one or two peer keys are needed");
+        return Errors::makeError(ErrorKind::BadSettings, "there must be one or two peer keys");
     for (const std::string &key : keys) {
         if (key.size() < minKeyBytes)
-            return Errors::makeError(ErrorKind::BadSettings, "a peer key has 16 bytes or more");
+            return Errors::makeError(ErrorKind::BadSettings,
+                                     "a peer key must have at least 16 bytes");
     }
     return boost::outcome_v2::success();
 }
@@ -241,16 +242,16 @@
     unsigned int size = 0;
     HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
          reinterpret_cast<const unsigned char *>(data.data()), data.size(), whole.data(), &size);
-    Mac cut{};
-    std::copy_n(whole.begin(), cut.size(), cut.begin());
-    return cut;
+    Mac truncated{};
+    std::copy_n(whole.begin(), truncated.size(), truncated.begin());
+    return truncated;
 }
 
 bool PeerCodec::hasValidSeal(std::string_view data, std::string_view seal) const
 {
     return std::any_of(m_options.keys.begin(), m_options.keys.end(), [&](const std::string &key) {
-        const Mac right = mac(key, data);
-        return CRYPTO_memcmp(right.data(), seal.data(), right.size()) == 0;
+        const Mac expected = mac(key, data);
+        return CRYPTO_memcmp(expected.data(), seal.data(), expected.size()) == 0;
     });
 }
 
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -16,11 +16,11 @@
 
 namespace Lagoonbank::Membership {
 
-/// Largest datagram that a member sends or takes, without IP and UDP headers.
+/// Maximum size of a datagram that a member sends or accepts, without IP and UDP headers.
 constexpr std::size_t maxDatagramBytes = 1200;
-/// Largest sealed body over TCP.
+/// Maximum size of a sealed body over TCP.
 constexpr std::size_t maxPullBytes = 4 * 1024 * 1024;
-/// IPv4 and UDP headers, which count towards the budget.
+/// Size of the IPv4 and UDP headers, which count towards the budget.
 constexpr std::size_t datagramOverheadBytes = 28;
 
 /// Why a datagram was dropped.
@@ -38,7 +38,7 @@
 constexpr std::size_t dropReasonCount = 9;
 std::string_view toString(DropReason reason);
 
-/// Who sealed a message.
+/// The process that sealed a message, with the incarnation and sequence number of the message.
 struct Sender
 {
     std::string id;
@@ -48,17 +48,18 @@
     bool operator==(const Sender &) const = default;
 };
 
-/// A message whose seal was right.
+/// A message whose seal was verified.
 struct OpenedMessage
 {
     Sender sender;
-    std::string_view body; ///< Part of the datagram that was opened.
+    std::string_view body; ///< Points into the datagram that was opened.
 };
 
-/// A short key of a name: endpoints, data centres and routers in digests.
+/// Hash that stands for the name of an endpoint, data centre or router in digests.
 std::uint32_t nameKey(std::string_view name);
 
-/// Body of a message in cereal's portable binary form; BadMessage if a bound is exceeded.
+/// Encode and decode message bodies in cereal's portable binary format; BadMessage if a bound of
+/// the schema is exceeded.
 Errors::Result<std::string> encodeMessage(const PeerMessage &message);
 Errors::Result<PeerMessage> decodeMessage(std::string_view body);
 Errors::Result<std::string> encodeStateRequest(const StateRequest &request);
@@ -66,41 +67,43 @@
 Errors::Result<std::string> encodeStateAnswer(const StateAnswer &answer);
 Errors::Result<StateAnswer> decodeStateAnswer(std::string_view body);
 
-/// Bytes that entries take in an encoded body.
+/// Size of an entry in an encoded body, in bytes.
 std::size_t encodedSize(const MemberUpdate &update);
 std::size_t encodedSize(const LeavingEndpoint &leaving);
 std::size_t encodedSize(const DataCentreContact &contact);
 std::size_t encodedSize(const LoadReport &report);
 std::size_t encodedSize(const DemandDigest &digest);
-/// Of the whole body.
+/// Size of the whole encoded body, in bytes.
 std::size_t encodedSize(const PeerMessage &message);
-/// Bytes that the seal adds for a sender of this id.
+/// Bytes that sealing adds to a body from a sender with this id.
 std::size_t sealSize(std::string_view senderId);
 
-/// Takes each sequence number of a sender's incarnation once; numbers older than the window count
-/// as replayed. Independent of clocks.
+/// Accepts each sequence number of a sender's incarnation once; numbers older than the window count
+/// as replayed. Does not depend on clocks.
 class ReplayWindow
 {
 public:
-    /// Whether \a sequence was not seen yet; remembers it.
+    /// True if \a sequence is seen for the first time; marks it as seen.
     bool accept(std::uint64_t sequence);
 
 private:
     static constexpr std::size_t width = 1024;
     std::uint64_t m_highest = 0;
-    std::bitset<width> m_seen; ///< Bit i: highest - i.
+    std::bitset<width> m_seen; ///< Bit i is set if m_highest - i was seen.
 };
 
-/// Seals and opens messages between members: magic, version, sender, incarnation, sequence,
-/// body, and HMAC-SHA256 cut to 16 bytes over all of it.
+/// Seals and opens messages between members. A sealed message consists of magic, version, sender,
+/// incarnation, sequence number and body, followed by the HMAC-SHA256 of all of them, truncated to
+/// 16 bytes.
 class PeerCodec
 {
 public:
     struct Options
     {
-        std::string id; ///< Of this process.
+        std::string id; ///< Id of this process.
         std::uint64_t incarnation = 0;
-        /// Two at most, so that keys can be rotated; the first signs.
+        /// One key, or two while keys are rotated. Messages are sealed with the first one; a
+        /// message sealed with any of them is accepted.
         std::vector<std::string> keys;
     };
 
@@ -113,12 +116,13 @@
     void setKeys(std::vector<std::string> keys) { m_options.keys = std::move(keys); }
 
     std::string seal(std::string_view body);
-    /// Checks size, magic, version, seal and, for datagrams, the replay window, in this order;
-    /// nothing is allocated for a message before its seal is known to be right. On a drop the
-    /// reason is counted; for OldIncarnation \a outdated gets the sender.
+    /// Checks size, magic, version, seal and replay window of a datagram, in this order; nothing is
+    /// allocated for a message before its seal is verified. Counts the reason if the message is
+    /// dropped; with OldIncarnation, sets \a outdated to the sender.
     std::optional<OpenedMessage> open(std::string_view datagram,
                                       std::optional<Sender> *outdated = nullptr);
-    /// The same for a body over TCP: bound to its request by the caller instead of a window.
+    /// Like open() for a body over TCP, without the replay window: the caller checks that an answer
+    /// belongs to its request.
     std::optional<OpenedMessage> openPulled(std::string_view sealed);
     void countDrop(DropReason reason) { ++m_drops[static_cast<std::size_t>(reason)]; }
 
@@ -126,9 +130,10 @@
     {
         return m_drops.at(static_cast<std::size_t>(reason));
     }
-    /// The incarnation up to which datagrams of \a id are dropped; 0 if none was seen.
+    /// The highest incarnation of \a id seen so far; datagrams of lower ones are dropped. 0 if none
+    /// was seen.
     std::uint64_t seenIncarnation(const std::string &id) const;
-    /// Forgets the window of a member that is gone for good.
+    /// Removes the replay window of a member that does not come back.
     void forget(const std::string &id) { m_windows.erase(id); }
 
 private:
--- a/src/libs/membership/peermessages.h
+++ b/src/libs/membership/peermessages.h
@@ -21,7 +21,7 @@
 using Schema::StateRequest;
 using Schema::TableHash;
 
-/// Bounds of the schema that code which fills messages has to keep to.
+/// Limits of the schema; a message that exceeds them can't be encoded.
 constexpr std::size_t maxNameBytes = 64;
 constexpr std::size_t maxDemandBytes = 96;
 constexpr std::size_t maxStateMembers = 4096;
--- a/src/libs/membership/peertransport.cpp
+++ b/src/libs/membership/peertransport.cpp
@@ -15,7 +15,8 @@
 constexpr Base::Duration pullConnectTimeout = std::chrono::seconds(1);
 constexpr Base::Duration pullTimeout = std::chrono::seconds(5);
 constexpr std::size_t maxPullRequestBytes = 256 * 1024;
-/// Rough cost of the heads of request and answer.
+/// Estimated size of the HTTP headers of a pull's request or answer, which count towards the
+/// budget.
 constexpr std::size_t pullHeadBytes = 400;
 
 Errors::Error badMessage(std::string detail)
@@ -23,13 +24,14 @@
     return Errors::makeError(Errors::ErrorKind::BadMessage, std::move(detail));
 }
 
-/// Ties an answer to its request, so that an old answer can't be passed off as a new one.
+/// Identifies a pull. The answer has to repeat it, so that an old answer can't be replayed.
 std::string bindingOf(const std::string &id, std::uint64_t incarnation, std::uint64_t number)
 {
     return id + '/' + std::to_string(incarnation) + '/' + std::to_string(number);
 }
 
-/// A sealed body over TCP: name, binding and logical time on a line each, then the contents.
+/// Body of a pull or its answer before it is sealed: name, binding and logical time on a line each,
+/// then the contents.
 std::string frame(std::string_view name, std::string_view binding, const MessageTime &time,
                   std::string_view contents)
 {
@@ -48,7 +50,7 @@
     std::string_view contents;
 };
 
-/// `<wall ms>+<counter>`
+/// Reads a logical time of the form `<wall ms>+<counter>`.
 std::optional<MessageTime> readTime(std::string_view text)
 {
     const std::size_t plus = text.find('+');
@@ -197,20 +199,21 @@
     const std::optional<OpenedMessage> opened = m_codec.openPulled(request.body);
     if (!opened)
         return refuse(Errors::ErrorKind::WrongPeerKey);
-    const std::optional<Frame> asked = readFrame(opened->body);
-    if (!asked || asked->name != std::string_view(request.path).substr(pullPath.size())) {
+    const std::optional<Frame> pullRequest = readFrame(opened->body);
+    if (!pullRequest
+        || pullRequest->name != std::string_view(request.path).substr(pullPath.size())) {
         m_codec.countDrop(DropReason::BadBody);
         return refuse(Errors::ErrorKind::BadMessage);
     }
-    m_options.membership->receiveTime(asked->time);
-    const auto provider = m_providers.find(std::string(asked->name));
+    m_options.membership->receiveTime(pullRequest->time);
+    const auto provider = m_providers.find(std::string(pullRequest->name));
     if (provider == m_providers.end())
         return refuse(Errors::ErrorKind::NotFound);
-    const Errors::Result<std::string> contents = provider->second(asked->contents);
+    const Errors::Result<std::string> contents = provider->second(pullRequest->contents);
     if (!contents)
         return refuse(contents.error().kind);
-    std::string sealed = m_codec.seal(
-        frame(asked->name, asked->binding, m_options.membership->stamp(), contents.value()));
+    std::string sealed = m_codec.seal(frame(pullRequest->name, pullRequest->binding,
+                                            m_options.membership->stamp(), contents.value()));
     if (!m_options.budget->takePull(sealed.size() + pullHeadBytes, now()))
         return refuse(Errors::ErrorKind::Overloaded);
     responder.send(200, {{"content-type", "application/octet-stream"}}, std::move(sealed));
@@ -225,7 +228,8 @@
         m_codec.seal(frame(name, binding, m_options.membership->stamp(), argument));
     if (!m_options.budget->takePull(sealed.size() + pullHeadBytes, now())) {
         m_options.loop->post([pulled = std::move(pulled)] {
-            pulled(Errors::makeError(Errors::ErrorKind::Overloaded, "pull budget spent"));
+            pulled(Errors::makeError(Errors::ErrorKind::Overloaded,
+                                     "the budget for pulls is exhausted"));
         });
         return;
     }
@@ -253,21 +257,23 @@
 {
     using Errors::ErrorKind;
     if (result.end != Http::CallEnd::Whole || result.status != 200) {
-        pulled(Errors::makeError(ErrorKind::EndpointUnreachable, "the peer gave no answer"));
+        pulled(
+            Errors::makeError(ErrorKind::EndpointUnreachable, "the peer did not answer the pull"));
         return;
     }
     const std::optional<OpenedMessage> opened = m_codec.openPulled(result.body);
     if (!opened) {
-        pulled(Errors::makeError(ErrorKind::WrongPeerKey, "the answer's seal is wrong"));
+        pulled(
+            Errors::makeError(ErrorKind::WrongPeerKey, "the seal of the peer's answer is invalid"));
         return;
     }
-    const std::optional<Frame> answered = readFrame(opened->body);
-    if (!answered || answered->binding != binding) {
-        pulled(badMessage("the answer is not to this request"));
+    const std::optional<Frame> response = readFrame(opened->body);
+    if (!response || response->binding != binding) {
+        pulled(badMessage("the peer's answer does not belong to this pull"));
         return;
     }
-    m_options.membership->receiveTime(answered->time);
-    pulled(std::string(answered->contents));
+    m_options.membership->receiveTime(response->time);
+    pulled(std::string(response->contents));
 }
 
 void PeerTransport::pullState(const Runtime::SocketAddress &peer, const StateRequest &request)
--- a/src/libs/membership/peertransport.h
+++ b/src/libs/membership/peertransport.h
@@ -18,7 +18,7 @@
 
 namespace Lagoonbank::Membership {
 
-/// Carries a Membership over the network: datagrams over UDP, pulls over TCP (HTTP with sealed
+/// Network transport of a Membership: datagrams over UDP, and pulls over TCP (HTTP with sealed
 /// bodies) on the same address and port number.
 class PeerTransport
 {
@@ -29,30 +29,33 @@
         Http::Client *client = nullptr;
         ControlBudget *budget = nullptr;
         Membership *membership = nullptr;
-        Runtime::SocketAddress address; ///< Has to be that of Membership::self().
+        Runtime::SocketAddress address; ///< Must be the address of Membership::self().
         std::vector<std::string> keys; ///< See PeerCodec::checkKeys().
     };
-    /// Answers a pull; `argument` is what the asker sent. Both are opaque here.
+    /// Answers a pull, whose request body is `argument`. This class interprets neither the
+    /// argument nor the answer.
     using Provider = std::function<Errors::Result<std::string>(std::string_view argument)>;
     using PullCallback = std::function<void(Errors::Result<std::string> answer)>;
 
-    /// Binds both sockets and starts the membership's clockwork.
+    /// Binds both sockets and starts to call Membership::advance() by a timer.
     static Errors::Result<std::unique_ptr<PeerTransport>> start(Options options);
     ~PeerTransport();
     PeerTransport(const PeerTransport &) = delete;
     PeerTransport &operator=(const PeerTransport &) = delete;
 
-    /// Answers pulls of this name; a name is a word without slashes.
+    /// Sets the provider that answers pulls of \a name, a word without slashes.
     void setProvider(const std::string &name, Provider provider);
-    /// Asks a peer's provider; \a pulled is called once, never from within this call.
+    /// Sends a pull request to the provider of this name at a peer. \a pulled is called once, never
+    /// from within this call.
     void pull(const Runtime::SocketAddress &peer, const std::string &name,
               std::string_view argument, PullCallback pulled);
-    /// Sends a sealed datagram that is not for the Membership: \a body begins with directMark.
-    /// False if the budget does not allow it.
+    /// Sends a sealed datagram that bypasses the Membership; \a body has to begin with directMark.
+    /// False if the budget does not allow it or the socket can't send.
     bool sendDirect(const Runtime::SocketAddress &to, std::string_view body);
-    /// First byte of such a body; no version of a PeerMessage has this number.
+    /// First byte of the body of a direct datagram. No encoded PeerMessage begins with it.
     static constexpr char directMark = '\xbe';
-    /// A datagram of sendDirect() came; its seal and its sequence were right.
+    /// Called for a received datagram of sendDirect(), after its seal and its sequence number were
+    /// checked.
     std::function<void(const Sender &sender, std::string_view body)> directReceived;
     void setKeys(std::vector<std::string> keys) { m_codec.setKeys(std::move(keys)); }
     const PeerCodec &codec() const { return m_codec; }
@@ -76,7 +79,7 @@
     std::map<std::string, Provider> m_providers;
     std::uint64_t m_pullNumber = 0;
     Runtime::TimerId m_timer;
-    /// Pulls that end after this object is gone find it out by this.
+    /// False once this object is destroyed, so that pulls which finish later don't use it.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/tests/auto/membership/fakefleet.h
+++ b/tests/auto/membership/fakefleet.h
@@ -16,16 +16,16 @@
 
 namespace Lagoonbank::Tests {
 
-/// A fleet of Membership machines on one paused clock, over a network in memory with seeded loss,
-/// delay, reordering, duplicates and cuts.
+/// A fleet of Membership objects on a simulated clock, connected by an in-memory network with
+/// seeded loss, delay, reordering, duplicates and partitions.
 class FakeFleet
 {
 public:
     struct Options
     {
         std::uint64_t seed = 1;
-        double loss = 0; ///< Part of the datagrams.
-        double duplicates = 0;
+        double loss = 0; ///< Fraction of the datagrams that are lost.
+        double duplicates = 0; ///< Fraction of the datagrams that are delivered twice.
         Base::Duration minDelay = std::chrono::microseconds(200);
         Base::Duration maxDelay = std::chrono::milliseconds(3);
         Base::Duration step = std::chrono::milliseconds(20);
@@ -76,7 +76,7 @@
     Membership::Membership &at(std::size_t i) { return *m_nodes.at(i)->membership; }
     std::string id(std::size_t i) const { return m_nodes.at(i)->info.id; }
 
-    /// Starts a process anew, as a VM that is replaced at the same address.
+    /// Starts a new process at the same address, as when a VM is replaced.
     void start(std::size_t i, std::uint64_t incarnation)
     {
         Node &node = *m_nodes.at(i);
@@ -98,7 +98,7 @@
     void pause(std::size_t i, bool paused) { m_nodes.at(i)->isPaused = paused; }
 
     void setLoss(double loss) { m_options.loss = loss; }
-    /// Whether datagrams from a to b are cut; by index.
+    /// Whether the network drops all datagrams between these nodes, given by index.
     std::function<bool(std::size_t from, std::size_t to)> isCut;
     void cutDataCentre(const std::string &dataCentre)
     {
@@ -113,11 +113,13 @@
     {
         runUntil([] { return false; }, duration);
     }
-    /// Time until \a done holds, or nullopt after \a most.
-    std::optional<Base::Duration> runUntil(const std::function<bool()> &done, Base::Duration most)
+    /// Runs until \a done returns true and returns the time that took; nullopt if it took more than
+    /// \a maxDuration.
+    std::optional<Base::Duration> runUntil(const std::function<bool()> &done,
+                                           Base::Duration maxDuration)
     {
         const Base::MonoTime begin = m_now;
-        while (m_now - begin < most) {
+        while (m_now - begin < maxDuration) {
             if (done())
                 return m_now - begin;
             m_now += m_options.step;
@@ -131,9 +133,11 @@
         }
         return done() ? std::optional(m_now - begin) : std::nullopt;
     }
+    /// Called after each step of the clock.
     std::function<void()> eachStep;
 
-    /// Whether every running member sees exactly the running ones as usable.
+    /// Whether every running member has as many usable members as are running, damped ones
+    /// included.
     bool isConverged() const
     {
         std::size_t running = 0;
@@ -148,7 +152,7 @@
         }
         return true;
     }
-    /// Events of this kind about running members, over all nodes.
+    /// Number of events of this kind, over all nodes.
     std::size_t countEvents(Membership::MemberEvent what) const
     {
         std::size_t count = 0;
@@ -171,14 +175,14 @@
     static constexpr std::uint16_t controllerPort = 7001;
 
 private:
-    struct Flight
+    struct InFlightDatagram
     {
         Base::MonoTime due;
         std::uint64_t order = 0;
         std::size_t from = 0;
         std::size_t to = 0;
-        std::string datagram;
-        friend bool operator>(const Flight &a, const Flight &b)
+        std::string bytes;
+        friend bool operator>(const InFlightDatagram &a, const InFlightDatagram &b)
         {
             return a.due != b.due ? a.due > b.due : a.order > b.order;
         }
@@ -206,8 +210,8 @@
                                                   const Membership::PeerMessage &message) {
             const auto found = m_byAddress.find({Membership::ipNumber(to.ip), to.port});
             if (found != m_byAddress.end())
-                launch(i, found->second,
-                       m_nodes[i]->codec->seal(Membership::encodeMessage(message).value()));
+                transmit(i, found->second,
+                         m_nodes[i]->codec->seal(Membership::encodeMessage(message).value()));
         };
         node.membership->memberChanged = [this, i](const Membership::Member &member,
                                                    Membership::MemberEvent what) {
@@ -227,23 +231,23 @@
         };
     }
 
-    void launch(std::size_t from, std::size_t to, std::string datagram)
+    void transmit(std::size_t from, std::size_t to, std::string datagram)
     {
         if (isCut && isCut(from, to))
             return;
-        if (part() < m_options.loss)
+        if (randomFraction() < m_options.loss)
             return;
-        if (part() < m_options.duplicates)
-            m_flights.push({m_now + delay(), ++m_order, from, to, datagram});
-        m_flights.push({m_now + delay(), ++m_order, from, to, std::move(datagram)});
+        if (randomFraction() < m_options.duplicates)
+            m_inFlight.push({m_now + delay(), ++m_order, from, to, datagram});
+        m_inFlight.push({m_now + delay(), ++m_order, from, to, std::move(datagram)});
     }
 
     void deliver()
     {
-        while (!m_flights.empty() && m_flights.top().due <= m_now) {
-            const Flight flight = m_flights.top();
-            m_flights.pop();
-            receive(flight);
+        while (!m_inFlight.empty() && m_inFlight.top().due <= m_now) {
+            const InFlightDatagram datagram = m_inFlight.top();
+            m_inFlight.pop();
+            receive(datagram);
         }
         auto pulls = std::move(m_pulls);
         m_pulls.clear();
@@ -251,14 +255,15 @@
             answer(pull);
     }
 
-    void receive(const Flight &flight)
+    void receive(const InFlightDatagram &datagram)
     {
-        Node &node = *m_nodes[flight.to];
+        Node &node = *m_nodes[datagram.to];
         if (!node.isRunning || node.isPaused)
             return;
         std::optional<Membership::Sender> outdated;
-        const auto opened = node.codec->open(flight.datagram, &outdated);
-        const Runtime::SocketAddress from = Membership::toSocketAddress(m_nodes[flight.from]->info);
+        const auto opened = node.codec->open(datagram.bytes, &outdated);
+        const Runtime::SocketAddress from =
+            Membership::toSocketAddress(m_nodes[datagram.from]->info);
         if (outdated)
             node.membership->receiveOutdated(*outdated, from,
                                              node.codec->seenIncarnation(outdated->id), m_now);
@@ -270,25 +275,26 @@
 
     struct Pull
     {
-        std::size_t asker;
+        std::size_t requester;
         std::size_t peer;
         Membership::StateRequest request;
     };
     void answer(const Pull &pull)
     {
         Node &peer = *m_nodes[pull.peer];
-        Node &asker = *m_nodes[pull.asker];
-        const bool isUp = peer.isRunning && !peer.isPaused && asker.isRunning;
-        if (!isUp || (isCut && (isCut(pull.asker, pull.peer) || isCut(pull.peer, pull.asker))))
+        Node &requester = *m_nodes[pull.requester];
+        const bool isUp = peer.isRunning && !peer.isPaused && requester.isRunning;
+        if (!isUp
+            || (isCut && (isCut(pull.requester, pull.peer) || isCut(pull.peer, pull.requester))))
             return;
         const Membership::StateAnswer answer = peer.membership->answer(pull.request, m_now);
         const std::string body = Membership::encodeStateAnswer(answer).value();
-        ++asker.pulls;
+        ++requester.pulls;
         if (peer.budget->takePull(body.size(), m_now))
-            asker.membership->mergeState(Membership::decodeStateAnswer(body).value(), m_now);
+            requester.membership->mergeState(Membership::decodeStateAnswer(body).value(), m_now);
     }
 
-    double part() { return static_cast<double>(m_random() >> 11) * 0x1p-53; }
+    double randomFraction() { return static_cast<double>(m_random() >> 11) * 0x1p-53; }
     Base::Duration delay()
     {
         const auto span = (m_options.maxDelay - m_options.minDelay).count();
@@ -303,7 +309,7 @@
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::vector<Runtime::SocketAddress> m_seeds;
     std::map<std::pair<std::uint32_t, std::uint16_t>, std::size_t> m_byAddress;
-    std::priority_queue<Flight, std::vector<Flight>, std::greater<>> m_flights;
+    std::priority_queue<InFlightDatagram, std::vector<InFlightDatagram>, std::greater<>> m_inFlight;
     std::vector<Pull> m_pulls;
 };
 
--- a/tests/auto/membership/tst_membership.cpp
+++ b/tests/auto/membership/tst_membership.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-// Everyone finds everyone from seeds alone.
+// All members discover each other from seeds alone, without a VM list.
 BOOST_DATA_TEST_CASE(convergesFromSeeds, boost::unit_test::data::make({6, 24, 60}), vms)
 {
     FakeFleet fleet({.vms = static_cast<std::size_t>(vms), .withControllers = true});
@@ -37,21 +37,21 @@
     BOOST_TEST(toSeconds(*time) < 12.0);
 }
 
-// A healthy fleet under loss, reordering and duplicates: nobody is declared dead.
+// In a healthy fleet with loss, reordering and duplicates no member is declared dead.
 BOOST_DATA_TEST_CASE(noFalseDeathUnderLoss, boost::unit_test::data::make({0.0, 0.05, 0.1, 0.2}),
                      loss)
 {
     FakeFleet fleet({.seed = 7, .duplicates = 0.02, .vms = 24, .dataCentres = 4});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
     fleet.setLoss(loss);
-    bool wasWhole = true;
-    fleet.eachStep = [&] { wasWhole = wasWhole && fleet.isConverged(); };
+    bool wasConverged = true;
+    fleet.eachStep = [&] { wasConverged = wasConverged && fleet.isConverged(); };
     fleet.run(std::chrono::minutes(3));
     BOOST_TEST(fleet.countEvents(MemberEvent::Died) == 0U);
-    BOOST_TEST(wasWhole);
+    BOOST_TEST(wasConverged);
 }
 
-// A crash is seen by every member; the time is bounded.
+// Every member detects a crash within a bounded time.
 BOOST_DATA_TEST_CASE(crashIsDetected, boost::unit_test::data::make({6, 24, 60}), vms)
 {
     FakeFleet fleet({.seed = 3, .loss = 0.02, .vms = static_cast<std::size_t>(vms)});
@@ -78,7 +78,8 @@
     BOOST_TEST(fleet.countEvents(MemberEvent::Died) == 0U);
 }
 
-// The wall clock of the replacement may be ahead of or behind the old VM's.
+// The incarnation comes from the wall clock, and the clock of the replacement may be ahead of or
+// behind that of the old VM.
 BOOST_DATA_TEST_CASE(replacedVmAtTheSameAddress, boost::unit_test::data::make({2000, 500}),
                      incarnation)
 {
@@ -87,7 +88,7 @@
     fleet.stop(5);
     fleet.run(std::chrono::seconds(1));
     fleet.start(5, static_cast<std::uint64_t>(incarnation));
-    const auto isNewKnown = [&] {
+    const auto isReplacementKnown = [&] {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             const auto *member = fleet.at(i).table().find(fleet.id(5));
             if (!member || member->info.status != MemberStatus::Alive
@@ -96,12 +97,13 @@
         }
         return fleet.isConverged();
     };
-    BOOST_REQUIRE(fleet.runUntil(isNewKnown, settleTime));
+    BOOST_REQUIRE(fleet.runUntil(isReplacementKnown, settleTime));
     fleet.run(std::chrono::seconds(20));
-    BOOST_TEST(isNewKnown());
+    BOOST_TEST(isReplacementKnown());
 }
 
-// A cut data centre is out of reach as a whole; nobody dies, and healing needs no refutation.
+// A partitioned data centre is unreachable as a whole. None of its members is declared dead, so
+// that none has to refute its death after the partition.
 BOOST_AUTO_TEST_CASE(partitionedDataCentreRecovers)
 {
     FakeFleet fleet({.seed = 5, .vms = 12, .withControllers = true});
@@ -109,7 +111,7 @@
     fleet.run(std::chrono::seconds(5));
     fleet.cutDataCentre("centre-1");
     const DataCentreId cut("centre-1");
-    const auto isCutOff = [&] {
+    const auto isUnreachable = [&] {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             const bool isInside = fleet.node(i).info.dataCentre == "centre-1";
             const DataCentreId other(isInside ? "centre-0" : "centre-1");
@@ -118,10 +120,10 @@
         }
         return true;
     };
-    const auto seen = fleet.runUntil(isCutOff, settleTime);
+    const auto seen = fleet.runUntil(isUnreachable, settleTime);
     BOOST_REQUIRE(seen);
     BOOST_TEST(toSeconds(*seen) < 9.0);
-    // Each side learns something while they are apart.
+    // State changes on both sides during the partition.
     fleet.at(1).announceLeaving(EndpointId("engine-inside"), Incarnation(1), fleet.now());
     fleet.at(0).announceLeaving(EndpointId("engine-outside"), Incarnation(1), fleet.now());
     fleet.at(0).setConfigurationMark({.offset = 90, .hash = 1}, fleet.now());
@@ -144,8 +146,8 @@
     BOOST_TEST(!fleet.at(0).isLeaving(EndpointId("engine-inside"), Incarnation(2)));
 }
 
-// One direction between two members of a data centre is lost: others vouch, nobody dies.
-// With many data centres each one stays within reach of all, also of one with a single process.
+// With many data centres each one stays reachable from all others, even from a data centre with a
+// single process.
 BOOST_DATA_TEST_CASE(manyDataCentresStayReachable, boost::unit_test::data::make({13, 65}), vms)
 {
     FakeFleet fleet({.seed = 11, .vms = static_cast<std::size_t>(vms), .dataCentres = 13});
@@ -160,6 +162,8 @@
     BOOST_TEST(lost == 0U);
 }
 
+// One direction between two members of a data centre is cut: indirect probes by other members keep
+// both alive.
 BOOST_AUTO_TEST_CASE(oneWayCutWithinADataCentre)
 {
     FakeFleet fleet({.seed = 9, .vms = 6, .dataCentres = 1});
@@ -170,7 +174,7 @@
     BOOST_TEST(fleet.isConverged());
 }
 
-// One direction between two data centres is lost: both sides agree that they are apart.
+// One direction between two data centres is cut: each side considers the other one unreachable.
 BOOST_AUTO_TEST_CASE(oneWayCutBetweenDataCentres)
 {
     FakeFleet fleet({.seed = 9, .vms = 8, .dataCentres = 2});
@@ -189,7 +193,8 @@
     BOOST_TEST(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime).has_value());
 }
 
-// A member that comes and goes is damped: known to be there, but not relied on until it is calm.
+// A member that dies and restarts repeatedly is damped: it stays a member but is not usable until
+// it has been stable for some time.
 BOOST_AUTO_TEST_CASE(flappingVmIsDamped)
 {
     FakeFleet fleet({.vms = 6, .dataCentres = 1});
@@ -213,12 +218,13 @@
     BOOST_TEST(toSeconds(*calm) > 30.0);
 }
 
-// The list lags both ways: contact decides who lives, the list who may be asked.
+// The VM list may lack running VMs and contain VMs that are gone. Only contact decides which
+// members are alive; the list only gives addresses to try.
 BOOST_AUTO_TEST_CASE(vmListLagsBothWays)
 {
     FakeFleet fleet({.vms = 6, .dataCentres = 2});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
-    // Only a VM that is long gone is listed, and none of the living.
+    // Lists only a VM that no longer exists, and none of the running ones.
     for (std::size_t i = 0; i < fleet.size(); ++i)
         fleet.at(i).setVmList(
             {{.id = VmId("vm-99"), .ip = "10.0.0.99", .dataCentre = DataCentreId("centre-0")}});
@@ -233,7 +239,7 @@
 {
     FakeFleet fleet({.vms = 6, .dataCentres = 2});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
-    // Every seed is replaced by VMs elsewhere; a new one knows the list alone.
+    // The process starts again with a VM list that contains one running VM.
     fleet.stop(5);
     fleet.run(settleTime);
     fleet.start(5, 5000);
@@ -242,7 +248,8 @@
     BOOST_TEST(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime).has_value());
 }
 
-// A process that was paused for long neither kills the others nor stays dead itself.
+// A process that was paused for a long time does not declare other members dead, and the others
+// consider it alive again after it resumes.
 BOOST_AUTO_TEST_CASE(pausedProcessResumes)
 {
     FakeFleet fleet({.vms = 8, .dataCentres = 2});
@@ -257,7 +264,7 @@
         BOOST_TEST(countAbout(fleet, 3, fleet.id(i), MemberEvent::Died) == 0U);
 }
 
-// News of a leaving endpoint and of a configuration reach every member within a second.
+// The announcement of a leaving endpoint reaches every member within two seconds.
 BOOST_DATA_TEST_CASE(urgentUpdatesSpreadFast, boost::unit_test::data::make({0.0, 0.1}), loss)
 {
     FakeFleet fleet({.vms = 24, .withControllers = true});
@@ -277,7 +284,8 @@
     BOOST_TEST(toSeconds(*time) < 2.0);
 }
 
-// Even with far more to say than it may, a process stays within its bytes, and news goes first.
+// A process with far more digests than the budget allows stays within the budget, and sends urgent
+// updates before digests.
 BOOST_AUTO_TEST_CASE(budgetHoldsUnderPressure)
 {
     FakeFleet fleet({.vms = 24, .dataCentres = 4});
--- a/tests/auto/membership/tst_peercodec.cpp
+++ b/tests/auto/membership/tst_peercodec.cpp
@@ -77,7 +77,8 @@
 {
     const std::vector<DropRow> rows{
         {"empty", [](const std::string &) { return std::string(); }, DropReason::Truncated},
-        {"head only", [](const std::string &s) { return s.substr(0, 20); }, DropReason::Truncated},
+        {"header only", [](const std::string &s) { return s.substr(0, 20); },
+         DropReason::Truncated},
         {"id longer than the datagram",
          [](std::string s) { return s.replace(5, 1, 1, 64).substr(0, 60); }, DropReason::Truncated},
         {"id too long", [](std::string s) { return s.replace(5, 1, 1, static_cast<char>(255)); },
@@ -134,7 +135,7 @@
     BOOST_TEST(receiver.open(sealed[79]).has_value()); // Reordered, not replayed.
     BOOST_TEST(!receiver.open(sealed[79]));
     BOOST_TEST(receiver.open(sealed[1099]).has_value());
-    BOOST_TEST(!receiver.open(sealed[5])); // Too far behind the window to tell.
+    BOOST_TEST(!receiver.open(sealed[5])); // Older than the replay window, so counted as replayed.
     BOOST_TEST(receiver.drops(DropReason::Replayed) == 3U);
 }
 
@@ -152,7 +153,8 @@
     BOOST_TEST(receiver.drops(DropReason::OldIncarnation) == 1U);
 }
 
-// Keys are rotated without a moment in which members don't understand each other.
+// At every step of a key rotation, members that have made the step and members that have not can
+// open each other's messages.
 BOOST_AUTO_TEST_CASE(keysRotate)
 {
     struct Row
@@ -177,7 +179,7 @@
     BOOST_TEST(PeerCodec::checkKeys({oldKey, newKey}).has_value());
 }
 
-// Bodies with a right seal but wrong contents, as from a faulty peer: an error, never a crash.
+// Malformed bodies under a valid seal, as a faulty peer may send them, are errors and never crash.
 BOOST_AUTO_TEST_CASE(malformedBodiesAreErrors)
 {
     const std::string good = encodeMessage(fullMessage()).value();
--- a/tests/auto/membership/tst_peertransport.cpp
+++ b/tests/auto/membership/tst_peertransport.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr Base::Duration turn = std::chrono::milliseconds(20);
-constexpr int maxTurns = 1000;
-constexpr int maxPortTries = 200;
+constexpr Base::Duration stepTime = std::chrono::milliseconds(20);
+constexpr int maxSteps = 1000;
+constexpr int maxPortAttempts = 200;
 const std::string key = "0123456789abcdef";
 
 Runtime::SocketAddress freeAddress(Runtime::Loop &loop)
@@ -30,8 +30,9 @@
             const std::vector<std::string> &keys = {key})
         : client({.loop = &loop})
     {
-        // The number has to be free for UDP and for TCP, and others may take it meanwhile.
-        for (int i = 0; i < maxPortTries && !transport; ++i)
+        // The port has to be free for both UDP and TCP, and another process may take it between
+        // freeAddress() and the start.
+        for (int i = 0; i < maxPortAttempts && !transport; ++i)
             tryStart(loop, id, seeds, keys);
         BOOST_REQUIRE(transport);
     }
@@ -70,8 +71,8 @@
 template<typename Done>
 bool runUntil(Runtime::Loop &loop, Done done)
 {
-    for (int i = 0; i < maxTurns && !done(); ++i)
-        loop.runOnce(turn);
+    for (int i = 0; i < maxSteps && !done(); ++i)
+        loop.runOnce(stepTime);
     return done();
 }
 
@@ -83,11 +84,11 @@
     Process a(loop, "vm-a/router", {});
     Process b(loop, "vm-b/router", {a.transport->address()});
     Process c(loop, "vm-c/router", {a.transport->address()});
-    const auto isWhole = [&] {
+    const auto isConverged = [&] {
         return a.membership->table().aliveCount() == 3 && b.membership->table().aliveCount() == 3
             && c.membership->table().aliveCount() == 3;
     };
-    BOOST_REQUIRE(runUntil(loop, isWhole));
+    BOOST_REQUIRE(runUntil(loop, isConverged));
     BOOST_TEST(a.budget.spentBytes(ControlTraffic::Pull) > 0U);
 
     a.transport->setProvider("configuration",
@@ -110,10 +111,12 @@
     a.membership->messageTimeProvider = [] { return MessageTime{.wallMs = 2000, .counter = 1}; };
     b.membership->messageTimeProvider = [] { return MessageTime{.wallMs = 1000, .counter = 300}; };
     a.membership->timeReceived = [&](const MessageTime &time) {
-        seen.push_back("asked " + std::to_string(time.wallMs) + "+" + std::to_string(time.counter));
+        seen.push_back("request " + std::to_string(time.wallMs) + "+"
+                       + std::to_string(time.counter));
     };
     b.membership->timeReceived = [&](const MessageTime &time) {
-        seen.push_back("told " + std::to_string(time.wallMs) + "+" + std::to_string(time.counter));
+        seen.push_back("response " + std::to_string(time.wallMs) + "+"
+                       + std::to_string(time.counter));
     };
     a.transport->setProvider("greeting", [&](std::string_view) -> Errors::Result<std::string> {
         seen.emplace_back("answering");
@@ -123,7 +126,7 @@
         a.transport->address(), "greeting", {},
         [&](const Errors::Result<std::string> &answer) { seen.push_back(answer.value()); });
     BOOST_REQUIRE(runUntil(loop, [&] { return seen.size() >= 4; }));
-    const std::vector<std::string> expected{"asked 1000+300", "answering", "told 2000+1",
+    const std::vector<std::string> expected{"request 1000+300", "answering", "response 2000+1",
                                             "first\nsecond"};
     BOOST_TEST(seen == expected, boost::test_tools::per_element());
 }
@@ -132,13 +135,13 @@
 {
     Runtime::Loop loop;
     Process a(loop, "vm-a/router", {});
-    Process stranger(loop, "vm-x/router", {a.transport->address()}, {"another-key-0123"});
+    Process outsider(loop, "vm-x/router", {a.transport->address()}, {"another-key-0123"});
     BOOST_REQUIRE(
         runUntil(loop, [&] { return a.transport->codec().drops(DropReason::WrongKey) > 0; }));
     BOOST_TEST(a.membership->table().aliveCount() == 1U);
 
     bool isRefused = false;
-    stranger.transport->pull(
+    outsider.transport->pull(
         a.transport->address(), "membership", {},
         [&](const Errors::Result<std::string> &pulled) { isRefused = !pulled.has_value(); });
     BOOST_TEST(runUntil(loop, [&] { return isRefused; }));
--- a/tests/fuzz/membership/fuzz_peercodec.cpp
+++ b/tests/fuzz/membership/fuzz_peercodec.cpp
@@ -1,5 +1,5 @@
-// Feeds bytes to everything that reads what other processes send: the seal, and, as from a faulty
-// peer with the right key, each body.
+// Passes the input to all code that parses data of other processes: to the opening of sealed
+// messages and, as from a faulty peer with a valid key, to the decoder of each message body.
 #include "membership/peercodec.h"
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 {
     const std::string_view input(reinterpret_cast<const char *>(data), size);
     PeerCodec codec({.id = "vm-0/router", .incarnation = 1, .keys = {"0123456789abcdef"}});
-    // Nobody makes a right seal by chance; one that opens comes from the seed corpus.
+    // The fuzzer can't produce a valid seal by chance; inputs that open come from the seed corpus.
     if (const auto opened = codec.open(input))
         static_cast<void>(decodeMessage(opened->body));
     static_cast<void>(codec.openPulled(input));
--- a/tests/fuzz/membership/replay_main.cpp
+++ b/tests/fuzz/membership/replay_main.cpp
@@ -1,5 +1,5 @@
 // Runs the fuzz target's entry point over a folder of inputs, each also truncated at every length
-// and with every byte inverted in turn. The same on every run.
+// and with every byte inverted in turn. Every run is identical.
 #include <cstddef>
 #include <cstdint>
 #include <cstdio>
@@ -17,7 +17,7 @@
     LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(input.data()), input.size());
 }
 
-void runAround(const std::string &input)
+void runWithVariants(const std::string &input)
 {
     run(input);
     for (std::size_t size = 0; size < input.size(); ++size)
@@ -40,7 +40,7 @@
     std::size_t count = 0;
     for (const auto &entry : std::filesystem::directory_iterator(argv[1])) {
         std::ifstream file(entry.path(), std::ios::binary);
-        runAround({std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()});
+        runWithVariants({std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()});
         ++count;
     }
     std::printf("replayed %zu inputs\n", count);
