--- a/src/libs/configuration/objecttable.h
+++ b/src/libs/configuration/objecttable.h
@@ -16,7 +16,7 @@
 
 namespace Lagoonbank::Configuration {
 
-/// Names one object of the configuration.
+/// Identifies one object of the configuration.
 struct ObjectKey
 {
     Schema::ObjectKind kind{};
@@ -30,7 +30,7 @@
 std::string toString(const ObjectKey &key);
 ObjectKey keyOf(const Schema::ConfigurationObject &object);
 
-/// The objects that are in force. Copies share the objects.
+/// The objects of the current configuration. Copies of a table share the objects.
 class ObjectTable
 {
 public:
@@ -45,13 +45,14 @@
     bool contains(const ObjectKey &key) const { return find(key) != nullptr; }
 
     const Schema::Contract *contract(const Base::WorkspaceId &name) const;
-    /// The contract that a bearer key belongs to, by the key's SHA-256 in lower-case hexadecimal.
+    /// The contract that a bearer key belongs to. \a sha256 is the key's SHA-256 in lower-case
+    /// hexadecimal.
     const Schema::Contract *contractOfKey(std::string_view sha256) const;
     const Schema::Service *service(const Base::ServiceId &name) const;
     const Schema::Model *model(const Base::ModelId &name) const;
     const Schema::Endpoint *endpoint(const Base::EndpointId &name) const;
     const Schema::DataCentre *dataCentre(const Base::DataCentreId &name) const;
-    /// The policy named `default`, or the defaults where there is none.
+    /// The policy named `default`, or the default values if there is none.
     const Schema::Policy &policy() const;
 
     /// Visits all objects of one type in the order of their names.
--- a/src/libs/configuration/record.cpp
+++ b/src/libs/configuration/record.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t maxLines = 64;
 constexpr std::uint32_t maxParts = 100000;
 
-/// Reads fields of one JSON object; the first mistake is kept.
+/// Reads fields of one JSON object and keeps the first error.
 class FieldReader
 {
 public:
@@ -30,7 +30,8 @@
             return fail<std::string>(key);
         return value->get<std::string>();
     }
-    /// Empty for a missing or wrong one: programs that don't know it take the record, so all do.
+    /// Returns an empty text if the field is missing or invalid. Programs that don't know the field
+    /// accept the record, so that an invalid value must not make this program refuse it.
     std::string optionalText(const char *key, std::size_t maxBytes) const
     {
         const Json *value = find(key);
@@ -75,7 +76,7 @@
         return value && value->is_array() ? value : fail<const Json *>(key);
     }
 
-    const std::string &mistake() const { return m_mistake; }
+    const std::string &error() const { return m_error; }
 
 private:
     const Json *find(const char *key) const
@@ -88,13 +89,13 @@
     template<typename T>
     T fail(const char *key)
     {
-        if (m_mistake.empty())
-            m_mistake = std::string(key) + " is missing or wrong";
+        if (m_error.empty())
+            m_error = std::string(key) + " is missing or wrong";
         return {};
     }
 
     const Json &m_json;
-    std::string m_mistake;
+    std::string m_error;
 };
 
 Errors::Error malformed(const std::string &detail)
@@ -152,8 +153,8 @@
     change.lines = reader.lines("lines");
     change.body = reader.text("body", maxBodyBytes);
     change.time = reader.optionalText("time", maxTimeBytes);
-    if (!reader.mistake().empty())
-        return malformed("change: " + reader.mistake());
+    if (!reader.error().empty())
+        return malformed("change: " + reader.error());
     return Record(std::move(change));
 }
 
@@ -168,15 +169,15 @@
     part.through = Base::LogOffset(reader.number("through"));
     part.hash = reader.number("hash");
     const Json *objects = reader.list("objects");
-    if (!reader.mistake().empty())
-        return malformed("snapshot: " + reader.mistake());
+    if (!reader.error().empty())
+        return malformed("snapshot: " + reader.error());
     if (part.part >= part.parts)
         return malformed("snapshot: part is not below parts");
     for (const Json &item : *objects) {
         FieldReader itemReader(item);
         part.objects.push_back(readObjectState(itemReader));
-        if (!itemReader.mistake().empty())
-            return malformed("snapshot object: " + itemReader.mistake());
+        if (!itemReader.error().empty())
+            return malformed("snapshot object: " + itemReader.error());
     }
     return Record(std::move(part));
 }
@@ -239,7 +240,7 @@
         return malformed("the record is not a JSON object");
     FieldReader reader(json);
     const std::uint64_t version = reader.number("version");
-    if (!reader.mistake().empty() || version == 0)
+    if (!reader.error().empty() || version == 0)
         return malformed("version is missing or wrong");
     if (version > recordVersion) {
         return Errors::makeError(Errors::ErrorKind::WrongVersion,
--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -56,8 +56,8 @@
     applyOutOfOrder();
 }
 
-/// A peer's state came before this record; a snapshot is still to be told of, or this process would
-/// think that none stands in the log.
+/// Handles a record that an imported peer state already covers. A snapshot is still reported, or
+/// this process would assume that the log contains none.
 void Reducer::noteCoveredRecord(const LogRecord &record)
 {
     const auto decoded = decode(record.data);
@@ -152,12 +152,12 @@
     m_snapshots.clear();
     m_next = std::max(from, m_readNext);
     m_readNext = m_next;
-    const std::map<Base::LogOffset, LogRecord> held = std::exchange(m_buffered, {});
+    const std::map<Base::LogOffset, LogRecord> buffered = std::exchange(m_buffered, {});
     if (hadGap)
         raise(EventKind::GapClosed, from, how);
     if (m_stateChanged)
         m_stateChanged();
-    for (auto it = held.lower_bound(from); it != held.end(); ++it)
+    for (auto it = buffered.lower_bound(from); it != buffered.end(); ++it)
         apply(it->second);
     updateReady();
 }
@@ -193,7 +193,7 @@
     if (!snapshot)
         return;
     raise(EventKind::SnapshotSeen, record.offset, snapshot->id);
-    // Only where no change came between is the snapshot's state still ours.
+    // The states can be compared only if no object changed after the snapshot was taken.
     const bool isSameState = m_state.changedSince(snapshot->through).empty();
     if (isSameState && !m_hasSkippedNewer && snapshot->hash != m_state.hash())
         raise(EventKind::StateDiffers, record.offset, "snapshot " + snapshot->id);
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -16,16 +16,16 @@
 
 namespace Lagoonbank::Configuration {
 
-/// What operators may want to see of the reduction.
+/// Events of the reduction that are reported to operators.
 enum class EventKind : std::uint8_t {
-    RecordSkipped, ///< Malformed or written by a newer program.
-    GapFound, ///< Retention took records that were not read.
-    GapClosed, ///< A snapshot or a peer's state filled it.
-    SnapshotSeen, ///< A whole snapshot stands in the log.
-    SnapshotRefused, ///< It would have taken an object back, or its hash is wrong.
-    StateImported, ///< From a peer.
-    ImportRefused, ///< It would have taken an object back, or its hash is wrong.
-    StateDiffers ///< A peer or a snapshot holds another state after the same records.
+    RecordSkipped, ///< A record is malformed or was written by a newer program.
+    GapFound, ///< Retention removed records that had not been read.
+    GapClosed, ///< A snapshot or a peer's state replaced the missing records.
+    SnapshotSeen, ///< A complete snapshot was read from the log.
+    SnapshotRefused, ///< A snapshot would revert an object, or its hash is wrong.
+    StateImported, ///< The state was taken over from a peer.
+    ImportRefused, ///< A peer's state would revert an object, or its hash is wrong.
+    StateDiffers ///< A peer or a snapshot has a different state after the same records.
 };
 
 std::string_view toString(EventKind kind);
@@ -38,17 +38,17 @@
     std::string detail;
 };
 
-/// Keeps the configuration from the records of the log, in the order of their offsets, and from
-/// what peers hold. The state is always the one after all records before next(); it never goes
-/// back.
+/// Builds the configuration from the records of the log, in the order of their offsets, and from
+/// the states of peers. The state is always the one after all records before next(). It never
+/// returns to an earlier one.
 class Reducer
 {
 public:
     struct Options
     {
-        std::size_t maxJudgements = 1024; ///< Latest ones that are kept for the history.
-        std::size_t maxBuffered = 65536; ///< Records kept after a gap until a snapshot fills it.
-        std::size_t maxOutOfOrder = 1024; ///< Records from peers that are ahead.
+        std::size_t maxJudgements = 1024; ///< Number of latest judgements kept for the history.
+        std::size_t maxBuffered = 65536; ///< Maximum of records buffered behind a gap.
+        std::size_t maxOutOfOrder = 1024; ///< Maximum of buffered records from peers.
     };
 
     explicit Reducer(const Options &options);
@@ -56,53 +56,56 @@
         : Reducer(Options())
     { }
 
-    /// For each change, in the order of the log.
+    /// Called for each change, in the order of the log.
     void setJudged(std::function<void(const Judgement &)> hook) { m_judged = std::move(hook); }
-    /// After the state has changed in any way.
+    /// Called after each change of the state.
     void setStateChanged(std::function<void()> hook) { m_stateChanged = std::move(hook); }
     void setEventRaised(std::function<void(const Event &)> hook)
     {
         m_eventRaised = std::move(hook);
     }
 
-    /// A record read from the log, in order. Offsets may be left out where the reader drops
-    /// repeated records; a repeated or older one changes nothing.
+    /// Processes a record read from the log, in order. Offsets may be skipped, as the reader drops
+    /// repeated records. A repeated or older record changes nothing.
     void recordRead(const LogRecord &record);
-    /// A record that a peer passed on, in any order, any number of times.
+    /// Processes a record forwarded by a peer. Records may arrive in any order and more than once.
     void recordFromPeer(const LogRecord &record);
-    /// The records before `first` are gone from the log.
+    /// Must be called when the records before `first` are no longer in the log.
     void gapFound(Base::LogOffset first);
-    /// The end of the log has been reached.
+    /// Must be called when the end of the log has been reached.
     void endReached();
 
-    /// Takes over a peer's state if it is ahead. Fails where it does not fit; then ask for the
-    /// whole state, since offset 0.
+    /// Replaces the state by a peer's state if that is ahead. Fails if the peer's state starts
+    /// after next() or is inconsistent with this one. The caller should then request the complete
+    /// state, since offset 0.
     Errors::Result<void> importState(const Schema::ConfigurationState &state);
-    /// For peers; nothing before a whole configuration is held. An offset above next() gives no
-    /// objects.
+    /// The objects changed since \a since, for peers. Returns nothing until the configuration is
+    /// complete. An offset above next() gives no objects.
     std::optional<Schema::ConfigurationState> exportState(Base::LogOffset since) const;
-    /// Peers hold the configuration up to this offset; not ready before it is reached.
+    /// Sets the offset that peers have reached. The reducer is not ready before it has reached it
+    /// too. Lower offsets than before are ignored.
     void raiseRequiredOffset(Base::LogOffset offset);
 
-    /// A whole configuration is held that is as new as what peers held at the start. Once true it
-    /// stays true.
+    /// Whether the configuration is complete and at least as new as that of the peers at the start.
+    /// Once true it stays true.
     bool isReady() const { return m_isReady; }
-    /// Records are missing that neither a snapshot nor a peer has made good yet.
+    /// Whether records are missing that neither a snapshot nor a peer's state has replaced yet.
     bool hasGap() const { return m_hasGap; }
-    /// Whether a snapshot of this state may be appended: it is whole and leaves nothing out.
+    /// Whether a snapshot of this state may be appended: it is complete and no record of a newer
+    /// program was skipped.
     bool canWriteSnapshot() const { return m_isComplete && !m_hasGap && !m_hasSkippedNewer; }
     std::vector<SnapshotPart> makeSnapshot(const std::string &id, const std::string &writer) const;
 
-    /// First record that the state does not take in.
+    /// Offset of the first record that the state does not include.
     Base::LogOffset next() const { return m_next; }
-    /// First record that has not been read.
+    /// Offset of the first record that has not been read.
     Base::LogOffset readNext() const { return m_readNext; }
     const State &state() const { return m_state; }
     const ObjectTable &objects() const { return m_state.table(); }
     std::uint64_t hash() const { return m_state.hash(); }
 
     const std::deque<Judgement> &judgements() const { return m_judgements; }
-    /// What became of the change: its acceptance if there is one, else the latest verdict.
+    /// The judgement that accepted the change, or else the latest one on it. Null if there is none.
     const Judgement *judgementOf(const std::string &recordId) const;
 
 private:
@@ -122,13 +125,13 @@
     Options m_options;
     State m_state;
     SnapshotCollector m_snapshots;
-    SnapshotCollector m_coveredSnapshots; ///< Of records that a peer's state went past.
+    SnapshotCollector m_coveredSnapshots; ///< From records that a peer's state already covers.
     Base::LogOffset m_next;
     Base::LogOffset m_readNext;
-    Base::LogOffset m_bufferedFrom; ///< All records read from here on are held.
-    Base::LogOffset m_requiredOffset;
-    std::map<Base::LogOffset, LogRecord> m_buffered;
-    std::map<Base::LogOffset, LogRecord> m_outOfOrder;
+    Base::LogOffset m_bufferedFrom; ///< All records read from this offset on are buffered.
+    Base::LogOffset m_requiredOffset; ///< Not ready before next() has reached it.
+    std::map<Base::LogOffset, LogRecord> m_buffered; ///< Records behind a gap.
+    std::map<Base::LogOffset, LogRecord> m_outOfOrder; ///< Records from peers after m_readNext.
     std::deque<Judgement> m_judgements;
     bool m_hasGap = false;
     bool m_isComplete = false;
--- a/src/libs/configuration/rules.cpp
+++ b/src/libs/configuration/rules.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Collects the errors of one object under the lines of its fields.
+/// Collects the errors of one object with the lines of the fields concerned.
 class Findings
 {
 public:
@@ -99,7 +99,7 @@
 void check(const Schema::DataCentre & /*dataCentre*/, Findings & /*findings*/) { }
 void check(const Schema::Policy & /*policy*/, Findings & /*findings*/) { }
 
-/// One name of another object, and the field it stands in.
+/// A reference to another object, and the field that contains it.
 struct Reference
 {
     std::string field;
--- a/src/libs/configuration/rules.h
+++ b/src/libs/configuration/rules.h
@@ -5,27 +5,28 @@
 
 #include <vector>
 
-/// Rules that go beyond one field. The same rules judge files before they are published and
-/// records of the log.
+/// Validation rules that involve more than one field. They apply both to files before publishing
+/// and to records of the log.
 namespace Lagoonbank::Configuration {
 
-/// What is wrong within one object.
+/// Errors within one object.
 Schema::SettingsErrors checkObject(const Schema::ConfigurationObject &object);
 
-/// What the object names that `table` does not hold, and bearer keys that another contract has.
+/// References of the object to objects that `table` does not contain, and bearer keys that belong
+/// to another contract.
 Schema::SettingsErrors checkReferences(const Schema::ConfigurationObject &object,
                                        const ObjectTable &table);
 
-/// Why the object cannot be removed: another one names it.
+/// References of other objects that prevent the removal of the object.
 Schema::SettingsErrors checkRemoval(const ObjectKey &key, const ObjectTable &table);
 
-/// Everything wrong with a whole set of objects, their references included.
+/// All errors of a set of objects, including their references.
 Schema::SettingsErrors checkAll(const std::vector<Schema::ObjectDocument> &documents);
 
-/// The order in which objects of the kinds can be published one after the other.
+/// The order of kinds in which objects can be published, so that references are always satisfied.
 std::vector<Schema::ObjectKind> publishOrder();
 
-/// A table of the documents, or everything that is wrong with them.
+/// A table of the documents' objects, or all their errors.
 Schema::ReadResult<ObjectTable> makeTable(const std::vector<Schema::ObjectDocument> &documents);
 
 } // namespace Lagoonbank::Configuration
--- a/src/libs/configuration/snapshot.cpp
+++ b/src/libs/configuration/snapshot.cpp
@@ -8,10 +8,11 @@
 
 constexpr std::size_t maxUnfinished = 4;
 constexpr std::uint32_t maxParts = 4096;
-/// Bodies of one part together; escaping makes them longer, so that it stays well below
-/// maxRecordBytes.
+/// Maximum total size of the objects of one part. It is well below maxRecordBytes, as escaping
+/// makes the bodies longer.
 constexpr std::size_t maxPartBytes = 64 * 1024;
-constexpr std::size_t bytesBesideBody = 512;
+/// Estimated size of an object's fields other than body and file name.
+constexpr std::size_t objectOverheadBytes = 512;
 
 } // namespace
 
@@ -24,7 +25,7 @@
     parts.push_back(empty);
     std::size_t bytes = 0;
     for (const auto &[key, entry] : state.entries()) {
-        const std::size_t size = entry.body.size() + entry.file.size() + bytesBesideBody;
+        const std::size_t size = entry.body.size() + entry.file.size() + objectOverheadBytes;
         if (bytes > 0 && bytes + size > maxPartBytes) {
             parts.push_back(empty);
             bytes = 0;
--- a/src/libs/configuration/snapshot.h
+++ b/src/libs/configuration/snapshot.h
@@ -12,25 +12,26 @@
 
 namespace Lagoonbank::Configuration {
 
-/// A snapshot whose parts have all been read.
+/// A complete snapshot, joined from all its parts.
 struct Snapshot
 {
     std::string id;
     std::string writer;
-    Base::LogOffset through; ///< First record that is not taken in.
+    Base::LogOffset through; ///< Offset of the first record that is not included.
     std::uint64_t hash = 0;
     std::vector<Schema::ObjectState> objects;
 };
 
-/// Cuts the state after all records before `through` into parts that fit a record each.
+/// Splits the state after all records before `through` into parts that each fit into a record.
 std::vector<SnapshotPart> makeSnapshot(const State &state, Base::LogOffset through,
                                        const std::string &id, const std::string &writer);
 
-/// Puts snapshots together from their parts, whatever the order they come in. Holds a bounded
-/// number of unfinished ones.
+/// Assembles snapshots from their parts, which may arrive in any order. The number of incomplete
+/// snapshots is bounded.
 class SnapshotCollector
 {
 public:
+    /// Returns the snapshot if \a part completes it.
     std::optional<Snapshot> add(const SnapshotPart &part);
     void clear() { m_unfinished.clear(); }
 
--- a/src/libs/configuration/snapshotscheduler.cpp
+++ b/src/libs/configuration/snapshotscheduler.cpp
@@ -6,13 +6,13 @@
 
 Base::MonoTime SnapshotScheduler::dueAt(std::size_t rank) const
 {
-    // Even the last rank writes within half of the retention time.
+    // The delay is capped so that even the last rank writes within half of the retention time.
     const Base::Duration period = m_options.retention / m_options.snapshotsPerRetention;
     const auto steps = static_cast<Base::Duration::rep>(std::min<std::size_t>(rank, 1U << 20U));
-    const Base::Duration headStart = std::min(m_options.rankStep * steps, period);
+    const Base::Duration rankDelay = std::min(m_options.rankStep * steps, period);
     const Base::MonoTime due = m_lastSnapshotSeen
-        ? *m_lastSnapshotSeen + period + headStart
-        : m_start + std::min(m_options.startDelay, period) + headStart;
+        ? *m_lastSnapshotSeen + period + rankDelay
+        : m_start + std::min(m_options.startDelay, period) + rankDelay;
     if (m_lastAppendStarted && (!m_lastSnapshotSeen || *m_lastAppendStarted > *m_lastSnapshotSeen))
         return std::max(due, *m_lastAppendStarted + m_options.retryDelay);
     return due;
--- a/src/libs/configuration/snapshotscheduler.h
+++ b/src/libs/configuration/snapshotscheduler.h
@@ -7,19 +7,19 @@
 
 namespace Lagoonbank::Configuration {
 
-/// Decides when this process has to append a snapshot, so that one always stands in the log well
-/// inside the retention time. All controllers run it; the live one with the lowest rank comes
-/// first and the others hold back when they see its snapshot.
+/// Decides when this process has to append a snapshot, so that the log always contains one well
+/// within the retention time. All controllers run a scheduler. The live controller with the lowest
+/// rank is due first; the others skip their turn when they see its snapshot.
 class SnapshotScheduler
 {
 public:
     struct Options
     {
-        Base::Duration retention = std::chrono::hours(1); ///< Of the log.
+        Base::Duration retention = std::chrono::hours(1); ///< Retention time of the log.
         int snapshotsPerRetention = 4;
-        Base::Duration startDelay = std::chrono::seconds(5); ///< Before the first one.
-        Base::Duration rankStep = std::chrono::seconds(2); ///< Head start of each rank.
-        Base::Duration retryDelay = std::chrono::seconds(2); ///< After an append without effect.
+        Base::Duration startDelay = std::chrono::seconds(5); ///< Delay before the first snapshot.
+        Base::Duration rankStep = std::chrono::seconds(2); ///< Additional delay per rank.
+        Base::Duration retryDelay = std::chrono::seconds(2); ///< If no snapshot is seen.
     };
 
     SnapshotScheduler(const Options &options, Base::MonoTime start)
@@ -27,13 +27,13 @@
         , m_start(start)
     { }
 
-    /// A whole snapshot came in while the end of the log had been reached. The age of those read
-    /// before that is not known, and they do not count.
+    /// Must be called when a complete snapshot is read after the end of the log has been reached.
+    /// Do not call it for snapshots read before that, as their age is unknown.
     void snapshotSeen(Base::MonoTime now) { m_lastSnapshotSeen = now; }
-    /// This process began to append one.
+    /// Must be called when this process starts to append a snapshot.
     void appendStarted(Base::MonoTime now) { m_lastAppendStarted = now; }
 
-    /// `rank` counts the live controllers that come before this one.
+    /// `rank` is the number of live controllers that precede this one.
     Base::MonoTime dueAt(std::size_t rank) const;
     bool isDue(Base::MonoTime now, std::size_t rank) const { return now >= dueAt(rank); }
 
--- a/src/libs/configuration/state.cpp
+++ b/src/libs/configuration/state.cpp
@@ -159,7 +159,8 @@
     m_table.remove(key);
     if (object.removed)
         return;
-    // What a newer program wrote may not be readable here; it is kept as text for others.
+    // An object written by a newer program may not be readable. Its text is kept, as snapshots and
+    // exported states include it.
     auto read =
         Schema::readObjectJson(object.body, sourceOf(object.file, object.line, object.lines));
     if (read && keyOf(read.value()) == key)
--- a/src/libs/configuration/state.h
+++ b/src/libs/configuration/state.h
@@ -11,11 +11,11 @@
 
 namespace Lagoonbank::Configuration {
 
-/// What became of one change.
+/// The outcome of one change.
 enum class Verdict : std::uint8_t {
     Accepted,
-    Repeated, ///< The same record was accepted before; nothing changes.
-    Stale, ///< Another change of the object came first.
+    Repeated, ///< The same record was accepted before; the state does not change.
+    Stale, ///< The change is not based on the object's current revision.
     Invalid, ///< The object, or a reference to or from it, is wrong.
     Malformed, ///< The record cannot be read.
     NewerVersion ///< The record was written by a newer program.
@@ -24,44 +24,44 @@
 std::string_view toString(Verdict verdict);
 std::ostream &operator<<(std::ostream &stream, Verdict verdict);
 
-/// One change and what became of it.
+/// A change and its verdict.
 struct Judgement
 {
     Base::LogOffset offset;
     std::string recordId;
     Verdict verdict = Verdict::Malformed;
-    std::optional<ObjectKey> key; ///< Not known of what cannot be read.
+    std::optional<ObjectKey> key; ///< Not set if the record cannot be read.
     std::string publisher;
     Base::Revision base;
-    Base::Revision revision; ///< Of the object after this record.
-    std::string winner; ///< Of a stale change: who published the revision that stands.
+    Base::Revision revision; ///< Revision of the object after this record.
+    std::string winner; ///< For a stale change: publisher of the current revision.
     std::string detail;
-    std::string time; ///< Hybrid time that the record carries; empty if none.
+    std::string time; ///< Hybrid time of the record; empty if it has none.
 };
 
-/// The configuration after all records before some offset. The verdict on a change follows from
-/// the state alone, so that every reader comes to the same one wherever it began to read.
+/// The configuration after all records before some offset. The verdict on a change depends only on
+/// the state, so that all readers reach the same verdict wherever they started to read.
 class State
 {
 public:
     using Entries = std::map<ObjectKey, Schema::ObjectState>;
 
-    /// Judges the change and takes it in if it is accepted.
+    /// Determines the verdict on the change and applies the change if it is accepted.
     Judgement apply(const LogRecord &record, const ChangeRecord &change);
 
-    /// Puts `objects` in place of what is held of them; with `isAll` nothing else stays. Fails,
-    /// and changes nothing, if an object would go back or if the hash does not come out.
+    /// Replaces the given objects. With `isAll`, all other objects are dropped. Fails without any
+    /// change if an object would revert to an earlier revision or if the hash does not match.
     Errors::Result<void> adopt(const std::vector<Schema::ObjectState> &objects, bool isAll,
                                std::uint64_t expectedHash);
 
     const ObjectTable &table() const { return m_table; }
-    /// Removed objects are among them, so that their revisions never start again.
+    /// Includes removed objects, so that their revision numbers are never reused.
     const Entries &entries() const { return m_entries; }
-    /// Revision 0 for an object that never was.
+    /// Revision 0 for an object that never existed.
     Base::Revision revision(const ObjectKey &key) const;
     /// Objects that changed at the offset or later.
     std::vector<Schema::ObjectState> changedSince(Base::LogOffset offset) const;
-    /// The same for equal states whatever the order in which they came about.
+    /// Equal for equal states, in whatever way they were reached.
     std::uint64_t hash() const;
 
 private:
--- a/src/libs/exchange/eventstream.cpp
+++ b/src/libs/exchange/eventstream.cpp
@@ -9,7 +9,7 @@
 using Json = nlohmann::json;
 
 constexpr std::string_view dataPrefix = "data: ";
-constexpr std::size_t longestLine = 1024 * 1024;
+constexpr std::size_t maxLineBytes = 1024 * 1024;
 
 std::int64_t number(const Json &object, const char *name)
 {
@@ -17,7 +17,7 @@
     return found != object.end() && found->is_number() ? found->get<std::int64_t>() : 0;
 }
 
-/// The load object of the last event in the form of an X-Load header.
+/// Converts the load object of the last event to the format of an X-Load header.
 std::string loadText(const Json &body)
 {
     const auto load = body.find("load");
@@ -47,7 +47,7 @@
             return false;
     }
     m_rest.erase(0, start);
-    return m_rest.size() <= longestLine;
+    return m_rest.size() <= maxLineBytes;
 }
 
 bool EventStreamReader::readLine(std::string_view line,
--- a/src/libs/exchange/eventstream.h
+++ b/src/libs/exchange/eventstream.h
@@ -13,26 +13,27 @@
 /// The last event of an engine's stream.
 struct StreamDone
 {
-    Base::Tokens tokens; ///< Tokens of the whole answer, from 0.
+    Base::Tokens tokens; ///< All tokens of the answer, including those of earlier attempts.
     Base::Tokens promptTokens;
-    Base::Tokens cachedTokens; ///< Of the prompt, found in the engine's cache.
+    Base::Tokens cachedTokens; ///< Prompt tokens that were found in the engine's cache.
     std::string requestId;
-    std::string load; ///< As an X-Load header says it; empty if the event tells none.
+    std::string load; ///< In the format of an X-Load header; empty if the event has no load.
 };
 
-/// What one event of an engine's stream says.
+/// One event of an engine's stream.
 struct StreamEvent
 {
-    std::optional<std::int64_t> index; ///< Of the token; none in the last event.
+    std::optional<std::int64_t> index; ///< Index of the token; not set in the last event.
     std::string text;
     std::optional<StreamDone> done;
 };
 
-/// Cuts an engine's event stream into its events. An event may come in any number of pieces.
+/// Parses an engine's event stream incrementally. An event may be split over any number of pieces.
 class EventStreamReader
 {
 public:
-    /// Calls \a event for each event that \a piece completes; false if the stream is malformed.
+    /// Calls \a event for each event that \a piece completes. Returns false if the stream is
+    /// malformed.
     bool read(std::string_view piece, const std::function<void(const StreamEvent &)> &event);
 
 private:
--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -16,7 +16,7 @@
 constexpr int statusOk = 200;
 constexpr Base::Duration noClientTimeout = std::chrono::hours(24);
 
-Error kindOfCallEnd(const Http::CallResult &result)
+Error errorOfCallEnd(const Http::CallResult &result)
 {
     const Ran ran = result.mayHaveLeft ? Ran::Unknown : Ran::No;
     switch (result.end) {
@@ -58,10 +58,10 @@
 void Exchange::place()
 {
     const auto self = shared_from_this();
-    CancelPlacement abandon = m_options.hooks.place(
+    CancelPlacement cancel = m_options.hooks.place(
         m_options.route, [self](Placement placement) { self->placed(std::move(placement)); });
     if (!m_target && !m_finished)
-        m_cancelPlacement = std::move(abandon);
+        m_cancelPlacement = std::move(cancel);
 }
 
 void Exchange::placed(Placement placement)
@@ -71,7 +71,7 @@
         return;
     if (auto *refusal = std::get_if<Refusal>(&placement)) {
         if (refusal->error.kind == ErrorKind::NoEndpoint && m_runs > 0)
-            refusal->error = lastRunError(); // There were some, and all have failed it.
+            refusal->error = lastRunError(); // All available endpoints have failed it.
         refusal->error.ran = ranSoFar();
         failRequest(std::move(*refusal));
         return;
@@ -96,7 +96,8 @@
     call.server = m_target->address;
     call.headers.add("x-request-id", m_options.request.value());
     call.connectTimeout = m_options.timeouts.connect;
-    // An engine's head may come with its first token alone; watchProgress() knows the prompt.
+    // An engine may send its head only together with its first token. watchProgress() applies a
+    // timeout that takes the length of the prompt into account.
     call.headTimeout = noClientTimeout;
     call.progressTimeout = noClientTimeout;
     call.totalTimeout = noClientTimeout;
@@ -158,7 +159,7 @@
     const Timeouts &timeouts = m_options.timeouts;
     if (m_attemptTokens > 0)
         return timeouts.betweenTokens;
-    // A long prompt takes long until its first token; that is no sign of a silent connection.
+    // The time to the first token grows with the prompt and does not indicate a stalled connection.
     const auto uncached = std::max<std::int64_t>(
         0, m_options.route.promptTokens.value() - m_target->expectedCached.value());
     return timeouts.firstToken + timeouts.perPromptToken * uncached;
@@ -187,7 +188,7 @@
     if (m_finished)
         return;
     if (result.end != Http::CallEnd::Whole) {
-        failAttempt(kindOfCallEnd(result));
+        failAttempt(errorOfCallEnd(result));
         return;
     }
     if (result.headers.find("x-ran") == "no") {
@@ -265,14 +266,14 @@
     if (decision.action == Retry::RetryAction::Fail) {
         if (decision.ran != Ran::No)
             cancelUpstream(*m_target);
-        // A refused resume is not why the run before it broke.
+        // After a refused resume, report the error that made the resume necessary.
         const Error cause = decision.kind == error.kind ? lastRunError() : Error{decision.kind};
         failRequest({.error = {cause.kind, cause.detail, decision.ran}});
         return;
     }
     const bool resume = decision.action == Retry::RetryAction::ResumeSameEndpoint;
     if (!resume) {
-        // The engine may still be running it; nobody waits there any more.
+        // The engine may still be processing the request, but its answer is no longer needed.
         cancelUpstream(*m_target);
         m_options.route.avoid.push_back(m_target->endpoint);
     }
@@ -290,7 +291,7 @@
     });
 }
 
-/// How the last attempt that was not a resume failed.
+/// The error of the last attempt that was not a resume.
 Error Exchange::lastRunError() const
 {
     const auto run = std::find_if(m_end.attempts.rbegin(), m_end.attempts.rend(),
@@ -349,11 +350,11 @@
     if (m_finished)
         return;
     const bool isRunning = m_call.has_value();
-    const bool mayHaveLeft = m_mayHaveSent;
+    const bool mayHaveSent = m_mayHaveSent;
     if (isRunning) {
-        const Error error{ErrorKind::CallerLeft, {}, mayHaveLeft ? Ran::Unknown : Ran::No};
+        const Error error{ErrorKind::CallerLeft, {}, mayHaveSent ? Ran::Unknown : Ran::No};
         endAttempt(false, error);
-        if (mayHaveLeft)
+        if (mayHaveSent)
             cancelUpstream(*m_target);
     }
     ExchangeEnd end = std::move(m_end);
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -24,63 +24,63 @@
 
 namespace Lagoonbank::Exchange {
 
-/// What a placement needs to know of a request.
+/// The properties of a request that its placement depends on.
 struct RouteQuery
 {
     Base::WorkspaceId workspace;
-    Base::ModelId model; ///< Empty for a call of a service.
-    Base::ServiceId service; ///< Empty for a call of a model.
-    std::uint64_t chatHash =
-        0; ///< Of workspace and chat; of the request id where no chat is named.
+    Base::ModelId model; ///< Empty for a service call.
+    Base::ServiceId service; ///< Empty for a model call.
+    /// Hash of workspace and chat, or of the request id if the request names no chat.
+    std::uint64_t chatHash = 0;
     bool hasChat = false;
     bool idempotent = true;
-    std::string placementToken; ///< As the caller sent it; not yet checked.
+    std::string placementToken; ///< As the caller sent it, not validated yet.
     Base::Tokens promptTokens;
     Base::Tokens maxTokens;
-    int priority = 0; ///< 0 is most urgent.
+    int priority = 0; ///< 0 is the highest priority.
     Base::MonoTime deadline;
-    std::vector<Base::EndpointId> avoid; ///< Endpoints that have failed this request.
+    std::vector<Base::EndpointId> avoid; ///< Endpoints at which an attempt of this request failed.
 };
 
-/// Where a request goes.
+/// The endpoint that was chosen for a request.
 struct Target
 {
     Base::EndpointId endpoint;
     Runtime::SocketAddress address;
-    Base::WorkUnits work; ///< What the request is expected to cost there.
-    Base::Tokens expectedCached;
-    std::string placementToken; ///< For the answer; empty if there is none.
-    std::uint64_t ticket = 0; ///< The placement's own number for it; goes back with the attempt.
+    Base::WorkUnits work; ///< Expected cost of the request at this endpoint.
+    Base::Tokens expectedCached; ///< Prompt tokens expected to be in the endpoint's cache.
+    std::string placementToken; ///< Returned to the caller with the answer; empty if there is none.
+    std::uint64_t ticket = 0; ///< Number assigned by the placement; returned in AttemptResult.
 };
 
 using Placement = std::variant<Target, Refusal>;
-/// Drops a placement that is still waiting.
+/// Cancels a placement that is still pending.
 using CancelPlacement = std::function<void()>;
 
-/// How one attempt at an endpoint ended.
+/// The result of one attempt at an endpoint.
 struct AttemptResult
 {
     Base::EndpointId endpoint;
-    std::uint64_t ticket = 0; ///< Of the Target.
+    std::uint64_t ticket = 0; ///< Target::ticket of the attempt.
     Base::MonoTime started;
     Base::MonoTime ended;
     Base::WorkUnits work;
     bool succeeded = false;
-    Errors::Error error; ///< Meaningful if not whole.
-    std::string load; ///< The endpoint's X-Load header; empty if none came.
+    Errors::Error error; ///< Only valid if the attempt failed.
+    std::string load; ///< The endpoint's X-Load header; empty if none was received.
     Base::Tokens cachedTokens;
-    Base::Tokens answerTokens; ///< Tokens that came in this attempt.
-    bool resumed = false; ///< The attempt resumed the stream of the one before.
+    Base::Tokens answerTokens; ///< Tokens received in this attempt.
+    bool resumed = false; ///< The attempt resumed the stream of the previous attempt.
 };
 
-/// How a request ended, for the outcome ring and the accounts of admission.
+/// The result of a request, for the outcome ring and for admission accounting.
 struct ExchangeEnd
 {
     bool succeeded = false;
-    std::optional<Refusal> refusal; ///< Set if not whole.
-    bool cutOff = false; ///< The caller got a part and then a clear end.
-    int status = 0; ///< Of the answer to the caller; 0 if the caller had left.
-    Base::EndpointId endpoint; ///< Of the last attempt; empty if there was none.
+    std::optional<Refusal> refusal; ///< Set if the request failed.
+    bool cutOff = false; ///< Part of the answer was sent before the request failed.
+    int status = 0; ///< HTTP status of the answer; 0 if the caller disconnected before it.
+    Base::EndpointId endpoint; ///< Endpoint of the last attempt; empty if there was none.
     std::vector<AttemptResult> attempts;
     Base::Tokens promptTokens;
     Base::Tokens cachedTokens;
@@ -88,35 +88,38 @@
     std::optional<Base::MonoTime> firstToken;
 };
 
-/// What an exchange asks of the router. All are called on the loop.
+/// Callbacks from an exchange to the router. All are called on the event loop.
 struct Hooks
 {
-    /// Finds an endpoint; \a placed is called once, at once or later, unless abandoned.
+    /// Chooses an endpoint. \a placed is called exactly once, possibly before this returns, unless
+    /// the placement is cancelled.
     std::function<CancelPlacement(const RouteQuery &query, std::function<void(Placement)> placed)>
         place;
     std::function<void(const Target &target)> attemptStarted;
-    /// Tokens of the answer have come; \a isFirst with the first ones of an attempt.
+    /// Tokens of the answer were received. \a isFirst is set for the first ones of an attempt.
     std::function<void(const Target &target, Base::Tokens tokens, bool isFirst)> progressed;
     std::function<void(const AttemptResult &result)> attemptEnded;
-    /// Decides about a further attempt and charges it to its budgets.
+    /// Decides whether to make a further attempt and charges it to the retry budgets.
     std::function<Retry::RetryDecision(
         const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
         const Retry::AttemptFailure &failure, const Retry::RequestTraits &traits)>
         decide;
     std::function<void(const Base::EndpointId &endpoint, std::string_view load)> loadReported;
-    std::function<void(ExchangeEnd end)> finished; ///< Called once, last.
+    std::function<void(ExchangeEnd end)> finished; ///< Called exactly once, as the last callback.
 };
 
+/// Timeouts of one attempt.
 struct Timeouts
 {
     Base::Duration connect = std::chrono::milliseconds(500);
-    Base::Duration firstToken = std::chrono::seconds(5); ///< Besides the time for the prompt.
-    Base::Duration perPromptToken = std::chrono::microseconds(500); ///< Added to firstToken.
+    Base::Duration firstToken = std::chrono::seconds(5); ///< Excludes processing the prompt.
+    /// Added to firstToken for each prompt token that is not expected to be cached.
+    Base::Duration perPromptToken = std::chrono::microseconds(500);
     Base::Duration betweenTokens = std::chrono::seconds(2);
 };
 
-/// One caller's request on its way: attempts at endpoints, then one answer. One attempt runs at a
-/// time.
+/// Processes one caller's request: makes attempts at endpoints, one at a time, and then sends one
+/// answer.
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
@@ -141,21 +144,23 @@
     const Base::RequestId &request() const { return m_options.request; }
 
 protected:
-    /// Prepares the call of an attempt at \a target.
+    /// Creates the HTTP call for an attempt at \a target. If \a resume is set, the call resumes the
+    /// stream of the previous attempt.
     virtual Http::Call makeCall(const Target &target, bool resume) = 0;
     virtual void onHead(int status, const Http::Headers &headers) = 0;
     virtual void onPiece(std::string_view piece) = 0;
-    /// The answer's head was 200 or the kind of call passes any status on; the call has ended.
+    /// The call ended with a complete answer, of any status, that the endpoint did not mark as
+    /// "not run".
     virtual void onCallCompleted(Http::CallResult result) = 0;
-    /// Whether a part of the answer has gone to the caller, so that a status can no longer be sent.
+    /// Whether part of the answer was sent to the caller, so that a status can no longer be sent.
     virtual bool hasBegun() const { return false; }
-    /// Tokens of the answer that are kept or sent, so that a further attempt can go on behind them.
+    /// Number of answer tokens already buffered or sent; a further attempt continues after them.
     virtual Base::Tokens keptTokens() const { return {}; }
     virtual void endBroken(const Refusal &refusal);
-    /// Tells the endpoint that nobody waits for the running attempt any more.
+    /// Notifies the endpoint that the result of the running attempt is no longer needed.
     virtual void cancelUpstream(const Target & /*target*/) { }
 
-    /// Ends the running attempt with \a error and decides what comes next.
+    /// Ends the running attempt with \a error, then retries, resumes or fails the request.
     void failAttempt(const Errors::Error &error);
     void finishSuccess(int status);
     void noteProgress();
@@ -191,14 +196,14 @@
     CancelPlacement m_cancelPlacement;
     std::optional<Target> m_target;
     std::optional<Http::CallId> m_call;
-    bool m_mayHaveSent = false; ///< A byte of the running attempt may have left.
-    bool m_mayHaveRun = false; ///< An attempt before may have run.
+    bool m_mayHaveSent = false; ///< Bytes of the running attempt may have been sent.
+    bool m_mayHaveRun = false; ///< An earlier attempt may have been executed.
     int m_status = 0;
     std::string m_load;
     Base::MonoTime m_attemptStarted;
     Base::MonoTime m_lastProgress;
-    bool m_resumed = false; ///< The running attempt resumes the stream of the one before.
-    int m_runs = 0;
+    bool m_resumed = false; ///< The running attempt resumes the stream of the previous one.
+    int m_runs = 0; ///< Attempts that were not resumes.
     int m_resumes = 0;
     std::int64_t m_attemptTokens = 0;
     std::optional<Runtime::TimerId> m_progressTimer;
--- a/src/libs/exchange/modelcall.cpp
+++ b/src/libs/exchange/modelcall.cpp
@@ -18,10 +18,10 @@
 using Json = nlohmann::json;
 
 constexpr std::int64_t defaultMaxTokens = 256;
-constexpr std::int64_t largestMaxTokens = 1'000'000;
-constexpr std::int64_t longestDeadlineMs = 24LL * 60 * 60 * 1000;
-constexpr std::size_t longestKey = 200;
-constexpr std::size_t longestChatId = 200;
+constexpr std::int64_t maxTokensLimit = 1'000'000;
+constexpr std::int64_t maxDeadlineMs = 24LL * 60 * 60 * 1000;
+constexpr std::size_t maxKeyLength = 200;
+constexpr std::size_t maxChatIdLength = 200;
 
 Error badRequest(std::string detail)
 {
@@ -50,7 +50,7 @@
     return found->get<std::string>();
 }
 
-/// A message's content: a string, or parts of which those of type "text" count.
+/// Reads the content of a message: a string, or a list of parts that all have a text.
 Result<std::string> readContent(const Json &message)
 {
     const auto content = message.find("content");
@@ -98,7 +98,7 @@
     if (!found->is_number_integer())
         return badRequest("max_tokens is not a whole number.");
     const auto tokens = found->get<std::int64_t>();
-    if (tokens < 1 || tokens > largestMaxTokens)
+    if (tokens < 1 || tokens > maxTokensLimit)
         return badRequest("max_tokens is out of range; give a number from 1 to 1000000.");
     return Base::Tokens(tokens);
 }
@@ -118,7 +118,7 @@
     BOOST_OUTCOME_TRY(key, readText(body, "prompt_cache_key"));
     if (key.empty())
         key = std::string(headers.find("x-chat-id").value_or(""));
-    if (key.size() > longestChatId)
+    if (key.size() > maxChatIdLength)
         return badRequest("prompt_cache_key is longer than 200 characters.");
     return Base::ChatId(std::move(key));
 }
@@ -162,7 +162,7 @@
     std::int64_t value = 0;
     const char *end = text->data() + text->size();
     const auto [stop, error] = std::from_chars(text->data(), end, value);
-    if (error != std::errc() || stop != end || value < 1 || value > longestDeadlineMs)
+    if (error != std::errc() || stop != end || value < 1 || value > maxDeadlineMs)
         return badRequest(
             "X-Deadline-Ms is not a whole number of milliseconds from 1 to 86400000.");
     return std::optional<Base::Duration>(std::chrono::milliseconds(value));
@@ -189,7 +189,7 @@
     const auto key = headers.find("idempotency-key");
     if (!key)
         return std::optional<Base::IdempotencyKey>();
-    if (key->empty() || key->size() > longestKey)
+    if (key->empty() || key->size() > maxKeyLength)
         return badRequest("Idempotency-Key is empty or longer than 200 characters.");
     return std::optional(Base::IdempotencyKey(std::string(*key)));
 }
--- a/src/libs/exchange/modelexchange.cpp
+++ b/src/libs/exchange/modelexchange.cpp
@@ -87,7 +87,7 @@
         return;
     }
     if (*event.index < m_nextIndex)
-        return; // A resumed stream may start a little before the offset asked for.
+        return; // A resumed stream may start before the requested offset.
     if (*event.index > m_nextIndex) {
         m_isMalformed = true;
         return;
--- a/src/libs/exchange/modelexchange.h
+++ b/src/libs/exchange/modelexchange.h
@@ -6,8 +6,9 @@
 
 namespace Lagoonbank::Exchange {
 
-/// A chat completion: streams tokens from an engine, resumes a broken stream at its offset, else
-/// goes on elsewhere with the tokens that the caller has already.
+/// Processes a chat completion: streams tokens from an engine and resumes a broken stream at its
+/// offset. If that is not possible, it continues at another endpoint after the tokens that the
+/// caller already has.
 class ModelExchange final : public Exchange
 {
 public:
@@ -30,12 +31,12 @@
 
     ModelCall m_call;
     EventStreamReader m_reader;
-    std::int64_t m_nextIndex = 0; ///< Tokens that have come so far, over all attempts.
-    std::string m_text; ///< All tokens so far.
-    std::string m_unsent; ///< Tokens that have come but are not yet written to the caller.
+    std::int64_t m_nextIndex = 0; ///< Number of tokens received in all attempts.
+    std::string m_text; ///< Text of all tokens received.
+    std::string m_unsent; ///< Text received but not yet written to the caller.
     std::optional<StreamDone> m_done;
     bool m_begun = false;
-    bool m_isStream = false; ///< The running attempt's head was that of a stream.
+    bool m_isStream = false; ///< The running attempt was answered with status 200.
     bool m_isMalformed = false;
 };
 
--- a/src/libs/exchange/serviceexchange.cpp
+++ b/src/libs/exchange/serviceexchange.cpp
@@ -25,7 +25,8 @@
         call.headers.add("content-type", m_call.contentType);
     if (m_call.key)
         call.headers.add("idempotency-key", m_call.key->value());
-    // A pooled connection may be dead without notice, and then nobody knows whether the call ran.
+    // A pooled connection may have been closed unnoticed. The call would then fail without it being
+    // known whether it was executed.
     call.freshConnection = !options().route.idempotent;
     return call;
 }
--- a/src/libs/exchange/serviceexchange.h
+++ b/src/libs/exchange/serviceexchange.h
@@ -4,17 +4,17 @@
 
 namespace Lagoonbank::Exchange {
 
-/// A call of a plain service as it goes to the endpoint.
+/// A call of a plain service as it is sent to the endpoint.
 struct ServiceCall
 {
     std::string method;
-    std::string target; ///< Path after the service's name, and the query.
+    std::string target; ///< The path after the service's name, with the query.
     std::string body;
     std::string contentType;
     std::optional<Base::IdempotencyKey> key;
 };
 
-/// The whole answer of a service.
+/// The complete answer of a service.
 struct ServiceAnswer
 {
     int status = 0;
@@ -22,11 +22,11 @@
     std::string body;
 };
 
-/// A call of a plain service. The answer goes to the caller only when it is whole.
+/// Processes a call of a plain service. The answer is sent to the caller only when it is complete.
 class ServiceExchange final : public Exchange
 {
 public:
-    /// Called with the whole answer before the caller gets it, so that it can be recorded.
+    /// Called with the complete answer before it is sent to the caller, so that it can be recorded.
     using Answered = std::function<void(const ServiceAnswer &answer)>;
 
     ServiceExchange(Options options, ServiceCall call, Answered answered);
--- a/tests/auto/configuration/testlog.h
+++ b/tests/auto/configuration/testlog.h
@@ -7,7 +7,7 @@
 
 namespace Lagoonbank::Configuration {
 
-/// A log in memory, and short ways to write records into it.
+/// An in-memory log with helpers to append records.
 class TestLog
 {
 public:
@@ -26,7 +26,7 @@
         for (const SnapshotPart &part : parts)
             append(part.snapshot + "-" + std::to_string(part.part), encode(part));
     }
-    /// Lets the reducer read to the end, as if the log began at `first`.
+    /// Makes the reducer read up to the end, as if the log started at `first`.
     void readInto(Reducer &reducer, std::size_t first = 0) const
     {
         reducer.gapFound(Base::LogOffset(first));
@@ -45,7 +45,7 @@
     return makeChange(Schema::readObject(file, text).value(), Base::Revision(base), publisher);
 }
 
-/// A data centre's object; `region` tells changes apart.
+/// A change to a data centre; `region` distinguishes changes.
 inline ChangeRecord dataCentreChange(const std::string &name, std::uint64_t base,
                                      const std::string &region = "r",
                                      const std::string &publisher = "ann")
--- a/tests/auto/configuration/tst_configurationrecord.cpp
+++ b/tests/auto/configuration/tst_configurationrecord.cpp
@@ -46,7 +46,8 @@
     BOOST_TEST((std::get<SnapshotPart>(decode(encode(part)).value()) == part));
 }
 
-// Programs that don't know the time take the record, so that a wrong one must not be refused.
+// Programs that don't know the field accept the record, so an invalid time must not make this
+// program refuse it: the readers would disagree about the state.
 BOOST_AUTO_TEST_CASE(timeIsOptionalAndNeverRefused)
 {
     ChangeRecord change = dataCentreChange("north", 7);
@@ -93,10 +94,10 @@
         {replaced(part, "\"revision\":2", "\"revision\":null"), ErrorKind::BadMessage},
         {replaced(part, "\"objects\":[", "\"objects\":[3,"), ErrorKind::BadMessage},
     };
-    for (const auto &[data, wanted] : cases) {
+    for (const auto &[data, expected] : cases) {
         const Errors::Result<Record> read = decode(data);
         BOOST_REQUIRE_MESSAGE(!read, data.substr(0, 200));
-        BOOST_TEST((read.error().kind == wanted), data.substr(0, 200));
+        BOOST_TEST((read.error().kind == expected), data.substr(0, 200));
     }
 }
 
@@ -150,7 +151,7 @@
     ChangeRecord deep = dataCentreChange("north", 0);
     deep.body = std::string(maxBodyBytes / 2, '[') + std::string(maxBodyBytes / 2, ']');
     BOOST_TEST(state.apply({Base::LogOffset(1), "r", {}}, deep).verdict == Verdict::Invalid);
-    // YAML that the YAML parser never comes back from.
+    // A body that would make the YAML parser loop forever.
     ChangeRecord endless = dataCentreChange("north", 0);
     endless.body = "&@@>>!:~i,";
     BOOST_TEST(state.apply({Base::LogOffset(1), "r", {}}, endless).verdict == Verdict::Invalid);
--- a/tests/auto/configuration/tst_configurationrules.cpp
+++ b/tests/auto/configuration/tst_configurationrules.cpp
@@ -91,8 +91,8 @@
         {"---\nkind: model\nname: m\nserving_adapter: b\n",
          "f.yaml:14: serving_adapter: needs serving_version; add it\n"},
     };
-    for (const auto &[text, wanted] : cases)
-        BOOST_TEST(errorsOf(base + text) == wanted);
+    for (const auto &[text, expected] : cases)
+        BOOST_TEST(errorsOf(base + text) == expected);
 }
 
 BOOST_AUTO_TEST_CASE(refusesRemovalOfReferencedObjects)
@@ -133,7 +133,7 @@
     };
     ObjectTable table;
     table.set(object(contract("b", 'a')));
-    // A state from a peer brings both changes at once, in the order of the names.
+    // A peer's state contains both changes, ordered by name rather than by time.
     table.set(object(contract("a", 'a')));
     table.set(object(contract("b", 'c')));
     BOOST_TEST(table.contractOfKey(std::string(64, 'a'))->name == Base::WorkspaceId("a"));
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A change in the log and what has to become of it.
+/// A change in the log, its expected verdict and the expected revision after it.
 struct ChangeCase
 {
     std::string id;
@@ -17,9 +17,9 @@
     std::uint64_t revision;
 };
 
-struct Watch
+struct EventCounter
 {
-    explicit Watch(Reducer &reducer)
+    explicit EventCounter(Reducer &reducer)
     {
         reducer.setEventRaised([this](const Event &event) { kinds.push_back(event.kind); });
     }
@@ -121,10 +121,10 @@
     log.append("5", removal("north", 1));
     Reducer reducer;
     log.readInto(reducer);
-    const std::vector<Verdict> wanted{Verdict::Invalid, Verdict::Accepted, Verdict::Accepted,
-                                      Verdict::Accepted, Verdict::Invalid};
-    for (std::size_t i = 0; i < wanted.size(); ++i)
-        BOOST_TEST(reducer.judgements()[i].verdict == wanted[i], reducer.judgements()[i].detail);
+    const std::vector<Verdict> expected{Verdict::Invalid, Verdict::Accepted, Verdict::Accepted,
+                                        Verdict::Accepted, Verdict::Invalid};
+    for (std::size_t i = 0; i < expected.size(); ++i)
+        BOOST_TEST(reducer.judgements()[i].verdict == expected[i], reducer.judgements()[i].detail);
     BOOST_TEST(reducer.judgements()[0].detail
                == "e.yaml:6: data_centre: there is no data_centre/north; publish it first or "
                   "correct the name (and 1 more)");
@@ -139,14 +139,14 @@
     log.append("", encode(dataCentreChange("south", 0)));
     log.append("5", dataCentreChange("north", 1, "new"));
     Reducer reducer;
-    const Watch watch(reducer);
+    const EventCounter events(reducer);
     log.readInto(reducer);
-    BOOST_TEST(watch.count(EventKind::RecordSkipped) == 3U);
+    BOOST_TEST(events.count(EventKind::RecordSkipped) == 3U);
     BOOST_TEST(reducer.judgements()[1].verdict == Verdict::Malformed);
     BOOST_TEST(reducer.judgements()[2].verdict == Verdict::NewerVersion);
     BOOST_TEST(regionOf(reducer, "north") == "new");
     BOOST_TEST(regionOf(reducer, "south") == "none");
-    // A snapshot by this program would leave out what the newer one wrote.
+    // A snapshot by this program would omit the record written by a newer program.
     BOOST_TEST(!reducer.canWriteSnapshot());
 }
 
@@ -161,7 +161,8 @@
     reader.endReached();
     BOOST_TEST(reader.isReady());
 
-    // The log is out: a peer's state is as good, but not one older than what others hold.
+    // While the log is unavailable, a peer's state makes the reducer ready, unless the state is
+    // older than that of other peers.
     Reducer joining;
     joining.raiseRequiredOffset(Base::LogOffset(2));
     BOOST_REQUIRE(joining.importState(exported(reader)));
@@ -185,25 +186,26 @@
     Reducer writer;
     log.readInto(writer);
     const std::vector<SnapshotPart> snapshot = writer.makeSnapshot("s", "vm");
-    log.append("4", dataCentreChange("north", 1, "new")); // Comes before the snapshot's record.
+    // Between the snapshot's state and its record.
+    log.append("4", dataCentreChange("north", 1, "new"));
     log.append(snapshot);
     log.append("5", dataCentreChange("south", 0));
     log.append("6", dataCentreChange("south", 2, "back"));
-    Watch writerWatch(writer);
+    EventCounter writerEvents(writer);
     log.readInto(writer);
-    BOOST_TEST(writerWatch.count(EventKind::SnapshotSeen) == 1U);
-    BOOST_TEST(writerWatch.count(EventKind::StateDiffers) == 0U);
+    BOOST_TEST(writerEvents.count(EventKind::SnapshotSeen) == 1U);
+    BOOST_TEST(writerEvents.count(EventKind::StateDiffers) == 0U);
 
     Reducer reader;
-    const Watch watch(reader);
+    const EventCounter events(reader);
     log.readInto(reader, 3);
-    BOOST_TEST(watch.count(EventKind::GapClosed) == 1U);
+    BOOST_TEST(events.count(EventKind::GapClosed) == 1U);
     BOOST_TEST(reader.isReady());
     BOOST_TEST(reader.hash() == writer.hash());
     BOOST_TEST(regionOf(reader, "north") == "new");
     BOOST_TEST(regionOf(reader, "south") == "back");
 
-    // Record 4 is gone, and the snapshot does not hold it.
+    // Record 4 is no longer in the log, and the snapshot does not include it.
     Reducer late;
     log.readInto(late, 4);
     BOOST_TEST(!late.isReady());
@@ -248,11 +250,11 @@
     log.readInto(peer);
 
     Reducer reader;
-    const Watch watch(reader);
+    const EventCounter events(reader);
     BOOST_REQUIRE(reader.importState(exported(peer)));
     for (const LogRecord &record : log.records)
         reader.recordRead(record);
-    BOOST_TEST(watch.count(EventKind::SnapshotSeen) == 1U);
+    BOOST_TEST(events.count(EventKind::SnapshotSeen) == 1U);
     BOOST_TEST(reader.hash() == peer.hash());
 }
 
@@ -272,13 +274,13 @@
 
     const auto refused = [&](Schema::ConfigurationState state) {
         state.next = Base::LogOffset(99);
-        Watch watch(reader);
+        EventCounter events(reader);
         BOOST_TEST(!reader.importState(state));
-        BOOST_TEST(watch.count(EventKind::ImportRefused) == 1U);
+        BOOST_TEST(events.count(EventKind::ImportRefused) == 1U);
         BOOST_TEST(reader.hash() == hash);
         BOOST_TEST(reader.next() == Base::LogOffset(2));
     };
-    refused(exported(behind)); // Claims to be ahead, but holds the older revision.
+    refused(exported(behind)); // Claims to be ahead, but contains the older revision.
     Schema::ConfigurationState empty = exported(behind);
     empty.objects.clear();
     empty.hash = State().hash();
@@ -295,13 +297,13 @@
     ahead.next = Base::LogOffset(9);
     BOOST_TEST(!reader.importState(ahead));
 
-    // The same from the log: a snapshot of the older state after a gap.
-    Watch watch(reader);
+    // A snapshot of the older state after a gap in the log is refused as well.
+    EventCounter events(reader);
     reader.gapFound(Base::LogOffset(10));
     SnapshotPart part = behind.makeSnapshot("s", "vm").front();
     part.through = Base::LogOffset(10);
     reader.recordRead({Base::LogOffset(10), "s", encode(part)});
-    BOOST_TEST(watch.count(EventKind::SnapshotRefused) == 1U);
+    BOOST_TEST(events.count(EventKind::SnapshotRefused) == 1U);
     BOOST_TEST(reader.hash() == hash);
     BOOST_TEST(reader.isReady());
 }
@@ -312,13 +314,13 @@
     log.append("1", dataCentreChange("north", 0));
     Reducer reader;
     log.readInto(reader);
-    Watch watch(reader);
+    EventCounter events(reader);
     Schema::ConfigurationState other = exported(reader);
     BOOST_REQUIRE(reader.importState(other));
-    BOOST_TEST(watch.count(EventKind::StateDiffers) == 0U);
+    BOOST_TEST(events.count(EventKind::StateDiffers) == 0U);
     other.hash += 1;
     BOOST_REQUIRE(reader.importState(other));
-    BOOST_TEST(watch.count(EventKind::StateDiffers) == 1U);
+    BOOST_TEST(events.count(EventKind::StateDiffers) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(bufferedRecordsAreBounded)
@@ -336,7 +338,7 @@
 
     Reducer small(Reducer::Options{.maxBuffered = 5});
     log.readInto(small, 5);
-    BOOST_TEST(small.hasGap()); // What came after the snapshot's state was dropped in part.
+    BOOST_TEST(small.hasGap()); // Some records after the snapshot's state were dropped.
     log.append(peer.makeSnapshot("new", "vm"));
     log.readInto(small);
     BOOST_TEST(!small.hasGap());
--- a/tests/auto/configuration/tst_reducerorders.cpp
+++ b/tests/auto/configuration/tst_reducerorders.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::size_t recordCount = 60;
 
-/// A log of random changes, right and wrong ones, and of snapshots, with the hash of the state
-/// after each record.
+/// A log of random valid and invalid changes and of snapshots, with the hash of the state after
+/// each record.
 struct History
 {
     explicit History(unsigned seed)
@@ -22,7 +22,7 @@
     {
         hashes.push_back(reader.hash());
         while (log.records.size() < recordCount) {
-            appendSomething();
+            appendRandomRecord();
             for (std::size_t i = hashes.size() - 1; i < log.records.size(); ++i) {
                 reader.recordRead(log.records[i]);
                 hashes.push_back(reader.hash());
@@ -31,7 +31,7 @@
         }
     }
 
-    void appendSomething()
+    void appendRandomRecord()
     {
         const std::string id = "r" + std::to_string(random() % 80);
         const std::string name = "d" + std::to_string(random() % 4);
@@ -64,14 +64,15 @@
     return reducer.next().value();
 }
 
-/// Lets one of many things happen to a reader.
+/// Applies one random input to the reducer: records of the log or of a peer, a peer's state, or
+/// retention.
 void step(History &history, Reducer &reducer, std::size_t &first, bool &wasReady)
 {
     std::mt19937 &random = history.random;
     const std::vector<LogRecord> &records = history.log.records;
     const std::size_t position = reducer.readNext().value();
     switch (random() % 6) {
-    case 0: // The log gives the next few.
+    case 0: // The next few records of the log.
     case 1:
         reducer.gapFound(Base::LogOffset(std::max(first, position)));
         for (std::size_t i = std::max(first, position),
@@ -79,10 +80,10 @@
              i < end; ++i)
             reducer.recordRead(records[i]);
         break;
-    case 2: // A peer passes on any record, old or early.
+    case 2: // A peer forwards any record, already read or ahead.
         reducer.recordFromPeer(records[random() % records.size()]);
         break;
-    case 3: // A peer's state as of anywhere.
+    case 3: // A peer's state at any offset.
         if (random() % 4 == 0) {
             Reducer peer;
             for (std::size_t i = 0, end = random() % records.size(); i < end; ++i)
@@ -93,11 +94,11 @@
             BOOST_TEST(static_cast<bool>(reducer.importState(*state)));
         }
         break;
-    case 4: // The log gives old records again.
+    case 4: // The log delivers an old record again.
         if (position > 0)
             reducer.recordRead(records[random() % position]);
         break;
-    default: // Retention moves on.
+    default: // Retention removes more records.
         if (random() % 8 == 0)
             first = std::max(first, random() % records.size());
     }
@@ -129,7 +130,7 @@
             BOOST_REQUIRE_MESSAGE(reducer.hash() == history.hashes[last],
                                   "seed " << seed << " offset " << last);
         }
-        // In the end the whole is there, from a peer at the latest.
+        // A peer's state completes the configuration at the end.
         BOOST_REQUIRE(reducer.importState(*history.reader.exportState(Base::LogOffset())));
         history.log.readInto(reducer, first);
         BOOST_TEST(reducer.hash() == history.reader.hash());
--- a/tests/auto/configuration/tst_snapshotscheduler.cpp
+++ b/tests/auto/configuration/tst_snapshotscheduler.cpp
@@ -51,22 +51,22 @@
 
 BOOST_AUTO_TEST_CASE(onlyOneControllerWrites)
 {
-    // Each tick every controller looks; a snapshot is seen by all a tick later.
+    // Every controller checks once a second; all see a snapshot one second after its append.
     std::vector<SnapshotScheduler> controllers(6, SnapshotScheduler(options, start));
     int written = 0;
-    bool isOnItsWay = false;
+    bool isAppended = false;
     for (int second = 0; second < 1000; ++second) {
         const Base::MonoTime now = start + std::chrono::seconds(second);
-        if (isOnItsWay) {
+        if (isAppended) {
             for (SnapshotScheduler &controller : controllers)
                 controller.snapshotSeen(now);
-            isOnItsWay = false;
+            isAppended = false;
         }
         for (std::size_t rank = 0; rank < controllers.size(); ++rank) {
             if (!controllers[rank].isDue(now, rank))
                 continue;
             controllers[rank].appendStarted(now);
-            isOnItsWay = true;
+            isAppended = true;
             ++written;
         }
     }
