--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -13,20 +13,21 @@
 
 constexpr int httpOk = 200;
 
-bool isGood(const Http::CallResult &result)
+bool isSuccess(const Http::CallResult &result)
 {
     return result.end == Http::CallEnd::Whole && result.status == httpOk;
 }
 
-/// Chats are named by the routers, in characters that need no escapes; others are left alone.
-bool isPlainName(const std::string &chat)
+/// Whether the name is one that routers assign, whose characters need no escaping in a URL. Chats
+/// with other names are not moved.
+bool isRouterChatName(const std::string &chat)
 {
     return Routing::chatHashFromName(chat).has_value();
 }
 
 } // namespace
 
-std::vector<std::string> hotChats(const std::vector<CacheEvent> &events, std::size_t most)
+std::vector<std::string> hotChats(const std::vector<CacheEvent> &events, std::size_t maxChats)
 {
     std::map<std::string, std::size_t> storedAt;
     for (std::size_t i = 0; i < events.size(); ++i) {
@@ -37,12 +38,12 @@
     }
     std::vector<std::pair<std::size_t, std::string>> order;
     for (const auto &[chat, index] : storedAt) {
-        if (isPlainName(chat))
+        if (isRouterChatName(chat))
             order.emplace_back(index, chat);
     }
     std::sort(order.rbegin(), order.rend());
     std::vector<std::string> chats;
-    for (std::size_t i = 0; i < std::min(most, order.size()); ++i)
+    for (std::size_t i = 0; i < std::min(maxChats, order.size()); ++i)
         chats.push_back(order[i].second);
     return chats;
 }
@@ -56,9 +57,9 @@
     const Routing::RendezvousCost order(*hash);
     const CacheEngine *best = nullptr;
     double cost = std::numeric_limits<double>::infinity();
-    for (const CacheEngine &home : candidates) {
-        if (order.improves(Routing::stableHash(home.endpoint.value()), home.capacity, &cost))
-            best = &home;
+    for (const CacheEngine &engine : candidates) {
+        if (order.improves(Routing::stableHash(engine.endpoint.value()), engine.capacity, &cost))
+            best = &engine;
     }
     return best;
 }
@@ -85,10 +86,10 @@
     return std::max(m_deadline - m_options.timers->clock().now(), Base::Duration(1));
 }
 
-void CacheMover::call(const CacheEngine &home, std::string method, std::string target,
+void CacheMover::call(const CacheEngine &engine, std::string method, std::string target,
                       std::string body, std::function<void(const Http::CallResult &)> ended)
 {
-    Http::Call call{.server = home.address,
+    Http::Call call{.server = engine.address,
                     .method = std::move(method),
                     .target = std::move(target),
                     .body = std::move(body),
@@ -112,7 +113,7 @@
 void CacheMover::handleEvents(std::uint64_t from, const Http::CallResult &result)
 {
     const auto page = readCacheEvents(result.body);
-    if (!isGood(result) || !page)
+    if (!isSuccess(result) || !page)
         return finish();
     const CacheEventPage &read = page.value();
     m_events.insert(m_events.end(), read.events.begin(), read.events.end());
@@ -141,7 +142,7 @@
 {
     call(m_options.from, "GET", "/v1/cache/export?chat=" + chat, {},
          [this, chat](const Http::CallResult &result) {
-             if (isGood(result))
+             if (isSuccess(result))
                  importChat(chat, result.body);
              else
                  finishChat(false, 0);
@@ -150,10 +151,10 @@
 
 void CacheMover::importChat(const std::string &chat, const std::string &body)
 {
-    const CacheEngine *home = migrationTarget(chat, m_options.candidates);
-    call(*home, "POST", "/v1/cache/import", body,
+    const CacheEngine *engine = migrationTarget(chat, m_options.candidates);
+    call(*engine, "POST", "/v1/cache/import", body,
          [this, bytes = body.size()](const Http::CallResult &result) {
-             finishChat(isGood(result), bytes);
+             finishChat(isSuccess(result), bytes);
          });
 }
 
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -16,7 +16,7 @@
 
 namespace Lagoonbank::Controller {
 
-/// An engine as a place for cached prefixes.
+/// An engine that can store cached prefixes.
 struct CacheEngine
 {
     Base::EndpointId endpoint;
@@ -24,16 +24,17 @@
     double capacity = 1;
 };
 
-/// The chats whose prefixes an engine holds, latest first, as far as its events tell.
-std::vector<std::string> hotChats(const std::vector<CacheEvent> &events, std::size_t most);
+/// Returns at most \a maxChats chats whose prefixes the engine caches according to its events, the
+/// most recently stored first.
+std::vector<std::string> hotChats(const std::vector<CacheEvent> &events, std::size_t maxChats);
 
-/// The engine among \a homes to which routers send the chat once its own is gone: the first in
-/// rendezvous order. Null if there is none.
+/// Returns the engine among \a candidates to which routers send the chat once its current engine is
+/// gone: the first in rendezvous order. Null if there are no candidates.
 const CacheEngine *migrationTarget(const std::string &chat,
                                    const std::vector<CacheEngine> &candidates);
 
-/// Moves the KV cache of an engine's hot chats to other engines of its model, a bounded number in
-/// a bounded time, since the engine's draining waits for it.
+/// Moves the KV cache of an engine's hot chats to other engines of the same model. Both the number
+/// of chats and the duration are limited, because the engine does not drain until the move ends.
 class CacheMover : public std::enable_shared_from_this<CacheMover>
 {
 public:
@@ -43,8 +44,8 @@
         EndpointCalls calls;
         EndpointCalls::MaySend maySend;
         CacheEngine from;
-        std::vector<CacheEngine> candidates; ///< Without \a from.
-        std::uint64_t firstEventOffset = 0; ///< Offset of the first cache event to look at.
+        std::vector<CacheEngine> candidates; ///< Possible destinations; does not contain \a from.
+        std::uint64_t firstEventOffset = 0; ///< Offset of the first cache event to read.
         std::size_t maxChats = 64;
         std::size_t maxConcurrentTransfers = 4;
         std::size_t maxEventPages = 64;
@@ -55,12 +56,12 @@
         std::size_t chats = 0;
         std::size_t failures = 0;
         std::uint64_t bytes = 0;
-        std::uint64_t nextEventOffset = 0; ///< Where to look on for what was cached since.
+        std::uint64_t nextEventOffset = 0; ///< Offset at which a later move continues reading.
     };
 
     explicit CacheMover(Options options);
 
-    /// Called once, when all is moved or time is up.
+    /// Called once, when all chats are processed or \a maxDuration has passed.
     std::function<void(const MoveResult &moved)> finished;
     void start();
 
@@ -72,7 +73,7 @@
     void importChat(const std::string &chat, const std::string &body);
     void finishChat(bool isMoved, std::size_t bytes);
     void finish();
-    void call(const CacheEngine &home, std::string method, std::string target, std::string body,
+    void call(const CacheEngine &engine, std::string method, std::string target, std::string body,
               std::function<void(const Http::CallResult &)> ended);
     Base::Duration timeLeft() const;
 
--- a/src/libs/controller/controlleradmin.cpp
+++ b/src/libs/controller/controlleradmin.cpp
@@ -48,7 +48,7 @@
             .body = metrics.registry.text()};
 }
 
-/// Only the lease's holder knows what is pending.
+/// Pending orders are tracked only by the lease holder; other controllers return 0.
 std::size_t ControllerAdmin::ordersPending() const
 {
     return m_sources.lease->mayOrder(true) ? m_sources.orders->pending() : 0;
--- a/src/libs/controller/controlleradmin.h
+++ b/src/libs/controller/controlleradmin.h
@@ -14,7 +14,7 @@
 
 namespace Lagoonbank::Controller {
 
-/// What operators can ask a controller: /metrics, /admin/status, /admin/events.
+/// The admin pages of a controller: /metrics, /admin/status, /admin/events.
 class ControllerAdmin
 {
 public:
--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// Controllers of a data centre that may claim its lease.
+/// Number of controllers of a data centre that may claim its lease.
 constexpr std::size_t candidatesPerDataCentre = 2;
 constexpr Base::Duration roleUpdateInterval = std::chrono::seconds(1);
-/// How long a stop waits for the log and for what is under way.
+/// Maximum time that a graceful stop waits for the log and for orders in flight.
 constexpr Base::Duration stopTimeout = std::chrono::seconds(10);
 
 } // namespace
@@ -131,9 +131,9 @@
     m_configuration->logHealthChanged = [this](bool isUp) {
         recordEvent(isUp ? EventType::LogBack : EventType::LogLost, {.subject = "configuration"});
         if (isUp)
-            m_logger.info("The log answers.");
+            m_logger.info("The platform's log is reachable.");
         else
-            m_logger.warning("The log does not answer.");
+            m_logger.warning("The platform's log does not respond.");
     };
     m_configuration->eventRaised = [this](const Configuration::Event &event) {
         if (event.kind == Configuration::EventKind::SnapshotSeen) {
@@ -167,22 +167,23 @@
     };
     m_snapshots->failed = [this](const std::string &id) {
         m_metrics.snapshotFailures.increment();
-        m_logger.warning("The snapshot {} is not known to be on the log.", id);
+        m_logger.warning("Could not confirm that snapshot {} was appended to the log.", id);
     };
 }
 
-/// Only processes that follow the log see the others' snapshots.
+/// Empty unless this process has read up to the end of the log, as it could otherwise miss the
+/// snapshots of other controllers.
 std::optional<std::size_t> ControllerProcess::snapshotRank() const
 {
     if (m_isStopping || !m_configuration->isAtEnd())
         return std::nullopt;
     const Membership::Membership &membership = m_peers->membership();
     const std::vector<Membership::MemberUpdate> members = membership.usableMembers(now());
-    const auto isBefore = [&](const Membership::MemberUpdate &member) {
+    const auto hasLowerId = [&](const Membership::MemberUpdate &member) {
         return member.role == Membership::MemberRole::Controller
             && member.id < membership.self().id;
     };
-    return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), isBefore));
+    return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), hasLowerId));
 }
 
 void ControllerProcess::makeLease()
@@ -198,14 +199,14 @@
                                             .longestOrder = m_settings.longestOrder}});
     m_lease->gained = [this](Base::FencingNumber fencing) {
         recordEvent(EventType::LeaseTaken, {.subject = std::to_string(fencing.value())});
-        m_logger.info("Holds the lease with fencing number {}.", fencing);
+        m_logger.info("Acquired the lease with fencing number {}.", fencing);
         m_orders->leaseGained();
     };
     m_lease->lost = [this] {
         recordEvent(EventType::LeaseLost,
                     {.subject = m_settings.dataCentre.value(),
                      .detail = m_isStopping ? "given up" : "not renewed in time or taken over"});
-        m_logger.info("Holds the lease no longer.");
+        m_logger.info("Lost or released the lease.");
         if (!m_isStopping)
             m_metrics.leaseLosses.increment();
     };
@@ -239,9 +240,9 @@
         m_peers->membership().loads().report(endpoint, load.work, sampledAt);
         recordProbe(endpoint, true, {});
     };
-    m_prober->failed = [this](const Base::EndpointId &endpoint, const std::string &why) {
+    m_prober->failed = [this](const Base::EndpointId &endpoint, const std::string &reason) {
         m_metrics.probeFailures.increment();
-        recordProbe(endpoint, false, why);
+        recordProbe(endpoint, false, reason);
     };
 }
 
@@ -255,7 +256,7 @@
     recordEvent(isAnswered ? EventType::EndpointTrusted : EventType::EndpointSuspected,
                 {.endpoint = endpoint, .detail = isAnswered ? "answers probes" : detail});
     m_logger.info("Endpoint {} {}.", endpoint,
-                  isAnswered ? "answers again" : "does not answer a probe");
+                  isAnswered ? "responds to probes again" : "does not respond to a probe");
 }
 
 void ControllerProcess::makeOrders()
@@ -290,7 +291,7 @@
     };
     m_orders->orderDone = [this](const OrderTarget &target) {
         recordEvent(EventType::OrderDone, {.endpoint = target.endpoint});
-        m_logger.info("Endpoint {} is as the configuration wants.", target.endpoint);
+        m_logger.info("Endpoint {} matches the configuration.", target.endpoint);
     };
     m_orders->orderRefused = [this](const OrderTarget &target, int status) {
         const std::string text = std::to_string(status);
@@ -300,9 +301,9 @@
                     {.endpoint = target.endpoint, .detail = "status " + text});
         m_logger.warning("Endpoint {} refused an order with status {}.", target.endpoint, status);
     };
-    m_orders->failed = [this](const OrderTarget &target, const std::string &why) {
+    m_orders->failed = [this](const OrderTarget &target, const std::string &reason) {
         m_metrics.orderFailures.increment();
-        m_logger.warning("Endpoint {}: {}.", target.endpoint, why);
+        m_logger.warning("Endpoint {}: {}.", target.endpoint, reason);
     };
     m_orders->cacheMoved = [this](const OrderTarget &target, const CacheMover::MoveResult &moved) {
         m_metrics.movedChats.increment(static_cast<double>(moved.chats));
@@ -324,7 +325,7 @@
 {
     m_objects = m_configuration->objects();
     if (m_configuration->isReady()) {
-        // Not before: a part of the configuration must not be ordered as if it were all.
+        // A partially read configuration must not be applied to engines as if it were complete.
         updateTargets();
         if (!std::exchange(m_isReady, true)) {
             recordEvent(EventType::ProcessReady, {.subject = m_settings.vm.value()});
@@ -381,7 +382,7 @@
     if (m_isStopping)
         return;
     m_isStopping = true;
-    m_logger.info("Stopping; {} orders are under way.", m_orders->ordersInFlight());
+    m_logger.info("Stopping; {} orders are in flight.", m_orders->ordersInFlight());
     recordEvent(EventType::ProcessDraining, {.subject = m_settings.vm.value()});
     m_orders->stop();
     m_lease->setCandidate(false);
@@ -393,7 +394,8 @@
 void ControllerProcess::stopWhenIdle()
 {
     constexpr Base::Duration interval = std::chrono::milliseconds(50);
-    // An order may take effect for a while after it was sent; the next holder must not come first.
+    // An order can take effect some time after it was sent. The lease is kept while orders are in
+    // flight, so that no older order takes effect after an order of the next holder.
     if (m_orders->ordersInFlight() == 0)
         m_lease->release();
     const bool isIdle = m_orders->ordersInFlight() == 0 && !m_lease->isReleasePending();
--- a/src/libs/controller/controllerprocess.h
+++ b/src/libs/controller/controllerprocess.h
@@ -30,17 +30,17 @@
 
 namespace Lagoonbank::Controller {
 
-/// A whole controller: joins the libraries to one process.
+/// The controller process; creates and connects its components.
 class ControllerProcess
 {
 public:
     ControllerProcess(Runtime::Loop &loop, Schema::ControllerSettings settings);
     ~ControllerProcess();
 
-    /// Listens and joins the fleet; an error says which address could not be had.
+    /// Starts listening and joins the fleet. An error names the address that could not be bound.
     Errors::Result<void> start();
-    /// Sends no new orders, gives the lease up once none is under way, leaves the fleet, then
-    /// stops the loop.
+    /// Stops sending orders, releases the lease when no order is in flight, leaves the fleet, and
+    /// then stops the loop.
     void stopGracefully();
 
 private:
@@ -69,7 +69,7 @@
     Logging::Logger m_logger{"controller"};
     Base::Incarnation m_incarnation;
     PlatformClient::Backoff::Options m_backoff;
-    std::string m_instanceId; ///< Names this start of the process.
+    std::string m_instanceId; ///< Identifies this run of the process.
     Http::Client m_client;
     ControllerMetrics m_metrics;
     Timeline::EventLog m_events;
--- a/src/libs/controller/endpointanswers.cpp
+++ b/src/libs/controller/endpointanswers.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t longestAgeMs = std::int64_t{24} * 60 * 60 * 1000;
+constexpr std::int64_t maxAgeMs = std::int64_t{24} * 60 * 60 * 1000;
 
 Errors::Error badAnswer(const char *what)
 {
@@ -47,7 +47,7 @@
         return badAnswer("the load report has no work");
     const double work = json["work"].get<double>();
     const std::uint64_t age = countOf(json, "age_ms");
-    if (!std::isfinite(work) || work < 0 || age > longestAgeMs)
+    if (!std::isfinite(work) || work < 0 || age > maxAgeMs)
         return badAnswer("the load report is out of range");
     return LoadAnswer{.work = Base::WorkUnits(work),
                       .age = std::chrono::milliseconds(age),
@@ -61,7 +61,7 @@
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("draining") || !json["draining"].is_boolean())
-        return badAnswer("the state does not say whether the endpoint drains");
+        return badAnswer("the state has no boolean draining field");
     return StateAnswer{.settings = {.model = textOf(json, "model"),
                                     .adapter = textOf(json, "adapter"),
                                     .version = textOf(json, "version"),
@@ -74,13 +74,13 @@
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("events") || !json["events"].is_array())
-        return badAnswer("the cache events have no list");
+        return badAnswer("the cache events contain no list");
     CacheEventPage page{.next = countOf(json, "next")};
     for (const Json &event : json["events"]) {
         const auto op = textOf(event, "op");
         const auto chat = textOf(event, "chat");
         if (!op || !chat)
-            return badAnswer("a cache event has no chat");
+            return badAnswer("a cache event has no op or no chat");
         const auto tokens = static_cast<std::int64_t>(countOf(event, "tokens"));
         page.events.push_back(
             {.chat = *chat, .tokens = Base::Tokens(tokens), .isStored = *op == "stored"});
--- a/src/libs/controller/endpointanswers.h
+++ b/src/libs/controller/endpointanswers.h
@@ -16,7 +16,7 @@
 struct LoadAnswer
 {
     Base::WorkUnits work;
-    Base::Duration age{}; ///< Of the sample, at the endpoint.
+    Base::Duration age{}; ///< Age of the sample when the endpoint sent it.
     std::uint64_t running = 0;
     std::uint64_t queued = 0;
     Base::Incarnation incarnation;
@@ -27,7 +27,8 @@
 struct StateAnswer
 {
     Orders::EndpointSettings settings;
-    bool isLoading = false; ///< Of weights; engines that don't tell count as done.
+    /// Whether weights are loading; false if the engine does not report it.
+    bool isLoading = false;
 };
 
 /// One event of `GET /v1/cache/events`.
@@ -35,7 +36,7 @@
 {
     std::string chat;
     Base::Tokens tokens;
-    bool isStored = false; ///< Else evicted.
+    bool isStored = false; ///< False if the prefix was evicted.
 };
 
 struct CacheEventPage
@@ -44,7 +45,8 @@
     std::vector<CacheEvent> events;
 };
 
-// Unknown keys are passed over; a missing or wrong one is a BadMessage.
+// These functions ignore unknown keys; a missing required key or an invalid value of one is a
+// BadMessage error.
 Errors::Result<LoadAnswer> readLoadAnswer(std::string_view body);
 Errors::Result<StateAnswer> readStateAnswer(std::string_view body);
 Errors::Result<CacheEventPage> readCacheEvents(std::string_view body);
--- a/src/libs/controller/endpointcalls.cpp
+++ b/src/libs/controller/endpointcalls.cpp
@@ -11,7 +11,7 @@
 void finishUnsent(Runtime::Loop &loop, EndpointCalls::Finished finished)
 {
     loop.post([finished = std::move(finished)] {
-        finished({.end = Http::CallEnd::NotConnected, .detail = "the call may not leave any more"});
+        finished({.end = Http::CallEnd::NotConnected, .detail = "the call is no longer permitted"});
     });
 }
 
@@ -24,8 +24,8 @@
                                    EndpointCalls::Finished finished) {
         if (!maySend())
             return finishUnsent(loop, std::move(finished));
-        // On a pooled connection the first byte leaves within start(), right after the check above.
-        // A new connection takes a while to make, so there the check is made again.
+        // On a pooled connection the first byte is sent within start(), right after the check
+        // above. Establishing a new connection takes time, so the check is repeated before sending.
         const auto id = std::make_shared<std::optional<Http::CallId>>();
         Http::Hooks hooks;
         hooks.leaving = [&loop, &client, id, maySend = std::move(maySend), finished] {
--- a/src/libs/controller/endpointcalls.h
+++ b/src/libs/controller/endpointcalls.h
@@ -5,18 +5,19 @@
 
 #include <functional>
 
-/// What a controller does: probes endpoints, and as holder of its data centre's lease brings them
-/// to the state that the configuration wants.
+/// The controller: probes endpoints and, while it holds the lease of its data centre, brings
+/// engines to the state that the configuration specifies.
 namespace Lagoonbank::Controller {
 
-/// How a controller reaches endpoints; tests put their own in.
+/// Starts calls from a controller to endpoints; tests replace it with a fake.
 struct EndpointCalls
 {
     using MaySend = std::function<bool()>;
     using Finished = std::function<void(const Http::CallResult &result)>;
 
-    /// Starts a call. \a maySend is asked just before the first byte leaves, and if it says no
-    /// the call ends as NotConnected with nothing sent. Finished is called once, later.
+    /// Starts a call. \a maySend is called just before the first byte is sent; if it returns
+    /// false, nothing is sent and the call ends with NotConnected. \a finished is called once,
+    /// asynchronously.
     std::function<void(Http::Call call, MaySend maySend, Finished finished)> start;
 };
 
--- a/src/libs/controller/leasecoordinator.cpp
+++ b/src/libs/controller/leasecoordinator.cpp
@@ -50,7 +50,7 @@
 
 void LeaseCoordinator::append(const std::string &id, const Orders::LeaseRecord &record)
 {
-    // What became of it shows when the stream is read.
+    // The outcome is learned by reading the stream, so the append result is ignored.
     m_options.log->append(streamName, {{.id = id, .data = Orders::toText(record)}},
                           [](const PlatformClient::AppendResult &) {});
 }
@@ -62,7 +62,7 @@
         m_keeper.caughtUp(m_logFirst);
     else
         m_keeper.logFailed();
-    // A claim that was under way at the release may have won since.
+    // A claim that was pending at the release may have succeeded in the meantime.
     if (m_isReleaseRequested && mayOrder(true))
         m_keeper.release(now());
     m_keeper.advance(m_isCandidate && !m_isReleaseRequested, now());
--- a/src/libs/controller/leasecoordinator.h
+++ b/src/libs/controller/leasecoordinator.h
@@ -11,7 +11,8 @@
 
 namespace Lagoonbank::Controller {
 
-/// Joins the lease of a data centre to the log's stream `leases`.
+/// Acquires, renews and releases the lease of a data centre by reading and appending records of the
+/// log stream `leases`.
 class LeaseCoordinator
 {
 public:
@@ -30,14 +31,15 @@
     LeaseCoordinator &operator=(const LeaseCoordinator &) = delete;
 
     void start();
-    /// Whether this controller may claim a lease that is free.
+    /// Sets whether this controller may claim a free lease.
     void setCandidate(bool isCandidate) { m_isCandidate = isCandidate; }
-    /// Gives the lease up and claims none any more; only once no order is under way.
+    /// Releases the lease and stops claiming it. Must be called only when no order is in flight.
     void release();
-    /// Whether a release is not on the log yet.
+    /// Whether a requested release has not been read back from the log yet.
     bool isReleasePending() const;
 
-    /// The number to send an order with at this moment; see Orders::LeaseKeeper::mayOrder().
+    /// The fencing number for an order that is sent now, or nothing if orders may not be sent; see
+    /// Orders::LeaseKeeper::mayOrder().
     std::optional<Base::FencingNumber> mayOrder(bool endpointChecksFencing) const;
     const Orders::LeaseState &state() const { return m_keeper.state(); }
     bool isLogUp() const { return m_tailer.health().isUp; }
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 constexpr Base::Duration tickInterval = std::chrono::milliseconds(100);
-/// How often an engine that loads weights is looked at.
-constexpr Base::Duration loadingPeriod = std::chrono::seconds(1);
-/// How long the weight store is left alone after it failed.
-constexpr Base::Duration weightsRetry = std::chrono::seconds(5);
+/// Interval between state checks of an engine that loads weights.
+constexpr Base::Duration loadingCheckInterval = std::chrono::seconds(1);
+/// Delay before the next request to the weight store after a failure.
+constexpr Base::Duration weightsRetryDelay = std::chrono::seconds(5);
 constexpr int httpOk = 200;
 constexpr std::size_t maxAnswerBytes = 64 * 1024;
-/// Request, answer's acknowledgements and headers.
+/// Cost of a state check: request, acknowledgements of the answer, and headers.
 constexpr std::size_t bytesPerCheck = 600;
 
 } // namespace
@@ -37,9 +37,9 @@
 
 void OrderCoordinator::setTargets(const std::vector<OrderTarget> &targets)
 {
-    std::set<Base::EndpointId> wanted;
+    std::set<Base::EndpointId> targetEndpoints;
     for (const OrderTarget &target : targets) {
-        wanted.insert(target.endpoint);
+        targetEndpoints.insert(target.endpoint);
         Entry &entry = m_entries[target.endpoint];
         if (entry.target == target)
             continue;
@@ -51,8 +51,10 @@
             continue;
         entry.isCacheMoved = entry.isRemainingCacheMoved = entry.isDrained = false;
     }
-    std::erase_if(m_entries, [&](const auto &entry) { return !wanted.contains(entry.first); });
-    std::erase_if(m_loading, [&](const auto &endpoint) { return !wanted.contains(endpoint); });
+    std::erase_if(m_entries,
+                  [&](const auto &entry) { return !targetEndpoints.contains(entry.first); });
+    std::erase_if(m_loading,
+                  [&](const auto &endpoint) { return !targetEndpoints.contains(endpoint); });
 }
 
 void OrderCoordinator::leaseGained()
@@ -90,8 +92,8 @@
 
 Http::Call OrderCoordinator::makeCall(const Entry &entry) const
 {
-    // An order that has not been answered by then counts as lost. It may still take effect for a
-    // while, which longestOrder allows for.
+    // An order without an answer by this timeout counts as lost. It can still take effect until
+    // longestOrder has passed.
     const Base::Duration timeout = m_options.longestOrder / 2;
     return {.server = entry.target.address,
             .connectTimeout = std::min<Base::Duration>(timeout, std::chrono::seconds(1)),
@@ -133,10 +135,10 @@
     entry.nextCheckAt = now() + delay;
 }
 
-void OrderCoordinator::reportFailure(const Entry &entry, const std::string &why) const
+void OrderCoordinator::reportFailure(const Entry &entry, const std::string &reason) const
 {
     if (failed)
-        failed(entry.target, why);
+        failed(entry.target, reason);
 }
 
 void OrderCoordinator::stateRead(const Ticket &ticket, const Http::CallResult &result)
@@ -148,10 +150,10 @@
     const auto seen = readStateAnswer(result.body);
     if (result.end != Http::CallEnd::Whole || result.status != httpOk || !seen) {
         entry->isConverged = false;
-        // It may be gone; the others of its model need not wait for it.
+        // The engine may be gone; other engines of the model must not wait for it to load.
         m_loading.erase(ticket.endpoint);
         m_weightLoads.finished(ticket.endpoint);
-        return reportFailure(*entry, "its state could not be read");
+        return reportFailure(*entry, "could not read the state");
     }
     const auto order = Orders::planOrder(ticket.endpoint, entry->target.desired,
                                          seen.value().settings, entry->target.revision);
@@ -165,7 +167,7 @@
 {
     if (isLoading) {
         m_loading.insert(entry.target.endpoint);
-        return checkAgain(entry, loadingPeriod);
+        return checkAgain(entry, loadingCheckInterval);
     }
     m_loading.erase(entry.target.endpoint);
     m_weightLoads.finished(entry.target.endpoint);
@@ -210,8 +212,8 @@
     mover->finished = [this, alive = m_alive, ticket](const CacheMover::MoveResult &moved) {
         if (!*alive)
             return;
-        if (Entry *waiting = finishCall(ticket))
-            handleCacheMoved(*waiting, moved);
+        if (Entry *current = finishCall(ticket))
+            handleCacheMoved(*current, moved);
     };
     mover->start();
 }
@@ -220,7 +222,7 @@
 {
     entry.isRemainingCacheMoved = std::exchange(entry.isCacheMoved, true);
     entry.nextCacheEventOffset = moved.nextEventOffset;
-    // The state is read again, since the moving took a while.
+    // The state may have changed during the move, so read it again.
     checkAgain(entry, {});
     if (cacheMoved)
         cacheMoved(entry.target, moved);
@@ -250,11 +252,11 @@
     if (m_isStopped || result.end != Http::CallEnd::Whole || result.status != httpOk || !load)
         return;
     const std::size_t inFlight = load.value().running + load.value().queued;
-    // What was in flight at the order may have left chats in the cache since.
-    const bool hasLateChats = inFlight == 0 && !entry->isRemainingCacheMoved;
+    // Requests that were in flight at the drain order may have cached more chats since.
+    const bool hasRemainingChats = inFlight == 0 && !entry->isRemainingCacheMoved;
     const Orders::DrainView view{
-        .isDraining = true, .chatsToExport = hasLateChats ? 1U : 0U, .inFlight = inFlight};
-    // The mover keeps to a time of its own.
+        .isDraining = true, .chatsToExport = hasRemainingChats ? 1U : 0U, .inFlight = inFlight};
+    // The cache mover enforces its own time limit.
     const auto step = Orders::nextDrainStep(view, Base::Duration::max());
     if (step == Orders::DrainStep::ExportCache)
         return moveCache(*entry);
@@ -289,7 +291,8 @@
 void OrderCoordinator::fetchWeights(Entry &entry, const Orders::Order &order,
                                     const StateAnswer &seen)
 {
-    // An engine takes no requests while it loads: one of a model at a time.
+    // An engine accepts no requests while it loads weights, so at most one engine of a model loads
+    // at a time.
     if (isModelLoading(entry) || !m_weightLoads.mayStart(now()))
         return;
     const Base::EndpointId endpoint = entry.target.endpoint;
@@ -308,17 +311,17 @@
             if (!*alive)
                 return;
             if (!size) {
-                m_weightLoads.refused(ticket.endpoint, weightsRetry, now());
+                m_weightLoads.refused(ticket.endpoint, weightsRetryDelay, now());
                 m_loading.erase(ticket.endpoint);
             }
-            Entry *waiting = finishCall(ticket);
-            if (!waiting)
+            Entry *current = finishCall(ticket);
+            if (!current)
                 return;
-            checkAgain(*waiting, size ? Base::Duration() : m_options.retryPeriod);
+            checkAgain(*current, size ? Base::Duration() : m_options.retryPeriod);
             if (size)
-                waiting->weightsOrderId = id;
+                current->weightsOrderId = id;
             else
-                reportFailure(*waiting, "the weight store gave no weights out");
+                reportFailure(*current, "could not fetch weights from the weight store");
         });
 }
 
@@ -356,12 +359,12 @@
     Entry *entry = finishCall(ticket);
     if (!entry)
         return;
-    const bool isTaken = result.end == Http::CallEnd::Whole && result.status == httpOk;
-    // Whatever the answer, or without one: the state tells what is still to be done.
-    checkAgain(*entry, isTaken ? Base::Duration() : m_options.retryPeriod);
+    const bool isAccepted = result.end == Http::CallEnd::Whole && result.status == httpOk;
+    // Whether or not an answer arrived, the state shows what remains to be ordered.
+    checkAgain(*entry, isAccepted ? Base::Duration() : m_options.retryPeriod);
     if (result.end != Http::CallEnd::Whole)
-        return reportFailure(*entry, "an order was not answered");
-    if (!isTaken && orderRefused)
+        return reportFailure(*entry, "an order received no answer");
+    if (!isAccepted && orderRefused)
         orderRefused(entry->target, result.status);
 }
 
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -21,7 +21,7 @@
 
 namespace Lagoonbank::Controller {
 
-/// An engine and what the configuration wants of it.
+/// An engine and the state that the configuration specifies for it.
 struct OrderTarget
 {
     Base::EndpointId endpoint;
@@ -30,16 +30,17 @@
     double capacity = 1;
     Base::ModelId model;
     Orders::EndpointSettings desired;
-    /// Goes up with each change of what is desired, so that an order's id is never used again for
-    /// a later wish of the same content.
+    /// Increases with each change of the desired state, so that a later order with the same content
+    /// gets a different id.
     Base::Revision revision;
 
     bool operator==(const OrderTarget &) const = default;
 };
 
-/// Brings the engines of a data centre to what the configuration wants, as long as the lease is
-/// held: reads an engine's state, sends what differs as values to set, and reads again. What
-/// became of an order is never guessed; a lost answer is settled by reading the state.
+/// Brings the engines of a data centre to the desired state while the lease is held: reads the
+/// state of an engine, orders it to set the values that differ, and reads the state again. The
+/// outcome of an order is never assumed; if the answer is lost, reading the state determines the
+/// outcome.
 class OrderCoordinator
 {
 public:
@@ -50,19 +51,22 @@
         EndpointCalls calls;
         /// See LeaseCoordinator::mayOrder().
         std::function<std::optional<Base::FencingNumber>(bool checksFencing)> mayOrder;
-        /// Asks the weight store to give weights out.
+        /// Requests weights from the weight store.
         std::function<void(const Base::ModelId &model, const std::string &version,
                            WeightsFetched fetched)>
             fetchWeights;
-        /// Takes bytes from the control budget; false if it has none left.
+        /// Takes bytes from the control budget; returns false if the budget is exhausted.
         std::function<bool(std::size_t bytes)> takeFromBudget;
-        /// By when an order has taken effect or never will.
+        /// Maximum time from sending an order to its effect. An order without effect by then never
+        /// takes effect.
         Base::Duration longestOrder = std::chrono::seconds(5);
         Base::Duration retryPeriod = std::chrono::seconds(1);
-        Base::Duration checkPeriod = std::chrono::seconds(30); ///< Of engines that are as wanted.
-        std::size_t maxConcurrentEngines = 8; ///< Engines that are dealt with at a time.
+        /// Check interval for engines in the desired state.
+        Base::Duration checkPeriod = std::chrono::seconds(30);
+        std::size_t maxConcurrentEngines = 8; ///< Maximum number of engines processed at a time.
         Orders::WeightLoadLimiter::Options weightLoads;
-        Base::Duration maxMoveDuration = std::chrono::seconds(2); ///< See CacheMover.
+        /// See CacheMover::Options::maxDuration.
+        Base::Duration maxMoveDuration = std::chrono::seconds(2);
         std::size_t maxMovedChats = 64;
     };
 
@@ -73,42 +77,42 @@
 
     void start();
     void setTargets(const std::vector<OrderTarget> &targets);
-    /// The lease was gained: nothing is known of the engines any more.
+    /// Must be called when the lease was gained. Marks the state of all engines as unknown.
     void leaseGained();
-    /// No new orders from now on.
+    /// Stops sending new orders.
     void stop() { m_isStopped = true; }
-    /// Orders whose fate is not known.
+    /// Number of orders whose calls have not ended.
     std::size_t ordersInFlight() const { return m_ordersInFlight; }
-    /// Engines that are not known to be as wanted.
+    /// Number of engines that are not known to be in the desired state.
     std::size_t pending() const;
 
     std::function<void(const OrderTarget &target, const Orders::Order &order,
                        Base::FencingNumber fencing)>
         orderSent;
-    /// The engine's state is as wanted after an order.
+    /// Called when an engine has reached the desired state after an order.
     std::function<void(const OrderTarget &target)> orderDone;
     std::function<void(const OrderTarget &target, int status)> orderRefused;
-    std::function<void(const OrderTarget &target, const std::string &why)> failed;
+    std::function<void(const OrderTarget &target, const std::string &reason)> failed;
     std::function<void(const OrderTarget &target, const CacheMover::MoveResult &moved)> cacheMoved;
-    /// Nothing is in flight any more on an engine that was ordered to drain; it may be stopped.
+    /// Called when a draining engine has no requests in flight; the engine may then be stopped.
     std::function<void(const OrderTarget &target)> drained;
 
 private:
     struct Entry
     {
         OrderTarget target;
-        std::uint64_t generation = 0; ///< Raised when the target changes.
+        std::uint64_t generation = 0; ///< Incremented when the target changes.
         Base::MonoTime nextCheckAt{};
         bool isBusy = false;
         bool isConverged = false;
         bool wasOrdered = false;
-        bool isCacheMoved = false; ///< Before the order to drain.
-        bool isRemainingCacheMoved = false; ///< Of what was in flight then.
+        bool isCacheMoved = false; ///< Whether the move before the drain order has ended.
+        bool isRemainingCacheMoved = false; ///< Whether the move after the last request has ended.
         bool isDrained = false;
         std::uint64_t nextCacheEventOffset = 0;
-        std::string weightsOrderId; ///< Id of the order that the weight store gave weights out for.
+        std::string weightsOrderId; ///< Id of the order for which the weights were fetched.
     };
-    /// Which entry a call belongs to, and to which wish for it.
+    /// Identifies the entry of a call and the generation of its target when the call started.
     struct Ticket
     {
         Base::EndpointId endpoint;
@@ -129,7 +133,7 @@
     void orderEnded(const Ticket &ticket, const Http::CallResult &result);
     Entry *finishCall(const Ticket &ticket);
     void checkAgain(Entry &entry, Base::Duration delay);
-    void reportFailure(const Entry &entry, const std::string &why) const;
+    void reportFailure(const Entry &entry, const std::string &reason) const;
     bool isModelLoading(const Entry &entry) const;
     std::vector<CacheEngine> migrationCandidates(const Entry &entry) const;
     Http::Call makeCall(const Entry &entry) const;
@@ -138,11 +142,12 @@
     Options m_options;
     Orders::WeightLoadLimiter m_weightLoads;
     std::map<Base::EndpointId, Entry> m_entries;
-    std::set<Base::EndpointId> m_loading; ///< Engines that load weights, or are about to.
+    std::set<Base::EndpointId> m_loading; ///< Engines that load weights or will soon start.
     std::size_t m_ordersInFlight = 0;
     bool m_isStopped = false;
     Runtime::TimerId m_timer;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For calls that outlive it.
+    /// Set to false on destruction; checked by calls that outlive this object.
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
 } // namespace Lagoonbank::Controller
--- a/src/libs/controller/prober.cpp
+++ b/src/libs/controller/prober.cpp
@@ -49,10 +49,10 @@
     for (const auto &[endpoint, target] : m_targets)
         endpoints.push_back(endpoint);
     const Orders::ProbeSchedule schedule(m_options.schedule);
-    const auto mine = schedule.probesOf(m_options.member, m_members, endpoints);
-    m_probedEndpointCount = mine.endpoints.size();
+    const auto assigned = schedule.probesOf(m_options.member, m_members, endpoints);
+    m_probedEndpointCount = assigned.endpoints.size();
     const Base::MonoTime now = m_options.timers->clock().now();
-    for (const Base::EndpointId &endpoint : mine.endpoints) {
+    for (const Base::EndpointId &endpoint : assigned.endpoints) {
         Base::MonoTime &due = m_nextProbeAt[endpoint];
         if (now < due || m_inFlight.contains(endpoint))
             continue;
@@ -61,7 +61,7 @@
                 deferred();
             return;
         }
-        due = now + mine.period;
+        due = now + assigned.period;
         probe(m_targets.at(endpoint));
     }
 }
@@ -92,15 +92,16 @@
     if (!m_targets.contains(endpoint))
         return;
     const auto load = readLoadAnswer(result.body);
-    const bool isAnswer = result.end == Http::CallEnd::Whole && result.status == httpOk;
-    if (isAnswer && load) {
-        // Not later than the sample was taken, whichever way took the time.
+    const bool isSuccess = result.end == Http::CallEnd::Whole && result.status == httpOk;
+    if (isSuccess && load) {
+        // Counts the whole round trip towards the age of the sample, so that a sample never
+        // appears more recent than it is.
         if (reported)
             reported(endpoint, load.value(), sentAt - load.value().age);
         return;
     }
     if (failed)
-        failed(endpoint, isAnswer ? load.error().detail : result.detail);
+        failed(endpoint, isSuccess ? load.error().detail : result.detail);
 }
 
 } // namespace Lagoonbank::Controller
--- a/src/libs/controller/prober.h
+++ b/src/libs/controller/prober.h
@@ -15,7 +15,8 @@
 
 namespace Lagoonbank::Controller {
 
-/// Asks its share of a data centre's endpoints for their load, within the control budget.
+/// Probes this controller's share of the endpoints of a data centre for their load, within the
+/// control budget.
 class Prober
 {
 public:
@@ -28,8 +29,8 @@
     {
         Runtime::TimerQueue *timers = nullptr;
         EndpointCalls calls;
-        std::string member; ///< This process.
-        /// Takes bytes from the control budget; false if it has none left.
+        std::string member; ///< Member id of this process.
+        /// Takes bytes from the control budget; returns false if the budget is exhausted.
         std::function<bool(std::size_t bytes)> takeFromBudget;
         Orders::ProbeSchedule::Options schedule;
         Base::Duration timeout = std::chrono::seconds(1);
@@ -42,19 +43,20 @@
 
     void start();
     void setTargets(const std::vector<Target> &targets);
-    /// Who shares the work now, this process included.
+    /// Sets the members that share the probing, including this process.
     void setMembers(std::vector<std::string> members) { m_members = std::move(members); }
     void setPeriod(Base::Duration period);
 
-    /// An endpoint told its load; the sample was taken at \a sampledAt by this process's clock.
+    /// Called when an endpoint reported its load, sampled at \a sampledAt by the clock of this
+    /// process.
     std::function<void(const Base::EndpointId &endpoint, const LoadAnswer &load,
                        Base::MonoTime sampledAt)>
         reported;
-    std::function<void(const Base::EndpointId &endpoint, const std::string &why)> failed;
-    /// A probe waits because the budget is spent.
+    std::function<void(const Base::EndpointId &endpoint, const std::string &reason)> failed;
+    /// Called when a probe is deferred because the budget is exhausted.
     std::function<void()> deferred;
 
-    /// Endpoints that this process probes at present.
+    /// Number of endpoints that this process currently probes.
     std::size_t probedEndpointCount() const { return m_probedEndpointCount; }
 
 private:
@@ -70,7 +72,8 @@
     std::map<Base::EndpointId, Base::MonoTime> m_nextProbeAt;
     std::size_t m_probedEndpointCount = 0;
     Runtime::TimerId m_timer;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For calls that outlive it.
+    /// Set to false on destruction; checked by calls that outlive this object.
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
 } // namespace Lagoonbank::Controller
--- a/src/libs/controller/snapshotwriter.cpp
+++ b/src/libs/controller/snapshotwriter.cpp
@@ -9,11 +9,11 @@
 
 constexpr Base::Duration tickInterval = std::chrono::milliseconds(500);
 
-/// What became of the parts of one snapshot.
+/// Append progress of the parts of one snapshot.
 struct Progress
 {
-    std::size_t waiting = 0;
-    bool isWhole = true;
+    std::size_t pendingParts = 0;
+    bool isComplete = true;
 };
 
 } // namespace
@@ -56,15 +56,15 @@
         m_options.reducer->makeSnapshot(id, m_options.writer);
     const auto progress = std::make_shared<Progress>();
     const auto partEnded = [this, id, progress, count = parts.size()](bool isAppended) {
-        progress->isWhole = progress->isWhole && isAppended;
-        if (--progress->waiting > 0)
+        progress->isComplete = progress->isComplete && isAppended;
+        if (--progress->pendingParts > 0)
             return;
-        if (progress->isWhole && appended)
+        if (progress->isComplete && appended)
             appended(id, count);
-        if (!progress->isWhole && failed)
+        if (!progress->isComplete && failed)
             failed(id);
     };
-    progress->waiting = parts.size();
+    progress->pendingParts = parts.size();
     for (const Configuration::SnapshotPart &part : parts) {
         const bool isQueued = m_options.appender->add(
             {.id = id + '/' + std::to_string(part.part), .data = Configuration::encode(part)},
--- a/src/libs/controller/snapshotwriter.h
+++ b/src/libs/controller/snapshotwriter.h
@@ -13,18 +13,19 @@
 
 namespace Lagoonbank::Controller {
 
-/// Appends snapshots of the configuration to the log, so that one always stands in it.
+/// Appends snapshots of the configuration to the log, so that the log always contains one.
 class SnapshotWriter
 {
 public:
     struct Options
     {
         Runtime::TimerQueue *timers = nullptr;
-        PlatformClient::BatchAppender *appender = nullptr; ///< Of the stream `configuration`.
+        PlatformClient::BatchAppender *appender = nullptr; ///< For the stream `configuration`.
         const Configuration::Reducer *reducer = nullptr;
         Configuration::SnapshotScheduler::Options schedule;
-        std::string writer; ///< Unique for each start of a process.
-        /// Place of this process among all controllers that may write; none if it must not now.
+        std::string writer; ///< Unique for each run of a process.
+        /// Rank of this process among all controllers that may write snapshots; empty if this
+        /// process must not write now.
         std::function<std::optional<std::size_t>()> rank;
     };
 
@@ -34,7 +35,7 @@
     SnapshotWriter &operator=(const SnapshotWriter &) = delete;
 
     void start();
-    /// A whole snapshot came in while the end of the log had been reached.
+    /// Must be called when a complete snapshot was read after the end of the log had been reached.
     void snapshotSeen();
 
     std::function<void(const std::string &id, std::size_t parts)> appended;
--- a/src/libs/controller/targets.cpp
+++ b/src/libs/controller/targets.cpp
@@ -10,7 +10,7 @@
 {
     Orders::EndpointSettings desired{.role = endpoint.role,
                                      .draining = endpoint.state == Schema::EndpointState::Draining};
-    // An engine that leaves is not made to load anything.
+    // A draining engine is not ordered to load anything.
     if (*desired.draining || !model)
         return desired;
     desired.model = model->name.value();
@@ -19,7 +19,7 @@
     return desired;
 }
 
-bool isOurs(const Schema::Endpoint &endpoint, const Base::DataCentreId &dataCentre)
+bool isPresentIn(const Schema::Endpoint &endpoint, const Base::DataCentreId &dataCentre)
 {
     return endpoint.dataCentre == dataCentre && endpoint.state != Schema::EndpointState::Removed;
 }
@@ -32,7 +32,7 @@
     std::vector<Prober::Target> targets;
     objects.each<Schema::Endpoint>([&](const Schema::Endpoint &endpoint) {
         const auto address = Runtime::parseSocketAddress(endpoint.address);
-        if (isOurs(endpoint, dataCentre) && address)
+        if (isPresentIn(endpoint, dataCentre) && address)
             targets.push_back({endpoint.name, address.value()});
     });
     return targets;
@@ -46,7 +46,7 @@
     objects.each<Schema::Endpoint>([&](const Schema::Endpoint &endpoint) {
         const auto address = Runtime::parseSocketAddress(endpoint.address);
         const bool isEngine = endpoint.type == Schema::EndpointType::Engine;
-        if (!isEngine || !isOurs(endpoint, dataCentre) || !address)
+        if (!isEngine || !isPresentIn(endpoint, dataCentre) || !address)
             return;
         const Base::ModelId name = endpoint.model.value_or(Base::ModelId());
         targets.push_back(
@@ -56,7 +56,7 @@
              .capacity = endpoint.capacity.value(),
              .model = name,
              .desired = desiredOf(endpoint, objects.model(name)),
-             // Both only go up, and so does their sum with a change of either.
+             // Both revisions only increase, so their sum increases with a change of either.
              .revision = revisionOf({Schema::ObjectKind::Endpoint, endpoint.name.value()})
                  + revisionOf({Schema::ObjectKind::Model, name.value()})});
     });
--- a/tests/auto/controller/fakeengines.h
+++ b/tests/auto/controller/fakeengines.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-/// Engines in memory that answer a controller's calls when a test says so.
+/// In-memory engines that answer the calls of a controller when a test calls deliver().
 class FakeEngines
 {
 public:
@@ -20,17 +20,17 @@
     {
         nlohmann::json state{{"model", "m"},  {"adapter", ""},     {"version", "v1"},
                              {"role", "any"}, {"draining", false}, {"loading", false}};
-        std::uint64_t fencing = 0; ///< Highest seen.
+        std::uint64_t fencing = 0; ///< Highest fencing number received.
         bool checksFencing = true;
         bool isDown = false;
-        int ordersToDrop = 0; ///< Orders that never arrive.
-        int responsesToDrop = 0; ///< Orders that take effect without an answer.
-        std::string unresponsivePath; ///< Calls of it are never answered.
-        bool loadsForever = false; ///< Stays loading after an order of another version.
+        int ordersToDrop = 0; ///< Number of next orders that never arrive.
+        int responsesToDrop = 0; ///< Number of next orders that take effect without an answer.
+        std::string unresponsivePath; ///< Path prefix of calls that are never answered.
+        bool loadsForever = false; ///< Whether an order of a version starts a load that never ends.
         int running = 0;
         std::vector<std::string> chats;
-        std::vector<std::string> requests; ///< Method and path, in the order of arrival.
-        std::vector<nlohmann::json> orders; ///< Bodies that arrived.
+        std::vector<std::string> requests; ///< Method and path, in order of arrival.
+        std::vector<nlohmann::json> orders; ///< Bodies of received orders.
     };
 
     Engine &operator[](std::uint16_t port) { return m_engines[port]; }
@@ -43,16 +43,19 @@
         }};
     }
 
-    /// Answers all calls of callers that are not paused, those that the answers bring included.
+    /// Answers all calls of callers that are not paused, including calls started by these answers.
     void deliver()
     {
-        const auto isAwake = [](const Pending &call) { return !call.isPaused || !*call.isPaused; };
-        for (auto next = std::find_if(m_calls.begin(), m_calls.end(), isAwake);
-             next != m_calls.end(); next = std::find_if(m_calls.begin(), m_calls.end(), isAwake)) {
+        const auto isDeliverable = [](const Pending &call) {
+            return !call.isPaused || !*call.isPaused;
+        };
+        for (auto next = std::find_if(m_calls.begin(), m_calls.end(), isDeliverable);
+             next != m_calls.end();
+             next = std::find_if(m_calls.begin(), m_calls.end(), isDeliverable)) {
             const Pending call = std::move(*next);
             m_calls.erase(next);
-            const std::string &silent = m_engines[call.call.server.port].unresponsivePath;
-            if (!silent.empty() && call.call.target.starts_with(silent))
+            const std::string &unresponsive = m_engines[call.call.server.port].unresponsivePath;
+            if (!unresponsive.empty() && call.call.target.starts_with(unresponsive))
                 continue;
             call.finished(call.maySend() ? answer(call.call)
                                          : Lagoonbank::Http::CallResult{
--- a/tests/auto/controller/fakelog.h
+++ b/tests/auto/controller/fakelog.h
@@ -10,12 +10,12 @@
 #include <utility>
 #include <vector>
 
-/// One stream of the platform's log in memory, with outages and lost answers.
+/// An in-memory stream of the platform's log that simulates outages and lost answers.
 class FakeLog
 {
 public:
     bool isUnavailable = false;
-    int responsesToDrop = 0; ///< Of appends that take effect.
+    int responsesToDrop = 0; ///< Number of next appends that take effect without an answer.
 
     Lagoonbank::PlatformClient::Transport transport(const bool *isPaused)
     {
@@ -31,8 +31,8 @@
                     }};
     }
 
-    /// Answers the calls that wait now, of callers that are not paused. What a paused one has sent
-    /// takes effect all the same.
+    /// Answers the pending calls of callers that are not paused. Calls of paused callers also take
+    /// effect, but are answered only after the caller resumes.
     void deliver()
     {
         std::deque<Pending> pendingCalls = std::exchange(m_calls, {});
--- a/tests/auto/controller/tst_controllerlease.cpp
+++ b/tests/auto/controller/tst_controllerlease.cpp
@@ -18,12 +18,12 @@
 
 constexpr Base::Duration term = 6s;
 constexpr Base::Duration longestOrder = 5s;
-/// Longest time in which a free lease is taken by a controller that reads the log.
+/// Maximum time until a controller that reads the log acquires a free lease.
 constexpr Base::Duration maxAcquisitionTime = term + 1s;
 constexpr std::uint16_t checkingPort = 1;
 constexpr std::uint16_t ignoringPort = 2;
 
-/// One controller's parts that order and probe.
+/// The components of one controller that hold the lease, send orders and probe.
 struct ControllerParts
 {
     ControllerParts(const std::string &name, const Runtime::Clock &clock, FakeLog &fakeLog,
@@ -87,9 +87,9 @@
     ControllerParts &a() { return *controllers.at(0); }
     ControllerParts &b() { return *controllers.at(1); }
 
-    void setDesiredRole(const std::string &wanted)
+    void setDesiredRole(const std::string &newRole)
     {
-        role = wanted;
+        role = newRole;
         revision += Base::Revision(1);
         std::vector<OrderTarget> targets;
         for (const std::uint16_t port : {checkingPort, ignoringPort}) {
@@ -107,7 +107,7 @@
     void run(Base::Duration duration)
     {
         constexpr Base::Duration step = 20ms;
-        for (Base::Duration past{}; past < duration; past += step) {
+        for (Base::Duration elapsed{}; elapsed < duration; elapsed += step) {
             clock.advance(step);
             for (const auto &controller : controllers) {
                 if (!controller->isPaused)
@@ -135,7 +135,7 @@
 
 BOOST_AUTO_TEST_CASE(pausedHolderSendsNoOrderAfterResuming)
 {
-    // A pause that ends while the lease is free, and one that ends under another holder.
+    // The pause ends either while the lease is free or while another controller holds it.
     for (const bool isTakenOver : {false, true}) {
         Bench bench;
         bench.b().lease.setCandidate(isTakenOver);
@@ -146,7 +146,7 @@
         const std::size_t checking = bench.orders(checkingPort);
         const std::size_t ignoring = bench.orders(ignoringPort);
 
-        // What the woken one believes to be wanted, it alone wants.
+        // Only the resumed controller could order the new role, since the other one has stopped.
         bench.b().orders.stop();
         bench.setDesiredRole("prefill");
         bench.a().lease.setCandidate(false);
@@ -163,7 +163,7 @@
     Bench bench;
     bench.run(longestOrder);
     bench.setDesiredRole("prefill");
-    // Its next call, for an engine's state, is under way when it stands still.
+    // Controller a is paused while its calls for the state of the engines are in flight.
     bench.clock.advance(100ms);
     bench.a().timers.runDue();
     BOOST_REQUIRE(bench.engines.pendingCalls() >= 2U);
--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint16_t firstPort = 1000;
 constexpr int engineCount = 3;
 
-/// An order desk over three engines of one model, with a lease that a test hands out.
+/// An order coordinator with three engines of one model and a lease that the test controls.
 struct Bench
 {
     Bench()
@@ -54,7 +54,7 @@
     }
     void run(Base::Duration duration)
     {
-        for (Base::Duration past{}; past < duration; past += 50ms) {
+        for (Base::Duration elapsed{}; elapsed < duration; elapsed += 50ms) {
             step();
             engines.deliver();
         }
@@ -103,7 +103,7 @@
     struct Case
     {
         Orders::EndpointSettings desired;
-        std::string set; ///< Of the one order; empty for none.
+        std::string set; ///< Expected values of the only order; empty if no order is expected.
     };
     const std::vector<Case> cases{
         {{}, ""},
@@ -157,7 +157,7 @@
     bench.set(0, {.role = "prefill"});
     bench.run(2s);
     bench.engine(0).state["role"] = "any";
-    bench.run(31s); // The engine restarted; the regular check finds it out.
+    bench.run(31s); // The engine restarted; the periodic check detects it.
     bench.set(0, {.role = "any"});
     bench.run(2s);
     bench.set(0, {.role = "prefill"});
@@ -174,33 +174,33 @@
     for (const bool checksFencing : {true, false}) {
         for (const LostWhen when :
              {LostWhen::BeforeReading, LostWhen::WhileReading, LostWhen::WhileConnecting}) {
-            for (const bool isHeldAnew : {false, true}) {
+            for (const bool isReacquired : {false, true}) {
                 Bench bench;
                 bench.targets[0].checksFencing = checksFencing;
                 bench.engine(0).checksFencing = checksFencing;
-                const auto lapse = [&] {
+                const auto loseLease = [&] {
                     bench.fencing.reset();
-                    if (isHeldAnew)
+                    if (isReacquired)
                         bench.fencing = Base::FencingNumber(9);
                 };
                 if (when == LostWhen::BeforeReading)
-                    lapse();
+                    loseLease();
                 bench.set(0, {.role = "prefill"});
                 for (int i = 0; i < 10 && bench.engines.pendingCalls() == 0; ++i)
                     bench.step();
                 if (when == LostWhen::WhileReading)
-                    lapse();
+                    loseLease();
                 if (when == LostWhen::WhileConnecting) {
-                    // The answer of the state starts the order's call within deliver().
+                    // The answer to the state call starts the order call within deliver().
                     bench.coordinator.orderSent = [&](const OrderTarget &, const Orders::Order &,
                                                       Base::FencingNumber) {
-                        lapse();
+                        loseLease();
                         bench.coordinator.orderSent = nullptr;
                     };
                 }
                 bench.run(10s);
                 const auto &orders = bench.engine(0).orders;
-                BOOST_TEST(orders.size() == (isHeldAnew ? 1U : 0U));
+                BOOST_TEST(orders.size() == (isReacquired ? 1U : 0U));
                 if (!orders.empty())
                     BOOST_TEST(orders[0]["fencing"] == 9U);
             }
@@ -226,7 +226,7 @@
 BOOST_AUTO_TEST_CASE(refusedOrderIsRetried)
 {
     Bench bench;
-    bench.engine(0).fencing = 6; // A newer holder was here.
+    bench.engine(0).fencing = 6; // A holder with a newer lease sent an order.
     bench.set(0, {.role = "prefill"});
     bench.run(2s);
     BOOST_TEST(!bench.refusals.empty());
@@ -247,19 +247,19 @@
     constexpr std::size_t chats = 100;
     for (std::size_t i = 0; i < chats; ++i)
         bench.engine(0).chats.push_back(Routing::chatName(i * 0x9e3779b97f4a7c15ULL));
-    bench.engine(0).chats.emplace_back("../odd name"); // Never to stand in a path.
+    bench.engine(0).chats.emplace_back("../odd name"); // Must not be used in a path.
     bench.set(0, {.draining = true});
     bench.run(5s);
     const auto &requests = bench.engine(0).requests;
-    constexpr std::size_t mostMoved = 64;
-    BOOST_TEST(count(bench.engine(0), "GET /v1/cache/export") == mostMoved);
+    constexpr std::size_t maxMoved = 64;
+    BOOST_TEST(count(bench.engine(0), "GET /v1/cache/export") == maxMoved);
     const auto order = std::find(requests.begin(), requests.end(), "POST /v1/order");
     BOOST_REQUIRE((order != requests.end()));
     BOOST_TEST(std::count(order, requests.end(), "GET /v1/cache/export") == 0);
     BOOST_TEST(bench.engine(0).state["draining"] == true);
-    BOOST_TEST(bench.movedChats == mostMoved);
-    // Each went where routers will send its chat, the latest ones first.
-    BOOST_TEST(bench.engine(1).chats.size() + bench.engine(2).chats.size() == mostMoved);
+    BOOST_TEST(bench.movedChats == maxMoved);
+    // Each chat moved to the engine to which routers will send it, the latest chats first.
+    BOOST_TEST(bench.engine(1).chats.size() + bench.engine(2).chats.size() == maxMoved);
     for (const int i : {1, 2}) {
         for (const std::string &chat : bench.engine(i).chats)
             BOOST_TEST(migrationTarget(chat, others())->address.port == Bench::port(i));
@@ -280,13 +280,13 @@
     bench.run(5min);
     BOOST_TEST(bench.engine(0).state["draining"] == true);
     BOOST_TEST(drained == 0);
-    // The last request left its chat in the cache, which moves too.
+    // The last request left its chat in the cache; this chat is moved too.
     bench.engine(0).chats.push_back(Routing::chatName(2));
     bench.engine(0).running = 0;
     bench.run(3s);
     BOOST_TEST(drained == 1);
     BOOST_TEST(count(bench.engine(0), "GET /v1/cache/export") == 2U);
-    // Taken back and drained anew, it goes through all of it again.
+    // After a cancelled drain, a new drain repeats all steps.
     bench.set(0, {.draining = false});
     bench.run(3s);
     BOOST_TEST(bench.engine(0).state["draining"] == false);
@@ -297,20 +297,20 @@
 
 BOOST_AUTO_TEST_CASE(drainDoesNotWaitForFailedCacheMoves)
 {
-    enum class Trouble { Silent, SilentImport, OthersDown, NoOthers };
-    for (const Trouble trouble :
-         {Trouble::Silent, Trouble::SilentImport, Trouble::OthersDown, Trouble::NoOthers}) {
+    enum class Failure { Unresponsive, UnresponsiveImport, OthersDown, NoOthers };
+    for (const Failure failure : {Failure::Unresponsive, Failure::UnresponsiveImport,
+                                  Failure::OthersDown, Failure::NoOthers}) {
         Bench bench;
         bench.engine(0).chats.push_back(Routing::chatName(1));
-        if (trouble == Trouble::OthersDown)
+        if (failure == Failure::OthersDown)
             bench.engine(1).isDown = bench.engine(2).isDown = true;
-        if (trouble == Trouble::NoOthers) {
+        if (failure == Failure::NoOthers) {
             bench.targets[1].desired.draining = true;
             bench.targets[2].desired.draining = true;
         }
-        if (trouble == Trouble::Silent)
+        if (failure == Failure::Unresponsive)
             bench.engine(0).unresponsivePath = "/v1/cache";
-        if (trouble == Trouble::SilentImport)
+        if (failure == Failure::UnresponsiveImport)
             bench.engine(1).unresponsivePath = bench.engine(2).unresponsivePath =
                 "/v1/cache/import";
         bench.set(0, {.draining = true});
@@ -361,7 +361,7 @@
     bench.step();
     bench.step();
     BOOST_REQUIRE(bench.engines.pendingCalls() > 0U);
-    bench.coordinator.stop(); // The state is being read.
+    bench.coordinator.stop(); // A call for the state is in flight.
     bench.run(5s);
     BOOST_TEST(bench.engine(0).orders.empty());
     BOOST_TEST(bench.coordinator.ordersInFlight() == 0U);
--- a/tests/auto/controller/tst_prober.cpp
+++ b/tests/auto/controller/tst_prober.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Controllers of one data centre that share the probing of its engines.
+/// Controllers of one data centre that share the probing of its endpoints.
 struct Bench
 {
     Bench(int members, int endpoints)
@@ -50,7 +50,7 @@
     }
     void run(Base::Duration duration)
     {
-        for (Base::Duration past{}; past < duration; past += 50ms) {
+        for (Base::Duration elapsed{}; elapsed < duration; elapsed += 50ms) {
             clock.advance(50ms);
             timers.runDue();
             engines.deliver();
@@ -82,18 +82,18 @@
         bench.run(std::chrono::seconds(seconds));
         BOOST_TEST_CONTEXT(each.members << " controllers, " << each.endpoints << " endpoints")
         {
-            // Every endpoint is probed, and no controller spends more than its part.
+            // Every endpoint is probed, and no controller exceeds its share of the budget.
             BOOST_TEST(bench.reports.size() == static_cast<std::size_t>(each.endpoints));
             std::size_t shares = 0;
             for (const auto &prober : bench.probers)
                 shares += prober->probedEndpointCount();
             BOOST_TEST(shares
                        == static_cast<std::size_t>(each.endpoints * std::min(each.members, 2)));
-            constexpr double mostBytesPerSecond = 1500;
-            constexpr double firstRound = 600;
-            const double most = each.members * mostBytesPerSecond * seconds
-                + firstRound * static_cast<double>(shares);
-            BOOST_TEST(static_cast<double>(bench.spent) <= most);
+            constexpr double maxBytesPerSecond = 1500;
+            constexpr double firstProbeBytes = 600;
+            const double maxBytes = each.members * maxBytesPerSecond * seconds
+                + firstProbeBytes * static_cast<double>(shares);
+            BOOST_TEST(static_cast<double>(bench.spent) <= maxBytes);
         }
     }
 }
--- a/tests/auto/controller/tst_targets.cpp
+++ b/tests/auto/controller/tst_targets.cpp
@@ -54,7 +54,7 @@
                     .model = "m", .version = "v1", .role = "any", .draining = false}));
     BOOST_TEST(active.revision.value() == 13U);
     BOOST_TEST(targets[1].endpoint.value() == "draining");
-    // An engine that leaves does not load anything any more.
+    // A draining engine is not ordered to load anything.
     BOOST_TEST((targets[1].desired == Orders::EndpointSettings{.role = "any", .draining = true}));
 
     std::vector<std::string> probed;
