--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -263,7 +263,7 @@
 void FleetSync::pushState()
 {
     m_pushedAt = now();
-    for (const Peer *peer : frequentPeers())
+    for (const Peer *peer : peersWithFrequentBeacons())
         sendTo(*peer);
 }
 
@@ -275,7 +275,7 @@
 
 /// Peers that get a beacon at every tick: for a leader its standbys and some leaders of other data
 /// centres (more of them if it is the store reader), for a standby its leader.
-std::vector<const Peer *> FleetSync::frequentPeers()
+std::vector<const Peer *> FleetSync::peersWithFrequentBeacons()
 {
     if (!m_isLeader && !m_peers.isStandby())
         return {};
@@ -308,7 +308,7 @@
     const bool isLocalDue = m_isLeaving || now() - m_localBeaconsAt >= m_peers.localInterval();
     std::vector<const Peer *> chosen;
     if (m_isLeaving || now() - m_pushedAt >= m_peers.beaconInterval())
-        chosen = frequentPeers();
+        chosen = peersWithFrequentBeacons();
     std::vector<const Peer *> silentPeers;
     for (const Peer *peer : m_peers.localPeers()) {
         const bool isChosen = std::find(chosen.begin(), chosen.end(), peer) != chosen.end();
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -200,7 +200,7 @@
     void applyDrains(const Schema::FleetBeacon &beacon);
     void notifyPeers(const std::function<bool(const Peer &)> &isBehind);
     bool isStandby(const Peer &peer) const;
-    std::vector<const Peer *> frequentPeers();
+    std::vector<const Peer *> peersWithFrequentBeacons();
     void sendTo(const Peer &peer, const std::vector<Schema::SharedEndpoint> &changes = {});
     std::vector<const Peer *> beaconPeers();
     void sendChanges();
