--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -199,8 +199,8 @@
     endpoint.isReportFromPeer = true;
 }
 
-std::optional<double> EndpointRegistry::usualLoad(const Base::ServiceId &service,
-                                                  Base::MonoTime now) const
+std::optional<double> EndpointRegistry::averageLoad(const Base::ServiceId &service,
+                                                    Base::MonoTime now) const
 {
     const auto found = m_averageLoads.find(service);
     return found == m_averageLoads.end() ? std::nullopt : found->second.value(now);
@@ -213,7 +213,7 @@
         return own;
     double others = endpoint.report->running + endpoint.report->waiting - endpoint.inFlightAtReport;
     if (endpoint.isReportFromPeer) {
-        const double average = usualLoad(endpoint.info.service, now).value_or(0);
+        const double average = averageLoad(endpoint.info.service, now).value_or(0);
         const double halves = Base::toSeconds(now - endpoint.reportedAt)
             / Base::toSeconds(m_options.peerReportHalfLife);
         others = average + (others - average) * std::exp2(-halves);
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -211,7 +211,7 @@
     static void mergeLoadReport(EndpointRecord &endpoint, const LoadReport &report,
                                 Base::MonoTime at);
     /// Average load of the service's endpoints, in requests; unset without recent reports.
-    std::optional<double> usualLoad(const Base::ServiceId &service, Base::MonoTime now) const;
+    std::optional<double> averageLoad(const Base::ServiceId &service, Base::MonoTime now) const;
     void mergeAverageLoad(const Base::ServiceId &service, double requests, Base::MonoTime now)
     {
         m_averageLoads[service].addPeerEstimate(requests, now);
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -34,7 +34,7 @@
 {
     Schema::LoadNews announcement;
     for (const auto &[service, endpoints] : m_options.registry->services()) {
-        const auto averageLoad = m_options.registry->usualLoad(service, now);
+        const auto averageLoad = m_options.registry->averageLoad(service, now);
         if (!averageLoad || announcement.usual.size() >= maximumServices)
             continue;
         announcement.usual.push_back(
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -218,7 +218,7 @@
                            const EndpointRegistry &registry, Base::MonoTime now) const
 {
     const double averageLoad =
-        m_options.usesAverageLoad ? registry.usualLoad(request.service, now).value_or(0) : 0;
+        m_options.usesAverageLoad ? registry.averageLoad(request.service, now).value_or(0) : 0;
     double sum = 1;
     auto count = static_cast<double>(candidates.size());
     for (const Candidate &candidate : candidates) {
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -111,7 +111,7 @@
     CacheSource cacheSource(const PlacementResult &place) const;
     bool exceedsConcurrencyLimit() const;
     /// Average load of the endpoints of the service; nothing if unknown.
-    std::optional<double> usualLoad() const;
+    std::optional<double> averageLoad() const;
     double coldMilliseconds(const EndpointRecord &endpoint) const;
     void logSend(const PlacementResult &place, const CacheSource &source) const;
     void send(const EndpointPtr &endpoint, const CacheSource &cacheSource);
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -197,7 +197,7 @@
          {"load_age_ms", m_timers.clock().now() - place.endpoint->reportedAt},
          {"load_told", place.endpoint->isReportFromPeer},
          {"cold_ms", coldMilliseconds(*place.endpoint)},
-         {"usual_load", usualLoad().value_or(unknownValue)},
+         {"usual_load", averageLoad().value_or(unknownValue)},
          {"prompt", static_cast<std::int64_t>(affinity().value_or(0))},
          {"shared_tokens", sharedTokens().value()},
          {"cache_source", source.endpoint ? source.endpoint->info.id.value() : std::string_view()},
@@ -216,9 +216,9 @@
     return Base::toSeconds(now - *endpoint.warmup.since) * 1000;
 }
 
-std::optional<double> RequestRun::usualLoad() const
+std::optional<double> RequestRun::averageLoad() const
 {
-    return m_gateway.m_endpoints.usualLoad(m_service, m_timers.clock().now());
+    return m_gateway.m_endpoints.averageLoad(m_service, m_timers.clock().now());
 }
 
 bool RequestRun::waitForReachableEndpoint()
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -283,7 +283,7 @@
         m_figures.leftHome +=
             result.reason == Lagoonbank::Gateway::PlacementReason::HomeBusy ? 1 : 0;
         m_figures.meanLoad += meanLoad();
-        const double averageLoad = router.registry.usualLoad(service(), mono()).value_or(0);
+        const double averageLoad = router.registry.averageLoad(service(), mono()).value_or(0);
         m_figures.averageLoadError += std::abs(averageLoad - meanLoad()) / meanLoad();
     }
 
