--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -126,7 +126,7 @@
 
 /// Records that the state reflects the store up to \a at, as a peer has reported. A peer that the
 /// store answers first reports its recovery before this router's own read succeeds.
-void FleetSync::advanceState(Base::MonoTime at)
+void FleetSync::recordStateAsOf(Base::MonoTime at)
 {
     if (m_freshness.advanceTo(at, isReadOverdue()))
         m_options.directory->storeReturned();
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -214,7 +214,7 @@
     bool hadEmptyPull(const Peer &peer) const;
     void handleEmptyPull();
     void requireStoreRead();
-    void advanceState(Base::MonoTime at);
+    void recordStateAsOf(Base::MonoTime at);
     Schema::FleetBeacon beacon() const;
 
     Options m_options;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -63,7 +63,7 @@
     const bool isBehind = peer.configuration > m_configuration.revision.value();
     const bool isSame = peer.endpoints == m_options.directory->hash();
     if (isSame && !isBehind) {
-        advanceState(peer.stateAsOf);
+        recordStateAsOf(peer.stateAsOf);
         return;
     }
     if (isSuperseded(peer)) {
@@ -158,7 +158,7 @@
     if (!m_freshness.asOf())
         m_options.directory->storeReturned();
     if (state.knowledgeAgeMs != unknownAge && !m_requiresStoreRead)
-        advanceState(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
+        recordStateAsOf(m_pulledAt - std::chrono::milliseconds(state.knowledgeAgeMs));
     if (!state.configuration.empty() && configurationPulled) {
         configurationPulled(
             {.offset = Base::LogOffset(state.configurationOffset), .packed = state.configuration});
