--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -68,7 +68,7 @@
     m_isFilling = true;
     m_after.clear();
     m_fillEnd.reset();
-    m_seen.clear();
+    m_listedKeys.clear();
     m_read = m_options.source.readNewest(
         m_after, [this](const Errors::Result<NewestPage> &page) { pageRead(page); });
 }
@@ -84,7 +84,7 @@
     if (!m_fillEnd)
         m_fillEnd = page.value().end;
     for (const KeyedRecord &record : page.value().records) {
-        m_seen.insert(record.key);
+        m_listedKeys.insert(record.key);
         apply(record);
     }
     if (!m_isRunning)
@@ -104,7 +104,7 @@
 {
     std::vector<std::string> dropped;
     for (const auto &[key, offset] : m_offsets) {
-        if (!m_seen.contains(key) && offset < *m_fillEnd)
+        if (!m_listedKeys.contains(key) && offset < *m_fillEnd)
             dropped.push_back(key);
     }
     for (const std::string &key : dropped) {
@@ -118,7 +118,7 @@
     m_isFilled = true;
     // Records appended during the listing are read again, which has no effect.
     m_position = std::max(m_position, *m_fillEnd);
-    const Keys keys = std::exchange(m_seen, {});
+    const Keys keys = std::exchange(m_listedKeys, {});
     if (filled)
         filled(keys, *m_fillEnd);
     if (caughtUp)
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -105,7 +105,7 @@
     // State of the current listing.
     std::string m_after; ///< Last key of the previous page.
     std::optional<Base::LogOffset> m_fillEnd; ///< End of the log at the first page.
-    Keys m_seen;
+    Keys m_listedKeys;
     std::optional<ReadId> m_read;
     Runtime::TimerId m_timer;
 };
