--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -176,7 +176,7 @@
     for (const PromptDirectory::Holder &holder : m_prompts.holders(prefix.hash)) {
         EndpointPtr source = m_endpoints.findByStart(holder.endpoint);
         const bool isUsable = source && source->info.service == target.info.service
-            && source.get() != &target && !source->isUnreachable && holder.readUntil <= now
+            && source.get() != &target && !source->isUnreachable && holder.prefillEndsAt <= now
             && m_endpoints.suspicion().state(source->index) == Routing::Suspicion::State::Healthy;
         if (isUsable)
             return source;
@@ -201,7 +201,7 @@
         PromptHolding holding{.prompt = prefix,
                               .endpoint = endpoint.startHash,
                               .memory = memory,
-                              .remainingReadTime = setup + perToken * prefix.tokens.value()};
+                              .remainingPrefillTime = setup + perToken * prefix.tokens.value()};
         const PromptDirectory::Announcement announcement = m_prompts.recordUse(holding, now);
         isNew = announcement == PromptDirectory::Announcement::New;
         const bool isAnnounced = &prefix == &prefixes.back() && isAnnouncedToPeers(prefix);
@@ -209,7 +209,7 @@
             continue;
         holding.isNew = isNew;
         if (!holding.isNew)
-            holding.remainingReadTime = Base::Duration::zero();
+            holding.remainingPrefillTime = Base::Duration::zero();
         m_options.promptPlaced(holding);
     }
     return isNew;
--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -22,14 +22,14 @@
             .endpoint = holding.endpoint,
             .tokens = static_cast<std::uint32_t>(holding.prompt.tokens.value()),
             .readingMs = static_cast<std::uint32_t>(
-                std::max<std::int64_t>(0, Base::toMilliseconds(holding.remainingReadTime)))};
+                std::max<std::int64_t>(0, Base::toMilliseconds(holding.remainingPrefillTime)))};
 }
 
 PromptHolding fromShared(const Schema::SharedPrompt &shared)
 {
     return {.prompt = {.hash = shared.prompt, .tokens = Base::Tokens(shared.tokens)},
             .endpoint = shared.endpoint,
-            .remainingReadTime = std::chrono::milliseconds(shared.readingMs)};
+            .remainingPrefillTime = std::chrono::milliseconds(shared.readingMs)};
 }
 
 PromptDirectory::Announcement PromptDirectory::recordUse(const PromptHolding &holding,
@@ -53,7 +53,7 @@
     one.usedAt = now;
     one.announcedAt = now;
     // The endpoint prefills the prompt again, contrary to what this router may have recorded.
-    one.readUntil = std::max(one.readUntil, now + holding.remainingReadTime);
+    one.prefillEndsAt = std::max(one.prefillEndsAt, now + holding.remainingPrefillTime);
     sweep(now);
 }
 
@@ -64,7 +64,7 @@
         return;
     const auto one = findIn(found->second, endpoint);
     if (one != found->second.end())
-        one->readUntil = std::min(one->readUntil, now);
+        one->prefillEndsAt = std::min(one->prefillEndsAt, now);
 }
 
 void PromptDirectory::drop(std::uint64_t prompt, std::uint64_t endpoint)
@@ -123,7 +123,7 @@
         Holder{.endpoint = holding.endpoint,
                .tokens = static_cast<std::uint32_t>(holding.prompt.tokens.value()),
                .usedAt = now,
-               .readUntil = now + holding.remainingReadTime});
+               .prefillEndsAt = now + holding.remainingPrefillTime});
 }
 
 void PromptDirectory::sweep(Base::MonoTime now)
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -24,7 +24,7 @@
     PromptPrefix prompt;
     std::uint64_t endpoint = 0; ///< EndpointRecord::startHash.
     Base::Tokens memory; ///< Cache memory of the endpoint; 0 if unknown.
-    Base::Duration remainingReadTime{}; ///< Estimated time until the prompt is prefilled.
+    Base::Duration remainingPrefillTime{}; ///< Estimated time until the prompt is prefilled.
     bool isNew = true; ///< Whether the endpoint was not known to hold the prompt before.
 };
 
@@ -62,7 +62,7 @@
         std::uint64_t endpoint = 0;
         std::uint32_t tokens = 0;
         Base::MonoTime usedAt;
-        Base::MonoTime readUntil; ///< Estimated end of the prefill.
+        Base::MonoTime prefillEndsAt; ///< Estimated end of the prefill.
         Base::MonoTime announcedAt; ///< Last announcement by this router or a peer.
     };
     /// Most prompts are held by one or two endpoints.
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -329,7 +329,7 @@
         m_gateway.m_prompts.find(m_prefixes.back().hash, place.endpoint->startHash);
     if (!holder)
         return false;
-    const Base::Duration left = holder->readUntil - m_timers.clock().now();
+    const Base::Duration left = holder->prefillEndsAt - m_timers.clock().now();
     if (left <= Base::Duration::zero())
         return false;
     const auto longest = std::chrono::duration_cast<Base::Duration>(
--- a/tests/auto/gateway/tst_promptdirectory.cpp
+++ b/tests/auto/gateway/tst_promptdirectory.cpp
@@ -18,7 +18,7 @@
     return {.prompt = {.hash = prompt, .tokens = Base::Tokens(tokens)},
             .endpoint = endpoint,
             .memory = Base::Tokens(40000),
-            .remainingReadTime = milliseconds(150)};
+            .remainingPrefillTime = milliseconds(150)};
 }
 
 struct Fixture
@@ -116,9 +116,9 @@
     f.directory.recordUse(holding(1), f.now);
     f.directory.read(1, engine, f.now + milliseconds(90));
     f.now += seconds(1);
-    BOOST_TEST((f.directory.find(1, engine)->readUntil < f.now));
+    BOOST_TEST((f.directory.find(1, engine)->prefillEndsAt < f.now));
     f.directory.mergeHolding(holding(1), f.now);
-    BOOST_TEST((f.directory.find(1, engine)->readUntil == f.now + milliseconds(150)));
+    BOOST_TEST((f.directory.find(1, engine)->prefillEndsAt == f.now + milliseconds(150)));
 }
 
 BOOST_AUTO_TEST_CASE(numberOfPromptsIsBounded)
@@ -137,5 +137,5 @@
     BOOST_TEST(decoded.prompt.hash == 7U);
     BOOST_TEST(decoded.prompt.tokens.value() == 1234);
     BOOST_TEST(decoded.endpoint == other);
-    BOOST_TEST((decoded.remainingReadTime == milliseconds(150)));
+    BOOST_TEST((decoded.remainingPrefillTime == milliseconds(150)));
 }
