--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -57,7 +57,8 @@
     sweep(now);
 }
 
-void PromptDirectory::read(std::uint64_t prompt, std::uint64_t endpoint, Base::MonoTime now)
+void PromptDirectory::recordPrefillEnd(std::uint64_t prompt, std::uint64_t endpoint,
+                                       Base::MonoTime now)
 {
     const auto found = m_prompts.find(prompt);
     if (found == m_prompts.end())
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -79,7 +79,7 @@
     /// Merges a holding that a peer announced.
     void mergeHolding(const PromptHolding &holding, Base::MonoTime now);
     /// Records that the endpoint has completed the prefill of the prompt.
-    void read(std::uint64_t prompt, std::uint64_t endpoint, Base::MonoTime now);
+    void recordPrefillEnd(std::uint64_t prompt, std::uint64_t endpoint, Base::MonoTime now);
     /// Removes a holding after the endpoint turned out not to have the prompt.
     void drop(std::uint64_t prompt, std::uint64_t endpoint);
 
--- a/tests/auto/gateway/tst_promptdirectory.cpp
+++ b/tests/auto/gateway/tst_promptdirectory.cpp
@@ -114,7 +114,7 @@
 {
     Fixture f;
     f.directory.recordUse(holding(1), f.now);
-    f.directory.read(1, engine, f.now + milliseconds(90));
+    f.directory.recordPrefillEnd(1, engine, f.now + milliseconds(90));
     f.now += seconds(1);
     BOOST_TEST((f.directory.find(1, engine)->prefillEndsAt < f.now));
     f.directory.mergeHolding(holding(1), f.now);
