--- a/bench/membership/bm_gossip.cpp
+++ b/bench/membership/bm_gossip.cpp
@@ -51,8 +51,8 @@
             const Base::EndpointId endpoint = name(m_fleet.node(i).info.region, engine);
             m_fleet.at(i).loads().report(endpoint, Base::WorkUnits(double(m_random() % 50000)),
                                          m_fleet.now());
-            m_fleet.at(i).loads().setSentSince(endpoint,
-                                               Base::WorkUnits(double(m_random() % 4000)));
+            m_fleet.at(i).loads().setOwnWorkSinceSample(endpoint,
+                                                        Base::WorkUnits(double(m_random() % 4000)));
         }
     }
     /// Ages of the freshest samples that routers hold, in seconds; unknown ones count as 10.
--- a/src/libs/membership/loaddigests.cpp
+++ b/src/libs/membership/loaddigests.cpp
@@ -44,7 +44,7 @@
     return true;
 }
 
-void LoadDigests::setSentSince(const Base::EndpointId &endpoint, Base::WorkUnits work)
+void LoadDigests::setOwnWorkSinceSample(const Base::EndpointId &endpoint, Base::WorkUnits work)
 {
     Entry &entry = m_entries[nameKey(endpoint.value())];
     const double change = std::abs(work.value() - entry.sentSince);
@@ -91,8 +91,8 @@
     return Sample{Base::WorkUnits(found->second.work), found->second.sampledAt};
 }
 
-Base::WorkUnits LoadDigests::peersSentSince(const Base::EndpointId &endpoint,
-                                            Base::MonoTime now) const
+Base::WorkUnits LoadDigests::peerWorkSinceSample(const Base::EndpointId &endpoint,
+                                                 Base::MonoTime now) const
 {
     const auto found = m_entries.find(nameKey(endpoint.value()));
     if (found == m_entries.end())
--- a/src/libs/membership/loaddigests.h
+++ b/src/libs/membership/loaddigests.h
@@ -40,7 +40,7 @@
     /// one is as new or newer.
     bool report(const Base::EndpointId &endpoint, Base::WorkUnits work, Base::MonoTime sampledAt);
     /// Sets the work that this process sent to the endpoint after its newest sample.
-    void setSentSince(const Base::EndpointId &endpoint, Base::WorkUnits work);
+    void setOwnWorkSinceSample(const Base::EndpointId &endpoint, Base::WorkUnits work);
     /// Merges a report of the peer \a origin; true if its sample is newer than the stored one.
     bool receive(std::uint32_t origin, const LoadReport &report, Base::MonoTime now);
 
@@ -48,7 +48,7 @@
     std::optional<Sample> sample(std::uint32_t endpointKey) const;
     /// Total work that peers sent after the sample, by their reports of the last
     /// Options::peerWorkMaxAge.
-    Base::WorkUnits peersSentSince(const Base::EndpointId &endpoint, Base::MonoTime now) const;
+    Base::WorkUnits peerWorkSinceSample(const Base::EndpointId &endpoint, Base::MonoTime now) const;
 
     /// Returns the due reports that fit into \a bytes and counts them as sent once more.
     std::vector<LoadReport> take(std::size_t bytes, Base::MonoTime now);
