--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -24,13 +24,13 @@
 {
     if (m_sum <= 0)
         return 0;
-    return m_sum * std::exp2(-Base::toSeconds(now - m_at) / Base::toSeconds(halfLife));
+    return m_sum * std::exp2(-Base::toSeconds(now - m_updatedAt) / Base::toSeconds(halfLife));
 }
 
 void DecayingSum::add(double value, Base::MonoTime now, Base::Duration halfLife)
 {
     m_sum = this->value(now, halfLife) + value;
-    m_at = now;
+    m_updatedAt = now;
 }
 
 void LoadShedder::requestArrived(const AdmissionRequest &request, Base::MonoTime now)
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -24,7 +24,7 @@
 
 private:
     double m_sum = 0;
-    Base::MonoTime m_at{};
+    Base::MonoTime m_updatedAt{};
 };
 
 /// The attributes of a request by which admission is decided when the capacity does not suffice for
