--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -133,19 +133,19 @@
     if (now - m_sweptAt < m_options.sweepInterval && !isFull)
         return;
     m_sweptAt = now;
-    forgetUnused(now - m_options.lifetime);
+    removeUnused(now - m_options.lifetime);
     // Still over the limit: keeps the prompts of the last second if they fit, otherwise none.
     if (m_prompts.size() > m_options.maximumPrompts)
-        forgetUnused(now - std::chrono::seconds(1));
+        removeUnused(now - std::chrono::seconds(1));
     if (m_prompts.size() > m_options.maximumPrompts)
-        forgetUnused(now + std::chrono::seconds(1));
+        removeUnused(now + std::chrono::seconds(1));
     for (const auto &[endpoint, use] : m_memoryUses) {
         if (use.memory > 0 && use.tokens > use.memory)
-            forgetOverflow(endpoint, use);
+            evictOverflow(endpoint, use);
     }
 }
 
-void PromptDirectory::forgetUnused(Base::MonoTime usedBefore)
+void PromptDirectory::removeUnused(Base::MonoTime usedBefore)
 {
     absl::erase_if(m_prompts, [&](auto &entry) {
         Holders &holders = entry.second;
@@ -162,7 +162,7 @@
 }
 
 /// Removes the least recently used prompts of an endpoint until the rest fits into its memory.
-void PromptDirectory::forgetOverflow(std::uint64_t endpoint, const MemoryUse &use)
+void PromptDirectory::evictOverflow(std::uint64_t endpoint, const MemoryUse &use)
 {
     std::vector<std::pair<Base::MonoTime, std::uint64_t>> byUse;
     for (const auto &[prompt, holders] : m_prompts) {
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -100,8 +100,8 @@
 
     Holder &holder(const PromptHolding &holding, Base::MonoTime now);
     void sweep(Base::MonoTime now);
-    void forgetUnused(Base::MonoTime usedBefore);
-    void forgetOverflow(std::uint64_t endpoint, const MemoryUse &use);
+    void removeUnused(Base::MonoTime usedBefore);
+    void evictOverflow(std::uint64_t endpoint, const MemoryUse &use);
 
     Options m_options;
     absl::flat_hash_map<std::uint64_t, Holders> m_prompts;
