--- a/src/libs/membership/peercodec.cpp
+++ b/src/libs/membership/peercodec.cpp
@@ -156,17 +156,17 @@
 
 bool ReplayWindow::accept(std::uint64_t sequence)
 {
-    if (sequence > m_highest) {
-        const std::uint64_t step = sequence - m_highest;
-        m_seen = step >= width ? std::bitset<width>() : m_seen << step;
-        m_seen.set(0);
-        m_highest = sequence;
+    if (sequence > m_highestSequence) {
+        const std::uint64_t step = sequence - m_highestSequence;
+        m_seenSequences = step >= width ? std::bitset<width>() : m_seenSequences << step;
+        m_seenSequences.set(0);
+        m_highestSequence = sequence;
         return true;
     }
-    const std::uint64_t behind = m_highest - sequence;
-    if (behind >= width || m_seen.test(behind))
+    const std::uint64_t behind = m_highestSequence - sequence;
+    if (behind >= width || m_seenSequences.test(behind))
         return false;
-    m_seen.set(behind);
+    m_seenSequences.set(behind);
     return true;
 }
 
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -88,8 +88,8 @@
 
 private:
     static constexpr std::size_t width = 1024;
-    std::uint64_t m_highest = 0;
-    std::bitset<width> m_seen; ///< Bit i is set if m_highest - i was seen.
+    std::uint64_t m_highestSequence = 0;
+    std::bitset<width> m_seenSequences; ///< Bit i is set if m_highest - i was seen.
 };
 
 /// Seals and opens messages between members. A sealed message consists of magic, version, sender,
