--- a/src/libs/gateway/endpointhealth.cpp
+++ b/src/libs/gateway/endpointhealth.cpp
@@ -46,8 +46,8 @@
     return endpoint.failedAt && now - *endpoint.failedAt < m_options.failureBurst;
 }
 
-void EndpointHealth::refused(EndpointRecord &endpoint, bool isOtherEndpoint,
-                             const Base::RequestId &request) const
+void EndpointHealth::requestRefused(EndpointRecord &endpoint, bool isOtherEndpoint,
+                                    const Base::RequestId &request) const
 {
     if (!isOtherEndpoint) {
         endpoint.fullUntil = m_options.clock->now() + m_options.fullBackOff;
--- a/src/libs/gateway/endpointhealth.h
+++ b/src/libs/gateway/endpointhealth.h
@@ -44,8 +44,8 @@
     void answered(EndpointRecord &endpoint, bool isGood, const Base::RequestId &request) const;
     /// Records that \a endpoint provably did not run a request: either because it was full, or
     /// because another endpoint has its address now, which is permanent.
-    void refused(EndpointRecord &endpoint, bool isOtherEndpoint,
-                 const Base::RequestId &request) const;
+    void requestRefused(EndpointRecord &endpoint, bool isOtherEndpoint,
+                        const Base::RequestId &request) const;
 
     /// Evaluates what the head of an answer reports about the endpoint itself.
     void headReceived(EndpointRecord &endpoint, const HeadFacts &facts,
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -132,7 +132,7 @@
         return;
     }
     if (result.end == Http::CallEnd::TurnedAway) {
-        m_gateway.m_health.refused(*m_attempt->endpoint, false, m_request.id);
+        m_gateway.m_health.requestRefused(*m_attempt->endpoint, false, m_request.id);
         attemptFailed({.kind = ErrorKind::EndpointRefused, .mayHaveRun = false});
         return;
     }
@@ -151,7 +151,8 @@
     const HeadFacts &facts = attempt.facts;
     if (facts.isNotRun || facts.isOtherEndpoint) {
         m_mayHaveRunAt.pop_back();
-        m_gateway.m_health.refused(*m_attempt->endpoint, facts.isOtherEndpoint, m_request.id);
+        m_gateway.m_health.requestRefused(*m_attempt->endpoint, facts.isOtherEndpoint,
+                                          m_request.id);
         if (!facts.isOtherEndpoint)
             m_gateway.concurrencyLimit(m_service).rejected(m_timers.clock().now());
         attemptFailed({.kind = ErrorKind::EndpointRefused, .mayHaveRun = false});
