--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -175,7 +175,7 @@
 void RequestRun::noteBrokenConnection()
 {
     m_gateway.m_crashWatch.answerBroke(m_attempt->endpoint, fingerprint());
-    m_mayBeLastEnd = m_gateway.m_quarantine.wouldQuarantine(
+    m_mayCauseQuarantine = m_gateway.m_quarantine.wouldQuarantine(
         {.request = fingerprint(), .endpoint = m_attempt->endpoint->startHash},
         m_timers.clock().now());
 }
@@ -188,7 +188,7 @@
 void RequestRun::send(const EndpointPtr &endpoint, const CacheSource &cacheSource)
 {
     m_queuedAt.reset();
-    m_tried.push_back(endpoint);
+    m_triedEndpoints.push_back(endpoint);
     Attempt attempt;
     attempt.endpoint = endpoint;
     attempt.startedAt = m_timers.clock().now();
@@ -233,7 +233,7 @@
         part, "Attempt failed.",
         {{"request", m_request.id.value()},
          {"asks", toString(fingerprint())},
-         {"endpoint", m_tried.back()->info.id.value()},
+         {"endpoint", m_triedEndpoints.back()->info.id.value()},
          {"kind", Errors::toString(failure.kind)},
          {"reached", failure.mayHaveReached},
          {"may_have_run", failure.mayHaveRun},
@@ -253,8 +253,8 @@
 bool RequestRun::mayRetry()
 {
     const bool areAttemptsUsed =
-        m_tried.size() >= maxAttempts && (!m_hasStreamBegun || hasCallerTimedOut());
-    if (areAttemptsUsed || m_mayBeLastEnd || timeLeft() < minAttemptTime)
+        m_triedEndpoints.size() >= maxAttempts && (!m_hasStreamBegun || hasCallerTimedOut());
+    if (areAttemptsUsed || m_mayCauseQuarantine || timeLeft() < minAttemptTime)
         return false;
     if (!m_mayHaveRunAt.empty() && (!m_route->mayRepeat() || isEndpointLimitReached()))
         return false;
@@ -285,7 +285,7 @@
     m_isBudgetedRetry =
         m_sends > 0 && m_gateway.m_retryBudget.spend(m_service, m_timers.clock().now());
     m_gateway.m_options.metrics->repeats(failure.kind).increment();
-    const std::optional<PlacementResult> next = std::exchange(m_nextPlace, std::nullopt);
+    const std::optional<PlacementResult> next = std::exchange(m_nextPlacement, std::nullopt);
     if (!next)
         place();
     else if (!endIfCallerLeft())
@@ -424,7 +424,8 @@
          {"status", status},
          {"route", m_route ? m_route->name : std::string_view()},
          {"workspace", m_workspace ? m_workspace->name.value() : std::string_view()},
-         {"endpoint", m_tried.empty() ? std::string_view() : m_tried.back()->info.id.value()},
+         {"endpoint",
+          m_triedEndpoints.empty() ? std::string_view() : m_triedEndpoints.back()->info.id.value()},
          {"sends", m_sends},
          {"events", m_events},
          {"found_load", m_reportedLoad},
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -168,8 +168,8 @@
     std::optional<RequestFingerprint> m_fingerprint; ///< Computed on first use.
     /// The endpoint that may have crashed on the request would be the one that makes it
     /// quarantined. Whether it has crashed is known only later.
-    bool m_mayBeLastEnd = false;
-    std::vector<EndpointPtr> m_tried;
+    bool m_mayCauseQuarantine = false;
+    std::vector<EndpointPtr> m_triedEndpoints;
     bool m_isBudgetedRetry = false; ///< The current attempt was taken from the retry budget.
     std::vector<EndpointPtr> m_mayHaveRunAt; ///< Endpoints where the request may have run.
     int m_sends = 0; ///< Attempts in which the request was sent.
@@ -184,8 +184,8 @@
     std::optional<Runtime::TimerId> m_placementTimer; ///< For the next placement.
     std::optional<Base::MonoTime> m_queuedAt; ///< First queued since the last attempt.
     std::optional<AdmissionQueue::Ticket> m_queueTicket; ///< Set while the request is queued.
-    PlacementResult m_lastFullPlace; ///< Result of the last placement without a free slot.
-    std::optional<PlacementResult> m_nextPlace; ///< For the next retry, if chosen already.
+    PlacementResult m_lastFullPlacement; ///< Result of the last placement without a free slot.
+    std::optional<PlacementResult> m_nextPlacement; ///< For the next retry, if chosen already.
     Base::MonoTime m_lastForwardedAt; ///< When the caller was last sent something.
     Base::MonoTime m_silenceTimerDue;
     Base::MonoTime m_silenceDeadline;
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -67,7 +67,7 @@
 std::vector<EndpointPtr> RequestRun::endpointsToAvoid() const
 {
     if (!m_hasStreamBegun)
-        return m_tried;
+        return m_triedEndpoints;
     std::vector<EndpointPtr> endpoints = m_mayHaveRunAt;
     if (m_attempt)
         endpoints.push_back(m_attempt->endpoint);
@@ -111,13 +111,13 @@
         return true;
     const Base::MonoTime now = m_timers.clock().now();
     if (exceedsConcurrencyLimit()) {
-        m_lastFullPlace = {};
+        m_lastFullPlacement = {};
         return false;
     }
     const PlacementResult place =
         m_gateway.m_placement.choose(placementRequest(), m_gateway.m_endpoints, now);
     if (place.isFull) {
-        m_lastFullPlace = place;
+        m_lastFullPlacement = place;
         return false;
     }
     if (!place.endpoint && waitForReachableEndpoint())
@@ -134,7 +134,7 @@
     }
     if (waitForPrefill(place))
         return true;
-    if (m_tried.empty())
+    if (m_triedEndpoints.empty())
         m_gateway.m_loadShedder.requestAdmitted(admissionRequest(), now);
     sendTo(place);
     return true;
@@ -144,7 +144,7 @@
 /// that were sent before are not counted again.
 bool RequestRun::exceedsConcurrencyLimit() const
 {
-    const bool isLimited = m_gateway.m_options.policy.concurrencyLimit && m_tried.empty()
+    const bool isLimited = m_gateway.m_options.policy.concurrencyLimit && m_triedEndpoints.empty()
         && m_route->kind == Fleet::RouteKind::Stream;
     return isLimited
         && !m_gateway.concurrencyLimit(m_service).admits(m_gateway.m_endpoints.inFlight(m_service),
@@ -158,7 +158,7 @@
 
 QueuePriority RequestRun::queuePriority() const
 {
-    return {.isRepeat = !m_tried.empty(),
+    return {.isRepeat = !m_triedEndpoints.empty(),
             .usableShare = usableShare(),
             .urgency = {.priority = m_priority, .routePriority = m_route->priority}};
 }
@@ -166,7 +166,7 @@
 /// A request that was sent before may use all slots, as part of its work is done.
 double RequestRun::usableShare() const
 {
-    const bool isDivided = m_tried.empty() && m_gateway.m_options.policy.shares;
+    const bool isDivided = m_triedEndpoints.empty() && m_gateway.m_options.policy.shares;
     return isDivided
         ? m_gateway.m_loadShedder.usableShare(admissionRequest(), m_timers.clock().now())
         : 1;
@@ -201,7 +201,7 @@
          {"prompt", static_cast<std::int64_t>(affinity().value_or(0))},
          {"shared_tokens", sharedTokens().value()},
          {"cache_source", source.endpoint ? source.endpoint->info.id.value() : std::string_view()},
-         {"send", m_tried.size() + 1},
+         {"send", m_triedEndpoints.size() + 1},
          {"revision", m_configuration->revision().value()},
          {"knowledge_age_ms", m_gateway.knowledgeAgeMs()},
          {"left_ms", timeLeft()}});
@@ -271,8 +271,8 @@
              {"priority", m_priority},
              {"usable_share", usableShare()},
              // From its last placement; none if the attempts of other waiters stood for it.
-             {"mean_load", m_lastFullPlace.meanLoad},
-             {"candidates", m_lastFullPlace.candidates},
+             {"mean_load", m_lastFullPlacement.meanLoad},
+             {"candidates", m_lastFullPlacement.candidates},
              {"own_requests", m_gateway.m_endpoints.inFlight(m_service)},
              {"own_limit", m_gateway.concurrencyLimit(m_service).value()},
              {"in_line", m_gateway.m_admissionQueue.size()},
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -142,7 +142,7 @@
         keepWaiting(noRepeatLeft);
         return;
     }
-    m_nextPlace = other;
+    m_nextPlacement = other;
     attemptFailed({.kind = ErrorKind::EndpointTimeout});
 }
 
