--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -62,9 +62,9 @@
     , m_links(m_options.timing.linkTimeout)
     , m_random(m_options.randomSeed)
     , m_joinCandidates(m_options.seeds)
-    , m_advancedAt(now)
-    , m_joinAt(now)
-    , m_housekeepingAt(now + housekeepingPeriod)
+    , m_lastAdvancedAt(now)
+    , m_nextJoinAt(now)
+    , m_nextHousekeepingAt(now + housekeepingPeriod)
     , m_tableChangedAt(now)
 {
     m_self.status = MemberStatus::Alive;
@@ -75,48 +75,50 @@
         return Base::Duration(
             static_cast<std::int64_t>(m_random() % static_cast<std::uint64_t>(period.count())));
     };
-    m_probeAt = now + jitter(m_options.timing.probePeriod);
-    m_crossAt = now + jitter(m_options.timing.crossProbePeriod);
-    m_gossipAt = now + jitter(m_options.timing.gossipPeriod);
+    m_nextProbeAt = now + jitter(m_options.timing.probePeriod);
+    m_nextCrossProbeAt = now + jitter(m_options.timing.crossProbePeriod);
+    m_nextGossipAt = now + jitter(m_options.timing.gossipPeriod);
 }
 
 void Membership::advance(Base::MonoTime now)
 {
     detectPause(now);
-    if (m_urgentAt && now >= *m_urgentAt)
+    if (m_urgentGossipAt && now >= *m_urgentGossipAt)
         gossipUrgently(now);
     if (m_isLeaving)
         return;
     checkProbes(now);
     confirmSuspects(now);
     const Timing &timing = m_options.timing;
-    if (now >= m_probeAt) {
-        m_probeAt = now + scaledByAwareness(timing.probePeriod);
+    if (now >= m_nextProbeAt) {
+        m_nextProbeAt = now + scaledByAwareness(timing.probePeriod);
         probeOwnDataCentre(now);
     }
-    if (now >= m_crossAt) {
-        m_crossAt = now + timing.crossProbePeriod;
+    if (now >= m_nextCrossProbeAt) {
+        m_nextCrossProbeAt = now + timing.crossProbePeriod;
         probeOtherDataCentres(now);
     }
-    if (now >= m_joinAt) {
-        m_joinAt = now + (m_table.aliveCount() > 1 ? timing.joinPeriod : timing.isolatedJoinPeriod);
+    if (now >= m_nextJoinAt) {
+        m_nextJoinAt =
+            now + (m_table.aliveCount() > 1 ? timing.joinPeriod : timing.isolatedJoinPeriod);
         join(now);
     }
-    if (now >= m_gossipAt) {
-        m_gossipAt = now + timing.gossipPeriod;
+    if (now >= m_nextGossipAt) {
+        m_nextGossipAt = now + timing.gossipPeriod;
         gossip(now);
     }
-    if (now >= m_housekeepingAt) {
-        m_housekeepingAt = now + housekeepingPeriod;
+    if (now >= m_nextHousekeepingAt) {
+        m_nextHousekeepingAt = now + housekeepingPeriod;
         doHousekeeping(now);
     }
 }
 
 Base::MonoTime Membership::nextDue() const
 {
-    Base::MonoTime due = std::min({m_probeAt, m_crossAt, m_joinAt, m_gossipAt, m_housekeepingAt});
-    if (m_urgentAt)
-        due = std::min(due, *m_urgentAt);
+    Base::MonoTime due = std::min(
+        {m_nextProbeAt, m_nextCrossProbeAt, m_nextJoinAt, m_nextGossipAt, m_nextHousekeepingAt});
+    if (m_urgentGossipAt)
+        due = std::min(due, *m_urgentGossipAt);
     for (const auto &[number, probe] : m_probes)
         due = std::min(due, probe.isIndirectProbeSent ? probe.deadline : probe.indirectProbeAt);
     return due;
@@ -124,8 +126,8 @@
 
 void Membership::detectPause(Base::MonoTime now)
 {
-    const Base::Duration gap = now - m_advancedAt;
-    m_advancedAt = now;
+    const Base::Duration gap = now - m_lastAdvancedAt;
+    m_lastAdvancedAt = now;
     if (gap <= m_options.timing.pauseLimit)
         return;
     m_probes.clear();
@@ -288,7 +290,7 @@
 
 void Membership::gossipUrgently(Base::MonoTime now)
 {
-    m_urgentAt.reset();
+    m_urgentGossipAt.reset();
     const std::vector<const Member *> all = peersWhere([&](const Member &member) {
         return member.info.status == MemberStatus::Alive && isReachable(member, now);
     });
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -255,17 +255,17 @@
     std::size_t m_joinCursor = 0;
     std::uint32_t m_probeNumber = 0;
     std::uint32_t m_awareness = 0; ///< Rises with failed probes and falls with acks.
-    std::uint32_t m_crossTurn = 0; ///< Number of calls of probeOtherDataCentres().
+    std::uint32_t m_crossProbeRounds = 0; ///< Number of calls of probeOtherDataCentres().
     std::uint64_t m_configurationConflicts = 0;
     bool m_hasPulled = false;
     bool m_isLeaving = false;
-    Base::MonoTime m_advancedAt;
-    Base::MonoTime m_probeAt;
-    Base::MonoTime m_crossAt;
-    Base::MonoTime m_joinAt;
-    Base::MonoTime m_gossipAt;
-    Base::MonoTime m_housekeepingAt;
-    std::optional<Base::MonoTime> m_urgentAt;
+    Base::MonoTime m_lastAdvancedAt;
+    Base::MonoTime m_nextProbeAt;
+    Base::MonoTime m_nextCrossProbeAt;
+    Base::MonoTime m_nextJoinAt;
+    Base::MonoTime m_nextGossipAt;
+    Base::MonoTime m_nextHousekeepingAt;
+    std::optional<Base::MonoTime> m_urgentGossipAt;
     Base::MonoTime m_tableChangedAt;
     Base::MonoTime m_pulledAt{};
     Base::MonoTime m_offsetRequestedAt{};
--- a/src/libs/membership/membershipcross.cpp
+++ b/src/libs/membership/membershipcross.cpp
@@ -14,7 +14,7 @@
     // The processes of the own data centre each probe different data centres, those with the oldest
     // contact or probe first, so that all are probed in turn. Every second period probes only data
     // centres of the own region.
-    const bool ownRegionOnly = ++m_crossTurn % 2 == 0;
+    const bool ownRegionOnly = ++m_crossProbeRounds % 2 == 0;
     const auto isCandidate = [&](const Member &member) {
         return member.isAlive() && !isOwnDataCentre(member)
             && (!ownRegionOnly || isOwnRegion(member));
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -397,8 +397,8 @@
 
 void Membership::scheduleUrgentGossip(Base::MonoTime now)
 {
-    if (!m_urgentAt)
-        m_urgentAt = now + m_options.timing.urgentDelay;
+    if (!m_urgentGossipAt)
+        m_urgentGossipAt = now + m_options.timing.urgentDelay;
 }
 
 } // namespace Lagoonbank::Membership
