--- a/bench/gateway/bm_refusal.cpp
+++ b/bench/gateway/bm_refusal.cpp
@@ -184,7 +184,7 @@
         decoded.target = decoded.path;
         decoded.headers = request.headers;
         decoded.body = request.body;
-        decoded.patience = std::chrono::seconds(100);
+        decoded.remainingTimeout = std::chrono::seconds(100);
         m_gateway.run(std::move(decoded), std::move(responder));
     }
     static void refuse(Http::Responder &responder, const Gateway::Refusal &refusal)
--- a/src/libs/gateway/callerrequest.h
+++ b/src/libs/gateway/callerrequest.h
@@ -41,7 +41,8 @@
     std::string body;
     std::optional<std::string> key; ///< Identifies the caller's workspace.
     std::optional<Base::MonoTime> cameAt; ///< When its bytes arrived; if unset, when it was read.
-    std::optional<Base::Duration> patience; ///< Timeout of the caller, counted from arrival.
+    std::optional<Base::Duration>
+        remainingTimeout; ///< Timeout of the caller, counted from arrival.
     std::optional<std::uint64_t> resumeAfter; ///< Id of the last stream event that the caller has.
     std::optional<Prompt> prompt;
 };
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -44,8 +44,9 @@
     service.workspaceArrivals.add(1, now, m_options.workspaceHalfLife);
     Route &route = service.routes[request.route];
     const auto decayed =
-        std::chrono::duration_cast<Base::Duration>(route.patience * m_options.patienceDecay);
-    route.patience = std::max(request.patience.value_or(Base::Duration::zero()), decayed);
+        std::chrono::duration_cast<Base::Duration>(route.remainingTimeout * m_options.timeoutDecay);
+    route.remainingTimeout =
+        std::max(request.remainingTimeout.value_or(Base::Duration::zero()), decayed);
 }
 
 void LoadShedder::requestAdmitted(const AdmissionRequest &request, Base::MonoTime now)
@@ -137,8 +138,8 @@
 bool LoadShedder::isLateRetry(const Service &service, const AdmissionRequest &request)
 {
     const auto route = service.routes.find(request.route);
-    return request.patience && route != service.routes.end()
-        && *request.patience + request.targetLatency < route->second.patience;
+    return request.remainingTimeout && route != service.routes.end()
+        && *request.remainingTimeout + request.targetLatency < route->second.remainingTimeout;
 }
 
 /// Share of the recent requests that were admitted; 1 if there were none.
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -36,7 +36,8 @@
     Base::WorkspaceId workspace; ///< Empty for an anonymous request.
     Urgency urgency;
     Base::Duration targetLatency{};
-    std::optional<Base::Duration> patience; ///< Time until the caller's timeout, if it is known.
+    std::optional<Base::Duration>
+        remainingTimeout; ///< Time until the caller's timeout, if it is known.
 };
 
 /// Decides which requests are refused when the endpoints of a service cannot take all of them. The
@@ -70,7 +71,7 @@
         /// grows when slots become free.
         double headroom = 1.1;
         /// Factor by which each request decays the longest recent timeout of its route's callers.
-        double patienceDecay = 0.995;
+        double timeoutDecay = 0.995;
         /// Half-life of the counts of kinds; bursts last some seconds.
         Base::Duration halfLife = std::chrono::seconds(3);
         /// Half-life of the counts of workspaces, of each of which a router receives few requests.
@@ -119,7 +120,7 @@
     };
     struct Route
     {
-        Base::Duration patience{}; ///< Longest recent timeout of its callers, decayed.
+        Base::Duration remainingTimeout{}; ///< Longest recent timeout of its callers, decayed.
         std::optional<double> cost; ///< Average time, in seconds, that a request occupies a slot.
     };
     using Kind = std::pair<std::string, Urgency>; ///< Route and urgency.
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -114,8 +114,8 @@
     }
     m_priority = m_workspace && m_workspace->priority ? *m_workspace->priority : m_route->priority;
     m_service = Fleet::serviceFor(*m_route, Routing::stableHash(m_request.id.value()));
-    if (m_request.patience)
-        m_deadline = std::min(m_deadline, m_arrivedAt + *m_request.patience);
+    if (m_request.remainingTimeout)
+        m_deadline = std::min(m_deadline, m_arrivedAt + *m_request.remainingTimeout);
     if (m_route->timeout > Base::Duration::zero())
         m_deadline = std::min(m_deadline, m_arrivedAt + m_route->timeout);
     return true;
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -60,7 +60,7 @@
             .workspace = m_workspace ? m_workspace->name : Base::WorkspaceId(),
             .urgency = {.priority = m_priority, .routePriority = m_route->priority},
             .targetLatency = m_route->targetLatency,
-            .patience = m_request.patience};
+            .remainingTimeout = m_request.remainingTimeout};
 }
 
 /// Endpoints that refused a started stream, or were unreachable, may accept it a moment later.
--- a/tests/auto/adapter/tst_ingress.cpp
+++ b/tests/auto/adapter/tst_ingress.cpp
@@ -61,7 +61,7 @@
     BOOST_TEST(request.target == "/x/2f?a=b");
     BOOST_TEST(request.host == "h.example");
     BOOST_TEST(request.key.value_or("") == "secret");
-    BOOST_TEST((request.patience == Base::Duration(std::chrono::seconds(15))));
+    BOOST_TEST((request.remainingTimeout == Base::Duration(std::chrono::seconds(15))));
     BOOST_TEST((request.resumeAfter == 12U));
     BOOST_REQUIRE(request.prompt);
     BOOST_TEST(request.prompt->model == "m");
--- a/tests/auto/gateway/gatewayfixture.h
+++ b/tests/auto/gateway/gatewayfixture.h
@@ -72,7 +72,7 @@
                 decoded.target = request.path;
                 decoded.body = request.body;
                 decoded.cameAt = request.cameAt - unread;
-                decoded.patience = patience;
+                decoded.remainingTimeout = remainingTimeout;
                 decoded.prompt = prompt;
                 gateway.run(std::move(decoded), std::move(responder));
             });
@@ -122,7 +122,7 @@
 
     std::vector<std::unique_ptr<FakeEndpoint>> endpoints;
     std::map<FakeEndpoint *, std::size_t> seen;
-    std::optional<Lagoonbank::Base::Duration> patience = std::chrono::seconds(5);
+    std::optional<Lagoonbank::Base::Duration> remainingTimeout = std::chrono::seconds(5);
     Lagoonbank::Base::Duration unread{}; ///< Added to the time that requests were unread.
     std::optional<Lagoonbank::Gateway::Prompt> prompt; ///< Prompt of the requests.
     Lagoonbank::Fleet::Warmup warmup; ///< Used from the next setRoute() on.
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -281,7 +281,7 @@
                 .urgency = {.priority = job.workspace < m_options.urgentWorkspaces ? 0 : 1,
                             .routePriority = kind.priority},
                 .targetLatency = duration(kind.target),
-                .patience = duration(kind.timeout - (m_now - job.arrivedAt))};
+                .remainingTimeout = duration(kind.timeout - (m_now - job.arrivedAt))};
     }
     void arrive(const JobPtr &job)
     {
--- a/tests/auto/gateway/tst_callerleft.cpp
+++ b/tests/auto/gateway/tst_callerleft.cpp
@@ -133,7 +133,7 @@
     RawSocket tooLate = f.call();
     BOOST_TEST(f.runUntil([&] { return tooLate.has("overloaded ran=no"); }));
     f.unread = milliseconds(0);
-    f.patience = milliseconds(500);
+    f.remainingTimeout = milliseconds(500);
     const RawSocket other = f.call();
     BOOST_TEST(f.awaitRequest().last().has("x-left-ms: 500"));
     f.unread = milliseconds(450);
--- a/tests/auto/gateway/tst_requestquarantine.cpp
+++ b/tests/auto/gateway/tst_requestquarantine.cpp
@@ -148,7 +148,7 @@
     const RequestFingerprint same = fingerprintOf(request, workspace);
     CallerRequest changed = request;
     changed.id = Base::RequestId("b");
-    changed.patience = seconds(1);
+    changed.remainingTimeout = seconds(1);
     BOOST_TEST((fingerprintOf(changed, workspace) == same));
     BOOST_TEST((fingerprintOf(request, Base::WorkspaceId("v")) != same));
     changed = request;
