--- a/src/libs/gateway/eventsplitter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -52,7 +52,7 @@
 {
     m_remainder.append(piece);
     std::size_t start = 0;
-    std::size_t from = m_searched;
+    std::size_t from = m_searchedBytes;
     while (const auto end = endOfEvent(m_remainder, from)) {
         const std::string_view bytes = std::string_view(m_remainder).substr(start, *end - start);
         event({bytes, idOf(bytes)});
@@ -61,14 +61,14 @@
     }
     m_remainder.erase(0, start);
     const std::size_t overlap = eventEndCrLf.size() - 1;
-    m_searched = m_remainder.size() > overlap ? m_remainder.size() - overlap : 0;
+    m_searchedBytes = m_remainder.size() > overlap ? m_remainder.size() - overlap : 0;
     return m_remainder.size() <= maxEventBytes;
 }
 
 void EventSplitter::clear()
 {
     m_remainder.clear();
-    m_searched = 0;
+    m_searchedBytes = 0;
 }
 
 } // namespace Lagoonbank::Gateway
