--- a/src/libs/membership/loaddigests.cpp
+++ b/src/libs/membership/loaddigests.cpp
@@ -58,7 +58,7 @@
     Entry &entry = m_entries[report.endpoint];
     const Base::MonoTime sampledAt = now - std::chrono::milliseconds(report.ageMs);
     std::erase_if(entry.peers, [&](const PeerWork &peer) {
-        return peer.origin == origin || now - peer.at > m_options.peerWorkMaxAge;
+        return peer.origin == origin || now - peer.receivedAt > m_options.peerWorkMaxAge;
     });
     if (report.sentSince > 0)
         entry.peers.push_back({origin, static_cast<double>(report.sentSince), now});
@@ -99,7 +99,7 @@
         return Base::WorkUnits(0);
     double sum = 0;
     for (const PeerWork &peer : found->second.peers) {
-        if (now - peer.at <= m_options.peerWorkMaxAge)
+        if (now - peer.receivedAt <= m_options.peerWorkMaxAge)
             sum += peer.work;
     }
     return Base::WorkUnits(sum);
--- a/src/libs/membership/loaddigests.h
+++ b/src/libs/membership/loaddigests.h
@@ -62,7 +62,7 @@
     {
         std::uint32_t origin = 0;
         double work = 0;
-        Base::MonoTime at;
+        Base::MonoTime receivedAt;
     };
     struct Entry
     {
