--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -85,7 +85,7 @@
     m_crashWatch.crashed = [this](const auto &endpoint, const auto &requests) {
         endpointEnded(endpoint, requests);
     };
-    m_reachability.changed = [this](EndpointRecord &endpoint) {
+    m_reachability.reachabilityChanged = [this](EndpointRecord &endpoint) {
         if (!endpoint.isUnreachable && std::exchange(endpoint.hasCrashed, false))
             EndpointRegistry::markCold(endpoint, m_options.loop->clock().now());
         m_options.log->event(part,
--- a/src/libs/gateway/reachability.cpp
+++ b/src/libs/gateway/reachability.cpp
@@ -79,8 +79,8 @@
     if (endpoint.isUnreachable == isUnreachable)
         return;
     endpoint.isUnreachable = isUnreachable;
-    if (changed)
-        changed(endpoint);
+    if (reachabilityChanged)
+        reachabilityChanged(endpoint);
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/reachability.h
+++ b/src/libs/gateway/reachability.h
@@ -50,7 +50,7 @@
     void reportUnreachable(const EndpointPtr &endpoint);
 
     /// Called when an endpoint becomes unreachable or reachable again.
-    std::function<void(EndpointRecord &endpoint)> changed;
+    std::function<void(EndpointRecord &endpoint)> reachabilityChanged;
 
 private:
     void checkOthers(const EndpointRecord &failed);
