--- a/src/libs/membership/leavingendpoints.cpp
+++ b/src/libs/membership/leavingendpoints.cpp
@@ -14,19 +14,19 @@
 
 bool LeavingEndpoints::merge(const LeavingEndpoint &leaving, Base::MonoTime now)
 {
-    const Base::MonoTime since = now - std::chrono::seconds(leaving.ageSeconds);
-    if (now - since > m_options.keepTime)
+    const Base::MonoTime leavingSince = now - std::chrono::seconds(leaving.ageSeconds);
+    if (now - leavingSince > m_options.keepTime)
         return false;
     const auto found = m_entries.find(leaving.endpoint);
     if (found == m_entries.end()) {
         if (m_entries.size() >= m_options.maxEntries)
             return false;
-        m_entries.emplace(leaving.endpoint, Entry{leaving.incarnation, since});
+        m_entries.emplace(leaving.endpoint, Entry{leaving.incarnation, leavingSince});
         return true;
     }
     if (leaving.incarnation <= found->second.incarnation)
         return false;
-    found->second = {leaving.incarnation, since};
+    found->second = {leaving.incarnation, leavingSince};
     return true;
 }
 
@@ -52,8 +52,9 @@
 
 void LeavingEndpoints::age(Base::MonoTime now)
 {
-    std::erase_if(m_entries,
-                  [&](const auto &item) { return now - item.second.since > m_options.keepTime; });
+    std::erase_if(m_entries, [&](const auto &item) {
+        return now - item.second.leavingSince > m_options.keepTime;
+    });
 }
 
 std::uint32_t LeavingEndpoints::hash() const
@@ -67,7 +68,8 @@
 LeavingEndpoint LeavingEndpoints::toMessage(const std::string &endpoint, const Entry &entry,
                                             Base::MonoTime now) const
 {
-    const auto age = std::chrono::duration_cast<std::chrono::seconds>(now - entry.since).count();
+    const auto age =
+        std::chrono::duration_cast<std::chrono::seconds>(now - entry.leavingSince).count();
     return {.endpoint = endpoint,
             .incarnation = entry.incarnation,
             .ageSeconds = static_cast<std::uint32_t>(age)};
--- a/src/libs/membership/leavingendpoints.h
+++ b/src/libs/membership/leavingendpoints.h
@@ -42,7 +42,7 @@
     struct Entry
     {
         std::uint64_t incarnation = 0;
-        Base::MonoTime since;
+        Base::MonoTime leavingSince;
     };
     LeavingEndpoint toMessage(const std::string &endpoint, const Entry &entry,
                               Base::MonoTime now) const;
