--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -116,10 +116,10 @@
 
 bool EndpointRegistry::isWarmingUp(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
-    if (!endpoint.warmup.since)
+    if (!endpoint.warmup.coldSince)
         return false;
     const auto warmup = m_warmups.find(endpoint.info.service);
-    return warmup != m_warmups.end() && now - *endpoint.warmup.since < warmup->second.time;
+    return warmup != m_warmups.end() && now - *endpoint.warmup.coldSince < warmup->second.time;
 }
 
 bool EndpointRegistry::admitsRequest(EndpointRecord &endpoint, Base::MonoTime now) const
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -188,7 +188,7 @@
     /// Starts the warm-up of an endpoint that was found to be cold.
     static void markCold(EndpointRecord &endpoint, Base::MonoTime now)
     {
-        endpoint.warmup.since = now;
+        endpoint.warmup.coldSince = now;
     }
     bool isWarmingUp(const EndpointRecord &endpoint, Base::MonoTime now) const;
     /// Whether the warm-up quota of this router lets it send the endpoint a request now.
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -213,7 +213,7 @@
     const Base::MonoTime now = m_timers.clock().now();
     if (!m_gateway.m_endpoints.isWarmingUp(endpoint, now))
         return unknownValue;
-    return Base::toSeconds(now - *endpoint.warmup.since) * 1000;
+    return Base::toSeconds(now - *endpoint.warmup.coldSince) * 1000;
 }
 
 std::optional<double> RequestRun::averageLoad() const
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -13,7 +13,7 @@
 /// State of one endpoint's warm-up on this router.
 struct WarmupRecord
 {
-    std::optional<Base::MonoTime> since; ///< When the endpoint was last found to be cold.
+    std::optional<Base::MonoTime> coldSince; ///< When the endpoint was last found to be cold.
     std::vector<Base::MonoTime> sends; ///< Times of this router's requests within the window.
     /// Position of this router in the endpoint's order of routers, from 0, and the generation of
     /// the fleet that it was computed for.
