--- a/src/libs/controller/snapshotwriter.cpp
+++ b/src/libs/controller/snapshotwriter.cpp
@@ -51,7 +51,7 @@
 
 void SnapshotWriter::write()
 {
-    const std::string id = m_options.writer + "/snapshot-" + std::to_string(++m_written);
+    const std::string id = m_options.writer + "/snapshot-" + std::to_string(++m_lastSnapshotNumber);
     const std::vector<Configuration::SnapshotPart> parts =
         m_options.reducer->makeSnapshot(id, m_options.writer);
     const auto progress = std::make_shared<Progress>();
--- a/src/libs/controller/snapshotwriter.h
+++ b/src/libs/controller/snapshotwriter.h
@@ -47,7 +47,7 @@
 
     Options m_options;
     Configuration::SnapshotScheduler m_scheduler;
-    std::uint64_t m_written = 0;
+    std::uint64_t m_lastSnapshotNumber = 0;
     Runtime::TimerId m_timer;
 };
 
