--- a/src/libs/gateway/warmupquota.cpp
+++ b/src/libs/gateway/warmupquota.cpp
@@ -24,7 +24,7 @@
                          Base::MonoTime now) const
 {
     std::erase_if(record.sends, [&](Base::MonoTime at) { return now - at >= m_options.window; });
-    return record.sends.size() < share(record, endpointHash, sustainableRate);
+    return record.sends.size() < requestsPerWindow(record, endpointHash, sustainableRate);
 }
 
 void WarmupQuota::recordSend(WarmupRecord &record, Base::MonoTime now) const
@@ -34,8 +34,8 @@
 
 /// Requests that this router may send per window. The shares of all routers add up to the
 /// sustainable rate, and to at least one request.
-std::size_t WarmupQuota::share(WarmupRecord &record, std::uint64_t endpointHash,
-                               double sustainableRate) const
+std::size_t WarmupQuota::requestsPerWindow(WarmupRecord &record, std::uint64_t endpointHash,
+                                           double sustainableRate) const
 {
     if (record.generation != m_generation) {
         record.routerRank = routerRank(endpointHash);
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -60,8 +60,8 @@
     void recordSend(WarmupRecord &record, Base::MonoTime now) const;
 
 private:
-    std::size_t share(WarmupRecord &record, std::uint64_t endpointHash,
-                      double sustainableRate) const;
+    std::size_t requestsPerWindow(WarmupRecord &record, std::uint64_t endpointHash,
+                                  double sustainableRate) const;
     std::size_t routerRank(std::uint64_t endpointHash) const;
     bool isFleetKnown() const
     {
