--- a/src/libs/exchange/eventstream.cpp
+++ b/src/libs/exchange/eventstream.cpp
@@ -39,15 +39,15 @@
 bool EventStreamReader::read(std::string_view piece,
                              const std::function<void(const StreamEvent &)> &event)
 {
-    m_rest.append(piece);
+    m_incompleteLine.append(piece);
     std::size_t start = 0;
-    for (std::size_t end = 0; (end = m_rest.find('\n', start)) != std::string::npos;
+    for (std::size_t end = 0; (end = m_incompleteLine.find('\n', start)) != std::string::npos;
          start = end + 1) {
-        if (!readLine(std::string_view(m_rest).substr(start, end - start), event))
+        if (!readLine(std::string_view(m_incompleteLine).substr(start, end - start), event))
             return false;
     }
-    m_rest.erase(0, start);
-    return m_rest.size() <= maxLineBytes;
+    m_incompleteLine.erase(0, start);
+    return m_incompleteLine.size() <= maxLineBytes;
 }
 
 bool EventStreamReader::readLine(std::string_view line,
--- a/src/libs/exchange/eventstream.h
+++ b/src/libs/exchange/eventstream.h
@@ -39,7 +39,7 @@
 private:
     bool readLine(std::string_view line, const std::function<void(const StreamEvent &)> &event);
 
-    std::string m_rest;
+    std::string m_incompleteLine;
 };
 
 } // namespace Lagoonbank::Exchange
