--- a/src/libs/router/inflightsharing.cpp
+++ b/src/libs/router/inflightsharing.cpp
@@ -74,9 +74,9 @@
 {
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<InFlight> changed = changedWork();
-    if (changed.empty() && now - m_lastSent.at < idleInterval)
+    if (changed.empty() && now - m_lastSent.sentAt < idleInterval)
         return minInterval;
-    m_lastSent.at = now;
+    m_lastSent.sentAt = now;
     const std::string body = encodeBeacon(Membership::PeerTransport::directMark, changed);
     for (const Membership::MemberUpdate &peer : peers)
         m_peers.transport()->sendDirect(Membership::toSocketAddress(peer), body);
@@ -90,9 +90,9 @@
 {
     const Routing::Router &routing = m_placer.routing();
     const Routing::EndpointTable &endpoints = routing.endpoints();
-    const bool isFull = m_loop.clock().now() - m_lastSent.fullAt >= fullInterval;
+    const bool isFull = m_loop.clock().now() - m_lastSent.fullSentAt >= fullInterval;
     if (isFull)
-        m_lastSent.fullAt = m_loop.clock().now();
+        m_lastSent.fullSentAt = m_loop.clock().now();
     m_lastSent.work.resize(endpoints.size());
     std::vector<InFlight> changed;
     for (Routing::EndpointIndex i = 0; i < endpoints.size(); ++i) {
--- a/src/libs/router/inflightsharing.h
+++ b/src/libs/router/inflightsharing.h
@@ -46,8 +46,8 @@
     struct SentState
     {
         std::vector<InFlight> work; ///< By endpoint index.
-        Base::MonoTime at; ///< Time of the last beacon.
-        Base::MonoTime fullAt; ///< Time of the last beacon that reported all endpoints.
+        Base::MonoTime sentAt; ///< Time of the last beacon.
+        Base::MonoTime fullSentAt; ///< Time of the last beacon that reported all endpoints.
     };
 
     void sendBeacons();
