--- a/src/libs/router/retrybudgets.cpp
+++ b/src/libs/router/retrybudgets.cpp
@@ -16,25 +16,25 @@
 
 void RetryBudgets::setWorkspaceRatio(const Base::WorkspaceId &workspace, double ratio)
 {
-    const auto [entry, isNew] = m_ratios.insert_or_assign(workspace, ratio);
+    const auto [entry, isNew] = m_workspaceRatios.insert_or_assign(workspace, ratio);
     if (!isNew)
-        m_workspaces.erase(workspace);
+        m_workspaceBudgets.erase(workspace);
 }
 
 Retry::RetryBudget &RetryBudgets::workspaceBudget(const Base::WorkspaceId &workspace,
                                                   Base::MonoTime now)
 {
-    const auto ratio = m_ratios.find(workspace);
+    const auto ratio = m_workspaceRatios.find(workspace);
     const Retry::RetryBudget fresh(
-        {.ratio = ratio == m_ratios.end() ? defaultRatio : ratio->second}, now);
-    return m_workspaces.try_emplace(workspace, fresh).first->second;
+        {.ratio = ratio == m_workspaceRatios.end() ? defaultRatio : ratio->second}, now);
+    return m_workspaceBudgets.try_emplace(workspace, fresh).first->second;
 }
 
 Retry::RetryBudget &RetryBudgets::endpointBudget(const Base::EndpointId &endpoint,
                                                  Base::MonoTime now)
 {
     const Retry::RetryBudget fresh({.ratio = m_endpointRatio}, now);
-    return m_endpoints.try_emplace(endpoint, fresh).first->second;
+    return m_endpointBudgets.try_emplace(endpoint, fresh).first->second;
 }
 
 void RetryBudgets::noteSuccess(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
--- a/src/libs/router/retrybudgets.h
+++ b/src/libs/router/retrybudgets.h
@@ -31,8 +31,10 @@
     template<typename KeepWorkspace, typename KeepEndpoint>
     void prune(KeepWorkspace keepWorkspace, KeepEndpoint keepEndpoint)
     {
-        absl::erase_if(m_workspaces, [&](const auto &item) { return !keepWorkspace(item.first); });
-        absl::erase_if(m_endpoints, [&](const auto &item) { return !keepEndpoint(item.first); });
+        absl::erase_if(m_workspaceBudgets,
+                       [&](const auto &item) { return !keepWorkspace(item.first); });
+        absl::erase_if(m_endpointBudgets,
+                       [&](const auto &item) { return !keepEndpoint(item.first); });
     }
 
 private:
@@ -43,9 +45,9 @@
     Retry::Backoff m_backoff;
     double m_endpointRatio = 0.1;
     int m_maxAttempts = 3;
-    absl::flat_hash_map<Base::WorkspaceId, double> m_ratios;
-    absl::flat_hash_map<Base::WorkspaceId, Retry::RetryBudget> m_workspaces;
-    absl::flat_hash_map<Base::EndpointId, Retry::RetryBudget> m_endpoints;
+    absl::flat_hash_map<Base::WorkspaceId, double> m_workspaceRatios;
+    absl::flat_hash_map<Base::WorkspaceId, Retry::RetryBudget> m_workspaceBudgets;
+    absl::flat_hash_map<Base::EndpointId, Retry::RetryBudget> m_endpointBudgets;
 };
 
 } // namespace Lagoonbank::Router
