--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -215,8 +215,8 @@
     m_judgements.push_back(std::move(judgement));
     if (m_judgements.size() > m_options.maxJudgements)
         m_judgements.pop_front();
-    if (m_judged)
-        m_judged(m_judgements.back());
+    if (m_changeJudged)
+        m_changeJudged(m_judgements.back());
 }
 
 Errors::Result<void> Reducer::importState(const Schema::ConfigurationState &state)
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -57,7 +57,10 @@
     { }
 
     /// Called for each change, in the order of the log.
-    void setJudged(std::function<void(const Judgement &)> hook) { m_judged = std::move(hook); }
+    void setChangeJudged(std::function<void(const Judgement &)> hook)
+    {
+        m_changeJudged = std::move(hook);
+    }
     /// Called after each change of the state.
     void setStateChanged(std::function<void()> hook) { m_stateChanged = std::move(hook); }
     void setEventRaised(std::function<void(const Event &)> hook)
@@ -137,7 +140,7 @@
     bool m_isComplete = false;
     bool m_isReady = false;
     bool m_hasSkippedNewer = false;
-    std::function<void(const Judgement &)> m_judged;
+    std::function<void(const Judgement &)> m_changeJudged;
     std::function<void()> m_stateChanged;
     std::function<void(const Event &)> m_eventRaised;
 };
--- a/src/libs/node/configurationfollower.cpp
+++ b/src/libs/node/configurationfollower.cpp
@@ -26,7 +26,7 @@
         if (eventRaised)
             eventRaised(event);
     });
-    m_reducer.setJudged([this](const Configuration::Judgement &judgement) {
+    m_reducer.setChangeJudged([this](const Configuration::Judgement &judgement) {
         if (m_events)
             mergeRecordTime(judgement.time, *m_events, m_loop.clock());
         if (judged)
--- a/tests/auto/node/tst_causality.cpp
+++ b/tests/auto/node/tst_causality.cpp
@@ -81,7 +81,7 @@
     {
         const std::string record = publish();
         run(1s);
-        reader.reducer.setJudged([this](const Configuration::Judgement &judgement) {
+        reader.reducer.setChangeJudged([this](const Configuration::Judgement &judgement) {
             Node::mergeRecordTime(judgement.time, reader.events, reader.clock);
         });
         reader.reducer.recordRead({Base::LogOffset(0), "change-1", record});
