--- a/bench/routing/policymodel/main.cpp
+++ b/bench/routing/policymodel/main.cpp
@@ -51,7 +51,7 @@
     scenario.router.selector.policy = policy;
     scenario.router.selector.overflowChoices = absl::GetFlag(FLAGS_overflow_choices);
     scenario.router.selector.bound.multiple = absl::GetFlag(FLAGS_multiple);
-    scenario.router.selector.bound.overflowMultiple = absl::GetFlag(FLAGS_overflow_multiple);
+    scenario.router.selector.bound.overflowShareMultiple = absl::GetFlag(FLAGS_overflow_multiple);
     scenario.router.selector.warmWaitPerThousandTokens =
         Base::fromSeconds(absl::GetFlag(FLAGS_warm_wait));
     scenario.router.selector.maximumWarmWait =
--- a/src/libs/routing/loadbound.h
+++ b/src/libs/routing/loadbound.h
@@ -30,7 +30,7 @@
         double multiple = 1.25;
         /// Multiple for any other endpoint; from 1 to `multiple`. The difference is capacity
         /// reserved for chats whose warm or home endpoint it is.
-        double overflowMultiple = 1.1;
+        double overflowShareMultiple = 1.1;
         /// Maximum load as a multiple of the capacity; beyond it, requests wait or are refused.
         double maximumLoadFactor = 2.0;
         /// Fraction of the absolute bound that only urgent priorities may use.
@@ -43,7 +43,8 @@
         : m_options(options)
     {
         m_options.multiple = std::max(options.multiple, 1.0);
-        m_options.overflowMultiple = std::clamp(options.overflowMultiple, 1.0, m_options.multiple);
+        m_options.overflowShareMultiple =
+            std::clamp(options.overflowShareMultiple, 1.0, m_options.multiple);
     }
 
     /// Whether the chat's warm or home endpoint may take the request.
@@ -58,7 +59,7 @@
     bool admitsOverflow(double load, double capacity, double work, const PoolTotals &totals,
                         std::uint8_t priority) const
     {
-        return isWithinRelativeBound(m_options.overflowMultiple, load, capacity, work, totals)
+        return isWithinRelativeBound(m_options.overflowShareMultiple, load, capacity, work, totals)
             && isWithinAbsoluteBound(load, capacity, work, priority);
     }
 
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -19,7 +19,7 @@
 constexpr EndpointIndex engineCount = 12;
 constexpr double capacity = 100000.0;
 constexpr double multiple = 1.25;
-constexpr double overflowMultiple = 1.1;
+constexpr double overflowShareMultiple = 1.1;
 
 struct Running
 {
@@ -44,7 +44,8 @@
         : m_random(c.seed)
     {
         Router::Options options;
-        options.selector.bound = {.multiple = multiple, .overflowMultiple = overflowMultiple};
+        options.selector.bound = {.multiple = multiple,
+                                  .overflowShareMultiple = overflowShareMultiple};
         options.selector.warmWaitPerThousandTokens = {};
         for (std::size_t i = 0; i < c.routers; ++i) {
             m_routers.push_back(std::make_unique<Router>(options));
@@ -158,7 +159,7 @@
         const double work = decision.work.value();
         const double sentByOthers = sentByOthersSinceSample(r, e);
         const double allowedMultiple =
-            decision.reason == DecisionReason::Overflow ? overflowMultiple : multiple;
+            decision.reason == DecisionReason::Overflow ? overflowShareMultiple : multiple;
         const double bound = allowedMultiple * (estimated + work) / engineCount + work;
         const SentRequest sent = router.noteSent(decision, m_now);
         m_load[e] += work;
