--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -311,7 +311,7 @@
             if (!*alive)
                 return;
             if (!size) {
-                m_weightLoads.refused(ticket.endpoint, weightsRetryDelay, now());
+                m_weightLoads.noteStoreRefusal(ticket.endpoint, weightsRetryDelay, now());
                 m_loading.erase(ticket.endpoint);
             }
             Entry *current = finishCall(ticket);
--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -58,8 +58,8 @@
     m_nextAt = std::max(m_nextAt, now + m_options.spacing);
 }
 
-void WeightLoadLimiter::refused(const Base::EndpointId &endpoint, Base::Duration retryAfter,
-                                Base::MonoTime now)
+void WeightLoadLimiter::noteStoreRefusal(const Base::EndpointId &endpoint,
+                                         Base::Duration retryAfter, Base::MonoTime now)
 {
     m_running.erase(endpoint);
     m_nextAt = std::max(m_nextAt, now + retryAfter);
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -60,7 +60,8 @@
     void started(const Base::EndpointId &endpoint, Base::MonoTime now);
     void finished(const Base::EndpointId &endpoint) { m_running.erase(endpoint); }
     /// To be called when the weight store responded with status 429.
-    void refused(const Base::EndpointId &endpoint, Base::Duration retryAfter, Base::MonoTime now);
+    void noteStoreRefusal(const Base::EndpointId &endpoint, Base::Duration retryAfter,
+                          Base::MonoTime now);
 
 private:
     Options m_options;
--- a/tests/auto/orders/tst_orderplan.cpp
+++ b/tests/auto/orders/tst_orderplan.cpp
@@ -54,7 +54,7 @@
     loads.started(EndpointId("b"), now);
     now += 5s;
     BOOST_TEST(!loads.mayStart(now)); // Two loads are running.
-    loads.refused(EndpointId("b"), 30s, now);
+    loads.noteStoreRefusal(EndpointId("b"), 30s, now);
     BOOST_TEST(!loads.mayStart(now + 29s));
     BOOST_TEST(loads.mayStart(now + 30s));
 }
