--- a/src/libs/admission/admissioncontrol.h
+++ b/src/libs/admission/admissioncontrol.h
@@ -30,7 +30,7 @@
     std::size_t size() const { return m_gates.size(); }
 
     template<typename Visitor>
-    void forEach(Visitor visitor) const
+    void forEachWorkspace(Visitor visitor) const
     {
         for (const auto &[workspace, entry] : m_gates)
             visitor(workspace, *entry.gate);
