--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -54,7 +54,7 @@
     std::int64_t transferUnits(Cell cell, std::int64_t amount, Base::MonoTime now);
 
     template<typename Visitor>
-    void forEach(Visitor visitor) const
+    void forEachCell(Visitor visitor) const
     {
         for (const auto &[cell, count] : m_cells)
             visitor(Cell{cell.first, cell.second}, count.latest);
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -238,12 +238,12 @@
                        .level = asUnits(division.level),
                        .extra = asUnits(division.extra)};
     std::vector<ShareCell> routerCells;
-    m_routerLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t transferred) {
+    m_routerLedger.forEachCell([&](ShareLedger::Cell cell, std::uint32_t transferred) {
         if (cell.from == m_topology.self)
             routerCells.push_back({cell.from, cell.to, transferred});
     });
     std::vector<ShareCell> dataCentreCells;
-    m_dataCentreLedger.forEach([&](ShareLedger::Cell cell, std::uint32_t transferred) {
+    m_dataCentreLedger.forEachCell([&](ShareLedger::Cell cell, std::uint32_t transferred) {
         dataCentreCells.push_back({cell.from, cell.to, transferred});
     });
     digest.dataCentreCells = nextCells(dataCentreCells, maxDataCentreCells, m_nextDataCentreCell);
