--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -101,11 +101,11 @@
         shares.setTopology(m_topology, now);
 }
 
-void ShareAllocator::advance(const WorkspaceId &workspace, double demandedShare, MonoTime now)
+void ShareAllocator::updateShares(const WorkspaceId &workspace, double demandedShare, MonoTime now)
 {
     const double demand =
         std::max(0.0, demandedShare) * static_cast<double>(ShareLedger::totalUnits);
-    sharesOf(workspace).advance(demand, ownRepresentative(workspace), now);
+    sharesOf(workspace).updateShares(demand, ownRepresentative(workspace), now);
 }
 
 void ShareAllocator::receive(const WorkspaceId &workspace, std::string_view bytes, MonoTime now)
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -63,7 +63,7 @@
 
     /// Sets the demand of a workspace on this router (WorkspaceGate::demandedShare()) and transfers
     /// shares accordingly. To be called about once per second for each workspace.
-    void advance(const Base::WorkspaceId &workspace, double demandedShare, Base::MonoTime now);
+    void updateShares(const Base::WorkspaceId &workspace, double demandedShare, Base::MonoTime now);
     void receive(const Base::WorkspaceId &workspace, std::string_view bytes, Base::MonoTime now);
     /// Digests of the workspaces near their limit, to be sent after advance(). Iterates over the
     /// workspaces round-robin until \a maxBytes are used up, counting each digest plus the
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -77,7 +77,7 @@
     return share;
 }
 
-void WorkspaceShares::advance(double demand, std::uint16_t representative, MonoTime now)
+void WorkspaceShares::updateShares(double demand, std::uint16_t representative, MonoTime now)
 {
     m_demand = demand;
     m_representative = representative;
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -47,7 +47,7 @@
     /// Updates the demand of this router and transfers surplus units to others. \a demand is in
     /// 1/10,000 of the fleet-wide limit; \a representative is the index of the router that collects
     /// and distributes the units of this data centre.
-    void advance(double demand, std::uint16_t representative, Base::MonoTime now);
+    void updateShares(double demand, std::uint16_t representative, Base::MonoTime now);
     void receive(const ShareDigest &digest, Base::MonoTime now);
     /// No value while the other routers need no update.
     std::optional<ShareDigest> digest(Base::MonoTime now);
--- a/src/libs/router/quotasharing.cpp
+++ b/src/libs/router/quotasharing.cpp
@@ -23,7 +23,7 @@
         m_allocator.receive(Base::WorkspaceId(digest.workspace), digest.bytes,
                             m_options.loop->clock().now());
     };
-    m_timer = m_options.loop->timers().start(interval, [this] { advance(); });
+    m_timer = m_options.loop->timers().start(interval, [this] { updateShares(); });
 }
 
 QuotaSharing::~QuotaSharing()
@@ -43,7 +43,7 @@
             m_allocator.remove(old);
     }
     m_workspaces = std::move(workspaces);
-    advance();
+    updateShares();
 }
 
 std::vector<Admission::ShareMember> QuotaSharing::routers(Base::MonoTime now) const
@@ -58,7 +58,7 @@
     return routers;
 }
 
-void QuotaSharing::advance()
+void QuotaSharing::updateShares()
 {
     m_options.loop->timers().cancel(m_timer);
     const Base::MonoTime now = m_options.loop->clock().now();
@@ -67,13 +67,13 @@
         const Admission::WorkspaceGate *gate = m_options.admission->gate(workspace);
         if (!gate)
             continue;
-        m_allocator.advance(workspace, gate->demandedShare(now), now);
+        m_allocator.updateShares(workspace, gate->demandedShare(now), now);
         m_options.admission->setShare(workspace, m_allocator.share(workspace, now), now);
     }
     for (Admission::ShareAllocator::Outgoing &digest :
          m_allocator.digests(now, digestBytes, datagramBytes))
         m_options.membership->setDemand(digest.workspace, std::move(digest.bytes), now);
-    m_timer = m_options.loop->timers().start(interval, [this] { advance(); });
+    m_timer = m_options.loop->timers().start(interval, [this] { updateShares(); });
 }
 
 } // namespace Lagoonbank::Router
--- a/src/libs/router/quotasharing.h
+++ b/src/libs/router/quotasharing.h
@@ -33,7 +33,7 @@
     void setWorkspaces(std::vector<Base::WorkspaceId> workspaces);
 
 private:
-    void advance();
+    void updateShares();
     std::vector<Admission::ShareMember> routers(Base::MonoTime now) const;
 
     Options m_options;
--- a/tests/auto/admission/tst_shareallocator.cpp
+++ b/tests/auto/admission/tst_shareallocator.cpp
@@ -140,7 +140,7 @@
         Router &router = m_routers[i];
         if (!router.alive)
             return;
-        router.shares->advance(qila, router.demand, m_now);
+        router.shares->updateShares(qila, router.demand, m_now);
         for (const ShareAllocator::Outgoing &outgoing :
              router.shares->digests(m_now, Bytes(100'000), Bytes(70))) {
             largestDigest = std::max(largestDigest, outgoing.bytes.size());
