--- a/src/libs/routing/loadestimator.cpp
+++ b/src/libs/routing/loadestimator.cpp
@@ -38,7 +38,8 @@
     row.incarnation = report.incarnation;
     row.sampledAt = std::min(report.sampledAt, now);
     row.reportedWork = std::max(report.work.value(), 0.0);
-    row.unattributed = row.reportedWork - row.own.at(row.sampledAt) - row.peers.at(row.sampledAt);
+    row.unattributed =
+        row.reportedWork - row.own.workAt(row.sampledAt) - row.peers.workAt(row.sampledAt);
     row.fadedUnattributed = row.unattributed * weightOf(row, now);
     update(endpoint);
     return true;
--- a/src/libs/routing/workhistory.cpp
+++ b/src/libs/routing/workhistory.cpp
@@ -17,7 +17,7 @@
     m_current = std::max(work, 0.0);
 }
 
-double WorkHistory::at(Base::MonoTime time) const
+double WorkHistory::workAt(Base::MonoTime time) const
 {
     const std::int64_t slot = slotOf(time);
     const double before = endOf(slot - 1);
--- a/src/libs/routing/workhistory.h
+++ b/src/libs/routing/workhistory.h
@@ -20,7 +20,7 @@
     void add(double work, Base::MonoTime now) { set(m_current + work, now); }
     /// The amount at `time`, interpolated within its slot; for times before the oldest slot, the
     /// amount at the end of that slot.
-    double at(Base::MonoTime time) const;
+    double workAt(Base::MonoTime time) const;
     /// Resets the amount to zero and discards its history.
     void clear();
 
