--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -92,14 +92,15 @@
 
 void Suspicion::enterSuspected(Row &row, Base::MonoTime now)
 {
-    const bool first = row.level == 0;
+    const bool first = row.backoffLevel == 0;
     const bool wasStable =
         row.state == State::Healthy && now - row.healthySince >= m_options.backoffResetAfter;
     if (first || wasStable)
-        row.level = 1;
+        row.backoffLevel = 1;
     else
-        row.level = std::min<std::uint8_t>(row.level + 1, maximumLevel);
-    const Base::Duration backoff = m_options.initialBackoff * (std::int64_t{1} << (row.level - 1));
+        row.backoffLevel = std::min<std::uint8_t>(row.backoffLevel + 1, maximumLevel);
+    const Base::Duration backoff =
+        m_options.initialBackoff * (std::int64_t{1} << (row.backoffLevel - 1));
     row.suspectedSince = now;
     row.trialsFrom = now + std::min(backoff, m_options.maximumBackoff);
     row.state = State::Suspected;
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -70,7 +70,7 @@
         std::uint8_t failures = 0; ///< Consecutive failures while healthy.
         std::uint8_t successes = 0; ///< Consecutive successful trials.
         /// The backoff is initialBackoff * 2^(level - 1); zero: never suspected.
-        std::uint8_t level = 0;
+        std::uint8_t backoffLevel = 0;
         bool trialInFlight = false;
         Base::MonoTime suspectedSince;
         Base::MonoTime trialsFrom; ///< While suspected: end of the backoff.
