--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -52,7 +52,7 @@
         return entry->outcome->ran == Ran::Yes ? ClaimStatus::Ended : ClaimStatus::Unknown;
     if (isOwn)
         return ClaimStatus::Held;
-    const bool isOverdue = now - entry->since > m_options.maxRunTime;
+    const bool isOverdue = now - entry->claimedAt > m_options.maxRunTime;
     return isOverdue || isGone(entry->claim.router) ? ClaimStatus::Unknown : ClaimStatus::Running;
 }
 
@@ -73,7 +73,7 @@
 
 void ClaimTable::evictExpired(Base::MonoTime now)
 {
-    while (!m_order.empty() && now - m_order.front().since > m_options.window)
+    while (!m_order.empty() && now - m_order.front().claimedAt > m_options.window)
         evictOldest();
 }
 
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -42,7 +42,7 @@
     struct Entry
     {
         Claim claim;
-        Base::MonoTime since;
+        Base::MonoTime claimedAt;
         std::uint64_t sequence = 0;
         std::optional<Outcome> outcome;
     };
@@ -70,7 +70,7 @@
     {
         ClaimKey key;
         std::uint64_t sequence;
-        Base::MonoTime since;
+        Base::MonoTime claimedAt;
     };
 
     void insert(const Claim &claim, std::optional<Outcome> outcome, Base::MonoTime now);
