--- a/src/libs/orders/lease.cpp
+++ b/src/libs/orders/lease.cpp
@@ -64,14 +64,14 @@
 
 bool LeaseState::apply(Base::LogOffset offset, const LeaseRecord &record)
 {
-    if (record.dataCentre != m_dataCentre || (m_last && offset <= *m_last))
+    if (record.dataCentre != m_dataCentre || (m_lastOffset && offset <= *m_lastOffset))
         return false;
     if (record.step == LeaseStep::Claim) {
         if (!isValidClaim(record))
             return false;
         m_holder = record.holder;
         m_fencing = Base::FencingNumber(offset.value());
-        m_last = offset;
+        m_lastOffset = offset;
         return true;
     }
     // Without a known claim, as retention has removed its record, the renewal defines the state.
@@ -79,14 +79,14 @@
         return false;
     m_fencing = record.fencing;
     m_holder = record.step == LeaseStep::Release ? std::string() : record.holder;
-    m_last = offset;
+    m_lastOffset = offset;
     return true;
 }
 
 bool LeaseState::isValidClaim(const LeaseRecord &record) const
 {
     // The claim is stale if the claimant had not read the latest record, such as a renewal.
-    return !m_last || record.base == m_last || *m_last < record.logFirst;
+    return !m_lastOffset || record.base == m_lastOffset || *m_lastOffset < record.logFirst;
 }
 
 LeaseKeeper::LeaseKeeper(Options options, Base::MonoTime now)
@@ -157,7 +157,8 @@
         return;
     }
     if (isCandidate && now >= m_claimableAt)
-        append({.step = LeaseStep::Claim, .base = m_state.last(), .logFirst = m_logFirst}, now);
+        append({.step = LeaseStep::Claim, .base = m_state.lastOffset(), .logFirst = m_logFirst},
+               now);
 }
 
 void LeaseKeeper::release(Base::MonoTime now)
--- a/src/libs/orders/lease.h
+++ b/src/libs/orders/lease.h
@@ -51,7 +51,7 @@
 
     const std::string &holder() const { return m_holder; } ///< Empty if released or never claimed.
     std::optional<Base::FencingNumber> fencing() const { return m_fencing; }
-    std::optional<Base::LogOffset> last() const { return m_last; }
+    std::optional<Base::LogOffset> lastOffset() const { return m_lastOffset; }
 
 private:
     bool isValidClaim(const LeaseRecord &record) const;
@@ -59,7 +59,7 @@
     Base::DataCentreId m_dataCentre;
     std::string m_holder;
     std::optional<Base::FencingNumber> m_fencing;
-    std::optional<Base::LogOffset> m_last;
+    std::optional<Base::LogOffset> m_lastOffset;
 };
 
 /// Acquires, renews and releases the lease of one data centre. Does no I/O and reads no clock: the
