--- a/src/libs/retry/retrybudget.h
+++ b/src/libs/retry/retrybudget.h
@@ -6,8 +6,8 @@
 
 struct RetryBudgetOptions
 {
-    double ratio = 0.1; ///< Retries earned per success.
-    double perSecond = 0.5; ///< Retries earned per second regardless of successes.
+    double retriesPerSuccess = 0.1; ///< Retries earned per success.
+    double retriesPerSecond = 0.5; ///< Retries earned per second regardless of successes.
     double capacity = 20; ///< Maximum balance.
 };
 
@@ -24,7 +24,7 @@
     RetryBudget(Options options, Base::MonoTime now)
         : m_options(options)
         , m_balance(options.capacity)
-        , m_last(now)
+        , m_balanceAt(now)
     { }
 
     void noteSuccess(Base::MonoTime now);
@@ -37,7 +37,7 @@
 private:
     Options m_options;
     double m_balance;
-    Base::MonoTime m_last;
+    Base::MonoTime m_balanceAt;
 };
 
 } // namespace Lagoonbank::Retry
--- a/src/libs/router/retrybudgets.cpp
+++ b/src/libs/router/retrybudgets.cpp
@@ -14,9 +14,9 @@
     m_backoff.random = [this] { return absl::Uniform(m_random, 0.0, 1.0); };
 }
 
-void RetryBudgets::setWorkspaceRatio(const Base::WorkspaceId &workspace, double ratio)
+void RetryBudgets::setWorkspaceRatio(const Base::WorkspaceId &workspace, double retriesPerSuccess)
 {
-    const auto [entry, isNew] = m_workspaceRatios.insert_or_assign(workspace, ratio);
+    const auto [entry, isNew] = m_workspaceRatios.insert_or_assign(workspace, retriesPerSuccess);
     if (!isNew)
         m_workspaceBudgets.erase(workspace);
 }
@@ -24,16 +24,19 @@
 Retry::RetryBudget &RetryBudgets::workspaceBudget(const Base::WorkspaceId &workspace,
                                                   Base::MonoTime now)
 {
-    const auto ratio = m_workspaceRatios.find(workspace);
+    const auto retriesPerSuccess = m_workspaceRatios.find(workspace);
     const Retry::RetryBudget fresh(
-        {.ratio = ratio == m_workspaceRatios.end() ? defaultRatio : ratio->second}, now);
+        {.retriesPerSuccess = retriesPerSuccess == m_workspaceRatios.end()
+             ? defaultRatio
+             : retriesPerSuccess->second},
+        now);
     return m_workspaceBudgets.try_emplace(workspace, fresh).first->second;
 }
 
 Retry::RetryBudget &RetryBudgets::endpointBudget(const Base::EndpointId &endpoint,
                                                  Base::MonoTime now)
 {
-    const Retry::RetryBudget fresh({.ratio = m_endpointRatio}, now);
+    const Retry::RetryBudget fresh({.retriesPerSuccess = m_endpointRatio}, now);
     return m_endpointBudgets.try_emplace(endpoint, fresh).first->second;
 }
 
--- a/src/libs/router/retrybudgets.h
+++ b/src/libs/router/retrybudgets.h
@@ -14,8 +14,8 @@
 public:
     RetryBudgets();
 
-    void setWorkspaceRatio(const Base::WorkspaceId &workspace, double ratio);
-    void setEndpointRatio(double ratio) { m_endpointRatio = ratio; }
+    void setWorkspaceRatio(const Base::WorkspaceId &workspace, double retriesPerSuccess);
+    void setEndpointRatio(double retriesPerSuccess) { m_endpointRatio = retriesPerSuccess; }
     void setMaxAttempts(int attempts) { m_maxAttempts = attempts; }
 
     /// Credits a successful attempt to the budgets of its workspace and endpoint.
--- a/tests/auto/retry/tst_retrybudget.cpp
+++ b/tests/auto/retry/tst_retrybudget.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_CASE(retriesAreProportionalToSuccesses)
 {
-    RetryBudget budget({.ratio = 0.1, .perSecond = 0, .capacity = 5}, start);
+    RetryBudget budget({.retriesPerSuccess = 0.1, .retriesPerSecond = 0, .capacity = 5}, start);
     for (int i = 0; i < 5; ++i)
         BOOST_TEST(budget.spend(start));
     BOOST_TEST(!budget.spend(start));
@@ -33,7 +33,7 @@
 
 BOOST_AUTO_TEST_CASE(balanceGrowsOverTimeUpToCapacity)
 {
-    RetryBudget budget({.ratio = 0.1, .perSecond = 0.5, .capacity = 2}, start);
+    RetryBudget budget({.retriesPerSuccess = 0.1, .retriesPerSecond = 0.5, .capacity = 2}, start);
     BOOST_TEST(budget.spend(start));
     BOOST_TEST(budget.spend(start));
     BOOST_TEST(!budget.available(start + 1s));
--- a/tests/auto/retry/tst_retrydecision.cpp
+++ b/tests/auto/retry/tst_retrydecision.cpp
@@ -15,7 +15,7 @@
 
 const MonoTime start{std::chrono::hours(1)};
 const RetryBudget full({}, start);
-const RetryBudget spent({.ratio = 0, .perSecond = 0, .capacity = 0}, start);
+const RetryBudget spent({.retriesPerSuccess = 0, .retriesPerSecond = 0, .capacity = 0}, start);
 
 const Backoff &noWait()
 {
