--- a/src/libs/routing/placementtable.cpp
+++ b/src/libs/routing/placementtable.cpp
@@ -15,7 +15,7 @@
     Entry *entry = entryOf(chatHash);
     if (!entry)
         return std::nullopt;
-    entry->usedAt = ++m_use;
+    entry->lastUse = ++m_useCount;
     return Placement{.endpointHash = entry->endpoint, .cached = Base::Tokens(entry->cached)};
 }
 
@@ -28,7 +28,7 @@
         const auto older = [this](const Entry &a, const Entry &b) {
             if ((a.chat == 0) != (b.chat == 0))
                 return a.chat == 0;
-            return m_use - a.usedAt > m_use - b.usedAt;
+            return m_useCount - a.lastUse > m_useCount - b.lastUse;
         };
         entry = std::min_element(set, set + setSize, older);
     }
@@ -37,7 +37,7 @@
     *entry = {.chat = chatHash,
               .endpoint = placement.endpointHash,
               .cached = static_cast<std::uint32_t>(cached),
-              .usedAt = ++m_use};
+              .lastUse = ++m_useCount};
 }
 
 void PlacementTable::drop(std::uint64_t chatHash, std::uint64_t endpointHash)
