--- a/src/libs/admission/workspacegate.cpp
+++ b/src/libs/admission/workspacegate.cpp
@@ -270,25 +270,25 @@
         m_tokens.charge(tokens, now);
 }
 
-double WorkspaceGate::decayed(double rate, MonoTime now) const
+double WorkspaceGate::decayedRate(double rate, MonoTime now) const
 {
     return rate * std::exp(-Base::toSeconds(now - m_lastArrival) / demandWindowSeconds);
 }
 
 void WorkspaceGate::recordArrival(const Call &call, MonoTime now)
 {
-    m_requestRate = decayed(m_requestRate, now) + 1 / demandWindowSeconds;
-    m_tokenRate = decayed(m_tokenRate, now)
+    m_requestRate = decayedRate(m_requestRate, now) + 1 / demandWindowSeconds;
+    m_tokenRate = decayedRate(m_tokenRate, now)
         + static_cast<double>(call.estimatedTokens.value()) / demandWindowSeconds;
-    m_peakSlots = std::max(decayed(m_peakSlots, now), m_running + 1.0);
+    m_peakSlots = std::max(decayedRate(m_peakSlots, now), m_running + 1.0);
     m_lastArrival = now;
 }
 
 Demand WorkspaceGate::demand(MonoTime now) const
 {
-    return {.requestsPerSecond = decayed(m_requestRate, now),
-            .tokensPerSecond = decayed(m_tokenRate, now),
-            .concurrency = std::max(decayed(m_peakSlots, now), static_cast<double>(m_running))};
+    return {.requestsPerSecond = decayedRate(m_requestRate, now),
+            .tokensPerSecond = decayedRate(m_tokenRate, now),
+            .concurrency = std::max(decayedRate(m_peakSlots, now), static_cast<double>(m_running))};
 }
 
 double WorkspaceGate::demandedShare(MonoTime now) const
--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -101,7 +101,7 @@
 
     void applyShare(Base::MonoTime now);
     void recordArrival(const Call &call, Base::MonoTime now);
-    double decayed(double rate, Base::MonoTime now) const;
+    double decayedRate(double rate, Base::MonoTime now) const;
     std::optional<Refusal> checkService(const Call &call) const;
     std::optional<Refusal> choosePriority(const Call &call, Admitted &admitted) const;
     std::optional<Refusal> chooseDeadline(const Call &call, Base::MonoTime now,
