--- a/src/libs/admission/gcra.cpp
+++ b/src/libs/admission/gcra.cpp
@@ -25,7 +25,7 @@
 {
     const double inUse = used(now);
     m_options = options;
-    m_arrival = now;
+    m_theoreticalArrival = now;
     charge(inUse, now);
 }
 
@@ -48,14 +48,14 @@
         return;
     const double maxInUse = m_options.burst + m_options.debt;
     const double inUse = std::clamp(used(now) + cost, 0.0, maxInUse);
-    m_arrival = now + timeFor(inUse, m_options.rate);
+    m_theoreticalArrival = now + timeFor(inUse, m_options.rate);
 }
 
 double Gcra::used(MonoTime now) const
 {
-    if (m_arrival <= now)
+    if (m_theoreticalArrival <= now)
         return 0;
-    return Base::toSeconds(m_arrival - now) * m_options.rate;
+    return Base::toSeconds(m_theoreticalArrival - now) * m_options.rate;
 }
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/gcra.h
+++ b/src/libs/admission/gcra.h
@@ -39,7 +39,7 @@
 
 private:
     Options m_options;
-    Base::MonoTime m_arrival{};
+    Base::MonoTime m_theoreticalArrival{};
 };
 
 } // namespace Lagoonbank::Admission
