--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -39,7 +39,7 @@
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
-void CrashGossip::sendEnds(const std::vector<Schema::SharedRequestEnd> &ends)
+void CrashGossip::sendCrashReports(const std::vector<Schema::SharedRequestEnd> &ends)
 {
     std::vector<Router> routers{{Routing::stableHash(Runtime::toString(m_options.self))}};
     for (const Runtime::SocketAddress &peer : m_options.peers())
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -61,7 +61,7 @@
 
     void start();
     /// Sends the ends in the order given; the last ones are dropped if the budget is too small.
-    void sendEnds(const std::vector<Schema::SharedRequestEnd> &ends);
+    void sendCrashReports(const std::vector<Schema::SharedRequestEnd> &ends);
     /// Sends a new quarantine to all routers.
     void sendQuarantine(const Schema::SharedQuarantine &quarantine);
     void receive(const Schema::CrashNews &message) const;
--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -74,7 +74,8 @@
 BOOST_AUTO_TEST_CASE(inSmallFleetAllRoutersCountEnds)
 {
     Routers f(6);
-    f.routers[2]->sendEnds({{.request = 1, .endpoint = 11}, {.request = 2, .endpoint = 11}});
+    f.routers[2]->sendCrashReports(
+        {{.request = 1, .endpoint = 11}, {.request = 2, .endpoint = 11}});
     BOOST_TEST(f.receivedEnds.size() == 5);
     BOOST_TEST(f.datagrams == 5);
 }
@@ -88,7 +89,7 @@
     ends.reserve(128);
     for (std::uint64_t request = 0; request < 128; ++request)
         ends.push_back({.request = request, .endpoint = 11});
-    f.routers[2]->sendEnds(ends);
+    f.routers[2]->sendCrashReports(ends);
     for (const auto &[router, count] : f.receivedEnds)
         BOOST_TEST(count == 128U);
     BOOST_TEST(f.routers[2]->dropped() == 0U);
@@ -99,7 +100,7 @@
 {
     Routers f(300);
     for (const std::size_t reporter : {3U, 50U, 299U})
-        f.routers[reporter]->sendEnds({{.request = 1, .endpoint = reporter}});
+        f.routers[reporter]->sendCrashReports({{.request = 1, .endpoint = reporter}});
     BOOST_TEST(f.receivedEnds.size() <= 8);
     const auto all = std::count_if(f.receivedEnds.begin(), f.receivedEnds.end(),
                                    [](const auto &entry) { return entry.second == 3; });
@@ -118,7 +119,7 @@
         for (int i = 0; i < 20; ++i)
             ends.push_back(
                 {.request = ++request, .endpoint = static_cast<std::uint64_t>(endpoint)});
-        f.routers[0]->sendEnds(ends);
+        f.routers[0]->sendCrashReports(ends);
         f.pass(milliseconds(50));
     }
     BOOST_TEST(f.bytes < 24000U + 10U * 1000U);
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -177,7 +177,7 @@
         receivedId = message.ends.empty() ? 0 : message.ends.front().request;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
-    f.one.crashes.sendEnds({{.request = 42, .endpoint = 5}});
+    f.one.crashes.sendCrashReports({{.request = 42, .endpoint = 5}});
     BOOST_TEST(f.runUntil([&] { return receivedId == 42; }));
     BOOST_TEST(f.other.failures == 0);
 }
