--- a/tests/auto/gateway/slowroutermodel.h
+++ b/tests/auto/gateway/slowroutermodel.h
@@ -99,10 +99,11 @@
     int finished() const { return m_finished; } ///< Admitted requests that were answered in full.
     int refusals() const { return m_refusals; }
     /// The last time, in seconds, at which a request had been unread for longer than #behind.
-    double lastBehind() const { return m_lastBehind; }
+    double lastBacklogTime() const { return m_lastBehind; }
     double maxDelay() const { return m_maxDelay; }
 
-    static constexpr double behind = 0.2; ///< Delay, in seconds, from which lastBehind() counts.
+    static constexpr double behind =
+        0.2; ///< Delay, in seconds, from which lastBacklogTime() counts.
 
 private:
     static constexpr int eventsOfAnswer = 12;
--- a/tests/auto/gateway/tst_backlogcontrol.cpp
+++ b/tests/auto/gateway/tst_backlogcontrol.cpp
@@ -43,7 +43,7 @@
                  << model.kind("plan").served() << ", tag " << model.kind("tag").served()
                  << "), refusals " << model.refusals() << ", sent for callers who left "
                  << model.sentForCallersWhoLeft() << ", oldest " << model.maxDelay()
-                 << " s, behind until " << model.lastBehind());
+                 << " s, behind until " << model.lastBacklogTime());
 }
 
 /// Day 1 is an overload. On day 2 the event loop also stalls in the middle of it, as when a large
