--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -27,7 +27,7 @@
     Metrics::Gauge loopBehind;
     Metrics::Counter loopWanted;
     Metrics::Counter processor;
-    Metrics::Histogram unread;
+    Metrics::Histogram requestReadDelay;
     Metrics::Counter leftUnread;
     Metrics::Gauge callerConnections;
     Metrics::Gauge quarantined;
