--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -24,8 +24,8 @@
     Metrics::Counter peerBytes;
     Metrics::Counter pulledBytes;
     Metrics::Histogram loopTurn;
-    Metrics::Gauge loopBehind;
-    Metrics::Counter loopWanted;
+    Metrics::Gauge loopDelay;
+    Metrics::Counter loopDemand;
     Metrics::Counter processor;
     Metrics::Histogram requestReadDelay;
     Metrics::Counter leftUnread;
