--- a/src/libs/admission/gcra.cpp
+++ b/src/libs/admission/gcra.cpp
@@ -23,7 +23,7 @@
 
 void Gcra::setOptions(Options options, MonoTime now)
 {
-    const double inUse = used(now);
+    const double inUse = unitsInUse(now);
     m_options = options;
     m_theoreticalArrival = now;
     charge(inUse, now);
@@ -36,7 +36,7 @@
     if (cost > m_options.burst + m_options.debt + tolerance)
         return std::nullopt;
     const double allowedInUse = std::max(0.0, m_options.burst - cost);
-    const double excess = used(now) - allowedInUse;
+    const double excess = unitsInUse(now) - allowedInUse;
     if (excess <= tolerance)
         return Duration::zero();
     return timeFor(excess, m_options.rate);
@@ -47,11 +47,11 @@
     if (m_options.rate <= 0)
         return;
     const double maxInUse = m_options.burst + m_options.debt;
-    const double inUse = std::clamp(used(now) + cost, 0.0, maxInUse);
+    const double inUse = std::clamp(unitsInUse(now) + cost, 0.0, maxInUse);
     m_theoreticalArrival = now + timeFor(inUse, m_options.rate);
 }
 
-double Gcra::used(MonoTime now) const
+double Gcra::unitsInUse(MonoTime now) const
 {
     if (m_theoreticalArrival <= now)
         return 0;
--- a/src/libs/admission/gcra.h
+++ b/src/libs/admission/gcra.h
@@ -35,7 +35,7 @@
     /// units in use are clamped to burst + debt.
     void charge(double cost, Base::MonoTime now);
     /// Units in use at \a now, from 0 to burst + debt.
-    double used(Base::MonoTime now) const;
+    double unitsInUse(Base::MonoTime now) const;
 
 private:
     Options m_options;
--- a/tests/auto/admission/tst_gcra.cpp
+++ b/tests/auto/admission/tst_gcra.cpp
@@ -69,7 +69,7 @@
     BOOST_TEST(gcra.waitFor(500, start)->count() == Duration(5s).count());
     // A later charge is clamped to the bound.
     gcra.charge(1e9, start);
-    BOOST_TEST(gcra.used(start) == 500, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(gcra.unitsInUse(start) == 500, boost::test_tools::tolerance(1e-6));
 }
 
 BOOST_AUTO_TEST_CASE(refundsAndOptionChangesKeepUsage)
@@ -77,10 +77,10 @@
     Gcra gcra({.rate = 10, .burst = 10});
     gcra.charge(8, start);
     gcra.charge(-3, start);
-    BOOST_TEST(gcra.used(start) == 5, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(gcra.unitsInUse(start) == 5, boost::test_tools::tolerance(1e-6));
     gcra.setOptions({.rate = 1, .burst = 10}, start);
-    BOOST_TEST(gcra.used(start) == 5, boost::test_tools::tolerance(1e-6));
-    BOOST_TEST(gcra.used(start + 2s) == 3, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(gcra.unitsInUse(start) == 5, boost::test_tools::tolerance(1e-6));
+    BOOST_TEST(gcra.unitsInUse(start + 2s) == 3, boost::test_tools::tolerance(1e-6));
     gcra.charge(-100, start);
-    BOOST_TEST(gcra.used(start) == 0);
+    BOOST_TEST(gcra.unitsInUse(start) == 0);
 }
