--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -49,20 +49,20 @@
 {
     std::erase_if(m_running,
                   [&](const auto &load) { return now - load.second > m_options.loadTimeout; });
-    return now >= m_nextAt && m_running.size() < m_options.maxRunning;
+    return now >= m_nextStartAt && m_running.size() < m_options.maxRunning;
 }
 
 void WeightLoadLimiter::started(const Base::EndpointId &endpoint, Base::MonoTime now)
 {
     m_running[endpoint] = now;
-    m_nextAt = std::max(m_nextAt, now + m_options.spacing);
+    m_nextStartAt = std::max(m_nextStartAt, now + m_options.spacing);
 }
 
 void WeightLoadLimiter::noteStoreRefusal(const Base::EndpointId &endpoint,
                                          Base::Duration retryAfter, Base::MonoTime now)
 {
     m_running.erase(endpoint);
-    m_nextAt = std::max(m_nextAt, now + retryAfter);
+    m_nextStartAt = std::max(m_nextStartAt, now + retryAfter);
 }
 
 DrainStep nextDrainStep(const DrainView &view, Base::Duration maxExportTime)
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -66,7 +66,7 @@
 private:
     Options m_options;
     std::map<Base::EndpointId, Base::MonoTime> m_running;
-    Base::MonoTime m_nextAt{};
+    Base::MonoTime m_nextStartAt{};
 };
 
 enum class DrainStep : std::uint8_t {
