--- a/src/libs/admission/workspacegate.cpp
+++ b/src/libs/admission/workspacegate.cpp
@@ -43,14 +43,14 @@
 Ticket::Ticket(std::weak_ptr<WorkspaceGate> gate, Tokens estimate, MonoTime admitted)
     : m_gate(std::move(gate))
     , m_estimate(estimate)
-    , m_admitted(admitted)
+    , m_admittedAt(admitted)
     , m_held(true)
 { }
 
 Ticket::Ticket(Ticket &&other) noexcept
     : m_gate(std::move(other.m_gate))
     , m_estimate(other.m_estimate)
-    , m_admitted(other.m_admitted)
+    , m_admittedAt(other.m_admittedAt)
     , m_held(std::exchange(other.m_held, false))
 { }
 
@@ -61,7 +61,7 @@
     drop();
     m_gate = std::move(other.m_gate);
     m_estimate = other.m_estimate;
-    m_admitted = other.m_admitted;
+    m_admittedAt = other.m_admittedAt;
     m_held = std::exchange(other.m_held, false);
     return *this;
 }
@@ -76,7 +76,7 @@
     const std::shared_ptr<WorkspaceGate> gate = m_held ? m_gate.lock() : nullptr;
     if (gate) {
         gate->chargeTokens(static_cast<double>((actual - m_estimate).value()), now);
-        gate->recordSlotTime(now - m_admitted);
+        gate->recordSlotTime(now - m_admittedAt);
     }
     drop();
 }
@@ -94,7 +94,7 @@
     if (!std::exchange(m_held, false))
         return;
     if (const std::shared_ptr<WorkspaceGate> gate = m_gate.lock())
-        gate->releaseSlot(m_admitted);
+        gate->releaseSlot(m_admittedAt);
 }
 
 WorkspaceGate::WorkspaceGate(WorkspaceLimits limits, MonoTime now)
--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -47,7 +47,7 @@
 
     std::weak_ptr<WorkspaceGate> m_gate;
     Base::Tokens m_estimate;
-    Base::MonoTime m_admitted{};
+    Base::MonoTime m_admittedAt{};
     bool m_held = false;
 };
 
