--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -116,7 +116,7 @@
 }
 
 std::vector<ShareAllocator::Outgoing> ShareAllocator::digests(MonoTime now, Base::Bytes maxBytes,
-                                                              Base::Bytes perDatagram)
+                                                              Base::Bytes datagramOverhead)
 {
     if (m_pendingWorkspaces.empty()) {
         for (const auto &[workspace, shares] : m_workspaces)
@@ -136,7 +136,7 @@
         outgoing.push_back(
             {workspace, encode(*digest), receivers(workspace, digest->representative)});
         const Outgoing &last = outgoing.back();
-        used += (last.bytes.size() + perDatagram.value()) * last.receivers.size();
+        used += (last.bytes.size() + datagramOverhead.value()) * last.receivers.size();
     }
     return outgoing;
 }
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -67,9 +67,9 @@
     void receive(const Base::WorkspaceId &workspace, std::string_view bytes, Base::MonoTime now);
     /// Digests of the workspaces near their limit, to be sent after advance(). Iterates over the
     /// workspaces round-robin until \a maxBytes are used up, counting each digest plus the
-    /// datagram overhead \a perDatagram once for each receiver.
+    /// datagram overhead \a datagramOverhead once for each receiver.
     std::vector<Outgoing> digests(Base::MonoTime now, Base::Bytes maxBytes,
-                                  Base::Bytes perDatagram);
+                                  Base::Bytes datagramOverhead);
 
     /// Fraction of the fleet-wide limit that this router may use, 0 to 1.
     double share(const Base::WorkspaceId &workspace, Base::MonoTime now) const;
