--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -45,7 +45,7 @@
             ++datagrams;
             bytes += headers + Schema::encodeMessage(message).value().size();
             if (!message.ends.empty())
-                receivedEnds[to.ip] += message.ends.size();
+                receivedReports[to.ip] += message.ends.size();
             if (!message.quarantined.empty())
                 ++receivedQuarantines[to.ip];
         };
@@ -65,24 +65,24 @@
     std::vector<std::unique_ptr<CrashGossip>> routers;
     std::size_t datagrams = 0;
     std::size_t bytes = 0;
-    std::map<std::string, std::size_t> receivedEnds;
+    std::map<std::string, std::size_t> receivedReports;
     std::map<std::string, std::size_t> receivedQuarantines;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(inSmallFleetAllRoutersCountEnds)
+BOOST_AUTO_TEST_CASE(inSmallFleetAllRoutersCountCrashes)
 {
     Routers f(6);
     f.routers[2]->sendCrashReports(
         {{.request = 1, .endpoint = 11}, {.request = 2, .endpoint = 11}});
-    BOOST_TEST(f.receivedEnds.size() == 5);
+    BOOST_TEST(f.receivedReports.size() == 5);
     BOOST_TEST(f.datagrams == 5);
 }
 
 /// An endpoint ends with all its slots in use. Any of its requests may be the cause, so all ends
 /// have to be reported.
-BOOST_AUTO_TEST_CASE(allEndsOfFullEndpointAreSent)
+BOOST_AUTO_TEST_CASE(allReportsOfFullEndpointAreSent)
 {
     Routers f(6);
     std::vector<Schema::SharedRequestEnd> ends;
@@ -90,26 +90,26 @@
     for (std::uint64_t request = 0; request < 128; ++request)
         ends.push_back({.request = request, .endpoint = 11});
     f.routers[2]->sendCrashReports(ends);
-    for (const auto &[router, count] : f.receivedEnds)
+    for (const auto &[router, count] : f.receivedReports)
         BOOST_TEST(count == 128U);
     BOOST_TEST(f.routers[2]->dropped() == 0U);
 }
 
 /// Whichever router reports the end, the same few routers count the ends under one request.
-BOOST_AUTO_TEST_CASE(inLargeFleetSameFewRoutersCountEndsOfRequest)
+BOOST_AUTO_TEST_CASE(inLargeFleetSameFewRoutersCountCrashesOfRequest)
 {
     Routers f(300);
     for (const std::size_t reporter : {3U, 50U, 299U})
         f.routers[reporter]->sendCrashReports({{.request = 1, .endpoint = reporter}});
-    BOOST_TEST(f.receivedEnds.size() <= 8);
-    const auto all = std::count_if(f.receivedEnds.begin(), f.receivedEnds.end(),
+    BOOST_TEST(f.receivedReports.size() <= 8);
+    const auto all = std::count_if(f.receivedReports.begin(), f.receivedReports.end(),
                                    [](const auto &entry) { return entry.second == 3; });
     BOOST_TEST(all >= 5); // A reporter that counts itself receives only the others' reports.
 }
 
 /// Many endpoints with many requests end at the same time. The reports have to keep to their
 /// budget, as calls share the link of 10 Mbit/s.
-BOOST_AUTO_TEST_CASE(manyEndsKeepToByteBudget)
+BOOST_AUTO_TEST_CASE(manyCrashReportsKeepToByteBudget)
 {
     Routers f(300);
     std::uint64_t request = 0;
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -169,7 +169,7 @@
     BOOST_TEST(f.other.failures == 0);
 }
 
-BOOST_AUTO_TEST_CASE(endsReachPeer)
+BOOST_AUTO_TEST_CASE(crashReportsReachPeer)
 {
     Fixture f;
     std::uint64_t receivedId = 0;
