--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -15,7 +15,7 @@
 constexpr std::ptrdiff_t maxItems = 32; ///< Ends or quarantined requests in one datagram.
 /// Size of a datagram without ends: IP and UDP headers, version and two counts.
 constexpr double emptyDatagramBytes = 46;
-constexpr double endBytes = 16; ///< Size of one request end in a datagram.
+constexpr double crashReportBytes = 16; ///< Size of one request end in a datagram.
 
 } // namespace
 
@@ -66,7 +66,7 @@
     for (const auto &[name, addressed] : datagrams) {
         const auto &[to, datagram] = addressed;
         const double cost =
-            emptyDatagramBytes + endBytes * static_cast<double>(datagram.ends.size());
+            emptyDatagramBytes + crashReportBytes * static_cast<double>(datagram.ends.size());
         if (!send || m_bytes.waitFor(cost, now) != Base::Duration::zero()) {
             m_dropped += datagram.ends.size();
             continue;
