--- a/tests/auto/adapter/tst_routerprocess.cpp
+++ b/tests/auto/adapter/tst_routerprocess.cpp
@@ -302,7 +302,7 @@
 
 /// The records that removed the drains are no longer retained, so the router only sees that both
 /// drains are missing from the next listing.
-BOOST_AUTO_TEST_CASE(drainsAbsentFromARefillEndTogether)
+BOOST_AUTO_TEST_CASE(drainsAbsentFromARepeatedListingEndTogether)
 {
     Fixture f;
     f.store.drained = {"another", "dc0"};
--- a/tests/auto/keyedlog/tst_keyedview.cpp
+++ b/tests/auto/keyedlog/tst_keyedview.cpp
@@ -170,7 +170,7 @@
     BOOST_TEST(f.takeReported() == "filled ");
 }
 
-BOOST_AUTO_TEST_CASE(dropsKeysAbsentFromARefill)
+BOOST_AUTO_TEST_CASE(dropsKeysAbsentFromARepeatedListing)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 3), put("b", "2", 4)}, 5);
@@ -182,7 +182,7 @@
 }
 
 /// The record at the end is not part of the listing and may be the key's next one.
-BOOST_AUTO_TEST_CASE(keyAbsentFromAFillIsDroppedBeforeItsEnd)
+BOOST_AUTO_TEST_CASE(keyAbsentFromAListingIsDroppedUpToItsEnd)
 {
     Fixture f;
     std::optional<Base::LogOffset> droppedBy;
@@ -218,7 +218,7 @@
     BOOST_TEST(f.takeReported() == "up ");
 }
 
-BOOST_AUTO_TEST_CASE(failedFillStartsOver)
+BOOST_AUTO_TEST_CASE(failedListingStartsOver)
 {
     Fixture f;
     f.log.answerNewest({put("a", "1", 3)}, 5, true);
