--- a/tests/auto/fleetsync/tst_fleetsync.cpp
+++ b/tests/auto/fleetsync/tst_fleetsync.cpp
@@ -98,7 +98,7 @@
         [](const Router &router) { return router.configuration == 2 && isDraining(router, "a"); }));
 }
 
-BOOST_AUTO_TEST_CASE(aDataCentreThatIsCutOffReadsForItselfAndComesBack)
+BOOST_AUTO_TEST_CASE(cutOffDataCentreReadsTheStoreUntilItReconnects)
 {
     SyncFleet fleet({2, 2});
     settle(fleet);
