--- a/src/libs/gateway/averageload.cpp
+++ b/src/libs/gateway/averageload.cpp
@@ -32,7 +32,7 @@
 
 std::optional<double> AverageLoad::value(Base::MonoTime now) const
 {
-    if (!m_updatedAt || now - *m_updatedAt > m_options.lifetime)
+    if (!m_at || now - *m_at > m_options.lifetime)
         return std::nullopt;
     return 1 / m_inverse;
 }
@@ -41,7 +41,7 @@
 {
     const bool isKnown = value(now).has_value();
     m_inverse = isKnown ? m_inverse + weight * (inverse - m_inverse) : inverse;
-    m_updatedAt = now;
+    m_at = now;
 }
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/averageload.h
+++ b/src/libs/gateway/averageload.h
@@ -43,7 +43,7 @@
 
     Options m_options;
     double m_inverse = 0;
-    std::optional<Base::MonoTime> m_updatedAt;
+    std::optional<Base::MonoTime> m_at;
     std::optional<Base::MonoTime> m_reportedAt;
 };
 
