--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -31,15 +31,15 @@
 
 void MovingAverage::add(double value, Base::MonoTime now, double weight)
 {
-    m_mean = m_updatedAt || m_hasPrior ? m_mean + weight * (value - m_mean) : value;
-    m_updatedAt = now;
+    m_mean = m_at || m_hasPrior ? m_mean + weight * (value - m_mean) : value;
+    m_at = now;
 }
 
 double MovingAverage::value(double fallback, Base::MonoTime now, Base::Duration halfLife) const
 {
-    if (!m_updatedAt)
+    if (!m_at)
         return fallback;
-    const double kept = std::exp2(-Base::toSeconds(now - *m_updatedAt) / Base::toSeconds(halfLife));
+    const double kept = std::exp2(-Base::toSeconds(now - *m_at) / Base::toSeconds(halfLife));
     return fallback + (m_mean - fallback) * kept;
 }
 
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -33,12 +33,12 @@
     void add(double value, Base::MonoTime now, double weight = 0.2);
     /// The average, which decays towards \a fallback with \a halfLife since the last observation.
     double value(double fallback, Base::MonoTime now, Base::Duration halfLife) const;
-    bool isEmpty() const { return !m_updatedAt; }
+    bool isEmpty() const { return !m_at; }
 
 private:
     double m_mean = 0;
     bool m_hasPrior = false;
-    std::optional<Base::MonoTime> m_updatedAt;
+    std::optional<Base::MonoTime> m_at;
 };
 
 /// State that an endpoint announced in its answers. It takes precedence over the endpoint's entry
