--- a/src/libs/admission/admissioncontrol.h
+++ b/src/libs/admission/admissioncontrol.h
@@ -20,7 +20,7 @@
     void remove(const Base::WorkspaceId &workspace);
     /// Sets this router's share of one workspace.
     void setShare(const Base::WorkspaceId &workspace, double share, Base::MonoTime now);
-    /// Share of a workspace for which setShare() was never called.
+    /// Sets this router's share of each workspace for which setShare() was never called.
     void setDefaultShare(double share, Base::MonoTime now);
 
     /// Refuses with UnknownKey if the workspace has no contract.
@@ -29,6 +29,7 @@
     const WorkspaceGate *gate(const Base::WorkspaceId &workspace) const;
     std::size_t size() const { return m_gates.size(); }
 
+    /// Calls `visitor` with the id and the gate of each workspace.
     template<typename Visitor>
     void forEachWorkspace(Visitor visitor) const
     {
--- a/src/libs/admission/gcra.cpp
+++ b/src/libs/admission/gcra.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-// Tolerance, so that rounding to nanoseconds does not refuse a call that arrives exactly on time.
+// Tolerance in units, so that rounding to nanoseconds does not refuse a call that arrives exactly
+// on time.
 constexpr double tolerance = 1e-6;
-// Upper bound of waits, which keeps time points far from the end of their range.
+// Upper bound of waits, so that adding one to a time point does not overflow.
 constexpr double maxWaitSeconds = 30.0 * 24 * 3600;
 
 Duration timeFor(double units, double rate)
--- a/src/libs/admission/gcra.h
+++ b/src/libs/admission/gcra.h
@@ -13,9 +13,9 @@
     double debt = 0; ///< Units by which one charge may exceed the burst.
 };
 
-/// Generic cell rate algorithm: limits a rate with a burst, with a single time (the theoretical
-/// arrival time) as its state. A cost above the burst is accepted into a bounded debt, but only
-/// when nothing of the burst is in use.
+/// Generic cell rate algorithm: limits a rate and allows a burst. Its only state is a time, the
+/// theoretical arrival time. A cost above the burst is accepted if no units are in use; the excess
+/// is a debt, which is bounded.
 class Gcra
 {
 public:
@@ -29,7 +29,7 @@
     /// Replaces the options; the units in use are kept.
     void setOptions(Options options, Base::MonoTime now);
 
-    /// Time until \a cost is accepted: zero means now, no value means never.
+    /// Time until \a cost is accepted; zero if it is accepted now, no value if it never is.
     std::optional<Base::Duration> waitFor(double cost, Base::MonoTime now) const;
     /// Charges \a cost without checking whether it is accepted; a negative cost is a refund. The
     /// units in use are clamped to burst + debt.
--- a/src/libs/admission/limits.h
+++ b/src/libs/admission/limits.h
@@ -28,10 +28,12 @@
 struct WorkspaceLimits
 {
     std::optional<Limit<double>> requestsPerSecond;
-    /// Requests at once; defaults to one second's worth of the rate.
+    /// Number of requests accepted at once; by default the number that requestsPerSecond allows in
+    /// one second.
     std::optional<Limit<double>> requestBurst;
     std::optional<Limit<double>> tokensPerSecond;
-    /// Tokens at once; defaults to one second's worth of the rate.
+    /// Number of tokens accepted at once; by default the number that tokensPerSecond allows in one
+    /// second.
     std::optional<Limit<double>> tokenBurst;
     /// Tokens by which one long prompt may exceed the burst.
     std::optional<Limit<double>> tokenDebt;
@@ -39,9 +41,9 @@
     std::vector<PriorityRule> priorities; ///< Empty: every call has level 0.
     std::string defaultPriority; ///< Priority of a call that does not name one.
     std::optional<Limit<Base::Duration>> defaultDeadline;
-    /// Longer requested deadlines are reduced to it.
+    /// Maximum deadline of a call; a longer one is reduced to it.
     std::optional<Limit<Base::Duration>> maxDeadline;
-    /// Every service is allowed if not set.
+    /// Names of the services that may be called; without a value, all of them.
     std::optional<Limit<std::vector<std::string>>> services;
 };
 
--- a/src/libs/admission/shareallocator.h
+++ b/src/libs/admission/shareallocator.h
@@ -31,7 +31,7 @@
     Base::Duration propagationTime = std::chrono::seconds(2);
     /// Reported demand of other routers and data centres is ignored when it is older than this.
     Base::Duration demandMaxAge = std::chrono::seconds(6);
-    /// No units are transferred to a data centre without a report for this long, as it may be
+    /// A data centre whose last report is older than this gets no units transferred, as it may be
     /// partitioned off.
     Base::Duration dataCentreMaxAge = std::chrono::milliseconds(2500);
 };
@@ -65,9 +65,9 @@
     /// shares accordingly. To be called about once per second for each workspace.
     void updateShares(const Base::WorkspaceId &workspace, double demandedShare, Base::MonoTime now);
     void receive(const Base::WorkspaceId &workspace, std::string_view bytes, Base::MonoTime now);
-    /// Digests of the workspaces near their limit, to be sent after advance(). Iterates over the
-    /// workspaces round-robin until \a maxBytes are used up, counting each digest plus the
-    /// datagram overhead \a datagramOverhead once for each receiver.
+    /// Digests of the workspaces near their limit, to be sent after updateShares(). Visits the
+    /// workspaces in turn until \a maxBytes are used up. Each digest counts once for each receiver,
+    /// with its own size and the datagram overhead \a datagramOverhead.
     std::vector<Outgoing> digests(Base::MonoTime now, Base::Bytes maxBytes,
                                   Base::Bytes datagramOverhead);
 
--- a/src/libs/admission/sharedigest.h
+++ b/src/libs/admission/sharedigest.h
@@ -9,7 +9,8 @@
 
 namespace Lagoonbank::Admission {
 
-/// One cell of a ShareLedger in a message to peers.
+/// One cell of a ShareLedger as sent to peers: the units that participant `from` has ever
+/// transferred to participant `to`.
 struct ShareCell
 {
     std::uint16_t from = 0;
@@ -28,15 +29,16 @@
     std::uint32_t version = 0; ///< Increases with each digest of the author.
     std::uint16_t author = 0; ///< Index of the sender among its data centre's routers.
     std::uint16_t dataCentre = 0; ///< Index of the author's data centre.
-    std::uint32_t demand = 0; ///< Of the author, in 1/10,000 of the fleet's limit.
+    std::uint32_t demand = 0; ///< Demand of the author, in 1/10,000 of the fleet-wide limit.
     bool representative = false; ///< Whether the author represents its data centre.
-    std::uint32_t dataCentreDemand = 0; ///< Set by a representative; same unit as `demand`.
+    /// Set by a representative: demand of all routers of its data centre, in the unit of `demand`.
+    std::uint32_t dataCentreDemand = 0;
     /// Set by a representative: FairDivision of the share of its data centre, in 1/10,000 of that
     /// share.
     std::uint16_t level = 0;
     std::uint16_t extra = 0;
-    std::vector<ShareCell> routerCells; ///< Transfers by `author` only.
-    std::vector<ShareCell> dataCentreCells;
+    std::vector<ShareCell> routerCells; ///< Transfers by `author` to other routers.
+    std::vector<ShareCell> dataCentreCells; ///< Transfers between data centres.
 
     bool operator==(const ShareDigest &) const = default;
 };
--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -53,6 +53,7 @@
     /// Transfers \a amount, but at most what `from` holds; returns the number of units transferred.
     std::int64_t transferUnits(Cell cell, std::int64_t amount, Base::MonoTime now);
 
+    /// Calls `visitor` with each cell and its highest received count.
     template<typename Visitor>
     void forEachCell(Visitor visitor) const
     {
@@ -69,8 +70,8 @@
     struct CellState
     {
         std::uint32_t latest = 0; // highest count received
-        std::uint32_t credited = 0; // already credited to the receiver
-        std::vector<PendingCredit> pendingCredits; // in increasing order
+        std::uint32_t credited = 0; // count up to which the receiver has been credited
+        std::vector<PendingCredit> pendingCredits; // in increasing order of `transferred`
     };
 
     void raise(CellState &count, std::uint32_t transferred, Base::MonoTime now) const;
--- a/src/libs/admission/workspacegate.cpp
+++ b/src/libs/admission/workspacegate.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr double demandWindowSeconds = 2;
-constexpr double slotTolerance = 1e-9; // rounding errors of a share must not add a slot
+constexpr double slotTolerance = 1e-9; // keeps rounding errors of the share from adding a slot
 constexpr double slotTimeSmoothing = 0.1;
 constexpr Duration minSlotWait = std::chrono::milliseconds(10);
 
--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -57,8 +57,8 @@
     Ticket ticket;
     int priorityLevel = 0; ///< 0 is the most urgent.
     std::string priority;
-    std::optional<Base::MonoTime>
-        deadline; ///< Not set if neither the call nor the contract has one.
+    /// Not set if neither the call nor the contract has a deadline.
+    std::optional<Base::MonoTime> deadline;
 };
 
 using AdmitResult =
@@ -86,7 +86,7 @@
     double share() const { return m_share; }
     void setShare(double share, Base::MonoTime now);
 
-    /// Charges nothing unless the call is within all limits.
+    /// Admits the call and charges it, or refuses it and charges nothing.
     AdmitResult admit(const Call &call, Base::MonoTime now);
 
     int running() const { return m_running; }
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -11,19 +11,21 @@
 namespace {
 
 constexpr auto totalUnits = static_cast<double>(ShareLedger::totalUnits);
-constexpr double headroom = 1.2; ///< Factor on the demand, so that it can grow.
+constexpr double headroom = 1.2; ///< Factor on the demand, so that the demand can grow.
 constexpr double idleFraction = 0.125; ///< Fraction of the equal share that an idle router keeps.
 /// A participant is active, so that digests are sent for it, if its demand reaches this fraction of
 /// its share, or if its share deviates from the equal share by more than this fraction.
 constexpr double activeFraction = 0.5;
-/// Fraction of a surplus that is transferred in one step, as the views of other routers lag behind.
+/// Fraction of a surplus that is transferred in one step. It is below one because the other routers
+/// may not have received earlier transfers yet.
 constexpr double transferGain = 0.5;
 /// Maximum fraction of its data centre's share that a representative transfers in one step. While
 /// router lists differ, two routers may act as representative at a time; together they still
 /// transfer no more than the data centre holds.
 constexpr double maxDataCentreFraction = 0.5;
-constexpr double minTransfer = 0.01; ///< Fraction of the equal share; less is not worth a message.
-constexpr std::size_t maxDataCentreCells = 4; ///< In one digest.
+/// Minimum transfer, as a fraction of the equal share; a smaller one does not justify a message.
+constexpr double minTransfer = 0.01;
+constexpr std::size_t maxDataCentreCells = 4; ///< Maximum number in one digest.
 /// Digests are still sent for this long after the workspace has become inactive.
 constexpr Duration trailingDigestTime = std::chrono::seconds(10);
 
@@ -111,7 +113,7 @@
 void WorkspaceShares::transferToRepresentative(MonoTime now)
 {
     if (!m_division || m_division->author != m_representative
-        || now - m_division->at > m_timing.demandMaxAge)
+        || now - m_division->receivedAt > m_timing.demandMaxAge)
         return;
     const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - m_division->division.shareOf(scaledDemand(m_demand, now));
@@ -265,7 +267,7 @@
                               MonoTime now)
 {
     const auto found = reports.find(from);
-    return found != reports.end() && now - found->second.at <= age;
+    return found != reports.end() && now - found->second.receivedAt <= age;
 }
 
 double WorkspaceShares::dataCentreDemand(MonoTime now) const
@@ -298,7 +300,8 @@
         && m_dataCentreDemands.at(dataCentre).demand >= activeFraction * holding;
 }
 
-// A representative also sends digests on behalf of routers and data centres that need units.
+// A representative also sends digests while another router or a data centre is active, as these may
+// need units.
 bool WorkspaceShares::isActive(MonoTime now) const
 {
     if (!isRepresentative())
@@ -314,16 +317,16 @@
     return false;
 }
 
-// Versions are only comparable between digests of the same author that has not restarted.
+// Versions can only be compared if both digests are from the same run of the same author.
 bool WorkspaceShares::recordReport(DemandReports &reports, std::uint16_t from,
-                                   const DemandReport &entry) const
+                                   const DemandReport &report) const
 {
     const auto known = reports.find(from);
-    if (known != reports.end() && known->second.author == entry.author
-        && isFresh(reports, from, m_timing.demandMaxAge, entry.at)
-        && entry.version <= known->second.version)
+    if (known != reports.end() && known->second.author == report.author
+        && isFresh(reports, from, m_timing.demandMaxAge, report.receivedAt)
+        && report.version <= known->second.version)
         return false;
-    reports[from] = entry;
+    reports[from] = report;
     return true;
 }
 
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -18,12 +18,13 @@
 {
     std::uint32_t routersHash = 0;
     std::uint32_t dataCentresHash = 0;
-    std::uint16_t routers = 1; ///< In this data centre.
-    std::uint16_t self = 0;
-    std::uint16_t dataCentres = 1;
-    std::uint16_t dataCentre = 0;
+    std::uint16_t routers = 1; ///< Number of routers in this data centre.
+    std::uint16_t self = 0; ///< Index of this router.
+    std::uint16_t dataCentres = 1; ///< Number of data centres in the fleet.
+    std::uint16_t dataCentre = 0; ///< Index of this router's data centre.
 };
 
+/// The durations of ShareOptions.
 struct ShareTiming
 {
     Base::Duration propagationTime{};
@@ -49,7 +50,7 @@
     /// and distributes the units of this data centre.
     void updateShares(double demand, std::uint16_t representative, Base::MonoTime now);
     void receive(const ShareDigest &digest, Base::MonoTime now);
-    /// No value while the other routers need no update.
+    /// The next digest to send; no value while the other routers need no update.
     std::optional<ShareDigest> digest(Base::MonoTime now);
     bool isRepresentative() const { return m_representative == m_topology.self; }
 
@@ -59,13 +60,13 @@
         std::uint16_t author = 0;
         std::uint32_t version = 0;
         double demand = 0;
-        Base::MonoTime at{};
+        Base::MonoTime receivedAt{};
     };
     struct Division
     {
         std::uint16_t author = 0;
         FairDivision division;
-        Base::MonoTime at{};
+        Base::MonoTime receivedAt{};
     };
     using DemandReports = std::map<std::uint16_t, DemandReport>;
 
@@ -83,7 +84,7 @@
     bool isRouterActive(std::uint16_t router, Base::MonoTime now) const;
     bool isDataCentreActive(std::uint16_t dataCentre, Base::MonoTime now) const;
     bool isActive(Base::MonoTime now) const;
-    bool recordReport(DemandReports &reports, std::uint16_t from, const DemandReport &entry) const;
+    bool recordReport(DemandReports &reports, std::uint16_t from, const DemandReport &report) const;
     static std::vector<ShareCell> nextCells(const std::vector<ShareCell> &all, std::size_t maxCells,
                                             std::size_t &next);
 
@@ -95,7 +96,7 @@
     DemandReports m_dataCentreDemands;
     double m_demand = 0;
     std::uint16_t m_representative = 0;
-    std::optional<Division> m_division; // last reported by the representative
+    std::optional<Division> m_division; // the last one that the representative reported
     std::uint32_t m_version = 0;
     std::size_t m_nextRouterCell = 0;
     std::size_t m_nextDataCentreCell = 0;
--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -50,9 +50,9 @@
         ++m_skippedRecords;
         return;
     }
-    if (const auto *end = std::get_if<ClaimOutcome>(&parsed.value())) {
-        m_table.apply(*end, now());
-        return decideWaiting(end->claim.key);
+    if (const auto *claimOutcome = std::get_if<ClaimOutcome>(&parsed.value())) {
+        m_table.apply(*claimOutcome, now());
+        return decideWaiting(claimOutcome->claim.key);
     }
     const Claim &claim = std::get<Claim>(parsed.value());
     m_table.apply(claim, now());
@@ -88,15 +88,15 @@
 
 void Claimer::finish(const Claim &claim, Outcome outcome)
 {
-    const ClaimOutcome end{claim, std::move(outcome)};
-    m_table.apply(end, now());
+    const ClaimOutcome claimOutcome{claim, std::move(outcome)};
+    m_table.apply(claimOutcome, now());
     decideWaiting(claim.key);
     if (m_unrecorded.size() >= m_options.maxUnrecorded) {
         ++m_droppedOutcomes;
         return;
     }
     const std::uint64_t id = ++m_lastId;
-    m_unrecorded[id].record = toRecord(end);
+    m_unrecorded[id].record = toRecord(claimOutcome);
     appendOutcome(id);
 }
 
@@ -126,7 +126,8 @@
 
 void Claimer::appended(PendingId id, AppendState state)
 {
-    // An appended claim is decided when it is read back; one of unknown state may still show up.
+    // An appended claim is decided when it is read back from the log. If it is unknown whether the
+    // claim was appended, it may still appear there.
     if (state != AppendState::NotAppended || !m_pending.contains(id))
         return;
     m_pending.at(id).isSent = false;
@@ -229,7 +230,7 @@
     return pending;
 }
 
-/// Records that the request did not run if its claim may still show up on the log.
+/// Records that the request did not run, if its claim may still appear on the log.
 void Claimer::abandon(const Pending &pending)
 {
     if (pending.isSent && !pending.isRead)
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -16,7 +16,8 @@
 
 namespace Lagoonbank::Claims {
 
-/// The contract's policy for the case that no claims can be appended to the log.
+/// The contract's policy for requests that arrive during an outage of the log, when no claim can be
+/// appended.
 enum class LogOutPolicy : std::uint8_t {
     Refuse,
     LocalOnly ///< Run the request if this router knows of no other run; weaker than a claim.
@@ -58,9 +59,10 @@
                            std::function<void(PlatformClient::AppendOutcome)>)>
             append;
         ClaimTable::IsGone isGone;
-        std::size_t maxPending = 10'000; ///< Undecided claims.
-        std::size_t maxUnrecorded = 20'000; ///< Outcomes not yet appended.
-        PlatformClient::Backoff::Options backoff; ///< For outcomes whose append failed.
+        std::size_t maxPending = 10'000; ///< Maximum number of undecided claims.
+        std::size_t maxUnrecorded = 20'000; ///< Maximum number of outcomes not yet appended.
+        /// Delay before an outcome whose append failed is appended again.
+        PlatformClient::Backoff::Options backoff;
     };
     using DecisionCallback = std::function<void(const Decision &)>;
     using PendingId = Base::StrongNumber<struct PendingClaimTag, std::uint64_t>;
@@ -87,9 +89,9 @@
     const ClaimTable &table() const { return m_table; }
     std::size_t pending() const { return m_pending.size(); }
     std::size_t unrecorded() const { return m_unrecorded.size(); }
-    /// Number of records that could not be parsed, and of outcomes dropped because too many were
-    /// not yet appended.
+    /// Number of records that could not be parsed.
     std::uint64_t skippedRecords() const { return m_skippedRecords; }
+    /// Number of outcomes that were dropped because maxUnrecorded were waiting to be appended.
     std::uint64_t droppedOutcomes() const { return m_droppedOutcomes; }
 
 private:
--- a/src/libs/claims/claimrecord.cpp
+++ b/src/libs/claims/claimrecord.cpp
@@ -84,11 +84,11 @@
     return {.id = "claim:" + claim.request.value(), .data = toJson(claim).dump()};
 }
 
-PlatformClient::Record toRecord(const ClaimOutcome &end)
+PlatformClient::Record toRecord(const ClaimOutcome &claimOutcome)
 {
-    Json json = toJson(end.claim);
-    json["outcome"] = toJson(end.outcome);
-    return {.id = "outcome:" + end.claim.request.value(), .data = json.dump()};
+    Json json = toJson(claimOutcome.claim);
+    json["outcome"] = toJson(claimOutcome.outcome);
+    return {.id = "outcome:" + claimOutcome.claim.request.value(), .data = json.dump()};
 }
 
 Errors::Result<std::variant<Claim, ClaimOutcome>> parseRecord(std::string_view data)
--- a/src/libs/claims/claimtable.cpp
+++ b/src/libs/claims/claimtable.cpp
@@ -14,27 +14,27 @@
         return insert(claim, std::nullopt, now);
     const Entry &entry = found->second;
     const bool isReleased = entry.outcome && entry.outcome->ran == Ran::No;
-    // A claim that is read after the record of its own release remains released.
+    // A claim that is read after the outcome that released it has no effect.
     if (isReleased && entry.claim.request != claim.request)
         insert(claim, std::nullopt, now);
 }
 
-void ClaimTable::apply(const ClaimOutcome &end, Base::MonoTime now)
+void ClaimTable::apply(const ClaimOutcome &claimOutcome, Base::MonoTime now)
 {
     evictExpired(now);
-    const auto found = m_entries.find(end.claim.key);
+    const auto found = m_entries.find(claimOutcome.claim.key);
     if (found == m_entries.end())
-        return insert(end.claim, end.outcome, now);
+        return insert(claimOutcome.claim, claimOutcome.outcome, now);
     Entry &entry = found->second;
-    if (entry.claim.request == end.claim.request) {
+    if (entry.claim.request == claimOutcome.claim.request) {
         if (!entry.outcome || entry.outcome->ran == Ran::Unknown)
-            entry.outcome = end.outcome;
+            entry.outcome = claimOutcome.outcome;
         return;
     }
     // A request that was granted locally has no claim on the log, but its outcome counts.
     const bool isReleased = entry.outcome && entry.outcome->ran == Ran::No;
-    if (isReleased && end.outcome.ran != Ran::No)
-        insert(end.claim, end.outcome, now);
+    if (isReleased && claimOutcome.outcome.ran != Ran::No)
+        insert(claimOutcome.claim, claimOutcome.outcome, now);
 }
 
 ClaimStatus ClaimTable::claimStatus(const Claim &claim, Base::MonoTime now,
--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -19,7 +19,7 @@
     Held, ///< This request holds the key.
     Running, ///< Another request holds the key and may be running.
     Ended, ///< The operation has run; its outcome is known.
-    Unknown, ///< It is not known whether the request that held the key has run.
+    Unknown, ///< The request that held the key may or may not have run.
     KeyReused ///< The key was used for a different call.
 };
 
@@ -30,7 +30,7 @@
 public:
     struct Options
     {
-        Base::Duration window = std::chrono::hours(1); ///< Claims expire after this time.
+        Base::Duration window = std::chrono::hours(1); ///< Age at which a claim expires.
         /// Number of entries from which new claims should be refused.
         std::size_t fullThreshold = 200'000;
         /// Number of entries above which the oldest ones are evicted, whatever their age.
@@ -57,7 +57,7 @@
     void apply(const Claim &claim, Base::MonoTime now);
     /// Applies an outcome; the first one of a request is kept, except that a known outcome replaces
     /// an unknown one.
-    void apply(const ClaimOutcome &end, Base::MonoTime now);
+    void apply(const ClaimOutcome &claimOutcome, Base::MonoTime now);
 
     ClaimStatus claimStatus(const Claim &claim, Base::MonoTime now, const IsGone &isGone) const;
     /// The entry of the holder of \a key; null if there is none.
@@ -79,7 +79,7 @@
 
     Options m_options;
     absl::flat_hash_map<ClaimKey, Entry> m_entries;
-    std::deque<EvictionEntry> m_order; ///< By age; includes entries that were replaced.
+    std::deque<EvictionEntry> m_order; ///< Oldest first; includes entries that were replaced.
     std::uint64_t m_lastSequence = 0;
 };
 
--- a/src/libs/configuration/record.h
+++ b/src/libs/configuration/record.h
@@ -34,7 +34,7 @@
 struct ChangeRecord
 {
     ObjectKey key;
-    Base::Revision base; ///< 0 for an object that never existed.
+    Base::Revision base; ///< Revision that the change replaces; 0 if the object never existed.
     std::string publisher;
     bool removes = false;
     std::string file; ///< File that the body was read from, for messages.
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -39,16 +39,16 @@
 };
 
 /// Builds the configuration from the records of the log, in the order of their offsets, and from
-/// the states of peers. The state is always the one after all records before next(). It never
-/// returns to an earlier one.
+/// the states of peers. The state always includes exactly the records before next(), and never
+/// reverts to an earlier one.
 class Reducer
 {
 public:
     struct Options
     {
         std::size_t maxJudgements = 1024; ///< Number of latest judgements kept for the history.
-        std::size_t maxBuffered = 65536; ///< Maximum of records buffered behind a gap.
-        std::size_t maxOutOfOrder = 1024; ///< Maximum of buffered records from peers.
+        std::size_t maxBuffered = 65536; ///< Maximum number of records buffered behind a gap.
+        std::size_t maxOutOfOrder = 1024; ///< Maximum number of buffered records from peers.
     };
 
     explicit Reducer(const Options &options);
@@ -56,12 +56,12 @@
         : Reducer(Options())
     { }
 
-    /// Called for each change, in the order of the log.
+    /// Sets a hook that is called with the verdict on each change, in the order of the log.
     void setChangeJudged(std::function<void(const Judgement &)> hook)
     {
         m_changeJudged = std::move(hook);
     }
-    /// Called after each change of the state.
+    /// Sets a hook that is called after each change of the state.
     void setStateChanged(std::function<void()> hook) { m_stateChanged = std::move(hook); }
     void setEventRaised(std::function<void(const Event &)> hook)
     {
@@ -92,7 +92,8 @@
     /// Whether the configuration is complete and at least as new as that of the peers at the start.
     /// Once true it stays true.
     bool isReady() const { return m_isReady; }
-    /// Whether records are missing that neither a snapshot nor a peer's state has replaced yet.
+    /// Whether retention removed records that had not been read, and neither a snapshot nor a
+    /// peer's state has replaced them yet.
     bool hasGap() const { return m_hasGap; }
     /// Whether a snapshot of this state may be appended: it is complete and no record of a newer
     /// program was skipped.
@@ -108,7 +109,8 @@
     std::uint64_t hash() const { return m_state.hash(); }
 
     const std::deque<Judgement> &judgements() const { return m_judgements; }
-    /// The judgement that accepted the change, or else the latest one on it. Null if there is none.
+    /// The judgement that accepted the change of this record id; if none did, the latest judgement
+    /// on it. Null if there is no judgement on it.
     const Judgement *judgementOf(const std::string &recordId) const;
 
 private:
--- a/src/libs/configuration/snapshotscheduler.h
+++ b/src/libs/configuration/snapshotscheduler.h
@@ -19,7 +19,8 @@
         int snapshotsPerRetention = 4;
         Base::Duration startDelay = std::chrono::seconds(5); ///< Delay before the first snapshot.
         Base::Duration rankStep = std::chrono::seconds(2); ///< Additional delay per rank.
-        Base::Duration retryDelay = std::chrono::seconds(2); ///< If no snapshot is seen.
+        Base::Duration retryDelay =
+            std::chrono::seconds(2); ///< Delay before an unseen snapshot is repeated.
     };
 
     SnapshotScheduler(const Options &options, Base::MonoTime start)
@@ -33,7 +34,8 @@
     /// Must be called when this process starts to append a snapshot.
     void appendStarted(Base::MonoTime now) { m_lastAppendStarted = now; }
 
-    /// `rank` is the number of live controllers that precede this one.
+    /// Time at which this process has to append a snapshot. `rank` is the number of live
+    /// controllers that precede this one.
     Base::MonoTime dueAt(std::size_t rank) const;
     bool isDue(Base::MonoTime now, std::size_t rank) const { return now >= dueAt(rank); }
 
--- a/src/libs/configuration/state.h
+++ b/src/libs/configuration/state.h
@@ -55,13 +55,13 @@
                                std::uint64_t expectedHash);
 
     const ObjectTable &table() const { return m_table; }
-    /// Includes removed objects, so that their revision numbers are never reused.
+    /// All objects. Removed ones are included, so that their revision numbers are never reused.
     const Entries &entries() const { return m_entries; }
-    /// Revision 0 for an object that never existed.
+    /// The current revision of an object; 0 if it never existed.
     Base::Revision revision(const ObjectKey &key) const;
-    /// Objects that changed at the offset or later.
+    /// Objects last changed by a record at \a offset or later.
     std::vector<Schema::ObjectState> changedSince(Base::LogOffset offset) const;
-    /// Equal for equal states, in whatever way they were reached.
+    /// Hash of the state. Equal states have equal hashes, whichever inputs led to them.
     std::uint64_t hash() const;
 
 private:
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -53,9 +53,9 @@
     };
     struct MoveResult
     {
-        std::size_t chats = 0;
-        std::size_t failures = 0;
-        std::uint64_t bytes = 0;
+        std::size_t chats = 0; ///< Number of chats that were moved.
+        std::size_t failures = 0; ///< Number of chats that could not be moved.
+        std::uint64_t bytes = 0; ///< Size of the moved cache contents.
         std::uint64_t nextEventOffset = 0; ///< Offset at which a later move continues reading.
     };
 
--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -171,8 +171,8 @@
     };
 }
 
-/// Empty unless this process has read up to the end of the log, as it could otherwise miss the
-/// snapshots of other controllers.
+/// Rank of this process among the controllers that write snapshots. Empty until this process has
+/// read up to the end of the log, as it could otherwise miss the snapshots of other controllers.
 std::optional<std::size_t> ControllerProcess::snapshotRank() const
 {
     if (m_isStopping || !m_configuration->isAtEnd())
--- a/src/libs/controller/leasecoordinator.cpp
+++ b/src/libs/controller/leasecoordinator.cpp
@@ -50,7 +50,8 @@
 
 void LeaseCoordinator::append(const std::string &id, const Orders::LeaseRecord &record)
 {
-    // The outcome is learned by reading the stream, so the append result is ignored.
+    // Reading the record back from the stream determines the outcome, so the append result is
+    // ignored.
     m_options.log->append(streamName, {{.id = id, .data = Orders::toText(record)}},
                           [](const PlatformClient::AppendResult &) {});
 }
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -252,7 +252,7 @@
     if (m_isStopped || result.end != Http::CallEnd::Whole || result.status != httpOk || !load)
         return;
     const std::size_t inFlight = load.value().running + load.value().queued;
-    // Requests that were in flight at the drain order may have cached more chats since.
+    // Requests that were in flight when the drain order was sent may have added chats to the cache.
     const bool hasRemainingChats = inFlight == 0 && !entry->isRemainingCacheMoved;
     const Orders::DrainView view{
         .isDraining = true, .chatsToExport = hasRemainingChats ? 1U : 0U, .inFlight = inFlight};
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -51,7 +51,7 @@
         EndpointCalls calls;
         /// See LeaseCoordinator::mayOrder().
         std::function<std::optional<Base::FencingNumber>(bool checksFencing)> mayOrder;
-        /// Requests weights from the weight store.
+        /// Fetches the weights of a version of a model from the weight store.
         std::function<void(const Base::ModelId &model, const std::string &version,
                            WeightsFetched fetched)>
             fetchWeights;
@@ -112,7 +112,8 @@
         std::uint64_t nextCacheEventOffset = 0;
         std::string weightsOrderId; ///< Id of the order for which the weights were fetched.
     };
-    /// Identifies the entry of a call and the generation of its target when the call started.
+    /// Identifies the entry that a call belongs to, and the generation of the entry's target when
+    /// the call started.
     struct Ticket
     {
         Base::EndpointId endpoint;
--- a/src/libs/controller/snapshotwriter.h
+++ b/src/libs/controller/snapshotwriter.h
@@ -23,7 +23,7 @@
         PlatformClient::BatchAppender *appender = nullptr; ///< For the stream `configuration`.
         const Configuration::Reducer *reducer = nullptr;
         Configuration::SnapshotScheduler::Options schedule;
-        std::string writer; ///< Unique for each run of a process.
+        std::string writer; ///< Id of the writing process, unique for each run of it.
         /// Rank of this process among all controllers that may write snapshots; empty if this
         /// process must not write now.
         std::function<std::optional<std::size_t>()> rank;
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -69,7 +69,7 @@
     Errors::Error error; ///< Only valid if the attempt failed.
     std::string load; ///< The endpoint's X-Load header; empty if none was received.
     Base::Tokens cachedTokens;
-    Base::Tokens answerTokens; ///< Tokens received in this attempt.
+    Base::Tokens answerTokens; ///< Answer tokens received in this attempt.
     bool resumed = false; ///< The attempt resumed the stream of the previous attempt.
 };
 
@@ -96,7 +96,8 @@
     std::function<CancelPlacement(const RouteQuery &query, std::function<void(Placement)> placed)>
         place;
     std::function<void(const Target &target)> attemptStarted;
-    /// Tokens of the answer were received. \a isFirst is set for the first ones of an attempt.
+    /// Called when tokens of the answer were received. \a isFirst is set for the first tokens of an
+    /// attempt.
     std::function<void(const Target &target, Base::Tokens tokens, bool isFirst)> progressed;
     std::function<void(const AttemptResult &result)> attemptEnded;
     /// Decides whether to make a further attempt and charges it to the retry budgets.
@@ -112,7 +113,7 @@
 struct Timeouts
 {
     Base::Duration connect = std::chrono::milliseconds(500);
-    Base::Duration firstToken = std::chrono::seconds(5); ///< Excludes processing the prompt.
+    Base::Duration firstToken = std::chrono::seconds(5); ///< Without prompt processing.
     /// Added to firstToken for each prompt token that is not expected to be cached.
     Base::Duration perPromptToken = std::chrono::microseconds(500);
     Base::Duration betweenTokens = std::chrono::seconds(2);
@@ -149,8 +150,8 @@
     virtual Http::Call makeCall(const Target &target, bool resume) = 0;
     virtual void onHead(int status, const Http::Headers &headers) = 0;
     virtual void onPiece(std::string_view piece) = 0;
-    /// The call ended with a complete answer, of any status, that the endpoint did not mark as
-    /// "not run".
+    /// Called when the call ended with a complete answer of any status, unless the endpoint marked
+    /// the request as not run.
     virtual void onCallCompleted(Http::CallResult result) = 0;
     /// Whether part of the answer was sent to the caller, so that a status can no longer be sent.
     virtual bool hasBegun() const { return false; }
--- a/src/libs/fleet/datacentredrains.h
+++ b/src/libs/fleet/datacentredrains.h
@@ -19,9 +19,10 @@
     /// Applies the record just before \a asOf, which drains a data centre or removes its drain.
     void addDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
     void removeDrain(const Base::DataCentreId &dataCentre, Base::LogOffset asOf);
-    /// Replaces the whole set by the one as of this offset, unless the known state is as recent.
+    /// Replaces the set by \a dataCentres, which is valid as of \a asOf, unless the current set is
+    /// as recent.
     void replace(Set dataCentres, Base::LogOffset asOf);
-    /// States that the set is unchanged up to this offset of the log.
+    /// Records that the set is unchanged up to \a asOf.
     void advanceTo(Base::LogOffset asOf);
 
     const Set &current() const { return m_current; }
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -25,8 +25,8 @@
 
 /// Digest of all known endpoints: one content hash for each bucket of ids. Versions are left out,
 /// so that routers with the same endpoints have the same digest. Routers compare digests and
-/// exchange only the buckets that differ; with 64 buckets and 1,500 endpoints, one change costs 24
-/// entries instead of all.
+/// exchange only the buckets that differ. With 64 buckets and 1,500 endpoints, one change costs
+/// about 24 transferred entries instead of 1,500.
 using EndpointDigest = std::array<std::uint64_t, 64>;
 /// The digest bucket of an endpoint. It is the same on every router.
 std::size_t digestBucket(const Base::EndpointId &id);
@@ -46,8 +46,8 @@
         Runtime::TimerQueue *timers = nullptr;
         /// Time in which endpoints write their entries again after an outage of the store.
         Base::Duration rewriteTime = std::chrono::milliseconds(2200);
-        /// Maximum number of gone endpoints to remember. Far more than can leave while an older
-        /// entry is still being propagated.
+        /// Maximum number of gone endpoints to remember. It is far above the number of endpoints
+        /// that can go while an older entry is still being propagated.
         std::size_t maxGoneEndpoints = 256;
     };
     struct Entry
--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::ptrdiff_t maxItems = 32; ///< Ends or quarantined requests in one datagram.
-/// Size of a datagram without ends: IP and UDP headers, version and two counts.
+constexpr std::ptrdiff_t maxItems = 32; ///< Crash reports or quarantines in one datagram.
+/// Size of a datagram without crash reports: IP and UDP headers, version and two counts.
 constexpr double emptyDatagramBytes = 46;
-constexpr double crashReportBytes = 16; ///< Size of one request end in a datagram.
+constexpr double crashReportBytes = 16; ///< Size of one crash report in a datagram.
 
 } // namespace
 
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -15,14 +15,16 @@
 namespace Lagoonbank::FleetSync {
 
 /// Gossip about crashes: reports to other routers which requests were running when an endpoint
-/// ended, and which requests are quarantined. A crashing request that reaches each router only once
-/// is thus detected as early as one that reaches the same router every time.
+/// crashed, and which requests are quarantined. A crash report names one such request and the
+/// endpoint. A crashing request that reaches each router only once is thus detected as early as one
+/// that reaches the same router every time.
 ///
-/// The ends under one request are counted by a few routers, chosen by the request's hash, so that
-/// every reporter chooses the same ones: an endpoint that ends with hundreds of requests ends under
-/// all of them, and reporting each to every router would saturate small links. A quarantine is sent
-/// to all routers at once and then repeated to a few of them in every round, so that it also
-/// reaches routers that missed it or started later.
+/// The crashes during one request are counted by a few routers, which are chosen by the request's
+/// hash, so that every reporting router chooses the same ones. An endpoint that crashes while it
+/// runs hundreds of requests causes a crash report for each of them, and sending all of these to
+/// every router would saturate small links. A quarantine is sent to all routers at
+/// once and then repeated to a few of them in every round, so that it also reaches routers that
+/// missed it or started later.
 ///
 /// Pure: time comes from the timers, messages go out through the hooks.
 class CrashGossip
@@ -34,18 +36,18 @@
         std::function<std::vector<Runtime::SocketAddress>()> peers;
         Runtime::SocketAddress self; ///< Address at which peers reach this router.
         std::uint64_t randomSeed = 1;
-        /// Number of routers that count the ends under one request: some of them may be down, cut
-        /// off or restarting.
+        /// Number of routers that count the crashes during one request. There are several because
+        /// some may be down, cut off or restarting.
         std::size_t countingRouters = 8;
-        /// Budget for reports of ends. Reports beyond it are dropped, not delayed.
+        /// Budget for crash reports. Reports beyond it are dropped, not delayed.
         double bytesPerSecond = 1000;
-        /// An endpoint that ends with 64 requests of this router costs 1,100 bytes to each of eight
-        /// peers.
+        /// Maximum size of a burst of crash reports. An endpoint that crashes while it runs 64
+        /// requests of this router costs 1,100 bytes to each of eight peers.
         double burstBytes = 24000;
         /// Time between two rounds in which quarantines are sent again to a few peers.
         Base::Duration interval = std::chrono::seconds(1);
-        /// Peers to which a round sends. Each router receives the quarantines about twice a second,
-        /// and so within 3 s except in one case of 400.
+        /// Number of peers to which each round sends. Each router then receives the quarantines
+        /// about twice a second, and misses them for 3 s only in one case of 400.
         std::size_t resendPeers = 2;
     };
 
@@ -60,12 +62,14 @@
     std::function<void(const Schema::CrashNews &message)> received;
 
     void start();
-    /// Sends the ends in the order given; the last ones are dropped if the budget is too small.
+    /// Sends crash reports in the order given; the last ones are dropped if the budget is too
+    /// small.
     void sendCrashReports(const std::vector<Schema::SharedRequestEnd> &ends);
     /// Sends a new quarantine to all routers.
     void sendQuarantine(const Schema::SharedQuarantine &quarantine);
     void receive(const Schema::CrashNews &message) const;
-    /// Reports of ends that were not sent for lack of budget, one for each receiver.
+    /// Number of crash reports that were not sent for lack of budget. A report counts once for each
+    /// receiver.
     std::uint64_t dropped() const { return m_dropped; }
 
 private:
@@ -76,7 +80,7 @@
     };
 
     void tick();
-    /// Sends as many ends as fit into one datagram.
+    /// Sends as many crash reports as fit into one datagram.
     void sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
                    const std::vector<Router> &routers);
     void resendQuarantined();
--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -108,8 +108,8 @@
         pushState();
 }
 
-/// A read of the endpoints ends before that of a large configuration, so a router may still have to
-/// catch up with the configuration.
+/// A read of the endpoints ends before that of a large configuration, so a router with fresh
+/// endpoints may still have an old configuration.
 bool FleetSync::isBehind() const
 {
     const auto &peers = m_peers.peers();
@@ -178,8 +178,8 @@
 }
 
 /// Collects the changes of one read of the store into one message. A router whose state is old,
-/// such as one that has just been resumed after a suspension, sends no changes: entries that it has
-/// waited for may have come back meanwhile.
+/// such as one that has just been resumed after a suspension, sends no changes: entries that are
+/// missing in its state may have been written again meanwhile.
 void FleetSync::endpointChanged(const Fleet::EndpointDirectory::Entry &entry, bool isGone)
 {
     const auto age = stateAge();
@@ -297,8 +297,9 @@
     return chosen;
 }
 
-/// Peers that get a beacon at this tick. Besides the frequent ones, a leader sends beacons to the
-/// rest of its data centre at a longer interval, and the rest send theirs to the leader.
+/// Peers that get a beacon at this tick. Besides those with frequent beacons, a leader sends
+/// beacons to the rest of its data centre at a longer interval, and these peers send theirs to the
+/// leader.
 std::vector<const Peer *> FleetSync::beaconPeers()
 {
     if (m_isAnnouncing && leadsWithFreshState()) {
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -58,21 +58,22 @@
         /// Maximum age of a leader's state, as its beacons give it. A leader with an older state is
         /// considered to be failing to read the store.
         Base::Duration maxLeaderAge = std::chrono::milliseconds(1600);
-        /// The same for routers that are not standbys: they read the store only if the leader and
-        /// all standbys fail. During a store outage of 8 s, 295 routers that all read made 10,357
-        /// calls.
+        /// Maximum age of the leader's state for routers that are not standbys. They read the store
+        /// only if the leader and all standbys fail. During a store outage of 8 s, 295 routers that
+        /// all read made 10,357 calls.
         Base::Duration maxDeferAge = std::chrono::seconds(5);
         /// A store reader whose last read is no older than this pulls no endpoints from peers; it
         /// reads every 700 ms.
         Base::Duration recentReadAge = std::chrono::milliseconds(1000);
-        /// With fewer peers in its data centre a router never leaves store reads to a failing
-        /// leader. A router whose beacons do not reach the leader is not made a standby; by reading
-        /// itself it notices sooner that the store has recovered.
+        /// Minimum number of peers in its data centre with which a router leaves store reads to a
+        /// failing leader. In smaller data centres even a router that is not a standby (for
+        /// example because its beacons do not reach the leader) reads the store itself then, and
+        /// so notices sooner that the store has recovered.
         std::size_t minPeersToDefer = 8;
-        /// Maximum age of the state that a leader has from the leader that it follows; beyond it,
-        /// it reads the store itself. The followed leader reads every 700 ms, and one of two
-        /// messages in that time may be lost. The limit leaves time for a read before this leader's
-        /// own standbys consider it to be failing.
+        /// Maximum age of the state that a leader has from the leader that it follows; if the
+        /// state is older, this leader reads the store itself. The followed leader reads every 700
+        /// ms, and one of two messages in that time may be lost. The limit leaves time for a read
+        /// before this leader's own standbys consider it to be failing.
         Base::Duration maxFollowedAge = std::chrono::milliseconds(1250);
         /// A leader that follows another one reads the store itself if a pull takes longer than
         /// this, because its data centre then still has to pull the result from it.
@@ -86,11 +87,12 @@
         /// fails. The store answers within 25 ms, or within a second if hundreds of routers read at
         /// the same time.
         Base::Duration firstReadTimeout = std::chrono::milliseconds(500);
-        /// The store answers a first read within 25 ms. If a read has waited longer than this, the
-        /// store is slow or unavailable.
+        /// Time after which a pending first read shows that the store is slow or unavailable. It
+        /// normally answers within 25 ms.
         Base::Duration storeAnswerTimeout = std::chrono::milliseconds(100);
-        /// Time within which a configuration that another data centre has also arrives from the
-        /// store or from the leader of the own data centre.
+        /// Time that a router waits for a configuration that another data centre already has to
+        /// arrive from the store or from the leader of its own data centre, before it pulls the
+        /// configuration from the other data centre.
         Base::Duration localSourceTimeout = std::chrono::milliseconds(200);
         /// Minimum time between two pulls, from any peer, while a difference persists.
         Base::Duration pullInterval = std::chrono::milliseconds(400);
@@ -173,7 +175,7 @@
     /// Addresses of all routers that are registered or have sent a beacon and are not shutting
     /// down.
     std::vector<Runtime::SocketAddress> peerAddresses() const;
-    /// Ids of the same routers.
+    /// Ids of the routers in peerAddresses().
     std::vector<std::string> peerIds() const;
 
 private:
@@ -228,20 +230,22 @@
     bool m_isPulling = false;
     std::string m_pulledFrom; ///< Id of the peer of the last pull.
     std::uint64_t m_pulledConfiguration = 0; ///< Revision of that peer when the pull began.
-    int m_failedPulls = 0; ///< Consecutive ones, including the one in flight.
+    int m_failedPulls = 0; ///< Consecutive pulls without an answer, the one in flight included.
     /// Pulls have not resolved a difference, so this router has to read the store itself.
     bool m_requiresStoreRead = false;
     /// Time since which another data centre has a newer configuration than this router.
     std::optional<Base::MonoTime> m_behindSince;
-    Base::MonoTime m_localBeaconsAt{}; ///< Last beacons to infrequent peers.
+    /// Time of the last beacons to peers without frequent beacons.
+    Base::MonoTime m_localBeaconsAt{};
     std::vector<Schema::SharedEndpoint> m_changes; ///< Changes not sent to the peers yet.
     std::optional<Runtime::TimerId> m_changesTimer;
     bool m_isLeader = true;
     bool m_isReading = true;
-    bool m_hasFollowed = false; ///< It followed another leader until now and has not read yet.
+    /// Whether this leader followed another one before it began to read, and has not read yet.
+    bool m_hasFollowed = false;
     bool m_isLeaving = false;
     bool m_isAnnouncing = false; ///< Sends the next beacons to the whole data centre.
-    Base::MonoTime m_pushedAt{}; ///< When the state was last sent to the frequent peers.
+    Base::MonoTime m_pushedAt{}; ///< Time of the last pushState().
     Runtime::TimerId m_startTimer;
     Runtime::TimerId m_pullTimer; ///< Timeout of a pull by a leader that follows another one.
     Runtime::TimerId m_timer;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -107,8 +107,8 @@
         requireStoreRead();
 }
 
-/// After the last failed pull that is allowed, the store is read at once: the next beacon of the
-/// peer may come up to 0.5 s later.
+/// After maxFailedPulls failed pulls the router reads the store at once. The next beacon of the
+/// peer, which would also cause the read, may come up to 0.5 s later.
 void FleetSync::pullFailed()
 {
     m_isPulling = false;
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -8,20 +8,23 @@
 
 namespace {
 
-/// Margin after the time from which a leader is considered failing, so that a timer runs past it.
+/// Added to the delay of m_leaderTimer, so that the leader already counts as failing when the timer
+/// expires.
 constexpr Base::Duration readMargin = std::chrono::milliseconds(1);
 
 } // namespace
 
+/// Decides whether this router leads and whether it reads the store.
+///
 /// The strongest living router of a data centre leads. If its state is not fresh, the next
 /// strongest leads as well. A starting router reads the store at first, while stronger ones
 /// announce themselves. A leader reads the store unless it can follow a leader of another data
 /// centre that outranks it.
 void FleetSync::updateRole()
 {
-    // A router without any state reads, whoever else does. It also reads while pulls have not
-    // resolved a difference and while its directory is unsure of entries that may come back, as
-    // peers that are not waiting for them would not report them.
+    // A router without any state reads the store, whether or not another router does. It also
+    // reads while a difference persists after pulls, and while its directory holds unconfirmed
+    // entries: peers that have no such entries would not report what became of them.
     const bool mustRead =
         !m_freshness.asOf() || m_requiresStoreRead || m_options.directory->hasUnconfirmedEntries();
     const bool leads = mustRead || !(hasLeader() || expectsLeader());
--- a/src/libs/fleetsync/loadgossip.h
+++ b/src/libs/fleetsync/loadgossip.h
@@ -27,8 +27,8 @@
         std::function<std::vector<Runtime::SocketAddress>()> peers;
         std::uint64_t randomSeed = 1;
         Base::Duration interval = std::chrono::milliseconds(100);
-        /// Intervals between two messages while no endpoint is far above the average load, when
-        /// there are only average loads to send.
+        /// Number of intervals between two messages while no endpoint is far above the average
+        /// load. Messages then contain only average loads.
         int idleIntervals = 10;
     };
 
@@ -38,9 +38,9 @@
     LoadGossip &operator=(const LoadGossip &) = delete;
 
     std::function<void(const Runtime::SocketAddress &to, const Schema::LoadNews &message)> send;
-    /// Returns the loads to send, as this router has them now.
+    /// Returns the loads that this router has now, to be sent to peers.
     std::function<Schema::LoadNews()> latest;
-    /// Called for each message of a peer; it arrived \a delay ago.
+    /// Called for each message of a peer. The message arrived \a delay ago.
     std::function<void(const Schema::LoadNews &message, Base::Duration delay)> received;
 
     void start();
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -30,7 +30,7 @@
 }
 
 const Peer &PeerTable::receive(const std::string &fromIp, const Schema::FleetBeacon &beacon,
-                               Base::MonoTime at, bool &isNew)
+                               Base::MonoTime earliestArrival, bool &isNew)
 {
     Peer &peer = m_peers[beacon.router];
     const bool isFirstSeen = peer.id.empty();
@@ -38,14 +38,15 @@
     peer.id = beacon.router;
     peer.dataCentre = beacon.dataCentre;
     peer.address = {fromIp, static_cast<std::uint16_t>(beacon.port)};
-    peer.lastBeaconAt = at;
+    peer.lastBeaconAt = earliestArrival;
     peer.strength = beacon.strength;
     peer.isLeading = beacon.isLeading;
     peer.isReading = beacon.isReading;
     peer.isLeaving = beacon.isLeaving;
     peer.isWaiting = beacon.isWaiting;
     peer.hasState = beacon.knowledgeAgeMs != std::numeric_limits<std::uint32_t>::max();
-    peer.stateAsOf = at - (isLocal(peer) ? m_options.localTransit : m_options.remoteTransit)
+    peer.stateAsOf = earliestArrival
+        - (isLocal(peer) ? m_options.localTransit : m_options.remoteTransit)
         - std::chrono::milliseconds(peer.hasState ? beacon.knowledgeAgeMs : 0);
     peer.configuration = beacon.configuration;
     peer.endpoints = beacon.endpoints;
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -61,16 +61,16 @@
         std::uint64_t randomSeed = 1;
         /// Time between two beacons among a leader and its standbys, and among leaders.
         Base::Duration beaconInterval = std::chrono::milliseconds(500);
-        /// Bytes a second that a leader sends to the rest of its data centre; it receives about as
-        /// many. Together with the beacons of standbys and other leaders that stays under 5,000,
-        /// the limit for a router's control traffic.
+        /// Bytes per second that a leader sends to routers of its data centre that are not
+        /// standbys; it receives about as many. Together with the beacons of standbys and other
+        /// leaders that stays under 5,000, the limit for a router's control traffic.
         double localBytesPerSecond = 1600;
         /// Size of a beacon with UDP and IP headers, for names of 20 letters.
         double beaconBytes = 105;
         /// Number of standbys: two, as a leader and its first standby may fail at the same time.
         std::size_t standbys = 2;
-        /// Intervals without a beacon after which a peer is considered dead: two lost beacons and
-        /// some delay.
+        /// Number of beacon intervals without a beacon after which a peer is considered dead. It
+        /// allows for two lost beacons and some delay.
         double missedIntervals = 2.6;
         /// Maximum transit time of a beacon within a data centre and between two. It is added to
         /// the age of the sender's state: ages that are passed back and forth would otherwise
@@ -78,10 +78,11 @@
         /// unavailable.
         Base::Duration localTransit = std::chrono::milliseconds(5);
         Base::Duration remoteTransit = std::chrono::milliseconds(50);
-        /// Other data centres to which a leader sends a beacon in each interval; they propagate its
-        /// content.
+        /// Number of other data centres to which a leader sends a beacon in each interval. They
+        /// propagate its content to the rest.
         std::size_t contacts = 2;
-        /// The same for the store reader, which their leaders follow.
+        /// Number of other data centres to which the store reader sends a beacon in each interval.
+        /// It is larger because their leaders follow the store reader.
         std::size_t readerContacts = 5;
     };
 
@@ -90,10 +91,10 @@
     /// Adds a registered router. Returns null if it is this one or has already sent a beacon.
     const Peer *add(const std::string &id, const std::string &dataCentre,
                     const Runtime::SocketAddress &address, std::uint32_t strength);
-    /// Updates the sender of a beacon that arrived \a at this time or later. Sets \a isNew if it is
-    /// the first beacon of this peer.
+    /// Updates the sender of a beacon that arrived at \a earliestArrival or later. Sets \a isNew if
+    /// it is the first beacon of this peer.
     const Peer &receive(const std::string &fromIp, const Schema::FleetBeacon &beacon,
-                        Base::MonoTime at, bool &isNew);
+                        Base::MonoTime earliestArrival, bool &isNew);
 
     /// Records that this router has sent a beacon to \a peer.
     void setBeaconSent(const Peer &peer) { m_peers[peer.id].isBeaconSent = true; }
@@ -135,7 +136,7 @@
     std::size_t otherDataCentres() const { return m_sizes.size() - (localCount() > 0 ? 1 : 0); }
     const Peer *contactIn(const std::string &dataCentre);
     static const Peer *strongestOf(const std::vector<const Peer *> &peers);
-    /// Order in which routers of a data centre lead.
+    /// Whether \a a precedes \a b in the order in which routers of a data centre lead.
     static bool isStrongerThan(const Peer *a, const Peer *b);
 
     Options m_options;
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -30,13 +30,14 @@
         /// second, of which the beacons of a store reader take 1,600 in each direction. Prompts
         /// beyond the budget are dropped.
         double bytesPerSecond = 1500;
-        /// Each router of a starting fleet reports all its prompts within one or two seconds:
-        /// 50 datagrams to each of seven peers.
+        /// Maximum size of a burst. Each router of a starting fleet reports all its prompts within
+        /// one or two seconds, in 50 datagrams to each of seven peers.
         double burstBytes = 24000;
         /// Time for which prompts at new endpoints are collected into one datagram. When an
         /// endpoint crashes, its requests are placed again by many routers within a few ms.
         Base::Duration newPromptDelay = std::chrono::milliseconds(1);
-        /// The same for prompts that are only used again at the endpoint that holds them.
+        /// Time for which prompts are collected that are only used again at the endpoint that holds
+        /// them.
         Base::Duration usedPromptDelay = std::chrono::milliseconds(1500);
     };
 
@@ -48,8 +49,9 @@
     std::function<void(const Runtime::SocketAddress &to, const Schema::PromptNews &message)> send;
     std::function<void(const Schema::SharedPrompt &prompt)> received;
 
-    /// Reports the holder of a prompt. \a isNew is false if the prompt is only used there again; it
-    /// is then sent only from the half of the budget that is not reserved for new prompts.
+    /// Reports the holder of a prompt: the endpoint that has it in its cache. \a isNew is false if
+    /// the holder has not changed; the report then uses only the half of the burst budget that is
+    /// not reserved for new prompts.
     void report(const Schema::SharedPrompt &prompt, bool isNew);
     void receive(const Schema::PromptNews &message) const;
     /// Prompts that were not sent to the peers for lack of budget or of space in a datagram.
@@ -62,7 +64,7 @@
 
     Options m_options;
     Admission::Gcra m_bytes;
-    Schema::PromptNews m_pending; ///< Not sent to the peers yet.
+    Schema::PromptNews m_pending; ///< Prompts that have not been sent to the peers yet.
     std::size_t m_newCount = 0; ///< Number of new prompts, which are first in m_pending.
     std::optional<Runtime::TimerId> m_timer;
     std::uint64_t m_dropped = 0;
--- a/src/libs/fleetsync/quarantinelog.h
+++ b/src/libs/fleetsync/quarantinelog.h
@@ -14,9 +14,10 @@
 
 /// Stores quarantined requests in a keyed log, so that a quarantine survives a restart of all
 /// routers at once. Without it no router would be left to propagate the quarantine, and each
-/// request would end three more endpoints. Each key is the fingerprint of a request. A router
-/// deletes a key when it has had it for the duration of a quarantine by its own steady clock: with
-/// wall clocks, one router whose clock is wrong would end the quarantine for all routers.
+/// request would crash three more endpoints. Each key is the fingerprint of a request. A router
+/// deletes a key once the duration of a quarantine has passed since the router first read the key.
+/// It uses its steady clock: with wall clocks, one router whose clock is wrong would end the
+/// quarantine for all routers.
 class QuarantineLog
 {
 public:
@@ -25,7 +26,7 @@
         KeyedLog::KeyedWrite write;
         Runtime::TimerQueue *timers = nullptr;
         Base::Duration retention = std::chrono::hours(1); ///< Time after which a key is deleted.
-        PlatformClient::Backoff::Options backoff; ///< Between two attempts to write.
+        PlatformClient::Backoff::Options backoff; ///< Delay between two attempts to write.
     };
 
     explicit QuarantineLog(Options options);
--- a/src/libs/fleetsync/routerregistry.h
+++ b/src/libs/fleetsync/routerregistry.h
@@ -24,7 +24,7 @@
         std::string dataCentre;
         Runtime::SocketAddress address;
         std::uint32_t strength = 0; ///< See FleetBeacon.
-        PlatformClient::Backoff::Options backoff; ///< Between two attempts.
+        PlatformClient::Backoff::Options backoff; ///< Delay between two attempts.
     };
 
     explicit RouterRegistry(Options options);
--- a/src/libs/fleetsync/storefreshness.cpp
+++ b/src/libs/fleetsync/storefreshness.cpp
@@ -24,13 +24,13 @@
     return now < m_backlogUntil ? m_suspendedAt : now;
 }
 
-/// Outages count as one if endpoints had no time to write their entries in between. A gap that
-/// begins right after an outage is treated as its second part, whatever its cause.
+/// Two outages count as one if endpoints had no time to write their entries in between. A gap that
+/// begins right after an outage is treated as part of that outage, whatever its cause.
 bool StoreFreshness::mayHaveExpired(Base::MonoTime asOf, bool isReadOverdue)
 {
     const Base::Duration availableFor = *m_asOf - m_availableSince;
     const bool isOutage = m_hasFailed || isReadOverdue || availableFor <= m_options.briefRecovery;
-    // A router without a failed read of its own may just have lost its store reader.
+    // If no read of this router has failed, the gap may only mean that the store reader died.
     if (!isOutage)
         return asOf - *m_asOf > m_options.minExpiryOutage;
     if (asOf - *m_asOf <= m_options.maxReadInterval)
--- a/src/libs/fleetsync/storefreshness.h
+++ b/src/libs/fleetsync/storefreshness.h
@@ -20,13 +20,14 @@
         /// heartbeats of 1.2 s, of which one may have passed when the store became unavailable. A
         /// store reader that dies leaves a gap of only 2 s.
         Base::Duration minExpiryOutage = std::chrono::milliseconds(2300);
-        /// Maximum time between two reads. If reads have failed, a longer time is a gap.
+        /// Maximum time between two reads. If a read has failed, a longer time counts as a gap in
+        /// the availability of the store.
         Base::Duration maxReadInterval = std::chrono::milliseconds(800);
         /// If the store was available for no longer than this between two gaps, most endpoints had
         /// no chance to write, as they write every 1.2 s.
         Base::Duration briefRecovery = std::chrono::milliseconds(250);
-        /// Time in which endpoints write their entries again after the store has recovered: 2 s,
-        /// and a read.
+        /// Time within which endpoints have written their entries again after the store has
+        /// recovered (2 s), and a router has read them.
         Base::Duration rewriteTime = std::chrono::milliseconds(2200);
     };
 
@@ -39,13 +40,13 @@
     const std::optional<Base::MonoTime> &asOf() const { return m_asOf; }
     /// When this router last read the store itself.
     const std::optional<Base::MonoTime> &readAt() const { return m_readAt; }
-    /// Whether a read has failed since.
+    /// Whether a read has failed since the last successful one.
     bool hasFailed() const { return m_hasFailed; }
 
-    /// Returns the earliest time at which a message that is read now may have arrived: messages
-    /// that arrived while the process was suspended have waited in its sockets, and their content
-    /// is as old as that. To be called whenever the process is active, so that suspensions are
-    /// noticed.
+    /// Returns the earliest time at which a message that is read now may have arrived. Messages
+    /// that arrived while the process was suspended have waited in its sockets, so their content
+    /// may be as old as the suspension. To be called whenever the process is active, so that
+    /// suspensions are noticed.
     Base::MonoTime arrivalTime();
     /// Whether entries may have expired between the time of the current state and \a asOf. Requires
     /// a state. \a isReadOverdue says that a read by this router has waited longer than the store
@@ -54,7 +55,7 @@
     /// Records that the state reflects the store up to \a asOf; returns whether entries may have
     /// expired since the previous state.
     bool advanceTo(Base::MonoTime asOf, bool isReadOverdue);
-    /// The same for a successful read by this router.
+    /// Records a successful read by this router, with the effects of advanceTo().
     bool readSucceeded(bool isReadOverdue);
     void readFailed() { m_hasFailed = true; }
     /// To be called when this router stops reading: a failed read says nothing about later outages.
@@ -69,7 +70,8 @@
     Base::MonoTime m_outageStartedAt{}; ///< Start of the gaps that count as one outage.
     Base::MonoTime m_activeAt; ///< When the process was last active.
     Base::MonoTime m_suspendedAt{}; ///< Start of the last suspension.
-    Base::MonoTime m_backlogUntil{}; ///< Messages read earlier may have waited since then.
+    /// Messages that are read before this time may have waited since m_suspendedAt.
+    Base::MonoTime m_backlogUntil{};
 };
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -18,10 +18,10 @@
 /// Priority of a request that waits for a free slot. The lowest value is served first.
 struct QueuePriority
 {
-    /// Whether the request was sent before. Such a request is served first, as part of its work is
-    /// done, but it may be excluded from some endpoints.
+    /// Whether the request was sent to an endpoint before. Such a request is served before others,
+    /// as part of its work is done, but it may be excluded from some endpoints.
     bool isRepeat = false;
-    double usableShare = 1; ///< Fraction of the slots; see LoadShedder.
+    double usableShare = 1; ///< Fraction of the slots that the request may fill; see LoadShedder.
     Urgency urgency;
 
     /// Negative if this priority is served before the other, 0 if they are equal.
@@ -29,9 +29,9 @@
 };
 
 /// Queues of requests that found no endpoint with a free slot, in the order in which they are
-/// served. A freed slot wakes the first waiter, and the next ones while slots are left. Waiters
-/// don't poll; a refusal would take about as much processor time if each of them retried every 10
-/// ms (16.5 us compared to 15 us, within the noise of the measurement).
+/// served. A freed slot wakes the first waiter, and the next ones while slots are free. Waiters
+/// don't poll. The processor time per refusal would be about the same if each of them retried every
+/// 10 ms (16.5 us compared to 15 us, a difference within the measurement error).
 class AdmissionQueue
 {
 public:
@@ -47,22 +47,22 @@
     struct Options
     {
         Runtime::TimerQueue *timers = nullptr;
-        /// Interval at which the first waiter retries if no request has ended: the estimate of the
-        /// requests that other routers have at an endpoint decreases with time. An engine completes
-        /// a request every 20 to 50 ms.
+        /// Interval at which the first waiter retries if no request has ended. It may find a free
+        /// slot then, as the estimated number of other routers' requests decreases with time. An
+        /// engine completes a request every 20 to 50 ms.
         Base::Duration retryInterval = std::chrono::milliseconds(10);
-        /// Maximum number of waiters of one queue. They wait for tens of milliseconds, in which no
-        /// router gets more free slots than that.
+        /// Maximum number of waiters in one queue. Waiters wait for tens of milliseconds, and no
+        /// router gets more free slots than this in that time.
         std::size_t maxWaiters = 256;
         /// Number of failed placement attempts after which the remaining waiters are not tried.
-        /// More than one, as the first waiters may be excluded from the endpoint that has a free
-        /// slot.
+        /// It is more than one, as the first waiters may be excluded from the endpoint that has a
+        /// free slot.
         int maxFailedAttempts = 3;
     };
     struct Waiter
     {
         QueuePriority priority;
-        bool mayRepeat = false; ///< Such a request may be a trial of a suspect endpoint.
+        bool mayRepeat = false; ///< May be sent twice, and so be a trial of a suspected endpoint.
         Base::MonoTime deadline; ///< The waiter fails at this time.
         /// Tries to place the request. True if it need not wait any longer.
         std::function<bool()> tryPlace;
@@ -83,8 +83,8 @@
     AdmissionQueue(const AdmissionQueue &) = delete;
     AdmissionQueue &operator=(const AdmissionQueue &) = delete;
 
-    /// Adds a waiter. Nothing if the queue is full and none of its waiters has a lower priority;
-    /// otherwise the last waiter of a full queue fails.
+    /// Adds a waiter. If the queue is full, its last waiter is removed and fails. If that has no
+    /// lower priority than the new waiter, nothing is added and nullopt is returned.
     std::optional<Ticket> add(const QueueId &queueId, Waiter waiter);
     void remove(const Ticket &ticket);
     /// Whether a new request must wait without an attempt of its own: a waiter that is served
--- a/src/libs/gateway/averageload.cpp
+++ b/src/libs/gateway/averageload.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// An endpoint that answers a request has at least that one.
+/// Minimum load in a report, as the endpoint has at least the request that it answers.
 constexpr double minimumRequests = 1;
 
 double inverseOf(double requests)
--- a/src/libs/gateway/averageload.h
+++ b/src/libs/gateway/averageload.h
@@ -43,6 +43,7 @@
 
     Options m_options;
     double m_inverse = 0;
+    /// Time of the last report or peer estimate.
     std::optional<Base::MonoTime> m_at;
     std::optional<Base::MonoTime> m_reportedAt;
 };
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -36,10 +36,11 @@
         /// Factor applied to the admitted share after an interval in which the delay was above the
         /// target throughout.
         double decreaseFactor = 0.5;
-        /// Added to the admitted share after an interval in which the delay was below the target.
+        /// Added to the admitted share after an interval in which the delay was at or below the
+        /// target at least once.
         double raise = 0.1;
-        /// Minimum of the admitted share. Some requests are always admitted, to detect that there
-        /// is processor time again.
+        /// Minimum of the admitted share. Some requests are always admitted, so that the router
+        /// notices when it has processor time again.
         double minAdmittedShare = 0.05;
         /// Minimum share of each urgency, relative to the admitted share of all requests; see
         /// LoadShedder.
@@ -48,11 +49,11 @@
         /// limited to that multiple, whether or not the delay is above the target. Callers that
         /// retry immediately therefore displace nobody else.
         double greedyFactor = 2.5;
-        /// Half-life of the arrival counts; bursts last some seconds.
+        /// Half-life of the arrival counts. Bursts of requests last some seconds.
         Base::Duration halfLife = std::chrono::seconds(3);
         /// Minimum number of requests of a workspace before it can be limited.
         double minRequests = 6;
-        /// Maximum value of retryAfter(); callers wait for some seconds at most.
+        /// Maximum value of retryAfter(). The timeouts of callers are a few seconds.
         Base::Duration maxRetryAfter = std::chrono::seconds(1);
         std::uint64_t randomSeed = 1;
     };
--- a/src/libs/gateway/callerrequest.h
+++ b/src/libs/gateway/callerrequest.h
@@ -40,9 +40,9 @@
     Http::Headers headers; ///< Forwarded to the endpoint unchanged.
     std::string body;
     std::optional<std::string> key; ///< Identifies the caller's workspace.
-    std::optional<Base::MonoTime> cameAt; ///< When its bytes arrived; if unset, when it was read.
-    std::optional<Base::Duration>
-        remainingTimeout; ///< Timeout of the caller, counted from arrival.
+    /// When the bytes of the request arrived. If unset, the time at which it was read is used.
+    std::optional<Base::MonoTime> cameAt;
+    std::optional<Base::Duration> remainingTimeout; ///< Caller's timeout, counted from arrival.
     std::optional<std::uint64_t> resumeAfter; ///< Id of the last stream event that the caller has.
     std::optional<Prompt> prompt;
 };
--- a/src/libs/gateway/concurrencylimit.h
+++ b/src/libs/gateway/concurrencylimit.h
@@ -6,9 +6,9 @@
 namespace Lagoonbank::Gateway {
 
 /// Adaptive limit (AIMD) of the requests that this router has in flight at the endpoints of one
-/// service. Answers of endpoints with free slots raise the limit, by one for each limit's worth of
-/// answers (additive increase). Requests that queue at an endpoint or are rejected by it lower the
-/// limit by a factor (multiplicative decrease).
+/// service. Answers of endpoints with free slots raise the limit: by one after as many answers as
+/// the limit allows requests in flight (additive increase). Requests that queue at an endpoint or
+/// are rejected by it lower the limit by a factor (multiplicative decrease).
 ///
 /// In a fleet of many routers no router can rely on load reports alone: it receives reports of each
 /// endpoint so seldom that all routers see free slots where there are none.
@@ -29,11 +29,12 @@
         /// Minimum time between two decreases: reports that follow a decrease still reflect the
         /// requests sent before it.
         Base::Duration decreaseInterval = std::chrono::milliseconds(300);
-        double raise = 1; ///< Added for each limit's worth of answers.
+        /// Added to the limit after as many answers as the limit allows requests in flight.
+        double raise = 1;
         /// Minimum of the limit, relative to the router's fair share of all slots.
         double minShare = 0.5;
-        /// Maximum of the limit, relative to the router's fair share of all slots, so that the
-        /// limit falls quickly when load rises.
+        /// Maximum of the limit, relative to the router's fair share of all slots. It bounds
+        /// the limit so that it falls quickly to a suitable value when load rises.
         double maxShare = 4;
     };
 
--- a/src/libs/gateway/crashwatch.h
+++ b/src/libs/gateway/crashwatch.h
@@ -37,8 +37,8 @@
         /// break within a round trip.
         Base::Duration checkDelay = std::chrono::milliseconds(5);
         /// Time between two checks of the same endpoint. It limits the connections made to an
-        /// endpoint that breaks many answers without crashing, and is too short for a crashed
-        /// endpoint to be back.
+        /// endpoint that breaks many answers without crashing. A crashed endpoint does not restart
+        /// within this time, so no crash is missed.
         Base::Duration checkInterval = std::chrono::milliseconds(200);
         /// Time for which crashes are collected before requests are blamed. A network cut shows at
         /// all endpoints within some tens of milliseconds.
@@ -57,8 +57,8 @@
     /// Records that the answer to \a request from \a endpoint has broken off.
     void answerBroke(const EndpointPtr &endpoint, RequestFingerprint request);
 
-    /// Called when an endpoint has crashed while running \a requests, any of which may be the
-    /// cause. Each request is listed once.
+    /// Called when \a endpoint has crashed while running \a requests, any of which may have caused
+    /// the crash. Each request is listed once.
     std::function<void(const EndpointRecord &endpoint,
                        const std::vector<RequestFingerprint> &requests)>
         crashed;
@@ -72,7 +72,8 @@
     struct BrokenEndpoint
     {
         EndpointPtr endpoint;
-        std::vector<RequestFingerprint> requests; ///< Requests that broke since the last check.
+        /// Requests whose answers broke since the last check.
+        std::vector<RequestFingerprint> requests;
         std::optional<Runtime::TimerId> timer; ///< Set until the next check, unset while it runs.
     };
 
--- a/src/libs/gateway/endpointhealth.h
+++ b/src/libs/gateway/endpointhealth.h
@@ -30,8 +30,8 @@
         /// broken answer. Such failures occur within a round trip, whereas an engine that fails by
         /// itself does so at intervals of tens of milliseconds.
         Base::Duration failureBurst = std::chrono::milliseconds(5);
-        /// Time for which an endpoint that refused a request as full receives no new requests; a
-        /// few of its running requests end meanwhile.
+        /// Time for which an endpoint that refused a request as full receives no new requests. A
+        /// few of its running requests end within this time and free their slots.
         Base::Duration fullBackOff = std::chrono::milliseconds(150);
     };
 
@@ -42,8 +42,9 @@
     /// Records the outcome of a request at \a endpoint: a usable answer or a failure. \a request is
     /// named in the log line if the endpoint's state changes.
     void answered(EndpointRecord &endpoint, bool isGood, const Base::RequestId &request) const;
-    /// Records that \a endpoint provably did not run a request: either because it was full, or
-    /// because another endpoint has its address now, which is permanent.
+    /// Records that \a endpoint has refused a request and provably did not run it. Either the
+    /// endpoint was full, or \a isOtherEndpoint says that another endpoint has its address now,
+    /// which is permanent.
     void requestRefused(EndpointRecord &endpoint, bool isOtherEndpoint,
                         const Base::RequestId &request) const;
 
--- a/src/libs/gateway/endpointprotocol.h
+++ b/src/libs/gateway/endpointprotocol.h
@@ -35,14 +35,14 @@
 /// Information in the head of an endpoint's answer beyond status and headers.
 struct HeadFacts
 {
-    bool isOwn = false; ///< The answer belongs to this request.
+    bool isOwn = false; ///< The answer is one to this request, not to another.
     bool isNotRun = false; ///< The request did not run and never will.
     bool isOtherEndpoint = false; ///< The address is in use by another endpoint now.
     std::optional<LoadReport> load;
     bool isLeaving = false; ///< The endpoint accepts no new requests any more.
     bool isWarmingUp = false; ///< The endpoint is cold and can handle few requests yet.
-    std::optional<Base::Duration>
-        backOffTime; ///< This router must send it no request for this time.
+    /// Time for which this router must send the endpoint no request.
+    std::optional<Base::Duration> backOffTime;
 };
 
 /// Encodes requests to endpoints and decodes their answers. Provided by an adapter.
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -38,6 +38,7 @@
 private:
     double m_mean = 0;
     bool m_hasPrior = false;
+    /// Time of the last observation.
     std::optional<Base::MonoTime> m_at;
 };
 
@@ -48,7 +49,7 @@
 {
     bool isLeaving = false; ///< The endpoint takes no new requests.
     bool isReplaced = false; ///< Another endpoint answered at its address.
-    Base::MonoTime backOffUntil{}; ///< The endpoint asked for no requests before.
+    Base::MonoTime backOffUntil{}; ///< The endpoint accepts no requests before this time.
 
     bool operator==(const EndpointNotice &) const = default;
 };
@@ -65,7 +66,8 @@
     bool isUnreachable = false; ///< No connection can be opened; see Reachability.
     EndpointNotice notice;
     WarmupRecord warmup;
-    /// Requests broke and a new connection failed; the endpoint is cold when it is reachable again.
+    /// Connections with requests in flight broke and no new one could be opened. The endpoint is
+    /// cold when it is reachable again.
     bool hasCrashed = false;
     Base::MonoTime fullUntil{}; ///< End of the back-off after it refused a request as full.
     bool isGone = false; ///< Its entry was removed; requests may still be in flight.
@@ -139,23 +141,26 @@
         /// Maximum age of a report whose queued requests show that the endpoint has no free slots.
         /// Requests take a few seconds.
         Base::Duration waitingReportLifetime = std::chrono::milliseconds(600);
-        /// Minimum number of queued requests for that, as a fraction of the slots. Some requests
+        /// An endpoint counts as one without free slots if it reports more queued requests than
+        /// this fraction of its slots. A lower limit would be wrong too often, as some requests
         /// queue briefly whenever the endpoint prefills a prompt that is not in its cache. With 0
         /// and 0.15, requests that would have been answered in time were refused during a start
         /// with cold caches.
         double waitingShare = 0.4;
-        /// Half-life of the reported requests of other routers, used if this router has too few of
-        /// its own to estimate the trend.
+        /// Half-life of the estimated number of requests of other routers at an endpoint since its
+        /// last report. Used if this router had too few requests of its own there to estimate the
+        /// trend.
         Base::Duration othersHalfLife = std::chrono::seconds(1);
         /// Fraction of the target latency from which an answer is late. Late answers lower the
         /// fraction of an endpoint's slots that is used, other answers raise it again.
         double lateShare = 0.5;
-        /// Change of that fraction per late answer; other answers change it by a quarter of this.
+        /// Decrease of EndpointRecord::timelyShare per late answer; any other answer increases it
+        /// by a quarter of this.
         double timelyShareStep = 0.06;
-        /// Minimum interval between two steps down, as answers to requests that were sent before a
-        /// step do not show its effect yet.
+        /// Minimum interval between two decreases of timelyShare, as answers to requests that were
+        /// sent before a decrease do not show its effect yet.
         Base::Duration timelyInterval = std::chrono::milliseconds(150);
-        /// Minimum fraction of its slots. Below this load, late answers have other causes, such as
+        /// Minimum of timelyShare. Below this load, late answers have other causes, such as
         /// the prefill of prompts that are not cached.
         double minimumTimelyShare = 0.6;
         WarmupQuota::Options warmupQuota;
--- a/src/libs/gateway/eventsplitter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -35,7 +35,7 @@
     return std::nullopt;
 }
 
-/// The end of the first event in \a text, searched from \a from; nothing if it is incomplete.
+/// The end of the first event in \a text, searched from \a from; unset if it is incomplete.
 std::optional<std::size_t> endOfEvent(std::string_view text, std::size_t from)
 {
     const std::size_t plain = text.find(eventEnd, from);
--- a/src/libs/gateway/eventsplitter.h
+++ b/src/libs/gateway/eventsplitter.h
@@ -29,7 +29,7 @@
 
 private:
     std::string m_remainder;
-    std::size_t m_searchedBytes = 0; ///< Bytes of the remainder without an end of an event.
+    std::size_t m_searchedBytes = 0; ///< Leading bytes of the remainder with no end of an event.
 };
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/fleetretrybudget.h
+++ b/src/libs/gateway/fleetretrybudget.h
@@ -10,19 +10,20 @@
 
 namespace Lagoonbank::Gateway {
 
-/// One router's part of the retry budget that all routers of a fleet share. In any window, a
-/// service may have as many retries as a ratio of its requests, plus a slack for the whole fleet
-/// that is divided equally among the routers.
+/// One router's part of the retry budget that all routers of a fleet share. In any window, the
+/// retries of a service are limited to a ratio of its requests plus a fixed number. The fixed
+/// number, the slack, applies to the whole fleet and is divided equally among the routers.
 class FleetRetryBudget
 {
 public:
     struct Options
     {
-        double ratio = 0.1; ///< Retries for each request.
+        double ratio = 0.1; ///< Retries allowed per request.
         Base::Duration window = std::chrono::seconds(10);
-        double slack = 0; ///< Retries in a window beyond the ratio, for the whole fleet.
-        /// Part of the budget that is used. The rest covers differences between the routers' counts
-        /// of their peers, and windows that are not aligned with this router's.
+        /// Retries of the whole fleet allowed per window in addition to the ratio.
+        double slack = 0;
+        /// Part of the budget that this router uses. The rest is a safety margin: routers may count
+        /// different numbers of peers, and their windows are not aligned with each other.
         double usedShare = 0.7;
     };
 
@@ -35,9 +36,9 @@
     void setRouterCount(int routers) { m_routers = routers > 1 ? routers : 1; }
 
     void requestArrived(const Base::ServiceId &service, Base::MonoTime now);
-    /// Withdraws one retry; returns false without withdrawing if none remains.
+    /// Takes one retry from the budget; returns false and takes none if none remains.
     bool spend(const Base::ServiceId &service, Base::MonoTime now);
-    /// Returns a withdrawn retry that reached no endpoint to the budget.
+    /// Adds a retry that was taken from the budget but reached no endpoint to the budget again.
     void refund(const Base::ServiceId &service, Base::MonoTime now);
     /// Retries that remain in the current window.
     double remaining(const Base::ServiceId &service, Base::MonoTime now);
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -126,8 +126,8 @@
     m_endpoints.setRouterCount(m_routerCount);
     const Base::MonoTime now = m_options.loop->clock().now();
     for (const auto &[service, endpoints] : m_endpoints.services()) {
-        const double places = m_endpoints.totalSlots(service, now);
-        concurrencyLimit(service).setCapacity(places, static_cast<double>(m_routerCount));
+        const double totalSlots = m_endpoints.totalSlots(service, now);
+        concurrencyLimit(service).setCapacity(totalSlots, static_cast<double>(m_routerCount));
     }
 }
 
@@ -220,9 +220,9 @@
     const EndpointPtr endpoint = m_endpoints.findByStart(holding.endpoint);
     if (!endpoint)
         return; // Removed, or not known yet; a later request announces the prompt again.
-    PromptHolding known = holding;
-    known.memory = memoryOf(endpoint->info.service);
-    m_prompts.mergeHolding(known, m_options.loop->clock().now());
+    PromptHolding completed = holding;
+    completed.memory = memoryOf(endpoint->info.service);
+    m_prompts.mergeHolding(completed, m_options.loop->clock().now());
 }
 
 void Gateway::endpointEnded(const EndpointRecord &endpoint,
@@ -241,7 +241,8 @@
             part, "Endpoint terminated while processing a request.",
             {{"endpoint", endpoint.info.id.value()}, {"asks", toString(request)}});
     }
-    // Announces the requests that have crashed endpoints before first: they are the likelier cause.
+    // Requests that have crashed endpoints before are announced first, as they are the likelier
+    // cause.
     std::stable_partition(ends.begin(), ends.end(), [this](const RequestCrash &end) {
         return m_quarantine.hasCrashes(end.request);
     });
@@ -299,8 +300,8 @@
 void Gateway::loadReported(EndpointRecord &endpoint, const LoadReport &report)
 {
     const Base::MonoTime now = m_options.loop->clock().now();
-    const auto usual = m_endpoints.usualLoad(endpoint.info.service, now);
-    if (usual && report.running + report.waiting > fleetBound.at(*usual))
+    const auto average = m_endpoints.averageLoad(endpoint.info.service, now);
+    if (average && report.running + report.waiting > fleetBound.forMeanLoad(*average))
         m_options.metrics->overloadedAnswers.increment();
     const double before = m_endpoints.freeSlots(endpoint, now);
     m_endpoints.loadReported(endpoint, report, now);
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -51,23 +51,26 @@
     /// Fraction of the target latency after which a repeatable request is moved to another endpoint
     /// if its own has sent nothing on any connection. The remainder is the other endpoint's time.
     double firstEventShare = 0.75;
-    /// Like firstEventShare, for a pause within a stream: a fraction of the route's longest pause.
+    /// Like firstEventShare, for a pause within a stream: a fraction of the maximum pause that the
+    /// route allows.
     double pauseShare = 0.6;
-    /// Number of target latencies (or longest pauses, within a stream) after which a request is
-    /// moved although its endpoint answers other requests. Such an endpoint is only busy, and
-    /// moving the request costs another prefill of its prompt.
+    /// Silence limit of an endpoint that answers other requests, as a multiple of the target
+    /// latency or, within a stream, of the route's maximum pause. The limit is higher for such an
+    /// endpoint, as it is only busy and moving the request costs another prefill of its prompt.
     double busyFactor = 2.0;
-    /// Callers abandon a stream that pauses for longer than the maximum of this timeout,
-    /// callerTimeoutTargets target latencies, and callerTimeoutPauses longest pauses of the route.
-    /// A started stream waits for an endpoint until then.
+    /// A caller is assumed to abandon a stream after a pause of
+    ///     max(callerTimeout, callerTimeoutTargets x targetLatency,
+    ///         callerTimeoutPauses x maxEventGap)
+    /// with targetLatency and maxEventGap of the route. Until then, a started stream without an
+    /// endpoint waits for one; afterwards it is aborted.
     Base::Duration callerTimeout = std::chrono::seconds(2);
     int callerTimeoutTargets = 4;
     int callerTimeoutPauses = 8;
     /// Interval between two attempts to find a reachable endpoint. Reachability is checked every
     /// 300 ms.
     Base::Duration reachabilityRetryInterval = std::chrono::milliseconds(50);
-    /// Added to the silence limit of the first event, for the prefill. Engines process 80 to 160
-    /// prompt tokens per millisecond.
+    /// Time per prompt token that is added to the silence limit of the first event, for the
+    /// prefill. Engines process 80 to 160 prompt tokens per millisecond.
     Base::Duration perPromptToken = std::chrono::microseconds(10);
     /// Extra time after a request's deadline in which the endpoint can report the timeout itself.
     Base::Duration timeoutGrace = std::chrono::milliseconds(60);
@@ -77,14 +80,14 @@
     /// Fraction of the target latency for which a request waits for a free slot before it is
     /// refused. The remainder is left for its answer, or for a retry by the caller.
     double queueWaitShare = 0.12;
-    /// Upper limit of that wait, so that requests with a long target latency do not get more
-    /// attempts than those with a short one.
+    /// Upper limit of the wait for a free slot, so that requests with a long target latency do not
+    /// get more attempts than those with a short one.
     Base::Duration maxQueueWait = std::chrono::milliseconds(40);
     /// Minimum number of shared prompt tokens for which a request waits while its endpoint
     /// processes the same prompt for another request. That takes 20 ms or more.
     Base::Tokens minAwaitedTokens{1500};
-    /// Maximum length of that wait, as a fraction of the target latency. In a third of it an engine
-    /// processes 20,000 tokens.
+    /// Maximum wait for the same prompt of another request, as a fraction of the target latency. An
+    /// engine processes 20,000 tokens in a third of the target latency.
     double prefillWaitShare = 0.33;
 };
 
@@ -100,9 +103,11 @@
         EndpointProtocol protocol;
         /// Sends a refusal to a caller, in place of an endpoint's answer.
         std::function<void(Http::Responder &responder, const Refusal &refusal)> refuse;
-        /// Age of this router's state of endpoints and configuration; for the log.
+        /// Returns the age of this router's state of endpoints and configuration, for the log;
+        /// unset if unknown.
         std::function<std::optional<Base::Duration>()> stateAge;
-        /// Delay of this router's own event loop. Null if unknown, which counts as no delay.
+        /// Returns the delay of this router's event loop. Null if it is not measured, which counts
+        /// as no delay.
         std::function<Base::Duration()> ownDelay;
         /// Announces to peers that a prompt was sent to an endpoint or is still in use there. Null
         /// without peers.
@@ -179,8 +184,8 @@
     /// 24 routers at 1,500 bytes a second each can announce 25 new prompt locations a second.
     static constexpr std::size_t maxAnnouncingRouters = 24;
 
-    /// Number of connections that this router may have to one endpoint of a service; nothing if
-    /// there is no limit.
+    /// Maximum number of connections of this router to one endpoint of a service; unset for no
+    /// limit.
     std::optional<std::size_t> connectionShare(const Base::ServiceId &service) const;
     Base::Duration ownDelay() const
     {
@@ -197,13 +202,13 @@
     /// Whether routers announce the endpoints of this prompt to each other. If so, a prompt without
     /// a known holder is held by no endpoint.
     bool isAnnouncedToPeers(const PromptPrefix &prefix) const;
-    /// Records that a request with the prompt is sent to the endpoint. True if the endpoint was not
-    /// known to hold it.
+    /// Records that a request with the prompt is sent to the endpoint. Returns true if the endpoint
+    /// was not known to hold the prompt.
     bool notePrompt(const std::vector<PromptPrefix> &prefixes, const EndpointRecord &endpoint,
                     bool isCopied);
-    /// The prompt directory if routers share it, else null. In a large fleet a router sees few
-    /// requests of a prompt and cannot announce all of them; placing by its own observations alone
-    /// would make more endpoints process the same prompt.
+    /// The prompt directory if routers share it, else null. In a large fleet a router gets few
+    /// requests of each prompt, and routers cannot announce all prompts to each other. If each
+    /// router used only its own observations, more endpoints would process the same prompt.
     const PromptDirectory *sharedPrompts() const;
     /// Limit of this router's concurrent requests to the model engines of a service.
     ConcurrencyLimit &concurrencyLimit(const Base::ServiceId &service);
--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -24,11 +24,11 @@
     Metrics::Counter peerBytes;
     Metrics::Counter pulledBytes;
     Metrics::Histogram loopTurn;
-    Metrics::Gauge loopDelay;
-    Metrics::Counter loopDemand;
-    Metrics::Counter processor;
-    Metrics::Histogram requestReadDelay;
-    Metrics::Counter leftUnread;
+    Metrics::Gauge loopDelay; ///< Age of the oldest work handled in the last second.
+    Metrics::Counter loopDemand; ///< Time with work to do, with or without a processor.
+    Metrics::Counter processor; ///< Processor time of the event loop in seconds.
+    Metrics::Histogram requestReadDelay; ///< From arrival of a request's bytes to its reading.
+    Metrics::Counter leftUnread; ///< Requests not sent, as an unread close was found.
     Metrics::Gauge callerConnections;
     Metrics::Gauge quarantined;
     Metrics::Counter overloadedAnswers;
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -71,9 +71,9 @@
 {
     for (const auto &[service, endpoints] : m_options.registry->services()) {
         const std::uint64_t hash = Routing::stableHash(service.value());
-        for (const Schema::SharedUsualLoad &usual : announcement.usual) {
-            if (usual.service == hash)
-                m_options.registry->mergeAverageLoad(service, usual.requestsMilli / thousandths,
+        for (const Schema::SharedUsualLoad &average : announcement.usual) {
+            if (average.service == hash)
+                m_options.registry->mergeAverageLoad(service, average.requestsMilli / thousandths,
                                                      now);
         }
     }
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -11,9 +11,9 @@
 namespace Lagoonbank::Gateway {
 
 /// Exchanges the loads of endpoints between routers. Among hundreds of routers and endpoints, a
-/// router gets a report from each endpoint about once a minute. From its own reports alone it knows
-/// neither the overloaded endpoints nor the average load. These two are all that placement needs,
-/// as an endpoint that no router announces has about the average load.
+/// router gets a report from each endpoint about once a minute. These reports are too few to find
+/// overloaded endpoints or to estimate the average load. Placement needs only these two: an
+/// endpoint whose load no router announces has about the average load.
 ///
 /// Does no I/O and reads no clock.
 class LoadSharing
@@ -23,9 +23,10 @@
     {
         EndpointRegistry *registry = nullptr;
         std::uint64_t randomSeed = 1;
-        /// Endpoints with more than this many times the average load plus `hotSlack` are hot: their
-        /// loads are announced. The threshold is below the load at which requests leave their home,
-        /// so that routers that send there in the meantime can add their own requests.
+        /// An endpoint is hot if its load exceeds hotFactor x average load + hotSlack. Its load is
+        /// then announced to peers. The threshold is below the load at which requests overflow from
+        /// their home endpoint, so that routers can still place requests there while the
+        /// announcement propagates.
         double hotFactor = 1.2;
         double hotSlack = 1;
         /// Time for which an endpoint is announced after it was last hot, until all routers have
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// Cost, in seconds, of a kind of which no request has ended yet. Engines' streams last for
-/// seconds, plain calls for less.
+/// Cost, in seconds, that is assumed for a route of which no request has ended yet. Streams of
+/// engines last for seconds, plain calls for less.
 constexpr double unknownCost = 1;
 /// Weight of the newest request in the average cost of its route.
 constexpr double costWeight = 0.05;
-/// Number of kinds from which idle ones are removed; far more than are in use at once.
+/// Number of kinds of a service from which idle ones are removed. It is far above the number of
+/// kinds that are in use at the same time.
 constexpr std::size_t maxKinds = 256;
 /// Served share from which all requests count as served, so that no slots need to be divided.
 constexpr double allServedShare = 0.995;
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -36,14 +36,15 @@
     Base::WorkspaceId workspace; ///< Empty for an anonymous request.
     Urgency urgency;
     Base::Duration targetLatency{};
-    std::optional<Base::Duration>
-        remainingTimeout; ///< Time until the caller's timeout, if it is known.
+    /// Time until the timeout of the caller; empty if it is not known.
+    std::optional<Base::Duration> remainingTimeout;
 };
 
 /// Decides which requests are refused when the endpoints of a service cannot take all of them. The
-/// slots go to the most urgent kinds of request as far as they need them, while each kind keeps a
-/// minimum share. Workspaces that send far more than their fair share are served after others, and
-/// no workspace is starved. Also determines when a refused caller should retry.
+/// slots go to the most urgent kinds of request as far as these need them, while each kind keeps a
+/// minimum share. A kind is a route together with an urgency. Workspaces that send far more than
+/// their fair share are served after others, and no workspace is starved. Also determines when a
+/// refused caller should retry.
 ///
 /// Each router decides by the requests that it receives itself. The class reads no clock; time is
 /// an argument.
@@ -53,34 +54,36 @@
     struct Options
     {
         /// Share of the slots that is reserved for requests within the share of their kind
-        /// (selective circuit reservation, E.412). The routers' view of the free slots is off by
-        /// some requests.
+        /// (selective circuit reservation, ITU-T E.412). It also covers the error in the routers'
+        /// counts of free slots, which is a few requests.
         double reservedShare = 0.15;
         /// Share of the slots that a greedy workspace leaves free for others, and so does a retry
         /// of a caller that has already waited for longer than its target latency.
         double fairnessReserve = 0.05;
         /// A workspace is greedy if it sends more than this multiple of its fair share.
         double greedyFactor = 2.5;
-        /// Minimum share of each kind of request, relative to the share served of all requests. The
-        /// users regard less than a quarter as starvation.
+        /// Minimum served share of each kind of request, relative to the served share of all
+        /// requests. The users regard less than a quarter as starvation.
         double minShare = 0.35;
         /// A workspace is starved, and takes precedence over its equals, if its served share is
-        /// below this part of the share served of all requests.
+        /// below this part of the served share of all requests.
         double starvedShare = 0.3;
-        /// Factor applied to the capacity that was served recently, so that the share of a kind
-        /// grows when slots become free.
+        /// Factor applied to the capacity that requests used recently, so that the shares of kinds
+        /// grow when slots become free.
         double headroom = 1.1;
-        /// Factor by which each request decays the longest recent timeout of its route's callers.
+        /// Factor that each request applies to the longest recent timeout of its route's callers.
         double timeoutDecay = 0.995;
-        /// Half-life of the counts of kinds; bursts last some seconds.
+        /// Half-life of the request counts of kinds. Bursts of requests last some seconds.
         Base::Duration halfLife = std::chrono::seconds(3);
-        /// Half-life of the counts of workspaces, of each of which a router receives few requests.
+        /// Half-life of the request counts of workspaces. It is longer because a router receives
+        /// few requests of each workspace.
         Base::Duration workspaceHalfLife = std::chrono::seconds(12);
         /// Minimum number of requests of a workspace before it can be greedy or starved.
         double minRequests = 6;
         /// Time after which a refused caller should retry, relative to the target latency, so that
-        /// the answer can still be in time. Slots become free every few milliseconds and go to
-        /// whoever asks then; a later retry competes with as many others.
+        /// the answer can still be in time. A longer delay would not improve the chances of the
+        /// retry: slots become free every few milliseconds, and at any time about the same number
+        /// of requests compete for them.
         double retryAfterShare = 0.3;
         /// Maximum age of the computed shares of kinds. Sums with a half-life of 3 s change by 0.5%
         /// in this time.
@@ -120,7 +123,8 @@
     };
     struct Route
     {
-        Base::Duration remainingTimeout{}; ///< Longest recent timeout of its callers, decayed.
+        /// Longest recent remaining timeout of its callers, decayed by each request.
+        Base::Duration remainingTimeout{};
         std::optional<double> cost; ///< Average time, in seconds, that a request occupies a slot.
     };
     using Kind = std::pair<std::string, Urgency>; ///< Route and urgency.
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -78,7 +78,7 @@
     const std::size_t count = candidates.size();
     PlacementResult result;
     const auto trial = std::find_if(candidates.begin(), candidates.end(),
-                                    [](const Candidate &one) { return one.isTrial; });
+                                    [](const Candidate &candidate) { return candidate.isTrial; });
     if (trial != candidates.end()) {
         result = {
             .endpoint = trial->endpoint, .reason = PlacementReason::Trial, .load = trial->load};
@@ -141,16 +141,16 @@
 {
     CandidateSets sets;
     for (const EndpointPtr &endpoint : registry.endpoints(request.service)) {
-        const Eligibility standing = eligibilityOf(request, endpoint, registry, now);
-        if (standing == Eligibility::Excluded)
+        const Eligibility eligibility = eligibilityOf(request, endpoint, registry, now);
+        if (eligibility == Eligibility::Excluded)
             continue;
-        if (standing == Eligibility::Full) {
+        if (eligibility == Eligibility::Full) {
             sets.full.push_back(endpoint);
             continue;
         }
         sets.candidates.push_back({.endpoint = endpoint,
                                    .load = registry.load(*endpoint, now),
-                                   .isTrial = standing == Eligibility::Trial});
+                                   .isTrial = eligibility == Eligibility::Trial});
     }
     return sets;
 }
@@ -172,7 +172,8 @@
     PlacementReason reason = fullHome ? PlacementReason::HomeBusy : PlacementReason::Home;
     const double homeLoad = fullHome ? registry.load(*fullHome, now) : candidates.front().load;
     std::size_t toSkip = skippedEndpoints(request, homeLoad, mean, registry);
-    if (toSkip == 0) { // There are only one or two holders, so overflow is spread beyond them.
+    // Most prompts have one or two holders, too few to spread the overflow over.
+    if (toSkip == 0) {
         if (const auto held = chooseHolder(request, candidates, mean, limit, speeds, now))
             return *held;
     }
@@ -250,8 +251,8 @@
         return std::nullopt;
     for (const Candidate &candidate : candidates) {
         const bool isHolder =
-            std::any_of(holders.begin(), holders.end(), [&](const PromptDirectory::Holder &one) {
-                return one.endpoint == candidate.endpoint->startHash;
+            std::any_of(holders.begin(), holders.end(), [&](const PromptDirectory::Holder &holder) {
+                return holder.endpoint == candidate.endpoint->startHash;
             });
         if (!isHolder)
             continue;
@@ -281,19 +282,19 @@
 double Placement::maximumLoad(const PlacementRequest &request, double mean,
                               const EndpointRegistry &registry) const
 {
-    const double limit = bound().at(mean);
+    const double limit = bound().forMeanLoad(mean);
     if (!isLoadStale(registry))
         return limit;
     const bool isShort = request.sharedTokens < m_options.shortPrompt;
     const double first =
-        (isShort ? m_options.shortPromptOverflow : m_options.longPromptOverflow).at(mean);
+        (isShort ? m_options.shortPromptOverflow : m_options.longPromptOverflow).forMeanLoad(mean);
     return first < limit ? first + toFraction(request.requestHash) * (limit - first) : limit;
 }
 
 std::size_t Placement::skippedEndpoints(const PlacementRequest &request, double homeLoad,
                                         double mean, const EndpointRegistry &registry) const
 {
-    const double excess = homeLoad + 1 - bound().at(mean);
+    const double excess = homeLoad + 1 - bound().forMeanLoad(mean);
     if (excess <= 0 || !isLoadStale(registry))
         return 0;
     const double endpoints = std::min(m_options.maximumOverflowEndpoints,
@@ -303,9 +304,9 @@
 }
 
 /// The endpoint that earlier requests with this prompt were sent to: the first in the
-/// rendezvous-hash order that is not new, unless that is the target itself. A home that is left
-/// because it is busy or slow may be new, as requests with this prompt caused its load; a cold one
-/// may not.
+/// rendezvous-hash order that is not new, unless that is the target itself. If the target was
+/// chosen because the home is busy or slow, the home may be new, as requests with this prompt have
+/// caused its load; but it must not be warming up.
 EndpointPtr Placement::cacheSource(const PlacementRequest &request,
                                    const EndpointRegistry &registry, const PlacementResult &result,
                                    Base::MonoTime now) const
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -47,7 +47,7 @@
     HomeSlow, ///< Preceding endpoints were too slow.
     LeastCost, ///< Shortest expected completion time by load and latency, network included.
     Trial, ///< Suspected; the request tests whether it has recovered.
-    LastResort ///< All reachable endpoints are suspected; this one has been for the longest time.
+    LastResort ///< All reachable endpoints are suspected; this one has been suspected the longest.
 };
 std::string_view toString(PlacementReason reason);
 
@@ -60,11 +60,13 @@
     EndpointPtr cacheSource;
     double load = 0; ///< Load of the endpoint in requests.
     double meanLoad = 0; ///< Mean load of the candidates.
-    /// Maximum load at which the endpoint is chosen for this prompt; unset without a prompt.
+    /// Maximum load at which the endpoint may be chosen for the prompt of the request; unset if the
+    /// request has no prompt.
     std::optional<double> maximumLoad;
     std::size_t candidates = 0;
     bool isFull = false; ///< No candidate has a free slot for the request.
-    /// When the first endpoint takes requests again, if all endpoints in service back off.
+    /// Time at which the first endpoint accepts requests again; set if all endpoints in service
+    /// have asked routers to back off.
     std::optional<Base::MonoTime> backOffUntil;
 };
 
@@ -72,29 +74,30 @@
 class Placement
 {
 public:
-    /// A number of requests that is linear in the mean load of the candidates.
+    /// Load threshold in requests: factor x mean load of the candidates + slack.
     struct LoadThreshold
     {
         double factor = 1;
         double slack = 0;
-        double at(double mean) const { return factor * mean + slack; }
+        double forMeanLoad(double mean) const { return factor * mean + slack; }
     };
     struct Options
     {
-        /// Load bound: a request does not go to the home of its prompt if that has more than this
-        /// many times the mean load plus `boundSlack`. The service level objective of the fleet
-        /// allows 2 and 3; the difference allows for the delay of load reports.
+        /// Load bound: a request does not go to the home endpoint of its prompt if the load there
+        /// exceeds boundFactor x mean load + boundSlack. The service level objective of the fleet
+        /// allows 2 x mean load + 3; the difference allows for the delay of load reports.
         double boundFactor = 1.7;
         double boundSlack = 3;
         /// Endpoints of unknown load enter the mean with the average load. Otherwise a router that
         /// has reports of ten out of 200 endpoints computes a mean near zero, and requests leave
         /// homes that have only three requests.
         bool usesAverageLoad = true;
+        /// Whether requests of a large fleet overflow as described below.
         bool overflowsGradually = true;
         /// In a large fleet, requests start to overflow from their home at these loads. The
-        /// fraction that overflows grows as the load approaches the bound. All routers receive a
-        /// load report about a second late and would otherwise leave and return to the home in
-        /// step. Short prompts overflow first, as prefilling them again costs little.
+        /// fraction that overflows grows as the load approaches the bound. As all routers receive
+        /// load reports about a second late, they would otherwise switch away from the home and
+        /// back in step. Short prompts overflow first, as prefilling them again costs little.
         LoadThreshold shortPromptOverflow{.factor = 1.0, .slack = 0.5};
         LoadThreshold longPromptOverflow{.factor = 1.4, .slack = 1};
         /// In a large fleet, requests whose home is above the bound are spread over the endpoints
@@ -102,22 +105,23 @@
         /// the bound. If all routers chose the next endpoint, that would be overloaded before they
         /// receive its load.
         double overflowEndpointsPerRequest = 4;
-        /// Maximum number of these endpoints, as each has to prefill the prompt or copy its cache.
+        /// Maximum number of endpoints over which the overflow of one prompt is spread, as each has
+        /// to prefill the prompt or copy its cache.
         double maximumOverflowEndpoints = 16;
         /// Load bound for a holder of the prompt that is not its home. It is lower than that of the
         /// home, so that new endpoints get their share as soon as the holders exceed theirs.
         double holderBoundFactor = 1.3;
         double holderBoundSlack = 2;
-        /// An endpoint is slow if it takes more than this fraction of the time limit of a
-        /// request...
+        /// An endpoint is slow if its latency exceeds both slowShare x target latency of the
+        /// request and slowFactor x mean latency of the other candidates, or if its pauses exceed
+        /// both slowShare x maximum pause of the route and slowFactor x mean pause of the others.
         double slowShare = 0.6;
-        /// ...and more than this many times the mean of the other endpoints of its service.
         double slowFactor = 2.5;
         /// Half-life of measured latencies. They decay so that an endpoint that has recovered gets
         /// requests again.
         Base::Duration speedHalfLife = std::chrono::seconds(4);
         /// Time for which a new endpoint is assumed not to hold the prompts whose home it has
-        /// become. Most chats that continue do so within this time.
+        /// become. Most chats that are continued send their next request within this time.
         Base::Duration newEndpointPeriod = std::chrono::seconds(12);
         /// Prompts with fewer shared tokens are short. Engines prefill 80 to 160 tokens per
         /// millisecond.
@@ -192,7 +196,7 @@
     PlacementResult chooseByCost(const Candidates &candidates, Base::MonoTime now) const;
     static PlacementResult chooseLastResort(const PlacementRequest &request,
                                             const EndpointRegistry &registry, Base::MonoTime now);
-    /// Sums over all candidates, in seconds.
+    /// Sums of the mean latencies and pauses of all candidates, in seconds.
     struct LatencySums
     {
         double latency = 0;
--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -11,7 +11,7 @@
 auto findIn(auto &holders, std::uint64_t endpoint)
 {
     return std::find_if(holders.begin(), holders.end(),
-                        [&](const auto &one) { return one.endpoint == endpoint; });
+                        [&](const auto &entry) { return entry.endpoint == endpoint; });
 }
 
 } // namespace
@@ -36,11 +36,11 @@
                                                          Base::MonoTime now)
 {
     const bool isNew = !find(holding.prompt.hash, holding.endpoint);
-    Holder &one = holder(holding, now);
-    one.usedAt = now;
-    const bool isAnnouncementDue = isNew || now - one.announcedAt >= m_options.announceInterval;
+    Holder &entry = holder(holding, now);
+    entry.usedAt = now;
+    const bool isAnnouncementDue = isNew || now - entry.announcedAt >= m_options.announceInterval;
     if (isAnnouncementDue)
-        one.announcedAt = now;
+        entry.announcedAt = now;
     sweep(now);
     if (!isAnnouncementDue)
         return Announcement::None;
@@ -49,11 +49,11 @@
 
 void PromptDirectory::mergeHolding(const PromptHolding &holding, Base::MonoTime now)
 {
-    Holder &one = holder(holding, now);
-    one.usedAt = now;
-    one.announcedAt = now;
-    // The endpoint prefills the prompt again, contrary to what this router may have recorded.
-    one.prefillEndsAt = std::max(one.prefillEndsAt, now + holding.remainingPrefillTime);
+    Holder &entry = holder(holding, now);
+    entry.usedAt = now;
+    entry.announcedAt = now;
+    // The endpoint may prefill the prompt again although this router has recorded an earlier end.
+    entry.prefillEndsAt = std::max(entry.prefillEndsAt, now + holding.remainingPrefillTime);
     sweep(now);
 }
 
@@ -63,9 +63,9 @@
     const auto found = m_prompts.find(prompt);
     if (found == m_prompts.end())
         return;
-    const auto one = findIn(found->second, endpoint);
-    if (one != found->second.end())
-        one->prefillEndsAt = std::min(one->prefillEndsAt, now);
+    const auto entry = findIn(found->second, endpoint);
+    if (entry != found->second.end())
+        entry->prefillEndsAt = std::min(entry->prefillEndsAt, now);
 }
 
 void PromptDirectory::drop(std::uint64_t prompt, std::uint64_t endpoint)
@@ -74,11 +74,11 @@
     if (found == m_prompts.end())
         return;
     Holders &holders = found->second;
-    const auto one = findIn(holders, endpoint);
-    if (one == holders.end())
+    const auto entry = findIn(holders, endpoint);
+    if (entry == holders.end())
         return;
-    m_memoryUses[endpoint].tokens -= one->tokens;
-    holders.erase(one);
+    m_memoryUses[endpoint].tokens -= entry->tokens;
+    holders.erase(entry);
     if (holders.empty())
         m_prompts.erase(found);
 }
@@ -94,8 +94,8 @@
                                                      std::uint64_t endpoint) const
 {
     const Holders &known = holders(prompt);
-    const auto one = findIn(known, endpoint);
-    return one == known.end() ? nullptr : &*one;
+    const auto entry = findIn(known, endpoint);
+    return entry == known.end() ? nullptr : &*entry;
 }
 
 bool PromptDirectory::hasMemory(std::uint64_t endpoint, Base::Tokens tokens,
@@ -149,10 +149,10 @@
 {
     absl::erase_if(m_prompts, [&](auto &entry) {
         Holders &holders = entry.second;
-        const auto isUnused = [&](const Holder &one) {
-            if (one.usedAt >= usedBefore)
+        const auto isUnused = [&](const Holder &holder) {
+            if (holder.usedAt >= usedBefore)
                 return false;
-            m_memoryUses[one.endpoint].tokens -= one.tokens;
+            m_memoryUses[holder.endpoint].tokens -= holder.tokens;
             return true;
         };
         holders.erase(std::remove_if(holders.begin(), holders.end(), isUnused), holders.end());
@@ -166,9 +166,9 @@
 {
     std::vector<std::pair<Base::MonoTime, std::uint64_t>> byUse;
     for (const auto &[prompt, holders] : m_prompts) {
-        const auto one = findIn(holders, endpoint);
-        if (one != holders.end())
-            byUse.emplace_back(one->usedAt, prompt);
+        const auto entry = findIn(holders, endpoint);
+        if (entry != holders.end())
+            byUse.emplace_back(entry->usedAt, prompt);
     }
     std::sort(byUse.begin(), byUse.end());
     for (const auto &[usedAt, prompt] : byUse) {
--- a/src/libs/gateway/promptdirectory.h
+++ b/src/libs/gateway/promptdirectory.h
@@ -11,7 +11,7 @@
 
 namespace Lagoonbank::Gateway {
 
-/// The leading parts of a prompt, which several requests share.
+/// One or more leading parts of a prompt, which several requests may share.
 struct PromptPrefix
 {
     std::uint64_t hash = 0; ///< Hash of the model and these parts.
@@ -42,8 +42,8 @@
 public:
     struct Options
     {
-        /// Time after the last use at which a prompt is assumed to be evicted from endpoints. Most
-        /// sessions that continue do so within a few seconds.
+        /// Time without use after which a prompt is assumed to be evicted from endpoints. Most
+        /// sessions that are continued send their next request within a few seconds.
         Base::Duration lifetime = std::chrono::seconds(25);
         /// Fraction of an endpoint's memory available to shared prompts; the rest is for running
         /// requests. With 24 to 128 slots, requests with 1,700 tokens of their own take 0.13 to
@@ -53,15 +53,15 @@
         std::size_t maximumPrompts = 8192;
         /// Minimum interval between two sweeps for prompts to remove.
         Base::Duration sweepInterval = std::chrono::milliseconds(500);
-        /// A holding in use is announced to peers again after this time, by the first router that
-        /// uses it then.
+        /// Interval at which a prompt in use is announced to peers again, by the first router that
+        /// sends a request with it after this time.
         Base::Duration announceInterval = std::chrono::seconds(10);
     };
     struct Holder
     {
-        std::uint64_t endpoint = 0;
-        std::uint32_t tokens = 0;
-        Base::MonoTime usedAt;
+        std::uint64_t endpoint = 0; ///< EndpointRecord::startHash.
+        std::uint32_t tokens = 0; ///< Length of the prompt.
+        Base::MonoTime usedAt; ///< When a request with the prompt was last sent there.
         Base::MonoTime prefillEndsAt; ///< Estimated end of the prefill.
         Base::MonoTime announcedAt; ///< Last announcement by this router or a peer.
     };
@@ -106,7 +106,7 @@
     Options m_options;
     absl::flat_hash_map<std::uint64_t, Holders> m_prompts;
     absl::flat_hash_map<std::uint64_t, MemoryUse> m_memoryUses; ///< Keyed by endpoint.
-    Base::MonoTime m_sweptAt;
+    Base::MonoTime m_sweptAt; ///< Time of the last sweep.
 };
 
 } // namespace Lagoonbank::Gateway
--- a/src/libs/gateway/reachability.cpp
+++ b/src/libs/gateway/reachability.cpp
@@ -46,11 +46,11 @@
     m_options.check(endpoint->info.address, m_options.checkTimeout,
                     [this, endpoint, isAlive = std::weak_ptr<bool>(m_isAlive)](bool isReachable) {
                         if (!isAlive.expired())
-                            checked(endpoint, isReachable);
+                            checkFinished(endpoint, isReachable);
                     });
 }
 
-void Reachability::checked(const EndpointPtr &endpoint, bool isReachable)
+void Reachability::checkFinished(const EndpointPtr &endpoint, bool isReachable)
 {
     m_checking.erase(endpoint->info.id);
     if (const auto timer = m_timers.find(endpoint->info.id); timer != m_timers.end()) {
--- a/src/libs/gateway/reachability.h
+++ b/src/libs/gateway/reachability.h
@@ -12,8 +12,8 @@
 
 namespace Lagoonbank::Gateway {
 
-/// Marks endpoints that cannot be reached, and probes them with connections of its own until they
-/// can be reached again, so that no caller's request has to wait for a connection timeout.
+/// Marks endpoints that cannot be reached, and probes them with separate connections until they can
+/// be reached again, so that no caller's request has to wait for a connection timeout.
 ///
 /// A network partition makes all endpoints of a data centre unreachable at once. When one endpoint
 /// is found to be unreachable, some others of its data centre are therefore probed immediately, and
@@ -26,7 +26,8 @@
     {
         EndpointRegistry *registry = nullptr;
         Runtime::TimerQueue *timers = nullptr;
-        /// Opens a connection and closes it. Calls back once, after it has returned.
+        /// Checks whether a server accepts a connection, which is closed at once. Calls `checked`
+        /// exactly once, and not before the function has returned.
         std::function<void(const Runtime::SocketAddress &server, Base::Duration timeout,
                            std::function<void(bool isReachable)> checked)>
             check;
@@ -55,7 +56,7 @@
 private:
     void checkOthers(const EndpointRecord &failed);
     void check(const EndpointPtr &endpoint);
-    void checked(const EndpointPtr &endpoint, bool isReachable);
+    void checkFinished(const EndpointPtr &endpoint, bool isReachable);
     void setUnreachable(EndpointRecord &endpoint, bool isUnreachable);
 
     Options m_options;
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -34,11 +34,13 @@
 Schema::SharedQuarantine toShared(const QuarantinedRequest &quarantined);
 QuarantinedRequest fromShared(const Schema::SharedQuarantine &shared);
 
-/// Quarantines requests that crash the endpoints that run them, so that they crash no more.
+/// Quarantines requests that crash the endpoints that run them, so that they reach no further
+/// endpoints.
 ///
-/// A crash ends all requests of the endpoint, and nothing shows which of them caused it. The cause
-/// is among the requests of each crash. Another request is seldom among those of three crashes, and
-/// if it is one that many callers send, one of them gets an answer in between, which clears it.
+/// A crash ends all requests of the endpoint, and nothing shows which of them caused it. The
+/// request that caused several crashes was running in each of them. A harmless request is seldom
+/// running in three crashes. If it is because many callers send it, one of these callers gets an
+/// answer in between, and the crashes recorded for the request are then forgotten.
 ///
 /// The class reads no clock; time is an argument.
 class RequestQuarantine
@@ -53,11 +55,11 @@
         /// Time for which crashes are remembered after the last one of a request; callers repeat
         /// such a request within minutes.
         Base::Duration crashLifetime = std::chrono::minutes(10);
-        /// Duration of a quarantine. Afterwards the request may again crash as many endpoints. It
-        /// gives operators time to fix the cause.
+        /// Duration of a quarantine. It gives operators time to fix the cause. Afterwards the
+        /// request may crash maxCrashes endpoints before it is quarantined again.
         Base::Duration quarantineTime = std::chrono::hours(1);
-        /// Maximum number of requests whose crashes are remembered. Those with the most crashes are
-        /// kept, and among them those with the latest.
+        /// Maximum number of requests whose crashes are remembered. Requests with more crashes are
+        /// kept first; among equals, those with more recent ones.
         std::size_t maxRequests = 4096;
         /// Maximum number of quarantined requests; beyond it, the quarantine that ends first is
         /// dropped.
@@ -77,7 +79,7 @@
     bool hasCrashes(RequestFingerprint request) const { return m_crashes.contains(request); }
     /// Whether \a crash, if recorded, would quarantine the request.
     bool wouldQuarantine(const RequestCrash &crash, Base::MonoTime now) const;
-    /// Applies a quarantine that was decided elsewhere; returns whether it is new here.
+    /// Applies a quarantine that another router decided; returns whether it was not known yet.
     bool quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now);
     /// Remaining time of the request's quarantine; empty if it is not quarantined.
     std::optional<Base::Duration> timeLeft(RequestFingerprint request, Base::MonoTime now) const;
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -13,18 +13,20 @@
 using Errors::Ran;
 
 constexpr std::string_view part = "gateway";
-/// Timeout of requests whose caller and route set none; callers wait far less.
+/// Timeout of requests for which neither the caller nor the route sets one. Callers usually time
+/// out far earlier.
 constexpr Base::Duration defaultTimeout = std::chrono::minutes(10);
 /// Maximum number of attempts of a request whose caller can still be refused.
 constexpr std::size_t maxAttempts = 4;
 /// Minimum remaining time for an attempt. No endpoint answers faster.
 constexpr Base::Duration minAttemptTime = std::chrono::milliseconds(10);
 /// Minimum age of a request, or delay of the event loop, at which the router checks for an unread
-/// close of the caller's connection: behind the request itself, or behind other work of a late
-/// loop. The check takes 0.2 to 0.6 us, compared to 25 us for a proxied request (bench/socketlook,
-/// bench/http). Younger requests are not checked, as callers wait 150 ms or more.
+/// close of the caller's connection. The close may be queued behind the request itself, or behind
+/// other work of a delayed event loop. The check takes 0.2 to 0.6 us, compared to 25 us for a
+/// proxied request (bench/socketlook, bench/http). Younger requests are not checked, as callers
+/// wait 150 ms or more.
 constexpr Base::Duration closeCheckAge = std::chrono::milliseconds(50);
-/// Maximum number of idle connections to one endpoint. More requests seldom come at once.
+/// Maximum number of idle connections to one endpoint. More requests are seldom sent to it at once.
 constexpr std::size_t maxIdleConnections = 32;
 
 } // namespace
@@ -339,7 +341,7 @@
              {"path", m_request.path},
              {"revision", m_configuration ? m_configuration->revision().value() : 0},
              {"knowledge_age_ms", m_gateway.knowledgeAgeMs()},
-             // Above the target of BacklogControl, the router itself was overloaded.
+             // If this exceeds the target of BacklogControl, the router itself was overloaded.
              {"own_delay_ms", m_gateway.ownDelay()},
              {"retry_after_ms", retryAfter.value_or(Base::Duration::zero())}});
     }
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -50,15 +50,16 @@
         Errors::ErrorKind kind = Errors::ErrorKind::Internal;
         bool mayHaveReached = true; ///< The endpoint may have received the request.
         bool mayHaveRun = true; ///< The request may have run.
-        bool isOwnLack = false; ///< A lack of the router's own resources, not of the endpoint.
+        bool isOwnLack = false; ///< The router, not the endpoint, lacked resources.
         /// The endpoint closed the connection before the end of the answer; it may have crashed.
         bool isConnectionBroken = false;
-        std::optional<Base::Duration> retryAfter; ///< For the caller; unset for the default.
+        /// Time after which the caller may retry. If unset, the router's default is used.
+        std::optional<Base::Duration> retryAfter;
     };
 
     bool isAdmitted();
-    /// Checks for a close of the caller's connection that was not read yet. True if the caller has
-    /// left; the run has ended then.
+    /// Checks whether the caller has closed its connection and the close was not read yet. If so,
+    /// ends the run and returns true.
     bool endIfCallerLeft();
     /// Whether the router's own backlog admits the request. Refuses it otherwise.
     bool passesBacklogControl();
@@ -75,10 +76,10 @@
     Base::Tokens sharedTokens() const;
     /// Waits if the endpoint is processing the same prompt for another request. False if there is
     /// nothing to wait for.
-    bool waitForPrefill(const PlacementResult &place);
+    bool waitForPrefill(const PlacementResult &placement);
     std::optional<std::uint64_t> resumeAfter() const;
-    /// Retries at another endpoint. Takes a retry from the budget if the request was sent to an
-    /// endpoint before.
+    /// Retries at another endpoint. If the request was sent to an endpoint before, the retry is
+    /// taken from the retry budget.
     void retry(const Failure &failure);
     AdmissionRequest admissionRequest() const;
     double usableShare() const;
@@ -88,7 +89,7 @@
     /// Whether the request has been at as many endpoints as its route allows.
     bool isEndpointLimitReached() const;
     void place();
-    void sendTo(const PlacementResult &place);
+    void sendTo(const PlacementResult &placement);
     /// Lets a started stream wait for a reachable endpoint. False if it must not wait.
     bool waitForReachableEndpoint();
     AdmissionQueue::QueueId queueId() const;
@@ -108,12 +109,12 @@
         EndpointPtr endpoint; ///< Null if nothing is copied.
         bool isConfirmed = false; ///< Known to hold the whole shared prompt.
     };
-    CacheSource cacheSource(const PlacementResult &place) const;
+    CacheSource cacheSource(const PlacementResult &placement) const;
     bool exceedsConcurrencyLimit() const;
-    /// Average load of the endpoints of the service; nothing if unknown.
+    /// Average load of the endpoints of the service; unset if unknown.
     std::optional<double> averageLoad() const;
     double coldMilliseconds(const EndpointRecord &endpoint) const;
-    void logSend(const PlacementResult &place, const CacheSource &source) const;
+    void logSend(const PlacementResult &placement, const CacheSource &source) const;
     void send(const EndpointPtr &endpoint, const CacheSource &cacheSource);
     Http::Hooks hooks();
     void headReceived(int status, const Http::Headers &headers);
@@ -166,31 +167,32 @@
     Base::MonoTime m_deadline;
     std::optional<Attempt> m_attempt;
     std::optional<RequestFingerprint> m_fingerprint; ///< Computed on first use.
-    /// The endpoint that may have crashed on the request would be the one that makes it
-    /// quarantined. Whether it has crashed is known only later.
+    /// Whether the request will be quarantined if the endpoint whose connection broke has crashed.
+    /// As that is known only later, the request is not retried.
     bool m_mayCauseQuarantine = false;
-    std::vector<EndpointPtr> m_triedEndpoints;
+    std::vector<EndpointPtr> m_triedEndpoints; ///< One entry per attempt.
     bool m_isBudgetedRetry = false; ///< The current attempt was taken from the retry budget.
     std::vector<EndpointPtr> m_mayHaveRunAt; ///< Endpoints where the request may have run.
     int m_sends = 0; ///< Attempts in which the request was sent.
     /// Number of requests that the last endpoint reported with its answer; -1 if it reported none.
     int m_reportedLoad = -1;
     bool m_hasStreamBegun = false; ///< The head of a stream was forwarded.
-    std::optional<std::uint64_t> m_lastEvent;
-    std::int64_t m_events = 0;
+    std::optional<std::uint64_t> m_lastEvent; ///< Id of the last forwarded event.
+    std::int64_t m_events = 0; ///< Number of forwarded events.
     EventSplitter m_eventSplitter;
     std::optional<Runtime::TimerId> m_deadlineTimer;
     std::optional<Runtime::TimerId> m_silenceTimer;
-    std::optional<Runtime::TimerId> m_placementTimer; ///< For the next placement.
-    std::optional<Base::MonoTime> m_queuedAt; ///< First queued since the last attempt.
+    std::optional<Runtime::TimerId> m_placementTimer; ///< Starts a scheduled placement.
+    /// When the request was first queued since the last attempt; unset if it was not.
+    std::optional<Base::MonoTime> m_queuedAt;
     std::optional<AdmissionQueue::Ticket> m_queueTicket; ///< Set while the request is queued.
     PlacementResult m_lastFullPlacement; ///< Result of the last placement without a free slot.
-    std::optional<PlacementResult> m_nextPlacement; ///< For the next retry, if chosen already.
+    std::optional<PlacementResult> m_nextPlacement; ///< Placement of the next retry, if chosen.
     Base::MonoTime m_lastForwardedAt; ///< When the caller was last sent something.
-    Base::MonoTime m_silenceTimerDue;
-    Base::MonoTime m_silenceDeadline;
+    Base::MonoTime m_silenceTimerDue; ///< When the silence timer expires.
+    Base::MonoTime m_silenceDeadline; ///< Silence limit; may be later than the timer.
     Base::MonoTime m_lastActivityAt; ///< Start or last event of the last attempt.
-    std::string_view m_stayReason; ///< Why it stayed at a silent endpoint.
+    std::string_view m_stayReason; ///< Why the request stayed at a silent endpoint; for the log.
     bool m_isEnded = false;
 };
 
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -85,7 +85,7 @@
         attemptFailed({.kind = ErrorKind::EndpointBroke});
 }
 
-/// Forwards a complete event. False if events before it are missing.
+/// Forwards a complete event. False if preceding events are missing.
 bool RequestRun::forwardEvent(const EventSplitter::Event &event)
 {
     Attempt &attempt = *m_attempt;
@@ -106,7 +106,7 @@
     m_gateway.m_endpoints.recordContact(*attempt.endpoint, now);
     if (!attempt.lastEventAt) {
         for (const PromptPrefix &prefix : m_prefixes)
-            m_gateway.m_prompts.read(prefix.hash, attempt.endpoint->startHash, now);
+            m_gateway.m_prompts.recordPrefillEnd(prefix.hash, attempt.endpoint->startHash, now);
     }
     if (attempt.lastEventAt)
         attempt.endpoint->pause.add(Base::toSeconds(now - *attempt.lastEventAt), now);
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -13,8 +13,9 @@
 using Errors::ErrorKind;
 
 constexpr std::string_view part = "gateway";
-/// Requests that may wait at an endpoint for each running one, on routes other than streams. With
-/// four requests per slot, one that takes 60 ms is completed within the 300 ms that callers expect.
+/// Maximum number of requests that wait at an endpoint for each running one, on routes other than
+/// streams. With four requests per slot, a request that takes 60 ms is completed within the 300 ms
+/// that callers expect.
 constexpr double waitingPerRunning = 3;
 /// Logged in place of an unknown value.
 constexpr double unknownValue = -1;
@@ -114,17 +115,17 @@
         m_lastFullPlacement = {};
         return false;
     }
-    const PlacementResult place =
+    const PlacementResult placement =
         m_gateway.m_placement.choose(placementRequest(), m_gateway.m_endpoints, now);
-    if (place.isFull) {
-        m_lastFullPlacement = place;
+    if (placement.isFull) {
+        m_lastFullPlacement = placement;
         return false;
     }
-    if (!place.endpoint && waitForReachableEndpoint())
+    if (!placement.endpoint && waitForReachableEndpoint())
         return true;
-    if (!place.endpoint) {
-        const auto retryAfter = place.backOffUntil
-            ? std::optional<Base::Duration>(*place.backOffUntil - now)
+    if (!placement.endpoint) {
+        const auto retryAfter = placement.backOffUntil
+            ? std::optional<Base::Duration>(*placement.backOffUntil - now)
             : std::nullopt;
         fail({.kind = ErrorKind::NoEndpoint,
               .mayHaveReached = false,
@@ -132,11 +133,11 @@
               .retryAfter = retryAfter});
         return true;
     }
-    if (waitForPrefill(place))
+    if (waitForPrefill(placement))
         return true;
     if (m_triedEndpoints.empty())
         m_gateway.m_loadShedder.requestAdmitted(admissionRequest(), now);
-    sendTo(place);
+    sendTo(placement);
     return true;
 }
 
@@ -172,31 +173,31 @@
         : 1;
 }
 
-void RequestRun::sendTo(const PlacementResult &place)
+void RequestRun::sendTo(const PlacementResult &placement)
 {
     if (isQuarantined()) // Checked again: it may have waited or been retried since its arrival.
         return;
-    const CacheSource source = cacheSource(place);
+    const CacheSource source = cacheSource(placement);
     if (m_gateway.m_options.log->wants())
-        logSend(place, source);
-    send(place.endpoint, source);
+        logSend(placement, source);
+    send(placement.endpoint, source);
 }
 
-void RequestRun::logSend(const PlacementResult &place, const CacheSource &source) const
+void RequestRun::logSend(const PlacementResult &placement, const CacheSource &source) const
 {
     m_gateway.m_options.log->request(
         part, "Sending.",
         {{"request", m_request.id.value()},
          {"route", m_route->name},
-         {"endpoint", place.endpoint->info.id.value()},
-         {"reason", toString(place.reason)},
-         {"load", place.load},
-         {"mean_load", place.meanLoad},
-         {"most_load", place.maximumLoad.value_or(unknownValue)},
-         {"candidates", place.candidates},
-         {"load_age_ms", m_timers.clock().now() - place.endpoint->reportedAt},
-         {"load_told", place.endpoint->isReportFromPeer},
-         {"cold_ms", coldMilliseconds(*place.endpoint)},
+         {"endpoint", placement.endpoint->info.id.value()},
+         {"reason", toString(placement.reason)},
+         {"load", placement.load},
+         {"mean_load", placement.meanLoad},
+         {"most_load", placement.maximumLoad.value_or(unknownValue)},
+         {"candidates", placement.candidates},
+         {"load_age_ms", m_timers.clock().now() - placement.endpoint->reportedAt},
+         {"load_told", placement.endpoint->isReportFromPeer},
+         {"cold_ms", coldMilliseconds(*placement.endpoint)},
          {"usual_load", averageLoad().value_or(unknownValue)},
          {"prompt", static_cast<std::int64_t>(affinity().value_or(0))},
          {"shared_tokens", sharedTokens().value()},
@@ -270,7 +271,7 @@
              {"route", m_route->name},
              {"priority", m_priority},
              {"usable_share", usableShare()},
-             // From its last placement; none if the attempts of other waiters stood for it.
+             // Of this request's last placement; 0 if no endpoint was sought for it.
              {"mean_load", m_lastFullPlacement.meanLoad},
              {"candidates", m_lastFullPlacement.candidates},
              {"own_requests", m_gateway.m_endpoints.inFlight(m_service)},
@@ -292,8 +293,8 @@
     });
 }
 
-/// For a request that can still be refused. A started stream is lost without a slot, so it waits as
-/// long as its caller does.
+/// Maximum wait of a request that can still be refused. A started stream waits until the timeout of
+/// its caller instead, as it is lost without a slot.
 Base::Duration RequestRun::maxQueueWait() const
 {
     const GatewayTimeouts &timeouts = m_gateway.m_options.timeouts;
@@ -302,43 +303,43 @@
     return std::min(timeouts.maxQueueWait, share);
 }
 
-RequestRun::CacheSource RequestRun::cacheSource(const PlacementResult &place) const
+RequestRun::CacheSource RequestRun::cacheSource(const PlacementResult &placement) const
 {
     const bool isCopying = m_gateway.m_options.policy.copies;
     if (!isCopying || m_prefixes.empty())
         return {};
-    const PromptPrefix &whole = m_prefixes.back();
-    if (EndpointPtr holder = m_gateway.cacheSource(whole, *place.endpoint))
+    const PromptPrefix &sharedPrompt = m_prefixes.back();
+    if (EndpointPtr holder = m_gateway.cacheSource(sharedPrompt, *placement.endpoint))
         return {.endpoint = std::move(holder), .isConfirmed = true};
-    const bool isGuessed = sharedTokens() >= m_gateway.minCopiedTokens && place.cacheSource;
-    if (isGuessed && !m_gateway.isAnnouncedToPeers(whole))
-        return {.endpoint = place.cacheSource};
+    const bool isGuessed = sharedTokens() >= m_gateway.minCopiedTokens && placement.cacheSource;
+    if (isGuessed && !m_gateway.isAnnouncedToPeers(sharedPrompt))
+        return {.endpoint = placement.cacheSource};
     for (auto prefix = std::next(m_prefixes.rbegin()); prefix != m_prefixes.rend(); ++prefix) {
-        if (EndpointPtr holder = m_gateway.cacheSource(*prefix, *place.endpoint))
+        if (EndpointPtr holder = m_gateway.cacheSource(*prefix, *placement.endpoint))
             return {.endpoint = std::move(holder)};
     }
-    return {.endpoint = isGuessed ? place.cacheSource : nullptr};
+    return {.endpoint = isGuessed ? placement.cacheSource : nullptr};
 }
 
 /// Two concurrent requests with the same prompt would each process all of it, at half the speed.
-bool RequestRun::waitForPrefill(const PlacementResult &place)
+bool RequestRun::waitForPrefill(const PlacementResult &placement)
 {
     if (m_hasAwaitedPrefill || sharedTokens() < m_gateway.m_options.timeouts.minAwaitedTokens)
         return false;
     const PromptDirectory::Holder *holder =
-        m_gateway.m_prompts.find(m_prefixes.back().hash, place.endpoint->startHash);
+        m_gateway.m_prompts.find(m_prefixes.back().hash, placement.endpoint->startHash);
     if (!holder)
         return false;
     const Base::Duration left = holder->prefillEndsAt - m_timers.clock().now();
     if (left <= Base::Duration::zero())
         return false;
-    const auto longest = std::chrono::duration_cast<Base::Duration>(
+    const auto maximumWait = std::chrono::duration_cast<Base::Duration>(
         m_route->targetLatency * m_gateway.m_options.timeouts.prefillWaitShare);
-    const Base::Duration wait = std::min(left, longest);
+    const Base::Duration wait = std::min(left, maximumWait);
     m_hasAwaitedPrefill = true;
     m_gateway.m_options.log->request(part, "Waiting for the endpoint to process the prompt.",
                                      {{"request", m_request.id.value()},
-                                      {"endpoint", place.endpoint->info.id.value()},
+                                      {"endpoint", placement.endpoint->info.id.value()},
                                       {"prompt", static_cast<std::int64_t>(*affinity())},
                                       {"shared_tokens", sharedTokens().value()},
                                       {"wait_ms", wait}});
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -23,7 +23,8 @@
     return m_route->mayRepeat() && m_gateway.m_options.policy.silence;
 }
 
-/// How long the endpoint may be silent; \a isBusy if it has answered other requests meanwhile.
+/// Maximum time for which the endpoint may be silent. \a isBusy tells whether it has answered other
+/// requests meanwhile.
 Base::Duration RequestRun::silenceLimit(bool isBusy) const
 {
     const GatewayTimeouts &timeouts = m_gateway.m_options.timeouts;
@@ -94,7 +95,8 @@
 /// If the router's own link is congested or down, all endpoints look silent and none is reachable;
 /// the current endpoint is then still the best choice. So the request is moved only after a
 /// connection to the other endpoint was established, which costs a round trip of 1 ms. Without the
-/// check, 10 of 39,000 answers were cut while configurations filled the links; with it, none.
+/// check, 10 of 39,000 answers were cut off while configuration updates filled the links; with it,
+/// none.
 void RequestRun::probeOtherEndpoint()
 {
     const Base::MonoTime now = m_timers.clock().now();
@@ -104,8 +106,8 @@
         keepWaiting("no_other_endpoint");
         return;
     }
-    // Streams of one endpoint fall silent together. Reserving the place spreads them over
-    // endpoints.
+    // All streams of an endpoint fall silent at the same time. Reserving a slot for each of them
+    // spreads them over other endpoints.
     auto reserved = std::make_shared<SlotReservation>(other.endpoint);
     m_gateway.m_options.client->check(
         other.endpoint->info.address, m_gateway.m_options.timeouts.connect,
--- a/src/libs/gateway/urgencyshares.h
+++ b/src/libs/gateway/urgencyshares.h
@@ -24,7 +24,7 @@
     double cost = 0; ///< Seconds for which one request occupies a slot.
 };
 
-/// Divides the capacity of a service among demands that do not all fit. Each demand first gets
+/// Divides the capacity of a service among demands whose sum may exceed it. Each demand first gets
 /// \a minShare of its requests. The rest of the capacity goes to the most urgent demands as far as
 /// they need it, then to the next; equally urgent demands get the same share. \a supply is in the
 /// unit of requests times cost. Returns, in the order of \a demands, the share of the requests of
--- a/src/libs/gateway/warmupquota.cpp
+++ b/src/libs/gateway/warmupquota.cpp
@@ -32,7 +32,7 @@
     record.sends.push_back(now);
 }
 
-/// Requests that this router may send per window. The shares of all routers add up to the
+/// Number of requests that this router may send per window. The shares of all routers add up to the
 /// sustainable rate, and to at least one request.
 std::size_t WarmupQuota::requestsPerWindow(WarmupRecord &record, std::uint64_t endpointHash,
                                            double sustainableRate) const
@@ -47,7 +47,8 @@
     return all / routers + (record.routerRank < all % routers ? 1 : 0);
 }
 
-/// Position of this router in the endpoint's order; the expected one if the fleet is unknown.
+/// Position of this router in the endpoint's order of routers. If the fleet is unknown, it is
+/// estimated from the hash of this router alone.
 std::size_t WarmupQuota::routerRank(std::uint64_t endpointHash) const
 {
     const std::uint64_t own = Routing::mixHashes(endpointHash, m_self);
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -22,12 +22,13 @@
 };
 
 /// Divides the request rate of a cold endpoint among the routers of the fleet without
-/// communication. Each endpoint orders the routers by a hash. If it sustains N requests a second,
-/// the first N routers may send one each; with fewer than N routers, each may send several. Routers
-/// that know of fewer peers send too much, which endpoints tolerate.
+/// communication. For each endpoint the routers are ordered by a hash. If the endpoint sustains N
+/// requests a second, the first N routers may send one each; with fewer than N routers, each may
+/// send several. A router that knows only some of its peers exceeds its share, which endpoints
+/// tolerate.
 ///
-/// Dividing the rate evenly and rounding up would let each of hundreds of routers send one request
-/// a second. Reports of what other routers have sent would arrive too late.
+/// If the rate were divided evenly and rounded up, each of hundreds of routers could send one
+/// request a second. Reports of what other routers have sent would arrive too late.
 class WarmupQuota
 {
 public:
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -28,12 +28,12 @@
         Base::Duration interval{};
         /// Maximum time for which a read of the tail waits for new records.
         Base::Duration wait{};
-        /// Whether only the newest of several records of one key in one read is reported. Meant for
-        /// values that are expensive to decode: a small VM takes 0.2 s for a configuration of 4,200
-        /// routes. Not for keys whose intermediate values matter, such as an endpoint's entry that
-        /// says that it is draining just before it is dropped.
+        /// Whether only the newest record is reported if one read returns several records of a key.
+        /// To be set for values that are expensive to decode: a small VM takes 0.2 s for a
+        /// configuration of 4,200 routes. Not to be set if intermediate values matter, as for
+        /// endpoints, whose entries say that they are draining just before they are dropped.
         bool reportsNewestOnly = false;
-        PlatformClient::Backoff::Options backoff; ///< Between reads while the log does not answer.
+        PlatformClient::Backoff::Options backoff; ///< Delay between reads after a failed read.
         /// Maximum time between two answers. After a longer gap the next answer is reported as a
         /// recovery of the log and the keys are listed again: a process that was suspended has seen
         /// no read fail, so it cannot know whether the log was available in the meantime.
@@ -101,11 +101,11 @@
     bool m_hasHealth = false;
     std::optional<Base::MonoTime> m_answeredAt;
     Base::LogOffset m_position; ///< Offset of the next record to read from the tail.
-    absl::flat_hash_map<std::string, Base::LogOffset> m_offsets; ///< Of the newest record per key.
+    absl::flat_hash_map<std::string, Base::LogOffset> m_offsets; ///< Newest record of each key.
     // State of the current listing.
     std::string m_after; ///< Last key of the previous page.
     std::optional<Base::LogOffset> m_fillEnd; ///< End of the log at the first page.
-    Keys m_listedKeys;
+    Keys m_listedKeys; ///< Keys in the pages of the listing so far.
     std::optional<ReadId> m_read;
     Runtime::TimerId m_timer;
 };
--- a/src/libs/membership/controlbudget.h
+++ b/src/libs/membership/controlbudget.h
@@ -10,7 +10,8 @@
 
 namespace Lagoonbank::Membership {
 
-/// Which messages are sent first when the budget is nearly exhausted, highest priority first.
+/// Priorities of control messages, highest first. When the budget is nearly exhausted, only
+/// messages of the higher priorities are sent.
 enum class ControlPriority : std::uint8_t {
     Essential, ///< Pings and acks; may overdraw the budget up to Options::overdraftBytes.
     Configuration, ///< Leaving endpoints and the configuration revision.
@@ -39,8 +40,8 @@
 public:
     struct Options
     {
-        /// Leaves a margin below 5 KB/s, so that the average over ten seconds stays below 5 KB/s
-        /// even with a burst.
+        /// Refill rate of the bucket. The margin below 5 KB/s keeps the average over ten seconds
+        /// below 5 KB/s even with a burst.
         double bytesPerSecond = 4600;
         double burstBytes = 4600;
         /// How far pings and acks may overdraw the bucket, so that a member whose budget is used
@@ -72,7 +73,7 @@
     }
     std::uint64_t refusals() const { return m_refusals; }
 
-    /// Called for all bytes taken from either bucket, for metrics.
+    /// Called each time that bytes are taken from either bucket; for metrics.
     std::function<void(ControlTraffic traffic, std::size_t bytes)> spent;
 
 private:
--- a/src/libs/membership/leavingendpoints.h
+++ b/src/libs/membership/leavingendpoints.h
@@ -27,7 +27,8 @@
     LeavingEndpoints();
     explicit LeavingEndpoints(const Options &options);
 
-    /// True if the entry is new, or has a higher incarnation than the stored one.
+    /// Merges an entry from a peer or of this process; true if it is new or has a higher
+    /// incarnation than the stored one.
     bool merge(const LeavingEndpoint &leaving, Base::MonoTime now);
     bool covers(const Base::EndpointId &endpoint, Base::Incarnation incarnation) const;
     LeavingEndpoint entry(const std::string &endpoint, Base::MonoTime now) const;
--- a/src/libs/membership/loaddigests.h
+++ b/src/libs/membership/loaddigests.h
@@ -22,7 +22,7 @@
     struct Options
     {
         Base::Duration maxAge = std::chrono::seconds(5); ///< Older samples are not sent.
-        /// Older reports of work sent by peers are ignored.
+        /// Work sent by a peer is ignored once the peer's report of it is older than this.
         Base::Duration peerWorkMaxAge = std::chrono::seconds(2);
         /// How many times a sample, or a change of the work sent by this process, is sent.
         std::uint32_t sends = 4;
@@ -46,8 +46,8 @@
 
     std::optional<Sample> sample(const Base::EndpointId &endpoint) const;
     std::optional<Sample> sample(std::uint32_t endpointKey) const;
-    /// Total work that peers sent after the sample, by their reports of the last
-    /// Options::peerWorkMaxAge.
+    /// Total work that peers sent to the endpoint after its sample, according to reports that are
+    /// not older than Options::peerWorkMaxAge.
     Base::WorkUnits peerWorkSinceSample(const Base::EndpointId &endpoint, Base::MonoTime now) const;
 
     /// Returns the due reports that fit into \a bytes and counts them as sent once more.
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -66,6 +66,7 @@
         /// A data centre without contact for this long is unreachable.
         Base::Duration linkTimeout = std::chrono::seconds(6);
         Base::Duration gossipPeriod = std::chrono::milliseconds(200);
+        /// Delay between an urgent change and the gossip that propagates it.
         Base::Duration urgentDelay = std::chrono::milliseconds(20);
         /// Time between pings of the addresses of seeds and listed VMs where no living member is
         /// known.
@@ -122,8 +123,8 @@
     Base::MonoTime nextDue() const;
     void receive(const Sender &sender, const Runtime::SocketAddress &from,
                  const PeerMessage &message, Base::MonoTime now);
-    /// Answers a datagram of an older incarnation with an Outdated message. Its sender may be a new
-    /// process that derived a lower incarnation from a wall clock that is behind.
+    /// Answers a datagram of an older incarnation with an Outdated message. The datagram may come
+    /// from a new process that derived a lower incarnation from a wall clock that is behind.
     void receiveOutdated(const Sender &sender, const Runtime::SocketAddress &from,
                          std::uint64_t knownIncarnation, Base::MonoTime now);
     /// Logical time for a message that this process sends now.
@@ -220,7 +221,7 @@
     const Member *randomOf(const std::vector<const Member *> &members);
     /// The data centres of \a members, sorted by lastContactOrProbe(), the oldest first.
     std::vector<std::string> dataCentresToProbe(const std::vector<const Member *> &members) const;
-    /// Time of the last contact with a data centre or of the last probe of it, if that is later.
+    /// Time of the last contact with a data centre or of its last probe, whichever is later.
     Base::MonoTime lastContactOrProbe(const std::string &dataCentre) const;
     /// Rank by id of this process among the living members of its data centre, and their number.
     std::pair<std::size_t, std::size_t> ownRank() const;
@@ -232,7 +233,7 @@
     std::uint32_t retransmitLimit() const;
     std::uint32_t ownHash() const;
     std::uint32_t fleetHash() const;
-    /// Lengthens a timeout while own probes fail, as this process may be the faulty one.
+    /// Lengthens \a duration while probes by this process fail, as this process may be faulty.
     Base::Duration scaledByAwareness(Base::Duration duration) const;
 
     Options m_options;
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -234,8 +234,9 @@
         size += bytes;
         return true;
     };
-    // An address that may not know this process first gets its entry; a peer that is not considered
-    // alive gets that update about itself, so that it can refute it.
+    // The process at an address without a known member may not have this process in its table, so
+    // the message starts with the entry of this process. A peer that is considered suspect or dead
+    // is sent its own entry, so that it can refute it.
     if (!peer)
         addMember(m_self, ControlPriority::Essential);
     else if (peer->info.status != MemberStatus::Alive)
--- a/src/libs/membership/membertable.h
+++ b/src/libs/membership/membertable.h
@@ -22,7 +22,7 @@
     bool isListed = false; ///< Whether the platform's VM list contains its address.
     double penalty = 0; ///< Flap damping penalty at penaltyAt; decays exponentially.
     Base::MonoTime penaltyAt{};
-    bool isDamped = false; ///< Died too often recently to be relied on.
+    bool isDamped = false; ///< Not used for tasks because it died repeatedly in the recent past.
 
     bool isAlive() const
     {
@@ -68,7 +68,7 @@
     /// Hash over id and incarnation of the living members of \a dataCentre; equal on processes
     /// that have the same members.
     std::uint32_t hash(const std::string &dataCentre) const;
-    /// The same over all data centres.
+    /// Hash over id and incarnation of the living members of all data centres.
     std::uint32_t fleetHash() const;
     /// hash() of each data centre, to be sent with a pull request.
     std::vector<TableHash> hashes() const;
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -83,13 +83,14 @@
 class ReplayWindow
 {
 public:
-    /// True if \a sequence is seen for the first time; marks it as seen.
+    /// Returns whether \a sequence is neither too old nor accepted already, and marks it as
+    /// accepted.
     bool accept(std::uint64_t sequence);
 
 private:
     static constexpr std::size_t width = 1024;
     std::uint64_t m_highestSequence = 0;
-    std::bitset<width> m_seenSequences; ///< Bit i is set if m_highest - i was seen.
+    std::bitset<width> m_seenSequences; ///< Bit i: m_highestSequence - i was accepted.
 };
 
 /// Seals and opens messages between members. A sealed message consists of magic, version, sender,
@@ -130,8 +131,8 @@
     {
         return m_drops.at(static_cast<std::size_t>(reason));
     }
-    /// The highest incarnation of \a id seen so far; datagrams of lower ones are dropped. 0 if none
-    /// was seen.
+    /// The highest incarnation in the datagrams received from \a id, or 0 if there were none.
+    /// Datagrams of lower incarnations are dropped.
     std::uint64_t seenIncarnation(const std::string &id) const;
     /// Removes the replay window of a member that does not come back.
     void forget(const std::string &id) { m_windows.erase(id); }
--- a/src/libs/orders/lease.cpp
+++ b/src/libs/orders/lease.cpp
@@ -74,7 +74,7 @@
         m_lastOffset = offset;
         return true;
     }
-    // Without a known claim, as retention has removed its record, the renewal defines the state.
+    // If retention has removed the record of the claim, the renewal or release defines the state.
     if (m_fencing && (record.fencing != *m_fencing || record.holder != m_holder))
         return false;
     m_fencing = record.fencing;
@@ -92,7 +92,7 @@
 LeaseKeeper::LeaseKeeper(Options options, Base::MonoTime now)
     : m_options(std::move(options))
     , m_state(m_options.dataCentre)
-    // A holder from before this process started reading may still hold the lease for a full term.
+    // A claim or renewal from before this process started may be valid for up to a full term.
     , m_claimableAt(now + m_options.term)
 { }
 
--- a/src/libs/orders/lease.h
+++ b/src/libs/orders/lease.h
@@ -66,8 +66,8 @@
 /// caller passes in the time and the records read, and appends the requested records.
 ///
 /// Safety requires the monotonic clocks of two controllers to run at nearly the same rate, but does
-/// not depend on their values: the holder counts its term from before it sent the record, a
-/// follower from after it has read it.
+/// not depend on their values: the holder measures its term from the time before it sent its last
+/// claim or renewal, and a follower from the time after it has read that record, which is later.
 class LeaseKeeper
 {
 public:
@@ -78,14 +78,15 @@
         Base::Duration term = std::chrono::seconds(9);
         Base::Duration margin = std::chrono::seconds(1); ///< Allowance for clock drift.
         Base::Duration renewPeriod = std::chrono::seconds(3);
-        Base::Duration retryPeriod = std::chrono::seconds(1); ///< After a failed append.
+        /// Time until a failed append is retried.
+        Base::Duration retryPeriod = std::chrono::seconds(1);
         /// Longest time from the sending of an order to its effect.
         Base::Duration longestOrder = std::chrono::seconds(5);
     };
 
     LeaseKeeper(Options options, Base::MonoTime now);
 
-    /// Called to append a record with this id; a retry uses the same id.
+    /// Called to append a record to the log under an id; a retry of the append has the same id.
     std::function<void(const std::string &id, const LeaseRecord &record)> appendRequested;
     std::function<void(Base::FencingNumber fencing)> gained;
     std::function<void()> lost;
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -56,8 +56,11 @@
         : m_options(options)
     { }
 
+    /// Whether another load may start now.
     bool mayStart(Base::MonoTime now);
+    /// To be called when a load on the endpoint has started.
     void started(const Base::EndpointId &endpoint, Base::MonoTime now);
+    /// To be called when a load on the endpoint has ended.
     void finished(const Base::EndpointId &endpoint) { m_running.erase(endpoint); }
     /// To be called when the weight store responded with status 429.
     void noteStoreRefusal(const Base::EndpointId &endpoint, Base::Duration retryAfter,
@@ -82,7 +85,7 @@
     bool isDraining = false; ///< As reported by the endpoint.
     std::size_t chatsToExport = 0;
     std::size_t inFlight = 0; ///< Running and queued.
-    Base::Duration sinceDraining{}; ///< Time since it was first observed draining.
+    Base::Duration sinceDraining{}; ///< Time since the endpoint was first observed draining.
 };
 
 /// The next step of a drain. Exports end after \a maxExportTime; requests in flight are never
@@ -98,9 +101,10 @@
     struct Options
     {
         std::size_t probersPerEndpoint = 2;
-        Base::Duration period = std::chrono::seconds(1); ///< Between two probes by the same prober.
+        /// Time between two probes by the same prober.
+        Base::Duration period = std::chrono::seconds(1);
         double bytesPerProbe = 600; ///< Request, TCP acknowledgements of the response, and headers.
-        double bytesPerSecond = 1500; ///< Part of the control traffic budget.
+        double bytesPerSecond = 1500; ///< Limit of a member's probes; part of its control budget.
     };
     struct Result
     {
--- a/src/libs/retry/backoff.h
+++ b/src/libs/retry/backoff.h
@@ -14,7 +14,7 @@
     /// Returns random numbers, uniform in [0, 1); without it, waits have no jitter.
     std::function<double()> random;
 
-    /// Wait before the given retry; the first retry is 0.
+    /// Time to wait before the given retry; the first retry has number 0.
     Base::Duration wait(int retry) const;
 };
 
--- a/src/libs/retry/deadline.h
+++ b/src/libs/retry/deadline.h
@@ -7,11 +7,11 @@
 
 namespace Lagoonbank::Retry {
 
-/// Deadline of a caller's request, passed on with each attempt. The reserve is subtracted for the
-/// transfer of the answer to the caller.
+/// Deadline of a caller's request, passed on with each attempt. The reserve is time kept for
+/// the transfer of the answer to the caller: attempts have to end that much earlier.
 struct Deadline
 {
-    std::optional<Base::MonoTime> at; ///< No value: no deadline.
+    std::optional<Base::MonoTime> at; ///< Time by which the caller needs the answer, if any.
     Base::Duration reserve = std::chrono::milliseconds(2);
 
     /// Time available to an attempt that starts now; never negative. No value without a deadline.
@@ -25,8 +25,8 @@
     /// Whether an attempt that starts after `wait` and takes at least `minimum` can end in time.
     bool leavesTime(Base::MonoTime now, Base::Duration wait, Base::Duration minimum) const
     {
-        const std::optional<Base::Duration> left = remaining(now);
-        return !left || *left > wait + minimum;
+        const std::optional<Base::Duration> available = remaining(now);
+        return !available || *available > wait + minimum;
     }
 };
 
--- a/src/libs/retry/retrybudget.h
+++ b/src/libs/retry/retrybudget.h
@@ -6,15 +6,16 @@
 
 struct RetryBudgetOptions
 {
-    double retriesPerSuccess = 0.1; ///< Retries earned per success.
-    double retriesPerSecond = 0.5; ///< Retries earned per second regardless of successes.
+    double retriesPerSuccess = 0.1; ///< Retries added for each successful attempt.
+    double retriesPerSecond = 0.5; ///< Retries added per second, regardless of successes.
     double capacity = 20; ///< Maximum balance.
 };
 
-/// Token bucket that limits retries to a fraction of the successes: each success adds `ratio`
-/// retries, and a low constant rate gives a workspace or endpoint with little traffic some as well.
-/// There is one budget per workspace and one per endpoint; a retry needs both, the latter of the
-/// endpoint that would get it.
+/// Token bucket that limits retries to a fraction of the successes: each success adds
+/// `retriesPerSuccess`, and `retriesPerSecond` gives a workspace or endpoint with little traffic
+/// some as well.
+/// Each workspace and each endpoint has a budget. A retry is taken from the budget of its workspace
+/// and from the budget of the endpoint that it is sent to; both must have one left.
 class RetryBudget
 {
 public:
--- a/src/libs/retry/retrydecision.h
+++ b/src/libs/retry/retrydecision.h
@@ -31,14 +31,15 @@
     Deadline deadline;
 };
 
-/// Limits of retries. `endpoint` is the budget of the endpoint that would get the retry.
+/// Limits that a retry must meet. `endpoint` is the budget of the endpoint that the retry would be
+/// sent to.
 struct Limits
 {
     const RetryBudget *workspace = nullptr;
     const RetryBudget *endpoint = nullptr;
     int maxAttempts = 3;
     int maxResumes = 3;
-    /// Time that must remain for the attempt after the wait.
+    /// Time that must remain until the deadline when the next attempt starts, after its backoff.
     Base::Duration minimumAttemptTime = std::chrono::milliseconds(1);
 };
 
--- a/src/libs/router/callerapi.h
+++ b/src/libs/router/callerapi.h
@@ -21,7 +21,7 @@
 
 namespace Lagoonbank::Router {
 
-/// Properties of a request that are known once it has been read.
+/// Properties of a caller's request that are set when it is read.
 struct RequestInfo
 {
     Base::RequestId id;
--- a/src/libs/router/claimcoordinator.h
+++ b/src/libs/router/claimcoordinator.h
@@ -37,7 +37,7 @@
     void failed(const RequestInfo &info, Errors::Ran ran);
     /// Number of claims that wait for the log.
     std::size_t pending() const { return m_claimer.pending(); }
-    /// Number of outcomes that are not on the log yet.
+    /// Number of outcomes that have not been recorded on the log yet.
     std::size_t unrecorded() const { return m_claimer.unrecorded(); }
 
 private:
--- a/src/libs/router/inflightsharing.h
+++ b/src/libs/router/inflightsharing.h
@@ -21,7 +21,7 @@
 class InFlightSharing
 {
 public:
-    /// With more peers, the traffic budget allows beacons too rarely to be of use.
+    /// With more peers, the control budget allows so few beacons that their data would be outdated.
     static constexpr std::size_t maxPeers = 12;
 
     InFlightSharing(Runtime::Loop &loop, Placer &placer, Node::PeerLink &peers);
@@ -42,7 +42,7 @@
         bool isExpired = false; ///< The peer timed out and its reported work is ignored.
     };
 
-    /// State that this router's beacons have reported.
+    /// What this router's beacons last reported, and when.
     struct SentState
     {
         std::vector<InFlight> work; ///< By endpoint index.
--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -39,8 +39,8 @@
     return value;
 }
 
-/// Whether the result says something about the endpoint's health. A caller that disconnects or a
-/// deadline that expires does not.
+/// Whether the result counts towards the endpoint's health. Attempts that ended because the caller
+/// disconnected or the deadline expired do not.
 bool affectsHealth(const Exchange::AttemptResult &result)
 {
     return result.succeeded
@@ -251,7 +251,8 @@
     applyDecision(ticket, choose(found->second.query, waited));
 }
 
-/// Work of a request if nothing of its prompt is cached, as its endpoint is not chosen yet.
+/// Estimates the work of a request. Assumes that none of its prompt is cached, as its endpoint is
+/// not chosen yet.
 Base::WorkUnits Placer::expectedWork(const Exchange::RouteQuery &query) const
 {
     const auto prompt = static_cast<double>(query.promptTokens.value());
--- a/src/libs/router/placer.h
+++ b/src/libs/router/placer.h
@@ -60,8 +60,8 @@
     /// first token also ends the prefill.
     void attemptProgressed(const Exchange::Target &target, Base::Tokens tokens, bool isFirst);
     void attemptEnded(const Exchange::AttemptResult &result);
-    /// Takes an endpoint's load report. \a report is the value of an X-Load header:
-    /// work=<n>;age=<ms>;running=<n>;queued=<n>;capacity=<n>.
+    /// Passes an endpoint's load report to the routing decision. \a report is the value of an
+    /// X-Load header: work=<n>;age=<ms>;running=<n>;queued=<n>;capacity=<n>.
     void loadReported(const Base::EndpointId &endpoint, std::string_view report);
     /// Notes that \a endpoint has served the chat and now caches \a cached tokens of it.
     void chatServed(std::uint64_t chatHash, const Base::EndpointId &endpoint, Base::Tokens cached);
@@ -69,9 +69,9 @@
     /// Number of requests that wait for an endpoint.
     std::size_t waiting() const { return m_waiting.size(); }
 
-    /// Receiver for the load reports that endpoints send with their answers. Not called at present.
+    /// Receives the load reports that endpoints send with their answers. Not called at present.
     std::function<void(const Base::EndpointId &endpoint, const LoadHeader &header)> reported;
-    /// Called with the time that a decision took and the decision itself; for metrics.
+    /// Called after each routing decision with its duration and result; for metrics.
     std::function<void(Base::Duration took, const Routing::Decision &decision)> decided;
 
 private:
@@ -80,13 +80,15 @@
         Exchange::RouteQuery query;
         std::function<void(Exchange::Placement)> placed;
         Base::MonoTime since;
-        /// Null while the request waits outside of the queues for the engine that caches its chat.
+        /// Queue that the request is in. Null if it is in none: the engine that caches its chat is
+        /// at its load bound, and placement is retried at short intervals.
         Routing::WaitQueue *queue = nullptr;
     };
     struct RunningAttempt
     {
         Routing::SentRequest sent;
-        Base::WorkUnits prefill; ///< Part of the work that is done when the first token arrives.
+        /// Work of the uncached prompt tokens; deducted when the first token arrives.
+        Base::WorkUnits prefill;
     };
 
     static std::string poolOf(const Exchange::RouteQuery &query);
--- a/src/libs/router/quotasharing.cpp
+++ b/src/libs/router/quotasharing.cpp
@@ -10,7 +10,7 @@
 constexpr Base::Duration interval = std::chrono::seconds(1);
 /// Share of the control traffic budget for demand digests, in bytes per interval.
 constexpr Base::Bytes digestBytes{1200};
-/// Overhead that is counted for each datagram.
+/// Overhead per datagram that is charged to digestBytes.
 constexpr Base::Bytes datagramBytes{16};
 
 } // namespace
--- a/src/libs/router/retrybudgets.h
+++ b/src/libs/router/retrybudgets.h
@@ -21,8 +21,8 @@
     /// Credits a successful attempt to the budgets of its workspace and endpoint.
     void noteSuccess(const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
                      Base::MonoTime now);
-    /// Decides whether a failed attempt is retried, and charges a retry to the budgets of its
-    /// workspace and endpoint.
+    /// Decides whether a failed attempt is retried. A retry is charged to the budgets of the
+    /// workspace and of \a endpoint.
     Retry::RetryDecision decide(const Base::WorkspaceId &workspace,
                                 const Base::EndpointId &endpoint,
                                 const Retry::AttemptFailure &failure,
--- a/src/libs/router/routeradmin.cpp
+++ b/src/libs/router/routeradmin.cpp
@@ -20,7 +20,7 @@
 /// Maximum number of outcomes in one answer.
 constexpr std::size_t maxOutcomes = 200'000;
 
-/// Sets a counter to a total that is counted elsewhere.
+/// Raises a counter to \a total, which another component counts.
 void raiseTo(Metrics::Counter counter, std::uint64_t total)
 {
     counter.increment(static_cast<double>(total) - counter.value());
--- a/src/libs/routing/endpointtable.cpp
+++ b/src/libs/routing/endpointtable.cpp
@@ -95,9 +95,9 @@
     m_hot[index].capacity = value;
 }
 
-void EndpointTable::setColdSince(EndpointIndex index, Base::MonoTime at)
+void EndpointTable::setColdSince(EndpointIndex index, Base::MonoTime coldSince)
 {
-    m_rows[index].info.coldSince = at;
+    m_rows[index].info.coldSince = coldSince;
 }
 
 std::span<const EndpointIndex> EndpointTable::members(PoolIndex pool) const
--- a/src/libs/routing/endpointtable.h
+++ b/src/libs/routing/endpointtable.h
@@ -73,7 +73,7 @@
 
     void setState(EndpointIndex index, EndpointState state);
     void setCapacity(EndpointIndex index, Base::WorkUnits capacity);
-    void setColdSince(EndpointIndex index, Base::MonoTime at);
+    void setColdSince(EndpointIndex index, Base::MonoTime coldSince);
 
     /// Members of a pool in unspecified order; empty for noPool.
     std::span<const EndpointIndex> members(PoolIndex pool) const;
@@ -84,6 +84,7 @@
         EndpointInfo info;
         PoolIndex pool = noPool;
     };
+    /// Fields read by every decision, stored apart from Row for cache locality.
     struct Hot
     {
         std::uint64_t hash = 0;
--- a/src/libs/routing/loadbound.h
+++ b/src/libs/routing/loadbound.h
@@ -26,14 +26,15 @@
 public:
     struct Options
     {
-        /// Multiple for the chat's warm endpoint and its home endpoint; at least 1.
+        /// Multiple of the relative rule for the chat's warm and home endpoints; at least 1.
         double multiple = 1.25;
-        /// Multiple for any other endpoint; from 1 to `multiple`. The difference is capacity
-        /// reserved for chats whose warm or home endpoint it is.
+        /// Multiple of the relative rule for any other endpoint; from 1 to `multiple`. The
+        /// difference between the two is capacity reserved for chats whose warm or home endpoint it
+        /// is.
         double overflowShareMultiple = 1.1;
         /// Maximum load as a multiple of the capacity; beyond it, requests wait or are refused.
         double maximumLoadFactor = 2.0;
-        /// Fraction of the absolute bound that only urgent priorities may use.
+        /// Fraction of the bound of the absolute rule that only urgent priorities may use.
         double reserve = 0.1;
         std::uint8_t urgentBelow = 1; ///< Priorities below this value may use the reserve.
     };
--- a/src/libs/routing/loadestimator.h
+++ b/src/libs/routing/loadestimator.h
@@ -40,7 +40,8 @@
     {
         /// Age from which a report loses weight in favour of the average load of the others.
         Base::Duration staleAfter = std::chrono::seconds(2);
-        /// Time after staleAfter in which the weight of a report falls to zero.
+        /// Time in which the weight of a report falls from one to zero once its age has reached
+        /// staleAfter.
         Base::Duration fadeTime = std::chrono::seconds(4);
     };
 
@@ -53,7 +54,8 @@
 
     /// Grows the tables to `size` endpoints; new ones are idle.
     void resize(std::size_t size);
-    /// Clears the load when the index is reused for another endpoint or the endpoint has restarted.
+    /// Clears the load; to be called when the index is reused for another endpoint or the endpoint
+    /// has restarted.
     void reset(EndpointIndex endpoint);
 
     /// Returns false for a report that is older than the current one or of an older incarnation.
@@ -100,7 +102,7 @@
         WorkHistory own;
         WorkHistory peers;
         double reportedWork = 0.0;
-        double unattributed = 0.0; ///< Reported work of neither this router nor its peers.
+        double unattributed = 0.0; ///< Reported work that neither this router nor its peers sent.
         double fadedUnattributed = 0.0; ///< `unattributed`, faded to the average of the others.
         Base::MonoTime sampledAt;
         Base::Incarnation incarnation;
--- a/src/libs/routing/placementtable.cpp
+++ b/src/libs/routing/placementtable.cpp
@@ -23,7 +23,8 @@
 {
     Entry *entry = entryOf(chatHash);
     if (!entry) {
-        // Compares differences of use counts, so that the counter may wrap.
+        // Compares how long ago the entries were used, as differences of m_useCount, so that the
+        // counter may wrap.
         Entry *set = setOf(chatHash);
         const auto older = [this](const Entry &a, const Entry &b) {
             if ((a.chat == 0) != (b.chat == 0))
--- a/src/libs/routing/placementtable.h
+++ b/src/libs/routing/placementtable.h
@@ -41,14 +41,14 @@
         std::uint64_t chat = 0; ///< Zero: the entry is free.
         std::uint64_t endpoint = 0;
         std::uint32_t cached = 0;
-        std::uint32_t lastUse = 0; ///< Value of m_use at the last use.
+        std::uint32_t lastUse = 0; ///< Value of m_useCount at the entry's last use.
     };
 
     Entry *setOf(std::uint64_t chatHash);
     Entry *entryOf(std::uint64_t chatHash);
 
     std::vector<Entry> m_entries;
-    std::uint32_t m_useCount = 0; ///< Number of uses so far; may wrap.
+    std::uint32_t m_useCount = 0; ///< Counts the uses of all entries; may wrap.
 };
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -108,13 +108,15 @@
         /// Sends requests of services to other data centres only if no local endpoint is usable and
         /// below its bound.
         bool localServices = true;
-        /// Bounded only: number of next endpoints in the rendezvous order, 1 or 2, of which the
-        /// least loaded is chosen for requests of services and if the warm and home endpoints have
-        /// no free capacity.
+        /// Number of endpoints, 1 or 2, that a request may overflow to: the first ones below their
+        /// bound in the rendezvous order, of which the least loaded is chosen. Applies to requests
+        /// of services, and to chats whose warm and home endpoints are at their bound. Only used by
+        /// Policy::Bounded.
         int overflowChoices = 2;
-        /// Bounded only: maximum wait for the warm endpoint, for each 1000 tokens cached there and
-        /// in total; zero: never wait.
+        /// Time that a request may wait for its warm endpoint for each 1000 tokens cached there;
+        /// zero: never wait. Only used by Policy::Bounded.
         Base::Duration warmWaitPerThousandTokens = std::chrono::milliseconds(100);
+        /// Upper limit of the wait for the warm endpoint, however many tokens are cached there.
         Base::Duration maximumWarmWait = std::chrono::milliseconds(300);
     };
 
--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -60,17 +60,17 @@
     return !row.trialInFlight || now - row.trialSentAt >= m_options.trialTimeout;
 }
 
-void Suspicion::noteFailure(Row &row, int toSuspect, Base::MonoTime now)
+void Suspicion::noteFailure(Row &row, int failuresToSuspect, Base::MonoTime now)
 {
     switch (row.state) {
     case State::Suspected:
-        return; // A failure of a request sent before the endpoint was suspected adds no evidence.
+        return; // The request was sent before the endpoint was suspected; no new evidence.
     case State::OnTrial:
         enterSuspected(row, now);
         return;
     case State::Healthy:
         ++row.failures;
-        if (row.failures >= toSuspect)
+        if (row.failures >= failuresToSuspect)
             enterSuspected(row, now);
         return;
     }
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -24,14 +24,16 @@
 public:
     struct Options
     {
-        int breaksToSuspect = 3; ///< Consecutive failures, if the last one is Broke.
-        int unreachableToSuspect = 2; ///< Consecutive failures, if the last one is Unreachable.
+        /// Consecutive failures needed to suspect the endpoint if the last one is Broke.
+        int breaksToSuspect = 3;
+        /// Consecutive failures needed if the last one is Unreachable.
+        int unreachableToSuspect = 2;
         Base::Duration initialBackoff = std::chrono::seconds(1);
         Base::Duration maximumBackoff = std::chrono::seconds(30);
-        int trialsToRecover = 2; ///< Consecutive successful trials.
+        int trialsToRecover = 2; ///< Consecutive successful trials needed.
         /// Time after which a trial without a result no longer blocks the next one.
         Base::Duration trialTimeout = std::chrono::seconds(30);
-        /// Healthy time after which the next backoff is the initial one again.
+        /// If the endpoint has been healthy for this long, its next backoff is the initial one.
         Base::Duration backoffResetAfter = std::chrono::seconds(60);
     };
 
@@ -69,7 +71,8 @@
         State state = State::Healthy;
         std::uint8_t failures = 0; ///< Consecutive failures while healthy.
         std::uint8_t successes = 0; ///< Consecutive successful trials.
-        /// The backoff is initialBackoff * 2^(level - 1); zero: never suspected.
+        /// Zero if the endpoint was never suspected; otherwise the backoff is
+        /// min(initialBackoff * 2^(backoffLevel - 1), maximumBackoff).
         std::uint8_t backoffLevel = 0;
         bool trialInFlight = false;
         Base::MonoTime suspectedSince;
@@ -78,7 +81,7 @@
         Base::MonoTime healthySince;
     };
 
-    void noteFailure(Row &row, int toSuspect, Base::MonoTime now);
+    void noteFailure(Row &row, int failuresToSuspect, Base::MonoTime now);
     void noteAnswer(Row &row, Base::MonoTime now);
     void enterSuspected(Row &row, Base::MonoTime now);
 
--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -107,7 +107,7 @@
 
 Base::Duration WaitQueue::retryAfter(Base::MonoTime now) const
 {
-    // Without pops the rate decays: n seconds without one mean a rate of at most 1/n.
+    // The rate decays without pops: if the last pop was n seconds ago, it is at most 1/n.
     double rate = m_popRate;
     if (m_lastPop && now > *m_lastPop)
         rate = std::min(rate, 1.0 / Base::toSeconds(now - *m_lastPop));
--- a/src/libs/routing/waitqueue.h
+++ b/src/libs/routing/waitqueue.h
@@ -22,7 +22,8 @@
     {
         std::size_t limit = 64; ///< Maximum number of waiting requests.
         Base::Duration maximumWait = std::chrono::seconds(2);
-        Base::Duration minimumRetryAfter = std::chrono::seconds(1); ///< Bounds of retryAfter().
+        /// Lower and upper limit of retryAfter().
+        Base::Duration minimumRetryAfter = std::chrono::seconds(1);
         Base::Duration maximumRetryAfter = std::chrono::seconds(30);
     };
 
@@ -33,7 +34,8 @@
     {
         Ticket ticket = 0;
         std::uint8_t priority = 1; ///< Zero is the most urgent.
-        Base::MonoTime deadline; ///< Deadline of the request as a whole, including its run.
+        /// Time by which the request must have run, not only left the queue.
+        Base::MonoTime deadline;
         Base::WorkspaceId workspace;
         Base::WorkUnits work{1}; ///< Expected work; counts towards the workspace's share.
     };
--- a/tests/auto/adapter/tst_crashingrequestfleet.cpp
+++ b/tests/auto/adapter/tst_crashingrequestfleet.cpp
@@ -20,7 +20,8 @@
 namespace {
 
 constexpr int maxCrashes = 3;
-constexpr int maxFurtherCrashes = 3; ///< Later than stableTime after the third one.
+/// Maximum number of crashes later than stableTime after the third one.
+constexpr int maxFurtherCrashes = 3;
 constexpr auto stableTime = seconds(3);
 
 /// An endpoint that crashes when a request reaches it.
--- a/tests/auto/adapter/tst_endpointselfreport.cpp
+++ b/tests/auto/adapter/tst_endpointselfreport.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-constexpr auto drainTime = seconds(2); ///< From its report to the last request that it gets.
+/// Maximum time from the report that an endpoint is leaving to the last request that it gets.
+constexpr auto drainTime = seconds(2);
 
 /// An endpoint that answers all requests at once, with a status and headers set by the test.
 struct Engine
--- a/tests/auto/fleetsync/syncfleet.h
+++ b/tests/auto/fleetsync/syncfleet.h
@@ -49,7 +49,7 @@
     Router &add(const std::string &dataCentre, int number)
     {
         auto router = std::make_unique<Router>();
-        // As long as names in production.
+        // Ids are as long as in production, because the size of beacons is checked.
         router->id = "edge-data-centre-r" + std::to_string(number);
         router->dataCentre = dataCentre;
         router->ip = "10.0.0." + std::to_string(number);
@@ -138,7 +138,7 @@
     std::function<bool(const Router &from, const Router &to)> passes =
         [](const Router &, const Router &) { return true; };
     std::vector<std::unique_ptr<Router>> routers;
-    std::uint64_t revision = 0; ///< Of the configuration in the store; 0 for none.
+    std::uint64_t revision = 0; ///< Revision of the configuration in the store; 0 for none.
     std::uint64_t bytes = 0; ///< Size of beacons sent by all routers.
     std::uint64_t messages = 0; ///< Beacons sent by all routers.
     std::uint64_t pulledEndpoints = 0; ///< Entries in answers to pulls.
--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -80,8 +80,8 @@
     BOOST_TEST(f.datagrams == 5);
 }
 
-/// An endpoint ends with all its slots in use. Any of its requests may be the cause, so all ends
-/// have to be reported.
+/// An endpoint crashes with all its slots in use. Any of its requests may be the cause, so the
+/// crash has to be reported for each of them.
 BOOST_AUTO_TEST_CASE(allReportsOfFullEndpointAreSent)
 {
     Routers f(6);
@@ -95,7 +95,7 @@
     BOOST_TEST(f.routers[2]->dropped() == 0U);
 }
 
-/// Whichever router reports the end, the same few routers count the ends under one request.
+/// Whichever router reports a crash, the same few routers count the crashes during one request.
 BOOST_AUTO_TEST_CASE(inLargeFleetSameFewRoutersCountCrashesOfRequest)
 {
     Routers f(300);
@@ -104,10 +104,10 @@
     BOOST_TEST(f.receivedReports.size() <= 8);
     const auto all = std::count_if(f.receivedReports.begin(), f.receivedReports.end(),
                                    [](const auto &entry) { return entry.second == 3; });
-    BOOST_TEST(all >= 5); // A reporter that counts itself receives only the others' reports.
+    BOOST_TEST(all >= 5); // At most 3 count a report of their own, which needs no message.
 }
 
-/// Many endpoints with many requests end at the same time. The reports have to keep to their
+/// Many endpoints with many requests crash at the same time. The reports have to keep to their
 /// budget, as calls share the link of 10 Mbit/s.
 BOOST_AUTO_TEST_CASE(manyCrashReportsKeepToByteBudget)
 {
--- a/tests/auto/gateway/gatewayfixture.h
+++ b/tests/auto/gateway/gatewayfixture.h
@@ -44,8 +44,7 @@
     std::vector<std::unique_ptr<Connection>> connections;
 };
 
-/// A gateway between callers and endpoints of the test, on a clock that is advanced by the test
-/// only.
+/// A gateway between callers and endpoints of the test, with a clock that only the test advances.
 struct GatewayFixture : Lagoonbank::Test::PausedLoop
 {
     using RouteKind = Lagoonbank::Fleet::RouteKind;
@@ -157,7 +156,8 @@
         text += Lagoonbank::Errors::toString(refusal.ran);
         responder.send(refusal.ran == Lagoonbank::Errors::Ran::No ? 503 : 502, {}, text);
     }
-    /// `x-id` identifies the request in both directions; `x-not-run` tells that it did not run.
+    /// `x-id` identifies the request in both directions; `x-not-run` marks a request that did not
+    /// run.
     static Lagoonbank::Gateway::EndpointProtocol protocol()
     {
         using namespace Lagoonbank;
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -39,8 +39,8 @@
     struct Drain
     {
         int dataCentre = 0;
-        double from = 0; ///< In seconds.
-        double to = 0;
+        double from = 0; ///< Start of the drain, in seconds.
+        double to = 0; ///< End of the drain, in seconds.
     };
     struct Options
     {
@@ -61,21 +61,24 @@
         /// Interval between two messages of a router to peers; 0 for no messages.
         double gossipSeconds = 0.1;
         Lagoonbank::Gateway::Placement::Options placement;
-        double warmUp = 5; ///< Seconds before figures are collected.
+        double warmUp = 5; ///< Time in seconds before figures are collected.
         double seconds = 15; ///< Duration after the warm-up.
         unsigned seed = 7;
     };
     struct Figures
     {
         int requests = 0;
-        int requestsOverBound =
-            0; ///< Requests to engines with more than twice the mean load plus 3.
-        int requestsAwayFromHome = 0; ///< Requests not sent to their home as it was busy.
-        double maximumOverBoundShare = 0; ///< Maximum share over the bound in five seconds.
+        /// Number of requests to engines with a load of more than 2 x mean load + 3.
+        int requestsOverBound = 0;
+        /// Number of requests that were not sent to their home endpoint, as that was busy.
+        int requestsAwayFromHome = 0;
+        /// Maximum of overBoundShare() over all periods of five seconds.
+        double maximumOverBoundShare = 0;
         double meanLoad = 0;
-        double tokensPrefilledAgain = 0; ///< Tokens of prompts on each further engine.
+        /// Prompt tokens prefilled by each engine but the first that prefills the prompt.
+        double tokensPrefilledAgain = 0;
         double averageLoadError = 0; ///< Mean relative error of the routers' average load.
-        double bytesPerSecond = 0; ///< Messages sent by each router.
+        double bytesPerSecond = 0; ///< Bytes of messages that each router sends per second.
         double overBoundShare() const { return double(requestsOverBound) / requests; }
         double awayFromHomeShare() const { return double(requestsAwayFromHome) / requests; }
     };
@@ -142,7 +145,7 @@
         }
         void addEngine(int number, int dataCentre, Lagoonbank::Base::MonoTime now)
         {
-            constexpr int firstName = 1000; // Makes the order of names that of the numbers.
+            constexpr int firstName = 1000; // Orders the names like the numbers.
             const std::string name = "engine-" + std::to_string(firstName + number);
             Lagoonbank::Fleet::Endpoint endpoint{.id = Lagoonbank::Base::EndpointId(name),
                                                  .service = service()};
