--- a/tests/auto/gateway/slowroutermodel.h
+++ b/tests/auto/gateway/slowroutermodel.h
@@ -59,7 +59,7 @@
         int callers = 0; ///< Each caller counts once, whatever its number of attempts.
         int inTime = 0;
         int late = 0;
-        int left = 0; ///< Callers that left before their answer began.
+        int abandoned = 0; ///< Callers that left before their answer began.
         int refused = 0;
         double served() const { return callers > 0 ? double(inTime + late) / callers : 1; }
         double timely() const { return callers > 0 ? double(inTime) / callers : 1; }
@@ -98,12 +98,12 @@
     int admitted() const { return m_admitted; }
     int finished() const { return m_finished; } ///< Admitted requests that were answered in full.
     int refusals() const { return m_refusals; }
-    /// The last time, in seconds, at which a request had been unread for longer than #behind.
-    double lastBacklogTime() const { return m_lastBehind; }
+    /// The last time, in seconds, at which a request had been unread for longer than backlogDelay.
+    double lastBacklogTime() const { return m_lastBacklogTime; }
     double maxDelay() const { return m_maxDelay; }
 
-    static constexpr double behind =
-        0.2; ///< Delay, in seconds, from which lastBacklogTime() counts.
+    /// Age, in seconds, from which an unread request counts for lastBacklogTime().
+    static constexpr double backlogDelay = 0.2;
 
 private:
     static constexpr int eventsOfAnswer = 12;
@@ -148,7 +148,7 @@
             all.callers += tally.callers;
             all.inTime += tally.inTime;
             all.late += tally.late;
-            all.left += tally.left;
+            all.abandoned += tally.abandoned;
             all.refused += tally.refused;
         }
         return all;
@@ -206,7 +206,7 @@
         if (caller.hasBegun || caller.hasLeft)
             return;
         caller.hasLeft = true;
-        count(caller, &Tally::left);
+        count(caller, &Tally::abandoned);
     }
     void arrive(const CallerPtr &caller)
     {
@@ -253,8 +253,8 @@
     {
         const double delay = m_now - request.arrivedAt;
         m_maxDelay = std::max(m_maxDelay, delay);
-        if (delay > behind)
-            m_lastBehind = m_now;
+        if (delay > backlogDelay)
+            m_lastBacklogTime = m_now;
         const Kind &kind = m_options.kinds[request.caller->kind];
         const Lagoonbank::Gateway::AdmissionRequest admissionRequest{
             .workspace =
@@ -324,7 +324,7 @@
     int m_admitted = 0;
     int m_finished = 0;
     int m_refusals = 0;
-    double m_lastBehind = 0;
+    double m_lastBacklogTime = 0;
     double m_maxDelay = 0;
     std::map<std::string, Tally> m_byKind;
     std::map<int, Tally> m_byWorkspace;
--- a/tests/auto/gateway/tst_admissionqueue.cpp
+++ b/tests/auto/gateway/tst_admissionqueue.cpp
@@ -31,9 +31,9 @@
                           .tryPlace =
                               [this, name] {
                                   ++attempts;
-                                  if (free == 0 || name == barred)
+                                  if (freeSlots == 0 || name == excludedWaiter)
                                       return false;
-                                  --free;
+                                  --freeSlots;
                                   placed.push_back(name);
                                   return true;
                               },
@@ -41,7 +41,7 @@
     }
     void release(int slots)
     {
-        free += slots;
+        freeSlots += slots;
         for (int i = 0; i < slots; ++i)
             queue.slotMayBeFree(service);
         timers.runDue();
@@ -57,9 +57,9 @@
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     AdmissionQueue queue{{.timers = &timers, .maxWaiters = 3}};
-    int free = 0;
+    int freeSlots = 0;
     int attempts = 0;
-    std::string barred; ///< Name of the waiter that cannot use the free slots.
+    std::string excludedWaiter; ///< Name of the waiter that cannot use the free slots.
     std::vector<std::string> placed;
     std::vector<std::string> refused;
 };
@@ -116,7 +116,7 @@
     Fixture f;
     f.wait("barred", repeat);
     f.wait("next", usual);
-    f.barred = "barred";
+    f.excludedWaiter = "barred";
     f.release(1);
     BOOST_TEST((f.placed == Names{"next"}));
 }
@@ -136,7 +136,7 @@
 {
     Fixture f;
     f.wait("a", usual);
-    f.free = 1;
+    f.freeSlots = 1;
     f.pass(milliseconds(10));
     BOOST_TEST((f.placed == Names{"a"}));
 }
--- a/tests/auto/gateway/tst_brokenstream.cpp
+++ b/tests/auto/gateway/tst_brokenstream.cpp
@@ -62,8 +62,8 @@
     BOOST_TEST(f.runUntil([&] { return f.isWhole(); }));
 }
 
-/// The stream's endpoint is gone and all others count as unreachable, for less time than callers
-/// wait for an event.
+/// The stream's endpoint has crashed and all others are marked as unreachable, for less time than
+/// callers wait for an event.
 BOOST_AUTO_TEST_CASE(startedStreamWaitsForReachableEndpoint)
 {
     BegunStream f;
@@ -87,7 +87,7 @@
 BOOST_AUTO_TEST_CASE(pauseWithinLimitKeepsEndpoint)
 {
     BegunStream f;
-    f.pass(milliseconds(140)); // Of 150 ms.
+    f.pass(milliseconds(140)); // Shortly before the limit of 150 ms.
     f.first->last().send(chunk(event(3)));
     BOOST_REQUIRE(f.runUntil([&] { return f.caller->has("e3"); }));
     f.pass(milliseconds(140));
--- a/tests/auto/gateway/tst_callerleft.cpp
+++ b/tests/auto/gateway/tst_callerleft.cpp
@@ -148,7 +148,7 @@
     GatewayFixture f(2);
     f.setRoute(routeOf(RouteKind::Idempotent));
     RawSocket caller = keptCaller(f);
-    f.setRoute(routeOf(RouteKind::NonIdempotent)); // A new connection for each.
+    f.setRoute(routeOf(RouteKind::NonIdempotent)); // Opens a new connection for each request.
     rlimit limit{};
     BOOST_REQUIRE_EQUAL(getrlimit(RLIMIT_NOFILE, &limit), 0);
     rlimit none = limit;
--- a/tests/auto/gateway/tst_concurrencylimit.cpp
+++ b/tests/auto/gateway/tst_concurrencylimit.cpp
@@ -86,7 +86,7 @@
 
 } // namespace
 
-/// The engines can serve the inverse of the load; half of that has to be in time.
+/// The engines can serve a share of 1 / load of the requests; half of that has to be in time.
 BOOST_AUTO_TEST_CASE(overloadServesHalfOfTheCapacityInTime)
 {
     for (const int routers : {24, 85, 300}) {
--- a/tests/auto/gateway/tst_endpointhealth.cpp
+++ b/tests/auto/gateway/tst_endpointhealth.cpp
@@ -59,7 +59,7 @@
     BOOST_TEST(!f.isHealthy());
 }
 
-/// For example, an endpoint whose connections are reset repeatedly, without any answer in between.
+/// Covers an endpoint whose connections are reset repeatedly, without any answer in between.
 BOOST_AUTO_TEST_CASE(repeatedFailureBurstsMakeAnEndpointSuspect)
 {
     Fixture f;
--- a/tests/auto/gateway/tst_loadshedder.cpp
+++ b/tests/auto/gateway/tst_loadshedder.cpp
@@ -72,7 +72,7 @@
     const struct
     {
         double load;
-        double minTimely; ///< Of the most urgent kind.
+        double minTimely; ///< Minimum timely share of the most urgent kind.
     } cases[] = {{1.3, 0.92}, {2.0, 0.75}, {3.0, 0.48}};
     for (const auto &[load, minTimely] : cases) {
         OverloadModel model(headOffice(load));
--- a/tests/auto/gateway/tst_reachability.cpp
+++ b/tests/auto/gateway/tst_reachability.cpp
@@ -1,5 +1,5 @@
-/// A data centre is partitioned or an engine crashes. Each request that runs into the connection
-/// timeout loses 120 ms, which most requests cannot afford.
+/// A data centre is partitioned or an engine crashes. Each request that waits for the connection
+/// timeout loses 120 ms, too much for the target latency of most requests.
 #define BOOST_TEST_MODULE tst_reachability
 #include <boost/test/unit_test.hpp>
 
--- a/tests/auto/gateway/tst_requestquarantine.cpp
+++ b/tests/auto/gateway/tst_requestquarantine.cpp
@@ -50,7 +50,7 @@
     BOOST_TEST(!f.crashed(one, 14)); // Already quarantined.
 }
 
-/// Each router that had the request at the endpoint reports the same crash.
+/// Every router that had the request running at the endpoint reports the same crash.
 BOOST_AUTO_TEST_CASE(crashReportedByManyRoutersCountsOnce)
 {
     Fixture f;
--- a/tests/auto/gateway/tst_silentendpoint.cpp
+++ b/tests/auto/gateway/tst_silentendpoint.cpp
@@ -69,20 +69,20 @@
 {
     SilentFixture f(3);
     f.begin(1);
-    f.record(2).inFlight = 1; // So that the other one is tried first.
+    f.record(2).inFlight = 1; // Makes the gateway try the other endpoint first.
     f.closePort(1);
     f.pass(milliseconds(240));
     BOOST_TEST(f.endpoints[2]->requests() == 1U);
 }
 
-/// An engine stops that runs many streams of a router. It sends the events of all streams of a
+/// An engine that runs many streams of a router stops. It sends the events of all streams of a
 /// batch at the same time, so the streams also fall silent at the same time.
 BOOST_AUTO_TEST_CASE(streamsSilentTogetherAreSpreadOverEndpoints)
 {
     SilentFixture f(4);
     f.begin(3);
     for (std::size_t i = 1; i < f.endpoints.size(); ++i)
-        f.record(i).inFlight = 3; // Of four slots.
+        f.record(i).inFlight = 3; // Leaves one of four slots free.
     f.pass(milliseconds(240));
     std::size_t most = 0;
     for (std::size_t i = 1; i < f.endpoints.size(); ++i)
@@ -161,7 +161,7 @@
 {
     SilentFixture f(2);
     f.begin(1);
-    f.record(1).inFlight = 4; // All of its slots.
+    f.record(1).inFlight = 4; // Fills all slots of the endpoint.
     f.endpoints[0]->connections.front()->socket.close();
     f.pass(milliseconds(400));
     BOOST_REQUIRE(!f.callers.front().isEnded());
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -54,7 +54,7 @@
         + std::to_string(figures.bytesPerSecond) + " bytes/s";
 }
 
-double hotWorstFiveSeconds(ManyRoutersModel::Options options)
+double overBoundShareWithHotPrompt(ManyRoutersModel::Options options)
 {
     options.hotFraction = 0.28;
     const auto figures = ManyRoutersModel(options).run();
@@ -121,14 +121,15 @@
 ///
 /// The popularity of prompts is skewed, requests arrive in small bursts, and idle engines join,
 /// which lowers the mean load while running streams stay where they are. The load of an engine
-/// grows from the average to the bound within a second, and routers did not know it in time: half
+/// grows from the average to the bound within a second, and reports reached routers too late: half
 /// of the requests over the bound were placed by reports that were one to three seconds old, a
 /// third without any report.
 ///
-/// Routers at first did not announce loads to each other. Later a message held a random ten of up
-/// to thirty busy engines, regardless of age, so that old reports crowded out new ones and reports
-/// took about a second to reach all routers. In the model, reports with a fixed delay of 1 s
-/// reproduce the failure, and a delay of 0.3 s gives a third of the requests over the bound.
+/// The failure occurred without load announcements between routers, and also with messages that
+/// held ten random ones of up to thirty busy engines: as the age of reports was ignored, old ones
+/// crowded out new ones, and reports took about a second to reach all routers. In the model,
+/// reports with a fixed delay of 1 s reproduce the failure, and a delay of 0.3 s gives a third of
+/// the requests over the bound.
 BOOST_AUTO_TEST_CASE(requestsOverflowInTimeWhileEnginesJoin)
 {
     for (unsigned seed = 1; seed <= incidentSeeds; ++seed) {
@@ -143,26 +144,27 @@
 /// for a home that may have ten requests. 4 to 10 in 100 requests were over the bound in a real
 /// fleet.
 ///
-/// All routers sent the overflow of a full home to the same next endpoint, which was full before
-/// they received its load, and then to the one after that. The endpoints filled in this order, and
-/// announcements at twice the rate left a quarter fewer requests over the bound.
+/// If all routers send the overflow of a full home to the same next endpoint, that is full before
+/// they receive its load, and so is the endpoint after it. Announcements at twice the rate reduced
+/// the requests over the bound only by a quarter.
 BOOST_AUTO_TEST_CASE(promptOfAQuarterOfRequestsOverloadsNoEndpoint)
 {
     for (unsigned seed = 1; seed <= incidentSeeds; ++seed)
-        BOOST_TEST(hotWorstFiveSeconds(incidentFleet(seed)) < maximumAllowed);
+        BOOST_TEST(overBoundShareWithHotPrompt(incidentFleet(seed)) < maximumAllowed);
 }
 
 /// The same failure in smaller fleets: with 22 real routers, 4.2 in 100 requests were over the
 /// bound.
 ///
-/// Requests overflowed gradually and were spread only from 24 routers on, and never if the holders
-/// of a prompt were known. Each of twelve routers gets a report from an engine every two seconds,
-/// which is too late as well.
+/// Gradual overflow and its spreading applied only to fleets of 24 or more routers, and never to
+/// prompts whose holders were known. But each of twelve routers gets a report from an engine every
+/// two seconds, which is too late as well.
 BOOST_AUTO_TEST_CASE(hotPromptOverloadsNoEndpointInSmallFleets)
 {
     for (const int routers : {10, 12, 16, 23}) {
         for (unsigned seed = 1; seed <= incidentSeeds; ++seed)
-            BOOST_TEST(hotWorstFiveSeconds(incidentFleet(seed, routers, 60)) < maximumAllowed);
+            BOOST_TEST(overBoundShareWithHotPrompt(incidentFleet(seed, routers, 60))
+                       < maximumAllowed);
     }
 }
 
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -85,7 +85,7 @@
     {
         Base::MonoTime at;
         std::vector<double> load;
-        std::vector<double> sent; ///< By all routers.
+        std::vector<double> sent; ///< Work sent to each engine by all routers.
         std::vector<std::vector<double>> sentBy;
     };
 
--- a/tests/auto/routing/tst_waitqueue.cpp
+++ b/tests/auto/routing/tst_waitqueue.cpp
@@ -140,7 +140,8 @@
 };
 
 /// Simulates two minutes of requests in steps of 10 ms. The last two digits of a ticket are the
-/// number of its workspace; workspace 0 surges. Returns the rejections of the others and of it.
+/// number of its workspace; workspace 0 is the surging one. Returns the rejections of the other
+/// workspaces and of the surging one.
 std::pair<Rejections, Rejections> simulateSurge(const SurgeRow &row)
 {
     constexpr WaitQueue::Ticket workspaceNumbers = 100;
--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -12,34 +12,36 @@
 
 namespace {
 
-/// Maximum time after which a stable router has a record that the store acknowledged.
+/// Maximum time until a stable router has received a record that the store acknowledged.
 constexpr Base::Duration propagationBound = milliseconds(2000);
 /// A VM or the store is stable after this time without a fault.
 constexpr Base::Duration stableTime = milliseconds(3000);
-/// A router that the store did not answer detects the store's return after a call without answer
-/// (0.7 s) and a backoff (0.8 s), and only then starts to wait for missing entries. That is 0.8 s
-/// longer than it should be.
+/// Time added to stableTime for a VM. A router whose call got no answer from the store starts to
+/// wait for missing entries only after the call has timed out (0.7 s) and a backoff (0.8 s) has
+/// passed; the backoff delays it by 0.8 s more than necessary.
 constexpr Base::Duration detectionTime = milliseconds(800);
 /// Maximum propagation time after the store's return: detection after a call without answer (0.7 s)
 /// and a backoff (0.8 s), the wait for missing entries (2.2 s), and the next beacons.
 constexpr Base::Duration recoveryBound = milliseconds(5000);
-/// An endpoint that restarts with its clock set back is accepted when it writes its entry again,
-/// after 1.2 s. Other routers may then have to receive this from a peer or read the entry
-/// themselves.
-constexpr Base::Duration repeatTime = milliseconds(3000);
+/// Additional time until all routers accept an endpoint that restarted with its clock set back. The
+/// first router accepts it when it writes its entry again, after 1.2 s; the others receive the
+/// entry from a peer or read it themselves.
+constexpr Base::Duration repeatedWriteTime = milliseconds(3000);
 /// After the last step, entries may still expire (3.6 s), and endpoints may still finish a drain or
 /// write their entries again (1.9 s).
 constexpr Base::Duration expiryTime = milliseconds(4000);
 /// Maximum time after expiryTime until all routers agree: recoveryBound plus a takeover.
 constexpr Base::Duration agreementBound = milliseconds(6000);
-/// A lost beacon may lead to a second store reader, which stops reading once it has received a
-/// beacon of the first one again.
+/// Maximum time without exactly one leader or store reader. A router that misses a beacon of the
+/// store reader may start to read too; it stops once it has received a beacon of the first reader
+/// again.
 constexpr Base::Duration takeoverTime = milliseconds(1200);
 /// How long the settled fleet is observed.
 constexpr Base::Duration observationTime = milliseconds(3000);
 /// Maximum control traffic of a router.
 constexpr std::uint64_t maxBytesPerSecond = 5000;
-/// A store reader reads every 0.7 s, and its beacons follow within 0.5 s.
+/// Maximum age of a router's state: a store reader reads every 0.7 s, and its beacons follow within
+/// 0.5 s.
 constexpr Base::Duration maxStateAge = milliseconds(2000);
 
 std::string describe(const Fleet::Endpoint *endpoint)
@@ -66,7 +68,7 @@
     m_world.events.started = [this](VmIndex vm) {
         addToFingerprint(vm, 0);
         writeTrace(vm, "starts");
-        std::erase_if(m_starts, [vm](const auto &start) { return start.first.first == vm; });
+        std::erase_if(m_latestStarts, [vm](const auto &start) { return start.first.first == vm; });
     };
     m_world.events.configured = [this](VmIndex vm, std::uint64_t oldRevision,
                                        std::uint64_t newRevision) {
@@ -118,7 +120,7 @@
     if (!endpoint.startedAt)
         return;
     auto &newest =
-        m_starts.try_emplace({vm, endpoint.id.value()}, *endpoint.startedAt).first->second;
+        m_latestStarts.try_emplace({vm, endpoint.id.value()}, *endpoint.startedAt).first->second;
     const std::size_t number = SimulatedEndpoints::numberOf(endpoint.id);
     // If a clock was set back, a late write of the previous start looks like a new start.
     if (!m_world.endpoints().isClockSetBack(number)
@@ -134,7 +136,7 @@
     const std::size_t number = SimulatedEndpoints::numberOf(endpoint.id);
     addToFingerprint(vm, number);
     writeTrace(vm, endpoint.id.value() + " removed");
-    m_starts.erase({vm, endpoint.id.value()});
+    m_latestStarts.erase({vm, endpoint.id.value()});
     if (m_world.endpoints().isExpiredByOutage(number)) {
         reportViolation("a router removed an endpoint whose entry expired during a store outage",
                         endpoint.id.value() + " at router " + std::to_string(vm));
@@ -200,7 +202,7 @@
     for (const auto &[id, newest] : m_world.store().keys(Topic::Endpoints)) {
         const std::size_t number = SimulatedEndpoints::numberOf(Base::EndpointId(id));
         const Duration extra =
-            m_world.endpoints().isClockSetBack(number) ? repeatTime : Duration::zero();
+            m_world.endpoints().isClockSetBack(number) ? repeatedWriteTime : Duration::zero();
         if (isDue(newest.writtenAt, maxDelay + extra, maxDelayAfterOutage + extra))
             checkEndpoint(router, id, newest);
     }
--- a/tests/auto/simulation/checks.h
+++ b/tests/auto/simulation/checks.h
@@ -72,10 +72,10 @@
     std::set<std::uint64_t> m_states;
     /// The newest start time that each router has known of an endpoint; erased when the router
     /// removes the endpoint.
-    std::map<std::pair<VmIndex, std::string>, Lagoonbank::Base::WallTime> m_starts;
+    std::map<std::pair<VmIndex, std::string>, Lagoonbank::Base::WallTime> m_latestStarts;
     /// When each data centre last had exactly one leader, and the fleet exactly one store reader.
     std::map<std::string, Duration> m_lastUniqueAt;
-    // Sent bytes and pulls of each VM when the fleet had settled.
+    // Sent bytes and pulls of each VM at the time when the fleet had settled.
     std::vector<std::uint64_t> m_baselineBytes;
     std::vector<std::uint64_t> m_baselinePulls;
 };
--- a/tests/auto/simulation/history.h
+++ b/tests/auto/simulation/history.h
@@ -31,8 +31,8 @@
     Drain, ///< target: an endpoint.
     Leave, ///< target: an endpoint.
     Crash, ///< target: an endpoint.
-    StartAgain, ///< target: an endpoint, which restarts; other 1: at the same address; value: a
-                ///< RestartTime.
+    StartAgain, ///< target: an endpoint, which restarts; other 1: at the same address; value:
+                ///< a RestartTime.
     Unreadable, ///< target: an endpoint, whose entry is overwritten by an unreadable one.
     LateWrite, ///< target: an endpoint; see SimulatedEndpoints::writeLate().
     Configure ///< value: size of the new configuration in bytes.
@@ -56,7 +56,7 @@
 struct History
 {
     std::uint64_t seed = 1; ///< Seed of random draws such as delays and losses.
-    std::vector<std::size_t> dataCentres{2, 2}; ///< Number of routers in each.
+    std::vector<std::size_t> dataCentres{2, 2}; ///< Number of routers in each data centre.
     std::size_t endpoints = 3;
     std::vector<Step> steps;
 };
--- a/tests/auto/simulation/simulatedendpoints.h
+++ b/tests/auto/simulation/simulatedendpoints.h
@@ -61,15 +61,15 @@
     struct Process
     {
         Lagoonbank::Fleet::Endpoint endpoint;
-        std::optional<Lagoonbank::Fleet::Endpoint> previous; ///< As of the previous start.
+        std::optional<Lagoonbank::Fleet::Endpoint> previous; ///< Entry of the previous start.
         /// Reported start times in the order of the starts.
         std::vector<Lagoonbank::Base::WallTime> starts;
         bool isAlive = true;
-        bool wasUnreadable = false; ///< Reads of the log may still return that entry.
+        bool wasUnreadable = false; ///< Reads of the log may still return an unreadable entry.
         bool isExpired = false; ///< Its entry expired during a store outage.
         Lagoonbank::Base::MonoTime writtenAt;
         Lagoonbank::Runtime::TimerId heartbeat;
-        Lagoonbank::Runtime::TimerId end; ///< When a drain completes.
+        Lagoonbank::Runtime::TimerId end; ///< Fires when a drain completes.
     };
 
     bool isStoreAvailable() const;
--- a/tests/auto/simulation/storelink.h
+++ b/tests/auto/simulation/storelink.h
@@ -31,7 +31,8 @@
         const StoreFaults *sharedFaults = nullptr; ///< Faults for all routers.
         const StoreFaults *routerFaults = nullptr; ///< Faults for this router.
         Lagoonbank::Runtime::TimerQueue *worldTimers = nullptr;
-        Lagoonbank::Runtime::TimerQueue *timers = nullptr; ///< The router's.
+        /// Timers of the router, which stop while it is frozen.
+        Lagoonbank::Runtime::TimerQueue *timers = nullptr;
         /// Runs a function in the router, now or when it resumes after a freeze.
         std::function<void(std::function<void()>)> post;
         std::uint64_t seed = 1;
--- a/tests/auto/simulation/tst_simulatedorders.cpp
+++ b/tests/auto/simulation/tst_simulatedorders.cpp
@@ -25,7 +25,7 @@
 /// Time from one event to the next: nearly simultaneous, within a read of the store, and within the
 /// time that recovery from a fault takes.
 constexpr std::array<std::int64_t, 3> distancesMs{50, 600, 1700};
-/// Long enough for entries to expire, and too short for that.
+/// Durations of a fault: long enough for entries to expire, and too short for that.
 constexpr std::int64_t longFaultMs = 4500;
 constexpr std::int64_t shortFaultMs = 1300;
 
--- a/tests/auto/simulation/tst_simulation.cpp
+++ b/tests/auto/simulation/tst_simulation.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Takes some seconds.
+/// Number of histories that are played in CI; they take some seconds.
 constexpr std::uint64_t countInCi = 300;
 /// Maximum number of failing histories per rule that are minimised and printed.
 constexpr int maxShown = 1;
