--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -198,18 +198,18 @@
     m_backoff.reset();
     const bool isOverdue = isAnswerOverdue();
     m_answeredAt = m_options.timers->clock().now();
-    const bool hasChanged = !m_hasHealth || !m_isUp || isOverdue;
+    const bool hasChanged = !m_hasHealth || !m_isLogAvailable || isOverdue;
     m_hasHealth = true;
-    m_isUp = true;
+    m_isLogAvailable = true;
     if (hasChanged && healthChanged)
         healthChanged(true);
 }
 
 void KeyedView::readFailed(void (KeyedView::*retry)())
 {
-    const bool hasChanged = !m_hasHealth || m_isUp;
+    const bool hasChanged = !m_hasHealth || m_isLogAvailable;
     m_hasHealth = true;
-    m_isUp = false;
+    m_isLogAvailable = false;
     schedule(m_backoff.next(), retry);
     if (hasChanged && healthChanged)
         healthChanged(false);
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -61,7 +61,7 @@
     /// Whether the keys are being listed. Values reported meanwhile are an incomplete set.
     bool isFilling() const { return m_isFilling; }
     /// Whether the last read succeeded.
-    bool isUp() const { return m_isUp; }
+    bool isUp() const { return m_isLogAvailable; }
     /// The time since the last answer; not set before the first one.
     std::optional<Base::Duration> age() const;
     Base::LogOffset position() const { return m_position; }
@@ -97,7 +97,7 @@
     bool m_isRunning = false;
     bool m_isFilled = false;
     bool m_isFilling = true;
-    bool m_isUp = false;
+    bool m_isLogAvailable = false;
     bool m_hasHealth = false;
     std::optional<Base::MonoTime> m_answeredAt;
     Base::LogOffset m_position; ///< Offset of the next record to read from the tail.
