--- a/src/libs/membership/peercodec.cpp
+++ b/src/libs/membership/peercodec.cpp
@@ -209,7 +209,7 @@
     std::optional<OpenedMessage> opened = openSealed(datagram, maxDatagramBytes);
     if (!opened)
         return std::nullopt;
-    Window &window = m_windows[opened->sender.id];
+    Window &window = m_replayWindows[opened->sender.id];
     if (opened->sender.incarnation < window.incarnation) {
         countDrop(DropReason::OldIncarnation);
         if (outdated)
@@ -232,8 +232,8 @@
 
 std::uint64_t PeerCodec::seenIncarnation(const std::string &id) const
 {
-    const auto found = m_windows.find(id);
-    return found == m_windows.end() ? 0 : found->second.incarnation;
+    const auto found = m_replayWindows.find(id);
+    return found == m_replayWindows.end() ? 0 : found->second.incarnation;
 }
 
 PeerCodec::Mac PeerCodec::mac(std::string_view key, std::string_view data)
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -135,7 +135,7 @@
     /// Datagrams of lower incarnations are dropped.
     std::uint64_t seenIncarnation(const std::string &id) const;
     /// Removes the replay window of a member that does not come back.
-    void forget(const std::string &id) { m_windows.erase(id); }
+    void forget(const std::string &id) { m_replayWindows.erase(id); }
 
 private:
     struct Window
@@ -151,7 +151,7 @@
 
     Options m_options;
     std::uint64_t m_sequence = 0;
-    absl::flat_hash_map<std::string, Window> m_windows;
+    absl::flat_hash_map<std::string, Window> m_replayWindows;
     std::array<std::uint64_t, dropReasonCount> m_drops{};
 };
 
