--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -128,7 +128,7 @@
 {
     const Base::Duration gap = now - m_lastAdvancedAt;
     m_lastAdvancedAt = now;
-    if (gap <= m_options.timing.pauseLimit)
+    if (gap <= m_options.timing.maxAdvanceGap)
         return;
     m_probes.clear();
     m_links.shift(gap);
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -82,7 +82,7 @@
         /// list contains its address or is empty.
         Base::Duration unreachableMemberTimeout = std::chrono::minutes(10);
         /// A longer gap between calls of advance() means that this process was paused.
-        Base::Duration pauseLimit = std::chrono::milliseconds(1500);
+        Base::Duration maxAdvanceGap = std::chrono::milliseconds(1500);
     };
     struct Options
     {
