--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -32,7 +32,7 @@
     if (!policy.bound)
         options.placement.boundFactor = std::numeric_limits<double>::infinity();
     if (!policy.gradualLeaving || !policy.bound)
-        options.placement.overflowsGradually = false;
+        options.placement.divertsLoadGradually = false;
     if (!policy.usualLoad)
         options.placement.usesAverageLoad = false;
     if (!policy.slowness)
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -93,7 +93,7 @@
         /// homes that have only three requests.
         bool usesAverageLoad = true;
         /// Whether requests of a large fleet overflow as described below.
-        bool overflowsGradually = true;
+        bool divertsLoadGradually = true;
         /// In a large fleet, requests start to overflow from their home at these loads. The
         /// fraction that overflows grows as the load approaches the bound. As all routers receive
         /// load reports about a second late, they would otherwise switch away from the home and
@@ -186,7 +186,7 @@
     /// Whether loads change faster than reports of them reach all routers.
     bool isLoadStale(const EndpointRegistry &registry) const
     {
-        return m_options.overflowsGradually
+        return m_options.divertsLoadGradually
             && registry.routerCount() >= m_options.largeFleetRouters;
     }
     LoadThreshold bound() const
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -23,7 +23,7 @@
 
 Placement::Options withoutSharing()
 {
-    return {.usesAverageLoad = false, .overflowsGradually = false};
+    return {.usesAverageLoad = false, .divertsLoadGradually = false};
 }
 
 constexpr unsigned incidentSeeds = 6;
