--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -317,7 +317,7 @@
 void Exchange::finishSuccess(int status)
 {
     endAttempt(true, {});
-    ExchangeEnd end = std::move(m_end);
+    RequestResult end = std::move(m_end);
     end.succeeded = true;
     end.status = status;
     finish(std::move(end));
@@ -330,7 +330,7 @@
 
 void Exchange::failRequest(Refusal refusal)
 {
-    ExchangeEnd end = std::move(m_end);
+    RequestResult end = std::move(m_end);
     end.status = Errors::errorRow(refusal.error.kind).httpStatus;
     if (hasBegun()) {
         end.cutOff = true;
@@ -357,7 +357,7 @@
         if (mayHaveSent)
             cancelUpstream(*m_target);
     }
-    ExchangeEnd end = std::move(m_end);
+    RequestResult end = std::move(m_end);
     end.refusal = Refusal{.error = {ErrorKind::CallerLeft, {}, ranSoFar()}};
     end.cutOff = hasBegun();
     finish(std::move(end));
@@ -375,7 +375,7 @@
     failRequest({.error = {ErrorKind::DeadlinePassed, {}, ranSoFar()}});
 }
 
-void Exchange::finish(ExchangeEnd end)
+void Exchange::finish(RequestResult end)
 {
     m_finished = true;
     if (m_cancelPlacement)
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -74,7 +74,7 @@
 };
 
 /// The result of a request, for the outcome ring and for admission accounting.
-struct ExchangeEnd
+struct RequestResult
 {
     bool succeeded = false;
     std::optional<Refusal> refusal; ///< Set if the request failed.
@@ -106,7 +106,7 @@
         const Retry::AttemptFailure &failure, const Retry::RequestTraits &traits)>
         decide;
     std::function<void(const Base::EndpointId &endpoint, std::string_view load)> loadReported;
-    std::function<void(ExchangeEnd end)> finished; ///< Called exactly once, as the last callback.
+    std::function<void(RequestResult end)> finished; ///< Called exactly once, as the last callback.
 };
 
 /// Timeouts of one attempt.
@@ -190,7 +190,7 @@
     void deadlinePassed();
     Errors::Error lastRunError() const;
     Errors::Ran ranSoFar() const;
-    void finish(ExchangeEnd end);
+    void finish(RequestResult end);
 
     Options m_options;
     bool m_finished = false;
@@ -210,7 +210,7 @@
     std::optional<Runtime::TimerId> m_progressTimer;
     std::optional<Runtime::TimerId> m_deadlineTimer;
     std::optional<Runtime::TimerId> m_retryTimer;
-    ExchangeEnd m_end;
+    RequestResult m_end;
 };
 
 } // namespace Lagoonbank::Exchange
--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -321,42 +321,42 @@
 
 Exchange::Hooks CallerApi::hooks(const ContextPtr &context)
 {
-    return {
-        .place =
-            [this](const Exchange::RouteQuery &query,
-                   std::function<void(Exchange::Placement)> placed) {
-                return m_options.placer->place(query, std::move(placed));
-            },
-        .attemptStarted =
-            [this, context](const Exchange::Target &target) {
-                m_options.placer->attemptStarted(target);
-                if (attemptStarted)
-                    attemptStarted(context->info, target);
-            },
-        .progressed =
-            [this](const Exchange::Target &target, Base::Tokens tokens, bool isFirst) {
-                m_options.placer->attemptProgressed(target, tokens, isFirst);
-            },
-        .attemptEnded =
-            [this, context](const Exchange::AttemptResult &result) {
-                m_options.placer->attemptEnded(result);
-                if (result.succeeded)
-                    m_options.retries->noteSuccess(context->info.workspace, result.endpoint,
-                                                   m_options.loop->clock().now());
-                if (attemptEnded)
-                    attemptEnded(context->info, result);
-            },
-        .decide =
-            [this](const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
-                   const Retry::AttemptFailure &failure, const Retry::RequestTraits &traits) {
-                return m_options.retries->decide(workspace, endpoint, failure, traits,
-                                                 m_options.loop->clock().now());
-            },
-        .loadReported =
-            [this](const Base::EndpointId &endpoint, std::string_view load) {
-                m_options.placer->loadReported(endpoint, load);
-            },
-        .finished = [this, context](const Exchange::ExchangeEnd &end) { finished(context, end); }};
+    return {.place =
+                [this](const Exchange::RouteQuery &query,
+                       std::function<void(Exchange::Placement)> placed) {
+                    return m_options.placer->place(query, std::move(placed));
+                },
+            .attemptStarted =
+                [this, context](const Exchange::Target &target) {
+                    m_options.placer->attemptStarted(target);
+                    if (attemptStarted)
+                        attemptStarted(context->info, target);
+                },
+            .progressed =
+                [this](const Exchange::Target &target, Base::Tokens tokens, bool isFirst) {
+                    m_options.placer->attemptProgressed(target, tokens, isFirst);
+                },
+            .attemptEnded =
+                [this, context](const Exchange::AttemptResult &result) {
+                    m_options.placer->attemptEnded(result);
+                    if (result.succeeded)
+                        m_options.retries->noteSuccess(context->info.workspace, result.endpoint,
+                                                       m_options.loop->clock().now());
+                    if (attemptEnded)
+                        attemptEnded(context->info, result);
+                },
+            .decide =
+                [this](const Base::WorkspaceId &workspace, const Base::EndpointId &endpoint,
+                       const Retry::AttemptFailure &failure, const Retry::RequestTraits &traits) {
+                    return m_options.retries->decide(workspace, endpoint, failure, traits,
+                                                     m_options.loop->clock().now());
+                },
+            .loadReported =
+                [this](const Base::EndpointId &endpoint, std::string_view load) {
+                    m_options.placer->loadReported(endpoint, load);
+                },
+            .finished = [this,
+                         context](const Exchange::RequestResult &end) { finished(context, end); }};
 }
 
 void CallerApi::refuse(const ContextPtr &context, Error error)
@@ -373,7 +373,7 @@
     finished(context, {.refusal = std::move(refusal), .status = status});
 }
 
-void CallerApi::finished(const ContextPtr &context, const Exchange::ExchangeEnd &end)
+void CallerApi::finished(const ContextPtr &context, const Exchange::RequestResult &end)
 {
     notifyStarted(context);
     --m_inFlight;
--- a/src/libs/router/callerapi.h
+++ b/src/libs/router/callerapi.h
@@ -86,7 +86,7 @@
     /// Called once a request has been read or refused unread; always before requestEnded().
     std::function<void(const RequestInfo &info)> requestStarted;
     /// Called when a request has been answered or its caller has disconnected.
-    std::function<void(const RequestInfo &info, const Exchange::ExchangeEnd &end)> requestEnded;
+    std::function<void(const RequestInfo &info, const Exchange::RequestResult &end)> requestEnded;
     std::function<void(const RequestInfo &info, const Exchange::Target &target)> attemptStarted;
     std::function<void(const RequestInfo &info, const Exchange::AttemptResult &result)>
         attemptEnded;
@@ -116,7 +116,7 @@
     Exchange::Timeouts timeouts() const;
     void refuse(const ContextPtr &context, Exchange::Refusal refusal);
     void refuse(const ContextPtr &context, Errors::Error error);
-    void finished(const ContextPtr &context, const Exchange::ExchangeEnd &end);
+    void finished(const ContextPtr &context, const Exchange::RequestResult &end);
 
     Options m_options;
     std::shared_ptr<const Configuration::ObjectTable> m_objects =
--- a/src/libs/router/requestrecorder.cpp
+++ b/src/libs/router/requestrecorder.cpp
@@ -70,7 +70,7 @@
     record(EventType::AttemptEnded, info, result.endpoint, std::move(name));
 }
 
-Timeline::OutcomeEnd RequestRecorder::toOutcomeEnd(const Exchange::ExchangeEnd &end)
+Timeline::OutcomeEnd RequestRecorder::toOutcomeEnd(const Exchange::RequestResult &end)
 {
     Timeline::OutcomeEnd out{
         .kind = OutcomeKind::Whole, .ran = Errors::Ran::Yes, .status = end.status};
@@ -84,7 +84,7 @@
     return out;
 }
 
-void RequestRecorder::ended(const RequestInfo &info, const Exchange::ExchangeEnd &end)
+void RequestRecorder::ended(const RequestInfo &info, const Exchange::RequestResult &end)
 {
     RouterMetrics &metrics = *m_options.metrics;
     const Base::MonoTime now = m_options.clock->now();
--- a/src/libs/router/requestrecorder.h
+++ b/src/libs/router/requestrecorder.h
@@ -36,7 +36,7 @@
     void started(const RequestInfo &info);
     void attemptStarted(const RequestInfo &info, const Exchange::Target &target);
     void attemptEnded(const RequestInfo &info, const Exchange::AttemptResult &result);
-    void ended(const RequestInfo &info, const Exchange::ExchangeEnd &end);
+    void ended(const RequestInfo &info, const Exchange::RequestResult &end);
 
     const Timeline::OutcomeRing &ring() const { return m_ring; }
 
@@ -46,7 +46,7 @@
     void countRefusal(Errors::ErrorKind kind);
     void countOutcome(Timeline::OutcomeKind kind);
     void appendOutcome(const RequestInfo &info);
-    static Timeline::OutcomeEnd toOutcomeEnd(const Exchange::ExchangeEnd &end);
+    static Timeline::OutcomeEnd toOutcomeEnd(const Exchange::RequestResult &end);
 
     Options m_options;
     Timeline::OutcomeRing m_ring;
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -155,7 +155,7 @@
 {
     CallerApi &api = *m_callerApi;
     api.requestStarted = [this](const RequestInfo &info) { m_recorder->started(info); };
-    api.requestEnded = [this](const RequestInfo &info, const Exchange::ExchangeEnd &end) {
+    api.requestEnded = [this](const RequestInfo &info, const Exchange::RequestResult &end) {
         m_recorder->ended(info, end);
     };
     api.attemptStarted = [this](const RequestInfo &info, const Exchange::Target &target) {
