--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -58,9 +58,9 @@
         /// Maximum age of a leader's state, as its beacons give it. A leader with an older state is
         /// considered to be failing to read the store.
         Base::Duration maxLeaderAge = std::chrono::milliseconds(1600);
-        /// Maximum age of the leader's state for routers that are not standbys. They read the store
-        /// only if the leader and all standbys fail. During a store outage of 8 s, 295 routers that
-        /// all read made 10,357 calls.
+        /// Routers that are not standbys leave store reads to a failing leader while its state is
+        /// no older than this. They read the store only if the leader and all standbys fail. During
+        /// a store outage of 8 s, 295 routers that all read made 10,357 calls.
         Base::Duration maxDeferAge = std::chrono::seconds(5);
         /// A store reader whose last read is no older than this pulls no endpoints from peers; it
         /// reads every 700 ms.
@@ -96,10 +96,10 @@
         Base::Duration localSourceTimeout = std::chrono::milliseconds(200);
         /// Minimum time between two pulls, from any peer, while a difference persists.
         Base::Duration pullInterval = std::chrono::milliseconds(400);
-        /// If a pull has taken longer than this and its peer has an even newer configuration by
-        /// then, the router reads the store as well. A pull of 64 KB takes 0.06 s on a link of 10
-        /// Mbit/s; two consecutive ones have to leave time for a read of the store within the 2 s
-        /// in which a change has to be in force.
+        /// If a pull takes longer than this and its peer meanwhile announces a newer configuration
+        /// than it had when the pull began, the router reads the store as well. Two consecutive
+        /// pulls and a read of the store must fit into the 2 s within which a change has to take
+        /// effect. A pull of 64 KB normally takes 0.06 s on a link of 10 Mbit/s.
         Base::Duration supersededPullTimeout = std::chrono::milliseconds(700);
         /// Time after a pull without new data in which the same peer is not asked again while
         /// neither side changes. Other peers may be asked meanwhile. Endpoints write their entries
@@ -148,8 +148,8 @@
     void pullSucceeded(const Schema::FleetStateAnswer &state);
     /// To be called after a successful read, when all endpoints of the store are in the directory.
     void storeRead();
-    /// The store answers this router again. Its entries may have expired if it was unavailable to
-    /// all routers.
+    /// The store answers this router again. Entries in the store may have expired if it was
+    /// unavailable to all routers.
     void storeReturned();
     /// A read of the endpoints has failed.
     void storeFailed();
@@ -229,7 +229,7 @@
     Base::MonoTime m_pulledAt{};
     bool m_isPulling = false;
     std::string m_pulledFrom; ///< Id of the peer of the last pull.
-    std::uint64_t m_pulledConfiguration = 0; ///< Revision of that peer when the pull began.
+    std::uint64_t m_pulledConfiguration = 0; ///< That peer's revision when the pull began.
     int m_failedPulls = 0; ///< Consecutive pulls without an answer, the one in flight included.
     /// Pulls have not resolved a difference, so this router has to read the store itself.
     bool m_requiresStoreRead = false;
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -85,9 +85,10 @@
         && now() - leader.stateAsOf <= m_options.maxDeferAge;
 }
 
-/// Whether the peer takes precedence over this router as leader and as store reader. A router that
-/// has missed nothing outranks one that waits for entries to come back, as the latter reports the
-/// removal of an endpoint late.
+/// Whether the peer takes precedence over this router as leader and as store reader. A router
+/// whose directory applies removals at once outranks one whose directory defers them after an
+/// outage (see EndpointDirectory::isWaiting()), as the latter reports the removal of an endpoint
+/// late.
 bool FleetSync::outranks(const Peer &peer) const
 {
     const bool isWaiting = m_options.directory->isWaiting();
@@ -138,7 +139,8 @@
         return false;
     if (isFollowing() || m_hasFollowed)
         return now() - *m_freshness.asOf() <= m_options.maxLeaderAge;
-    // Beyond that limit its followers read for themselves, and newer state may come from them.
+    // If the last read is older than maxFollowedAge, leaders that follow this one read the store
+    // themselves and may have newer state.
     return m_freshness.readAt() && *m_freshness.readAt() >= m_readingSince
         && now() - *m_freshness.readAt() <= m_options.maxFollowedAge;
 }
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -13,8 +13,8 @@
 constexpr double unknownCost = 1;
 /// Weight of the newest request in the average cost of its route.
 constexpr double costWeight = 0.05;
-/// Number of kinds of a service from which idle ones are removed. It is far above the number of
-/// kinds that are in use at the same time.
+/// If a service has at least this many kinds, idle kinds are removed. The value is far above the
+/// number of kinds that are in use at the same time.
 constexpr std::size_t maxKinds = 256;
 /// Served share from which all requests count as served, so that no slots need to be divided.
 constexpr double allServedShare = 0.995;
--- a/src/libs/gateway/loadshedder.h
+++ b/src/libs/gateway/loadshedder.h
@@ -151,8 +151,8 @@
     static double servedShare(const Tally &tally, Base::MonoTime now, Base::Duration halfLife);
     bool isStarved(const Service &service, const Tally &workspace, Base::MonoTime now) const;
     bool isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const;
-    /// Removes kinds without recent requests once there are many; configuration changes leave them
-    /// behind.
+    /// Removes kinds without recent requests if the service has many kinds. Kinds of removed routes
+    /// remain after a configuration change.
     void removeIdleKinds(Service &service, Base::MonoTime now) const;
 
     Options m_options;
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -92,7 +92,9 @@
         /// has reports of ten out of 200 endpoints computes a mean near zero, and requests leave
         /// homes that have only three requests.
         bool usesAverageLoad = true;
-        /// Whether requests of a large fleet overflow as described below.
+        /// Whether routers of a large fleet divert requests from a busy home gradually and to
+        /// several endpoints, as described for the following options. Otherwise they leave the home
+        /// only above the load bound.
         bool divertsLoadGradually = true;
         /// In a large fleet, requests start to overflow from their home at these loads. The
         /// fraction that overflows grows as the load approaches the bound. As all routers receive
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -103,14 +103,14 @@
     {
         std::string id; ///< Id of this process.
         std::uint64_t incarnation = 0;
-        /// One key, or two while keys are rotated. Messages are sealed with the first one; a
-        /// message sealed with any of them is accepted.
+        /// HMAC keys of the fleet: one, or two while keys are rotated. Messages are sealed with the
+        /// first one; a message sealed with any of them is accepted.
         std::vector<std::string> keys;
     };
 
     explicit PeerCodec(Options options);
 
-    /// BadSettings unless there are one or two keys of 16 bytes or more.
+    /// Returns BadSettings unless there are one or two keys of 16 bytes or more.
     static Errors::Result<void> checkKeys(const std::vector<std::string> &keys);
 
     void setIncarnation(std::uint64_t incarnation) { m_options.incarnation = incarnation; }
@@ -151,7 +151,7 @@
 
     Options m_options;
     std::uint64_t m_sequence = 0;
-    absl::flat_hash_map<std::string, Window> m_replayWindows;
+    absl::flat_hash_map<std::string, Window> m_replayWindows; ///< By id of the sender.
     std::array<std::uint64_t, dropReasonCount> m_drops{};
 };
 
--- a/tests/auto/adapter/tst_boundary.cpp
+++ b/tests/auto/adapter/tst_boundary.cpp
@@ -58,7 +58,8 @@
 
 BOOST_AUTO_TEST_CASE(adapterContainsNoDecisions)
 {
-    // Code that decides uses loads, budgets, time and random numbers.
+    // Names that indicate decision logic: suspicion of endpoints, retry budgets, loads, random
+    // numbers and rendezvous hashing. Such logic must not be in platform/.
     const std::regex deciding("suspicion|retryBudget\\(\\)|\\.load\\(|std::mt19937|rendezvous",
                               std::regex::icase);
     for (const std::string &place : findings("platform", deciding))
--- a/tests/auto/gateway/tst_crashingrequest.cpp
+++ b/tests/auto/gateway/tst_crashingrequest.cpp
@@ -62,8 +62,8 @@
         pass(milliseconds(200)); // Until the check whether the endpoint is alive has completed.
         return caller.receive();
     }
-    /// Makes one attempt whose connections break although the endpoints stay alive. Returns the
-    /// answer to the caller.
+    /// Sends one request as the caller. Each endpoint that receives it closes the connection but
+    /// stays alive. Returns the answer to the caller.
     std::string attemptThatBreaks(const std::string &path)
     {
         RawSocket caller = call(path);
--- a/tests/auto/simulation/checks.h
+++ b/tests/auto/simulation/checks.h
@@ -66,7 +66,9 @@
     void checkSteadyState();
 
     World &m_world;
-    Duration m_quietSince; ///< No step or its consequences occur after this time.
+    /// Time since the start of the simulation at which all steps of the history have ended, and the
+    /// expiries, drains and writes that follow from them as well.
+    Duration m_quietSince;
     std::optional<Violation> m_violation;
     std::uint64_t m_fingerprint = 0;
     std::set<std::uint64_t> m_states;
