--- a/tests/auto/http/loopback.h
+++ b/tests/auto/http/loopback.h
@@ -15,6 +15,7 @@
 
 #include <array>
 #include <cerrno>
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <string_view>
@@ -160,11 +161,17 @@
     int m_fd;
 };
 
-/// An address on which nobody listens.
+/// An address on which nobody listens, at an IP number of this process alone: a free port of
+/// 127.0.0.1 could be taken by a connection of another test before it is used.
 inline std::string freeAddress()
 {
-    const RawListener listener;
-    return Runtime::toString(listener.address);
+    static std::uint16_t port = 20000;
+    const auto process = static_cast<unsigned>(getpid());
+    const std::array<unsigned, 3> octets{64 + (process >> 16U) % 64, process >> 8U & 0xffU,
+                                         process & 0xffU};
+    return Runtime::toString({"127." + std::to_string(octets[0]) + '.' + std::to_string(octets[1])
+                                  + '.' + std::to_string(octets[2]),
+                              port++});
 }
 
 } // namespace Lagoonbank::Test
