--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -175,14 +175,14 @@
 
 void Reducer::applyChange(const LogRecord &record, const ChangeRecord &change)
 {
-    Judgement judgement = m_state.apply(record, change);
-    const bool isAccepted = judgement.verdict == Verdict::Accepted;
-    if (judgement.verdict == Verdict::Stale) {
-        const Judgement *earlier = judgementOf(record.id);
+    ChangeResult result = m_state.apply(record, change);
+    const bool isAccepted = result.verdict == Verdict::Accepted;
+    if (result.verdict == Verdict::Stale) {
+        const ChangeResult *earlier = findChangeResult(record.id);
         if (earlier && earlier->verdict == Verdict::Accepted)
-            judgement.verdict = Verdict::Repeated;
+            result.verdict = Verdict::Repeated;
     }
-    addJudgement(std::move(judgement));
+    addChangeResult(std::move(result));
     if (isAccepted && m_stateChanged)
         m_stateChanged();
 }
@@ -204,19 +204,19 @@
     const bool isNewer = error.kind == Errors::ErrorKind::WrongVersion;
     m_hasSkippedNewer = m_hasSkippedNewer || isNewer;
     raise(EventKind::RecordSkipped, record.offset, error.detail);
-    addJudgement({.offset = record.offset,
-                  .recordId = record.id,
-                  .verdict = isNewer ? Verdict::NewerVersion : Verdict::Malformed,
-                  .detail = error.detail});
+    addChangeResult({.offset = record.offset,
+                     .recordId = record.id,
+                     .verdict = isNewer ? Verdict::NewerVersion : Verdict::Malformed,
+                     .detail = error.detail});
 }
 
-void Reducer::addJudgement(Judgement judgement)
+void Reducer::addChangeResult(ChangeResult result)
 {
-    m_judgements.push_back(std::move(judgement));
-    if (m_judgements.size() > m_options.maxJudgements)
-        m_judgements.pop_front();
-    if (m_changeJudged)
-        m_changeJudged(m_judgements.back());
+    m_changeResults.push_back(std::move(result));
+    if (m_changeResults.size() > m_options.maxChangeResults)
+        m_changeResults.pop_front();
+    if (m_changeProcessed)
+        m_changeProcessed(m_changeResults.back());
 }
 
 Errors::Result<void> Reducer::importState(const Schema::ConfigurationState &state)
@@ -280,15 +280,15 @@
     m_isReady = m_isReady || (m_isComplete && m_next >= m_requiredOffset);
 }
 
-const Judgement *Reducer::judgementOf(const std::string &recordId) const
+const ChangeResult *Reducer::findChangeResult(const std::string &recordId) const
 {
-    const Judgement *found = nullptr;
-    for (const Judgement &judgement : m_judgements) {
-        if (judgement.recordId != recordId)
+    const ChangeResult *found = nullptr;
+    for (const ChangeResult &result : m_changeResults) {
+        if (result.recordId != recordId)
             continue;
-        if (judgement.verdict == Verdict::Accepted)
-            return &judgement;
-        found = &judgement;
+        if (result.verdict == Verdict::Accepted)
+            return &result;
+        found = &result;
     }
     return found;
 }
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -46,7 +46,7 @@
 public:
     struct Options
     {
-        std::size_t maxJudgements = 1024; ///< Number of latest judgements kept for the history.
+        std::size_t maxChangeResults = 1024; ///< Number of latest results kept for the history.
         std::size_t maxBuffered = 65536; ///< Maximum number of records buffered behind a gap.
         std::size_t maxOutOfOrder = 1024; ///< Maximum number of buffered records from peers.
     };
@@ -57,9 +57,9 @@
     { }
 
     /// Sets a hook that is called with the verdict on each change, in the order of the log.
-    void setChangeJudged(std::function<void(const Judgement &)> hook)
+    void setChangeProcessed(std::function<void(const ChangeResult &)> hook)
     {
-        m_changeJudged = std::move(hook);
+        m_changeProcessed = std::move(hook);
     }
     /// Sets a hook that is called after each change of the state.
     void setStateChanged(std::function<void()> hook) { m_stateChanged = std::move(hook); }
@@ -108,10 +108,10 @@
     const ObjectTable &objects() const { return m_state.table(); }
     std::uint64_t hash() const { return m_state.hash(); }
 
-    const std::deque<Judgement> &judgements() const { return m_judgements; }
-    /// The judgement that accepted the change of this record id; if none did, the latest judgement
-    /// on it. Null if there is no judgement on it.
-    const Judgement *judgementOf(const std::string &recordId) const;
+    const std::deque<ChangeResult> &changeResults() const { return m_changeResults; }
+    /// Returns the result that accepted the change with this record id or, if none did, the latest
+    /// result for this record id. Returns null if there is no result for it.
+    const ChangeResult *findChangeResult(const std::string &recordId) const;
 
 private:
     void noteCoveredRecord(const LogRecord &record);
@@ -121,7 +121,7 @@
     void applyChange(const LogRecord &record, const ChangeRecord &change);
     void noteSnapshot(const LogRecord &record, const SnapshotPart &part);
     void skip(const LogRecord &record, const Errors::Error &error);
-    void addJudgement(Judgement judgement);
+    void addChangeResult(ChangeResult result);
     void closeGap(Base::LogOffset from, const std::string &how);
     void applyOutOfOrder();
     void updateReady();
@@ -137,12 +137,12 @@
     Base::LogOffset m_requiredOffset; ///< Not ready before next() has reached it.
     std::map<Base::LogOffset, LogRecord> m_buffered; ///< Records behind a gap.
     std::map<Base::LogOffset, LogRecord> m_outOfOrder; ///< Records from peers after m_readNext.
-    std::deque<Judgement> m_judgements;
+    std::deque<ChangeResult> m_changeResults;
     bool m_hasGap = false;
     bool m_isComplete = false;
     bool m_isReady = false;
     bool m_hasSkippedNewer = false;
-    std::function<void(const Judgement &)> m_changeJudged;
+    std::function<void(const ChangeResult &)> m_changeProcessed;
     std::function<void()> m_stateChanged;
     std::function<void(const Event &)> m_eventRaised;
 };
--- a/src/libs/configuration/state.cpp
+++ b/src/libs/configuration/state.cpp
@@ -70,39 +70,39 @@
     return stream << toString(verdict);
 }
 
-Judgement State::apply(const LogRecord &record, const ChangeRecord &change)
+ChangeResult State::apply(const LogRecord &record, const ChangeRecord &change)
 {
-    Judgement judgement{.offset = record.offset,
+    ChangeResult result{.offset = record.offset,
                         .recordId = record.id,
                         .key = change.key,
                         .publisher = change.publisher,
                         .base = change.base,
                         .time = change.time};
     std::optional<Schema::ConfigurationObject> object;
-    judge(record, change, judgement, object);
-    if (judgement.verdict == Verdict::Accepted)
+    validate(record, change, result, object);
+    if (result.verdict == Verdict::Accepted)
         storeChange(record, change, std::move(object));
-    judgement.revision = revision(change.key);
-    return judgement;
+    result.revision = revision(change.key);
+    return result;
 }
 
-void State::judge(const LogRecord &record, const ChangeRecord &change, Judgement &judgement,
-                  std::optional<Schema::ConfigurationObject> &object) const
+void State::validate(const LogRecord &record, const ChangeRecord &change, ChangeResult &result,
+                     std::optional<Schema::ConfigurationObject> &object) const
 {
     if (const auto it = m_entries.find(change.key); it != m_entries.end()) {
         if (it->second.recordId == record.id) {
-            judgement.verdict = Verdict::Repeated;
+            result.verdict = Verdict::Repeated;
             return;
         }
-        judgement.winner = it->second.publisher;
+        result.winner = it->second.publisher;
     }
     if (change.base != revision(change.key)) {
-        judgement.verdict = Verdict::Stale;
-        judgement.detail = "based on revision " + std::to_string(change.base.value())
+        result.verdict = Verdict::Stale;
+        result.detail = "based on revision " + std::to_string(change.base.value())
             + ", but revision " + std::to_string(revision(change.key).value()) + " stands";
         return;
     }
-    judgement.winner.clear();
+    result.winner.clear();
     Schema::SettingsErrors errors;
     if (change.removes) {
         if (!m_table.contains(change.key))
@@ -126,9 +126,9 @@
             object = std::move(read.value());
         }
     }
-    judgement.verdict = errors.empty() ? Verdict::Accepted : Verdict::Invalid;
+    result.verdict = errors.empty() ? Verdict::Accepted : Verdict::Invalid;
     if (!errors.empty())
-        judgement.detail = firstOf(errors);
+        result.detail = firstOf(errors);
 }
 
 void State::storeChange(const LogRecord &record, const ChangeRecord &change,
--- a/src/libs/configuration/state.h
+++ b/src/libs/configuration/state.h
@@ -24,8 +24,8 @@
 std::string_view toString(Verdict verdict);
 std::ostream &operator<<(std::ostream &stream, Verdict verdict);
 
-/// A change and its verdict.
-struct Judgement
+/// The result of applying one change record.
+struct ChangeResult
 {
     Base::LogOffset offset;
     std::string recordId;
@@ -47,7 +47,7 @@
     using Entries = std::map<ObjectKey, Schema::ObjectState>;
 
     /// Determines the verdict on the change and applies the change if it is accepted.
-    Judgement apply(const LogRecord &record, const ChangeRecord &change);
+    ChangeResult apply(const LogRecord &record, const ChangeRecord &change);
 
     /// Replaces the given objects. With `isAll`, all other objects are dropped. Fails without any
     /// change if an object would revert to an earlier revision or if the hash does not match.
@@ -65,8 +65,8 @@
     std::uint64_t hash() const;
 
 private:
-    void judge(const LogRecord &record, const ChangeRecord &change, Judgement &judgement,
-               std::optional<Schema::ConfigurationObject> &object) const;
+    void validate(const LogRecord &record, const ChangeRecord &change, ChangeResult &result,
+                  std::optional<Schema::ConfigurationObject> &object) const;
     void storeChange(const LogRecord &record, const ChangeRecord &change,
                      std::optional<Schema::ConfigurationObject> object);
     Errors::Result<void> checkNotOlder(const State &next) const;
--- a/src/libs/node/configurationfollower.cpp
+++ b/src/libs/node/configurationfollower.cpp
@@ -26,11 +26,11 @@
         if (eventRaised)
             eventRaised(event);
     });
-    m_reducer.setChangeJudged([this](const Configuration::Judgement &judgement) {
+    m_reducer.setChangeProcessed([this](const Configuration::ChangeResult &result) {
         if (m_events)
-            mergeRecordTime(judgement.time, *m_events, m_loop.clock());
-        if (judged)
-            judged(judgement);
+            mergeRecordTime(result.time, *m_events, m_loop.clock());
+        if (changeProcessed)
+            changeProcessed(result);
     });
 }
 
--- a/src/libs/node/configurationfollower.h
+++ b/src/libs/node/configurationfollower.h
@@ -61,7 +61,7 @@
     std::function<void()> changed;
     std::function<void(bool isUp)> logHealthChanged;
     std::function<void(const Configuration::Event &event)> eventRaised;
-    std::function<void(const Configuration::Judgement &judgement)> judged;
+    std::function<void(const Configuration::ChangeResult &result)> changeProcessed;
     /// A record of the log came in.
     std::function<void(const Configuration::LogRecord &record)> recordRead;
 
--- a/src/libs/operations/changepublisher.cpp
+++ b/src/libs/operations/changepublisher.cpp
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::Operations {
 
-using Configuration::Judgement;
+using Configuration::ChangeResult;
 using Configuration::Verdict;
 
 namespace {
@@ -89,8 +89,8 @@
 std::string ChangePublisher::stamp()
 {
     const Base::WallTime wall = m_context.timers->clock().wallNow();
-    for (const Judgement &judgement : m_log.reducer().judgements()) {
-        if (const auto time = Timeline::parseHybridTime(judgement.time))
+    for (const ChangeResult &result : m_log.reducer().changeResults()) {
+        if (const auto time = Timeline::parseHybridTime(result.time))
             m_clock.received(*time, wall);
     }
     return Timeline::toString(m_clock.tick(wall));
@@ -167,11 +167,11 @@
     m_log.read([this](const Errors::Result<void> &result) {
         if (!result)
             return tryAgainOrEnd();
-        judge();
+        settleSentChanges();
     });
 }
 
-void ChangePublisher::judge()
+void ChangePublisher::settleSentChanges()
 {
     bool hasProgress = false;
     for (Change &change : m_changes) {
@@ -186,22 +186,22 @@
 
 bool ChangePublisher::settle(Change &change) const
 {
-    const Judgement *judgement = m_log.reducer().judgementOf(change.outcome.recordId);
-    if (!judgement)
+    const ChangeResult *result = m_log.reducer().findChangeResult(change.outcome.recordId);
+    if (!result)
         return false;
     change.isSettled = true;
-    change.outcome.revision = judgement->revision;
-    change.outcome.offset = judgement->offset;
-    if (judgement->verdict == Verdict::Accepted) {
+    change.outcome.revision = result->revision;
+    change.outcome.offset = result->offset;
+    if (result->verdict == Verdict::Accepted) {
         change.outcome.state = ChangeState::Accepted;
-    } else if (judgement->verdict == Verdict::Stale && stands(change)) {
+    } else if (result->verdict == Verdict::Stale && stands(change)) {
         change.outcome.state = ChangeState::Unchanged;
-        change.outcome.detail = absl::StrCat(judgement->winner, " published the same first");
-    } else if (judgement->verdict == Verdict::Stale) {
-        rejectStale(change, judgement->detail);
+        change.outcome.detail = absl::StrCat(result->winner, " published the same first");
+    } else if (result->verdict == Verdict::Stale) {
+        rejectStale(change, result->detail);
     } else {
         change.outcome.state = ChangeState::Rejected;
-        change.outcome.detail = judgement->detail;
+        change.outcome.detail = result->detail;
     }
     return true;
 }
--- a/src/libs/operations/changepublisher.h
+++ b/src/libs/operations/changepublisher.h
@@ -70,7 +70,7 @@
     void sendNext();
     void appended(const PlatformClient::AppendResult &result);
     void readBack();
-    void judge();
+    void settleSentChanges();
     bool settle(Change &change) const;
     bool stands(const Change &change) const;
     void tryAgainOrEnd();
--- a/src/libs/operations/configurationlog.cpp
+++ b/src/libs/operations/configurationlog.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 /// The history shows them all.
-constexpr std::size_t maxJudgements = 1'000'000;
+constexpr std::size_t maxChangeResults = 1'000'000;
 
 } // namespace
 
 ConfigurationLog::ConfigurationLog(const Context &context)
-    : m_reducer({.maxJudgements = maxJudgements})
+    : m_reducer({.maxChangeResults = maxChangeResults})
     , m_stream(context, std::string(Configuration::streamName))
 {
     m_stream.setRecordRead([this](const PlatformClient::StoredRecord &record) {
--- a/src/libs/operations/historycommand.cpp
+++ b/src/libs/operations/historycommand.cpp
@@ -6,38 +6,38 @@
 
 namespace Lagoonbank::Operations {
 
-using Configuration::Judgement;
+using Configuration::ChangeResult;
 
-std::string toText(const Judgement &judgement)
+std::string toText(const ChangeResult &result)
 {
-    std::string line = absl::StrCat("offset ", judgement.offset.value(), " ",
-                                    std::string(Configuration::toString(judgement.verdict)));
-    if (judgement.key)
-        absl::StrAppend(&line, " ", toString(*judgement.key));
-    if (judgement.revision != Base::Revision())
-        absl::StrAppend(&line, " revision ", judgement.revision.value());
-    if (!judgement.publisher.empty())
-        absl::StrAppend(&line, " by ", judgement.publisher);
-    absl::StrAppend(&line, " record ", judgement.recordId);
-    if (!judgement.winner.empty())
-        absl::StrAppend(&line, " lost to ", judgement.winner);
-    if (!judgement.detail.empty())
-        absl::StrAppend(&line, ": ", judgement.detail);
+    std::string line = absl::StrCat("offset ", result.offset.value(), " ",
+                                    std::string(Configuration::toString(result.verdict)));
+    if (result.key)
+        absl::StrAppend(&line, " ", toString(*result.key));
+    if (result.revision != Base::Revision())
+        absl::StrAppend(&line, " revision ", result.revision.value());
+    if (!result.publisher.empty())
+        absl::StrAppend(&line, " by ", result.publisher);
+    absl::StrAppend(&line, " record ", result.recordId);
+    if (!result.winner.empty())
+        absl::StrAppend(&line, " lost to ", result.winner);
+    if (!result.detail.empty())
+        absl::StrAppend(&line, ": ", result.detail);
     return line + "\n";
 }
 
-Json toJson(const Judgement &judgement)
+Json toJson(const ChangeResult &result)
 {
-    Json json{{"offset", judgement.offset.value()},
-              {"record", judgement.recordId},
-              {"verdict", Configuration::toString(judgement.verdict)}};
-    if (judgement.key)
-        json.update(jsonOf(*judgement.key));
-    json["publisher"] = judgement.publisher;
-    json["base"] = judgement.base.value();
-    json["revision"] = judgement.revision.value();
-    json["winner"] = judgement.winner;
-    json["detail"] = judgement.detail;
+    Json json{{"offset", result.offset.value()},
+              {"record", result.recordId},
+              {"verdict", Configuration::toString(result.verdict)}};
+    if (result.key)
+        json.update(jsonOf(*result.key));
+    json["publisher"] = result.publisher;
+    json["base"] = result.base.value();
+    json["revision"] = result.revision.value();
+    json["winner"] = result.winner;
+    json["detail"] = result.detail;
     return json;
 }
 
@@ -50,11 +50,11 @@
         absl::StrAppend(&report.text, "records before offset ", log().first().value(),
                         " are gone through retention\n");
     }
-    for (const Judgement &judgement : log().reducer().judgements()) {
-        if (m_key && judgement.key != m_key)
+    for (const ChangeResult &result : log().reducer().changeResults()) {
+        if (m_key && result.key != m_key)
             continue;
-        report.text += toText(judgement);
-        report.json["changes"].push_back(toJson(judgement));
+        report.text += toText(result);
+        report.json["changes"].push_back(toJson(result));
     }
     if (!m_key || !report.json["changes"].empty())
         return report;
--- a/src/libs/operations/historycommand.h
+++ b/src/libs/operations/historycommand.h
@@ -22,8 +22,8 @@
     std::optional<Configuration::ObjectKey> m_key;
 };
 
-/// One judgement as a line of the history.
-std::string toText(const Configuration::Judgement &judgement);
-Json toJson(const Configuration::Judgement &judgement);
+/// Formats one result as a line of the history.
+std::string toText(const Configuration::ChangeResult &result);
+Json toJson(const Configuration::ChangeResult &result);
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/recordcommand.cpp
+++ b/src/libs/operations/recordcommand.cpp
@@ -12,11 +12,11 @@
 {
     Report report;
     report.json["record"] = m_record;
-    if (const auto *judgement = log().reducer().judgementOf(m_record)) {
-        const bool isAccepted = judgement->verdict == Verdict::Accepted;
+    if (const auto *result = log().reducer().findChangeResult(m_record)) {
+        const bool isAccepted = result->verdict == Verdict::Accepted;
         report.status = isAccepted ? ExitStatus::Ok : ExitStatus::Rejected;
-        report.text = toText(*judgement);
-        report.json.update(toJson(*judgement));
+        report.text = toText(*result);
+        report.json.update(toJson(*result));
         return report;
     }
     for (const auto &[key, entry] : log().reducer().state().entries()) {
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -187,12 +187,12 @@
         else
             m_logger.warning("The platform's log does not respond.");
     };
-    m_configuration->judged = [this](const Configuration::Judgement &judgement) {
-        const bool isAccepted = judgement.verdict == Configuration::Verdict::Accepted;
+    m_configuration->changeProcessed = [this](const Configuration::ChangeResult &result) {
+        const bool isAccepted = result.verdict == Configuration::Verdict::Accepted;
         noteEvent(isAccepted ? EventType::ConfigurationAccepted : EventType::ConfigurationRejected,
-                  judgement.key ? Configuration::toString(*judgement.key) : judgement.recordId,
-                  isAccepted ? "revision " + std::to_string(judgement.revision.value())
-                             : std::string(Configuration::toString(judgement.verdict)));
+                  result.key ? Configuration::toString(*result.key) : result.recordId,
+                  isAccepted ? "revision " + std::to_string(result.revision.value())
+                             : std::string(Configuration::toString(result.verdict)));
     };
     m_configuration->eventRaised = [this](const Configuration::Event &event) {
         if (event.kind == Configuration::EventKind::SnapshotSeen)
--- a/tests/auto/configuration/tst_configurationrecord.cpp
+++ b/tests/auto/configuration/tst_configurationrecord.cpp
@@ -143,9 +143,9 @@
         }
         change.body = body;
         State copy = state;
-        const Judgement judgement = copy.apply({Base::LogOffset(1), "r", {}}, change);
+        const ChangeResult result = copy.apply({Base::LogOffset(1), "r", {}}, change);
         const bool isKnown =
-            judgement.verdict == Verdict::Accepted || judgement.verdict == Verdict::Invalid;
+            result.verdict == Verdict::Accepted || result.verdict == Verdict::Invalid;
         BOOST_REQUIRE(isKnown);
     }
     ChangeRecord deep = dataCentreChange("north", 0);
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(eachChangeIsJudgedByItsBase)
+BOOST_AUTO_TEST_CASE(changesAreAcceptedOnlyOnTheCurrentRevision)
 {
     ChangeRecord wrongBody = dataCentreChange("north", 4);
     wrongBody.body = dataCentreChange("south", 4).body;
@@ -67,10 +67,10 @@
     for (const ChangeCase &row : cases) {
         log.append(row.id, row.change);
         reducer.recordRead(log.records.back());
-        const Judgement &judgement = reducer.judgements().back();
-        BOOST_TEST(judgement.verdict == row.verdict, row.id << ": " << judgement.detail);
-        BOOST_TEST(judgement.revision == Base::Revision(row.revision), row.id);
-        BOOST_TEST(judgement.offset == log.records.back().offset);
+        const ChangeResult &result = reducer.changeResults().back();
+        BOOST_TEST(result.verdict == row.verdict, row.id << ": " << result.detail);
+        BOOST_TEST(result.revision == Base::Revision(row.revision), row.id);
+        BOOST_TEST(result.offset == log.records.back().offset);
     }
     BOOST_TEST(regionOf(reducer, "north") == "r6");
 }
@@ -83,14 +83,14 @@
     log.append("ben-1", dataCentreChange("north", 1, "west", "ben"));
     Reducer reducer;
     log.readInto(reducer);
-    BOOST_TEST(reducer.judgementOf("ann-1")->verdict == Verdict::Accepted);
-    const Judgement *loser = reducer.judgementOf("ben-1");
+    BOOST_TEST(reducer.findChangeResult("ann-1")->verdict == Verdict::Accepted);
+    const ChangeResult *loser = reducer.findChangeResult("ben-1");
     BOOST_REQUIRE(loser);
     BOOST_TEST(loser->verdict == Verdict::Stale);
     BOOST_TEST(loser->winner == "ann");
     BOOST_TEST(loser->detail == "based on revision 1, but revision 2 stands");
     BOOST_TEST(regionOf(reducer, "north") == "east");
-    BOOST_TEST(reducer.judgementOf("cleo-1") == nullptr);
+    BOOST_TEST(reducer.findChangeResult("cleo-1") == nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(repeatedRecordAfterLostAnswerStaysAccepted)
@@ -101,12 +101,12 @@
     log.append("ann-1", dataCentreChange("north", 0));
     Reducer reducer;
     log.readInto(reducer);
-    BOOST_TEST(reducer.judgementOf("ann-1")->verdict == Verdict::Accepted);
-    BOOST_TEST(reducer.judgementOf("ann-1")->offset == Base::LogOffset(0));
+    BOOST_TEST(reducer.findChangeResult("ann-1")->verdict == Verdict::Accepted);
+    BOOST_TEST(reducer.findChangeResult("ann-1")->offset == Base::LogOffset(0));
     BOOST_TEST(regionOf(reducer, "north") == "west");
 }
 
-BOOST_AUTO_TEST_CASE(referencesAreJudgedAtTheRecordsOffset)
+BOOST_AUTO_TEST_CASE(referencesAreCheckedAtTheRecordsOffset)
 {
     const ChangeRecord endpoint = changeTo("e.yaml",
                                            "kind: endpoint\nname: e\ntype: service\nservice: s\n"
@@ -124,8 +124,9 @@
     const std::vector<Verdict> expected{Verdict::Invalid, Verdict::Accepted, Verdict::Accepted,
                                         Verdict::Accepted, Verdict::Invalid};
     for (std::size_t i = 0; i < expected.size(); ++i)
-        BOOST_TEST(reducer.judgements()[i].verdict == expected[i], reducer.judgements()[i].detail);
-    BOOST_TEST(reducer.judgements()[0].detail
+        BOOST_TEST(reducer.changeResults()[i].verdict == expected[i],
+                   reducer.changeResults()[i].detail);
+    BOOST_TEST(reducer.changeResults()[0].detail
                == "e.yaml:6: data_centre: there is no data_centre/north; publish it first or "
                   "correct the name (and 1 more)");
 }
@@ -142,8 +143,8 @@
     const EventCounter events(reducer);
     log.readInto(reducer);
     BOOST_TEST(events.count(EventKind::RecordSkipped) == 3U);
-    BOOST_TEST(reducer.judgements()[1].verdict == Verdict::Malformed);
-    BOOST_TEST(reducer.judgements()[2].verdict == Verdict::NewerVersion);
+    BOOST_TEST(reducer.changeResults()[1].verdict == Verdict::Malformed);
+    BOOST_TEST(reducer.changeResults()[2].verdict == Verdict::NewerVersion);
     BOOST_TEST(regionOf(reducer, "north") == "new");
     BOOST_TEST(regionOf(reducer, "south") == "none");
     // A snapshot by this program would omit the record written by a newer program.
--- a/tests/auto/configuration/tst_reducerorders.cpp
+++ b/tests/auto/configuration/tst_reducerorders.cpp
@@ -158,6 +158,6 @@
             reducer.recordFromPeer(log.records[i]);
         }
         BOOST_TEST(reducer.hash() == reference.hash());
-        BOOST_TEST(reducer.judgements().size() == reference.judgements().size());
+        BOOST_TEST(reducer.changeResults().size() == reference.changeResults().size());
     } while (std::ranges::next_permutation(order).found);
 }
--- a/tests/auto/node/tst_causality.cpp
+++ b/tests/auto/node/tst_causality.cpp
@@ -81,8 +81,8 @@
     {
         const std::string record = publish();
         run(1s);
-        reader.reducer.setChangeJudged([this](const Configuration::Judgement &judgement) {
-            Node::mergeRecordTime(judgement.time, reader.events, reader.clock);
+        reader.reducer.setChangeProcessed([this](const Configuration::ChangeResult &result) {
+            Node::mergeRecordTime(result.time, reader.events, reader.clock);
         });
         reader.reducer.recordRead({Base::LogOffset(0), "change-1", record});
         apply(reader);
