--- a/src/apps/ctl/main.cpp
+++ b/src/apps/ctl/main.cpp
@@ -86,10 +86,11 @@
     for (const std::string &address : line.settings.adminAddresses)
         context.admins.push_back(Runtime::parseSocketAddress(address).value());
 
-    Operations::MadeCommand made = Operations::makeCommand(*line.row, context, line.arguments);
-    if (const auto *error = std::get_if<Operations::Report>(&made))
+    Operations::CommandOrError commandOrError =
+        Operations::makeCommand(*line.row, context, line.arguments);
+    if (const auto *error = std::get_if<Operations::Report>(&commandOrError))
         return *error;
-    const auto &command = std::get<std::unique_ptr<Operations::Command>>(made);
+    const auto &command = std::get<std::unique_ptr<Operations::Command>>(commandOrError);
     std::optional<Operations::Report> report;
     const auto end = [&](Operations::Report ended) {
         if (!report)
@@ -97,10 +98,12 @@
         loop.stop();
     };
     const bool follows = line.arguments.follows;
-    loop.onSignal(SIGINT, [&] { end(follows ? Operations::Report() : command->giveUp()); });
-    loop.onSignal(SIGTERM, [&] { end(follows ? Operations::Report() : command->giveUp()); });
+    loop.onSignal(SIGINT,
+                  [&] { end(follows ? Operations::Report() : command->interruptedReport()); });
+    loop.onSignal(SIGTERM,
+                  [&] { end(follows ? Operations::Report() : command->interruptedReport()); });
     if (!follows)
-        loop.timers().start(line.patience, [&] { end(command->giveUp()); });
+        loop.timers().start(line.commandTimeout, [&] { end(command->interruptedReport()); });
     loop.post([&] { command->start(end); });
     loop.run();
     return *report;
--- a/src/libs/operations/adminclient.cpp
+++ b/src/libs/operations/adminclient.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int statusOk = 200;
-constexpr std::size_t atATime = 64;
+constexpr std::size_t maxConcurrentCalls = 64;
 
 AdminAnswer toAnswer(const Runtime::SocketAddress &from, const Http::CallResult &result)
 {
@@ -56,27 +56,27 @@
         m_context.admin.cancel(call);
 }
 
-void AdminClient::ask(const std::vector<Runtime::SocketAddress> &addresses,
-                      const std::string &target, Answered answered)
+void AdminClient::query(const std::vector<Runtime::SocketAddress> &addresses,
+                        const std::string &target, Answered answered)
 {
-    ask(
+    query(
         addresses, [target](const Runtime::SocketAddress &) { return target; },
         std::move(answered));
 }
 
-void AdminClient::ask(const std::vector<Runtime::SocketAddress> &addresses,
-                      const TargetOf &targetOf, Answered answered)
+void AdminClient::query(const std::vector<Runtime::SocketAddress> &addresses,
+                        const TargetOf &targetOf, Answered answered)
 {
     if (addresses.empty())
         return answered({});
     auto round = std::make_shared<Round>(
         Round{.addresses = addresses, .targetOf = targetOf, .answered = std::move(answered)});
     round->answers.resize(addresses.size());
-    for (std::size_t i = 0; i < std::min(atATime, addresses.size()); ++i)
-        askNext(round);
+    for (std::size_t i = 0; i < std::min(maxConcurrentCalls, addresses.size()); ++i)
+        startNextCall(round);
 }
 
-void AdminClient::askNext(const std::shared_ptr<Round> &round)
+void AdminClient::startNextCall(const std::shared_ptr<Round> &round)
 {
     const std::size_t index = round->started++;
     Http::Call call;
@@ -85,18 +85,19 @@
     call.connectTimeout = m_context.timeout;
     call.headTimeout = m_context.timeout;
     call.progressTimeout = m_context.timeout;
-    m_calls.push_back(m_context.admin.start(
-        std::move(call),
-        [this, round, index](const Http::CallResult &result) { ended(round, index, result); }));
+    m_calls.push_back(m_context.admin.start(std::move(call),
+                                            [this, round, index](const Http::CallResult &result) {
+                                                callFinished(round, index, result);
+                                            }));
 }
 
-void AdminClient::ended(const std::shared_ptr<Round> &round, std::size_t index,
-                        const Http::CallResult &result)
+void AdminClient::callFinished(const std::shared_ptr<Round> &round, std::size_t index,
+                               const Http::CallResult &result)
 {
     round->answers[index] = toAnswer(round->addresses[index], result);
     ++round->done;
     if (round->started < round->addresses.size())
-        askNext(round);
+        startNextCall(round);
     if (round->done < round->addresses.size())
         return;
     m_calls.clear();
--- a/src/libs/operations/adminclient.h
+++ b/src/libs/operations/adminclient.h
@@ -38,16 +38,16 @@
 
     /// `answered` is called once, with one answer for each address in their order, and from
     /// within if there are no addresses.
-    void ask(const std::vector<Runtime::SocketAddress> &addresses, const TargetOf &targetOf,
-             Answered answered);
-    void ask(const std::vector<Runtime::SocketAddress> &addresses, const std::string &target,
-             Answered answered);
+    void query(const std::vector<Runtime::SocketAddress> &addresses, const TargetOf &targetOf,
+               Answered answered);
+    void query(const std::vector<Runtime::SocketAddress> &addresses, const std::string &target,
+               Answered answered);
 
 private:
     struct Round;
-    void askNext(const std::shared_ptr<Round> &round);
-    void ended(const std::shared_ptr<Round> &round, std::size_t index,
-               const Http::CallResult &result);
+    void startNextCall(const std::shared_ptr<Round> &round);
+    void callFinished(const std::shared_ptr<Round> &round, std::size_t index,
+                      const Http::CallResult &result);
 
     const Context &m_context;
     std::vector<Http::CallId> m_calls;
--- a/src/libs/operations/changecommand.cpp
+++ b/src/libs/operations/changecommand.cpp
@@ -26,18 +26,18 @@
     return ExitStatus::Failed;
 }
 
-std::string askAgain(const ChangeOutcome &outcome)
+std::string statusCommandFor(const ChangeOutcome &outcome)
 {
     return "lagoonbank-ctl status --record " + outcome.recordId;
 }
 
-std::string whatToDo(const ChangeOutcome &outcome)
+std::string adviceFor(const ChangeOutcome &outcome)
 {
     switch (outcome.state) {
     case ChangeState::Rejected:
         return "  nothing was changed; see `lagoonbank-ctl diff`, correct the file, publish again";
     case ChangeState::Unknown:
-        return "  the answer was lost; ask again with: " + askAgain(outcome)
+        return "  the answer was lost; ask again with: " + statusCommandFor(outcome)
             + "\n  publishing again is harmless";
     case ChangeState::NotSent:
         return "  the log did not take it (out, or over its rate) and nothing was changed; publish "
@@ -53,9 +53,9 @@
 {
     std::string line =
         absl::StrCat(std::string(toString(outcome.state)), " ", toString(outcome.key));
-    const bool stands = outcome.revision != Base::Revision()
+    const bool isInForce = outcome.revision != Base::Revision()
         && (outcome.state == ChangeState::Accepted || outcome.state == ChangeState::Unchanged);
-    if (stands) {
+    if (isInForce) {
         absl::StrAppend(&line, " revision ", outcome.revision.value(), " offset ",
                         outcome.offset.value());
     }
@@ -77,7 +77,7 @@
     if (!outcome.detail.empty())
         json["detail"] = outcome.detail;
     if (outcome.state == ChangeState::Unknown)
-        json["ask_again"] = askAgain(outcome);
+        json["ask_again"] = statusCommandFor(outcome);
     return json;
 }
 
@@ -91,7 +91,7 @@
         report.status = std::max(report.status, statusOf(outcome.state));
         report.text += lineOf(outcome);
         report.json["changes"].push_back(toJson(outcome));
-        if (const std::string advice = whatToDo(outcome); !advice.empty())
+        if (const std::string advice = adviceFor(outcome); !advice.empty())
             absl::StrAppend(&report.errors, toString(outcome.key), ":\n", advice, "\n");
     }
     return report;
@@ -118,9 +118,9 @@
     m_publisher.start([this] { m_finished(reportChanges(m_publisher.outcomes())); });
 }
 
-Report ChangeCommand::giveUp() const
+Report ChangeCommand::interruptedReport() const
 {
-    return m_isPlanned ? reportChanges(m_publisher.outcomes()) : Command::giveUp();
+    return m_isPlanned ? reportChanges(m_publisher.outcomes()) : Command::interruptedReport();
 }
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/changecommand.h
+++ b/src/libs/operations/changecommand.h
@@ -20,7 +20,7 @@
     explicit ChangeCommand(const Context &context);
 
     void start(Finished finished) final;
-    Report giveUp() const final;
+    Report interruptedReport() const final;
 
 protected:
     /// Adds changes to publisher(); a report ends the command without sending anything.
--- a/src/libs/operations/changepublisher.cpp
+++ b/src/libs/operations/changepublisher.cpp
@@ -33,7 +33,7 @@
 ChangePublisher::ChangePublisher(const Context &context, ConfigurationLog &log)
     : m_context(context)
     , m_log(log)
-    , m_patience(context)
+    , m_retryPolicy(context)
 { }
 
 ChangePublisher::~ChangePublisher()
@@ -44,9 +44,9 @@
 void ChangePublisher::addObject(const Schema::ConfigurationObject &object,
                                 std::optional<Base::Revision> base)
 {
-    const Base::Revision stands = m_log.reducer().state().revision(Configuration::keyOf(object));
+    const Base::Revision current = m_log.reducer().state().revision(Configuration::keyOf(object));
     Change change{
-        .record = Configuration::makeChange(object, base.value_or(stands), m_context.operatorName),
+        .record = Configuration::makeChange(object, base.value_or(current), m_context.operatorName),
         .object = object};
     add(std::move(change), base);
 }
@@ -70,7 +70,7 @@
         change.outcome.revision = entry->revision;
         change.outcome.offset = entry->offset;
     }
-    if (stands(change)) {
+    if (isInForce(change)) {
         change.outcome.state = ChangeState::Unchanged;
         change.isSettled = true;
     } else if (base && *base != change.outcome.revision) {
@@ -80,13 +80,13 @@
     } else {
         change.outcome.recordId = absl::StrCat("ctl:", m_context.operatorName, ":",
                                                m_context.invocation, ":", m_changes.size() + 1);
-        change.record.time = stamp();
+        change.record.time = nextTimestamp();
     }
     m_changes.push_back(std::move(change));
 }
 
 /// Later than the changes that were read from the log, whatever this machine's clock says.
-std::string ChangePublisher::stamp()
+std::string ChangePublisher::nextTimestamp()
 {
     const Base::WallTime wall = m_context.timers->clock().wallNow();
     for (const ChangeResult &result : m_log.reducer().changeResults()) {
@@ -107,7 +107,7 @@
     }
 }
 
-bool ChangePublisher::stands(const Change &change) const
+bool ChangePublisher::isInForce(const Change &change) const
 {
     const Schema::ConfigurationObject *object = m_log.objects().find(change.record.key);
     if (change.record.removes)
@@ -118,7 +118,7 @@
 void ChangePublisher::start(Done done)
 {
     m_done = std::move(done);
-    m_patience.renew();
+    m_retryPolicy.restart();
     sendNext();
 }
 
@@ -143,30 +143,31 @@
     for (Change *change : batch())
         records.push_back(toRecord(change->outcome.recordId, change->record));
     if (records.empty())
-        return end();
-    m_context.log->append(std::string(Configuration::streamName), records,
-                          [this](const PlatformClient::AppendResult &result) { appended(result); });
+        return finish();
+    m_context.log->append(
+        std::string(Configuration::streamName), records,
+        [this](const PlatformClient::AppendResult &result) { appendFinished(result); });
 }
 
-void ChangePublisher::appended(const PlatformClient::AppendResult &result)
+void ChangePublisher::appendFinished(const PlatformClient::AppendResult &result)
 {
     const std::vector<Change *> sent = batch();
-    bool mayBeThere = false;
+    bool mayBeInLog = false;
     for (std::size_t i = 0; i < sent.size(); ++i) {
         if (result.outcomes[i].state != PlatformClient::AppendState::NotAppended)
             sent[i]->mayHaveLeft = true;
-        mayBeThere = mayBeThere || sent[i]->mayHaveLeft;
+        mayBeInLog = mayBeInLog || sent[i]->mayHaveLeft;
     }
-    if (mayBeThere)
+    if (mayBeInLog)
         return readBack();
-    tryAgainOrEnd();
+    retryOrFinish();
 }
 
 void ChangePublisher::readBack()
 {
     m_log.read([this](const Errors::Result<void> &result) {
         if (!result)
-            return tryAgainOrEnd();
+            return retryOrFinish();
         settleSentChanges();
     });
 }
@@ -179,8 +180,8 @@
             hasProgress = true;
     }
     if (!hasProgress)
-        return tryAgainOrEnd();
-    m_patience.renew();
+        return retryOrFinish();
+    m_retryPolicy.restart();
     sendNext();
 }
 
@@ -194,7 +195,7 @@
     change.outcome.offset = result->offset;
     if (result->verdict == Verdict::Accepted) {
         change.outcome.state = ChangeState::Accepted;
-    } else if (result->verdict == Verdict::Stale && stands(change)) {
+    } else if (result->verdict == Verdict::Stale && isInForce(change)) {
         change.outcome.state = ChangeState::Unchanged;
         change.outcome.detail = absl::StrCat(result->winner, " published the same first");
     } else if (result->verdict == Verdict::Stale) {
@@ -206,15 +207,15 @@
     return true;
 }
 
-void ChangePublisher::tryAgainOrEnd()
+void ChangePublisher::retryOrFinish()
 {
-    const std::optional<Base::Duration> delay = m_patience.next();
+    const std::optional<Base::Duration> delay = m_retryPolicy.nextDelay();
     if (!delay)
-        return end();
+        return finish();
     m_timer = m_context.timers->start(*delay, [this] { sendNext(); });
 }
 
-void ChangePublisher::end()
+void ChangePublisher::finish()
 {
     const Done done = std::exchange(m_done, nullptr);
     done();
--- a/src/libs/operations/changepublisher.h
+++ b/src/libs/operations/changepublisher.h
@@ -13,7 +13,7 @@
 /// What became of one object that was to be published.
 enum class ChangeState : std::uint8_t {
     Accepted, ///< Read back from the log as the winner.
-    Unchanged, ///< The same stands already.
+    Unchanged, ///< The same isInForce already.
     Rejected, ///< It is wrong, or another change came first.
     Unknown, ///< It may be in the log or still get there.
     NotSent ///< The log did not take it.
@@ -25,15 +25,15 @@
 {
     Configuration::ObjectKey key;
     ChangeState state = ChangeState::NotSent;
-    Base::Revision revision; ///< That stands.
+    Base::Revision revision; ///< That isInForce.
     Base::LogOffset offset; ///< Of the record that made it.
     std::string recordId; ///< Of our change; empty if none was sent.
     std::string detail; ///< Why, and whose change won.
 };
 
 /// Publishes changes as compare-and-set and reads back what became of them. Lost answers are
-/// settled by reading; a record that does not show up is appended again under the same id, which
-/// is harmless since its base no longer stands once one copy was accepted.
+/// settled by reading; a record that does not show up is appendFinished again under the same id,
+/// which is harmless since its base no longer isInForce once one copy was accepted.
 class ChangePublisher
 {
 public:
@@ -65,24 +65,24 @@
     };
 
     void add(Change change, std::optional<Base::Revision> base);
-    std::string stamp();
+    std::string nextTimestamp();
     void rejectStale(Change &change, const std::string &why) const;
     void sendNext();
-    void appended(const PlatformClient::AppendResult &result);
+    void appendFinished(const PlatformClient::AppendResult &result);
     void readBack();
     void settleSentChanges();
     bool settle(Change &change) const;
-    bool stands(const Change &change) const;
-    void tryAgainOrEnd();
+    bool isInForce(const Change &change) const;
+    void retryOrFinish();
     std::vector<Change *> batch();
-    void end();
+    void finish();
 
     const Context &m_context;
     ConfigurationLog &m_log;
     std::vector<Change> m_changes;
     Timeline::HybridClock m_clock;
     Done m_done;
-    Patience m_patience;
+    RetryPolicy m_retryPolicy;
     Runtime::TimerId m_timer;
 };
 
--- a/src/libs/operations/command.h
+++ b/src/libs/operations/command.h
@@ -32,17 +32,17 @@
 
 /// Decides whether a step that failed is tried again: for as long as the context's timeout, and
 /// once more in any case, since the first try may have met a dead connection.
-class Patience
+class RetryPolicy
 {
 public:
-    explicit Patience(const Context &context)
+    explicit RetryPolicy(const Context &context)
         : m_context(context)
     { }
 
     /// A step begins or has got on.
-    void renew();
+    void restart();
     /// The delay before the next try, or nothing if it is time to give up.
-    std::optional<Base::Duration> next();
+    std::optional<Base::Duration> nextDelay();
 
 private:
     const Context &m_context;
@@ -62,7 +62,7 @@
     /// `finished` is called once; the command must live on until it has returned.
     virtual void start(Finished finished) = 0;
     /// What is known if the command is not waited for any longer.
-    virtual Report giveUp() const
+    virtual Report interruptedReport() const
     {
         return failure(ExitStatus::Failed,
                        "No answer in time. Check the addresses and ask again, or raise --timeout.");
--- a/src/libs/operations/commandline.cpp
+++ b/src/libs/operations/commandline.cpp
@@ -44,12 +44,12 @@
     return failure(ExitStatus::Usage, what);
 }
 
-/// The given flags of the command line and its other words.
-struct SplitLine
+/// The arguments flags of the command splitArguments and its other words.
+struct SplitArguments
 {
     std::vector<std::string> words;
     std::vector<std::string> flags;
-    std::optional<Report> ended;
+    std::optional<Report> earlyReport;
 };
 
 absl::CommandLineFlag *findFlag(std::string_view name)
@@ -60,56 +60,57 @@
         : absl::FindCommandLineFlag({name.data(), name.size()});
 }
 
-/// Takes the flag at `index` and its value; false with `ended` set if it is wrong.
-bool takeFlag(const std::vector<std::string> &given, std::size_t &index, SplitLine &line)
+/// Takes the flag at `index` and its value; false with `earlyReport` set if it is error.
+bool parseFlag(const std::vector<std::string> &arguments, std::size_t &index,
+               SplitArguments &splitArguments)
 {
-    const std::string_view text = std::string_view(given[index]).substr(2);
+    const std::string_view text = std::string_view(arguments[index]).substr(2);
     const std::size_t equals = std::min(text.find('='), text.size());
     const std::string name(text.substr(0, equals));
     absl::CommandLineFlag *flag = findFlag(name);
     if (!flag) {
-        line.ended = usage("Unknown flag --" + name + "; --help lists them.");
+        splitArguments.earlyReport = usage("Unknown flag --" + name + "; --help lists them.");
         return false;
     }
     std::string value = "true";
     if (equals < text.size()) {
         value = text.substr(equals + 1);
     } else if (!flag->IsOfType<bool>()) {
-        if (++index >= given.size()) {
-            line.ended = usage("--" + name + " needs a value: " + flag->Help());
+        if (++index >= arguments.size()) {
+            splitArguments.earlyReport = usage("--" + name + " needs a value: " + flag->Help());
             return false;
         }
-        value = given[index];
+        value = arguments[index];
     }
     std::string error;
     if (!flag->ParseFrom(value, &error)) {
-        line.ended = usage("--" + name + ": " + error + " " + flag->Help());
+        splitArguments.earlyReport = usage("--" + name + ": " + error + " " + flag->Help());
         return false;
     }
-    line.flags.push_back(name);
+    splitArguments.flags.push_back(name);
     return true;
 }
 
-SplitLine split(const std::vector<std::string> &given)
+SplitArguments split(const std::vector<std::string> &arguments)
 {
-    SplitLine line;
-    for (std::size_t i = 0; i < given.size(); ++i) {
-        if (given[i] == helpFlag) {
-            line.ended = Report{.text = helpText()};
-            return line;
+    SplitArguments splitArguments;
+    for (std::size_t i = 0; i < arguments.size(); ++i) {
+        if (arguments[i] == helpFlag) {
+            splitArguments.earlyReport = Report{.text = helpText()};
+            return splitArguments;
         }
-        if (!given[i].starts_with("--"))
-            line.words.push_back(given[i]);
-        else if (!takeFlag(given, i, line))
-            return line;
+        if (!arguments[i].starts_with("--"))
+            splitArguments.words.push_back(arguments[i]);
+        else if (!parseFlag(arguments, i, splitArguments))
+            return splitArguments;
     }
-    return line;
+    return splitArguments;
 }
 
-std::optional<Report> checkFlags(const CommandRow &row, const std::vector<std::string> &given)
+std::optional<Report> checkFlags(const CommandRow &row, const std::vector<std::string> &arguments)
 {
     const std::vector<std::string_view> common = commonFlagNames();
-    for (const std::string &name : given) {
+    for (const std::string &name : arguments) {
         const bool fits = std::ranges::find(common, name) != common.end()
             || std::ranges::find(row.flags, name) != row.flags.end();
         if (!fits) {
@@ -146,9 +147,9 @@
     return std::nullopt;
 }
 
-Arguments readArguments(std::vector<std::string> words)
+Arguments readArguments(std::vector<std::string> operands)
 {
-    return {.words = std::move(words),
+    return {.operands = std::move(operands),
             .record = absl::GetFlag(FLAGS_record),
             .base = absl::GetFlag(FLAGS_base),
             .workspace = absl::GetFlag(FLAGS_workspace),
@@ -193,7 +194,7 @@
                        "  lagoonbank-ctl COMMAND [WORDS] [FLAGS]\n\nCommands:\n";
     for (const CommandRow &row : commandTable()) {
         const std::string synopsis =
-            absl::StrCat(std::string(row.name), " ", std::string(row.words));
+            absl::StrCat(std::string(row.name), " ", std::string(row.operandSynopsis));
         absl::StrAppendFormat(&text, "  %-26s %s\n", synopsis, std::string(row.summary));
         if (!row.flags.empty())
             absl::StrAppendFormat(&text, "  %-26s   takes %s\n", "", flagsText(row));
@@ -210,25 +211,25 @@
 
 ParsedCommandLine parseCommandLine(const std::vector<std::string> &words)
 {
-    SplitLine line = split(words);
-    if (line.ended)
-        return *line.ended;
-    ChosenCommand chosen = chooseCommand(line.words);
+    SplitArguments splitArguments = split(words);
+    if (splitArguments.earlyReport)
+        return *splitArguments.earlyReport;
+    ChosenCommand chosen = chooseCommand(splitArguments.words);
     if (!chosen.row)
         return chosen.error;
-    if (std::optional<Report> wrong = checkFlags(*chosen.row, line.flags))
-        return *wrong;
-    CommandLine parsed{.row = chosen.row, .arguments = readArguments(std::move(chosen.words))};
-    if (std::optional<Report> wrong = readSettings(parsed.settings))
-        return *wrong;
+    if (std::optional<Report> error = checkFlags(*chosen.row, splitArguments.flags))
+        return *error;
+    CommandLine parsed{.row = chosen.row, .arguments = readArguments(std::move(chosen.operands))};
+    if (std::optional<Report> error = readSettings(parsed.settings))
+        return *error;
     const std::string output = absl::GetFlag(FLAGS_output);
     if (output != "text" && output != "json")
         return usage("--output takes text or json.");
     parsed.isJson = output == "json";
-    const auto patience = parsePeriod(absl::GetFlag(FLAGS_timeout));
-    if (!patience)
+    const auto commandTimeout = parsePeriod(absl::GetFlag(FLAGS_timeout));
+    if (!commandTimeout)
         return usage("--timeout takes a number with s, m, h or d, such as 30s.");
-    parsed.patience = *patience;
+    parsed.commandTimeout = *commandTimeout;
     return parsed;
 }
 
--- a/src/libs/operations/commandline.h
+++ b/src/libs/operations/commandline.h
@@ -17,7 +17,7 @@
     Arguments arguments;
     Schema::CtlSettings settings;
     bool isJson = false;
-    Base::Duration patience{}; ///< For the whole command; it is not used by --follow.
+    Base::Duration commandTimeout{}; ///< For the whole command; it is not used by --follow.
 };
 
 /// A command line, or a report that ends the program: the help, or what is wrong.
--- a/src/libs/operations/commandtable.cpp
+++ b/src/libs/operations/commandtable.cpp
@@ -32,8 +32,8 @@
     return failure(ExitStatus::Usage, what);
 }
 
-MadeCommand withBase(const Arguments &arguments,
-                     const std::function<MadeCommand(std::optional<Base::Revision>)> &make)
+CommandOrError withBase(const Arguments &arguments,
+                        const std::function<CommandOrError(std::optional<Base::Revision>)> &make)
 {
     if (arguments.base.empty())
         return make(std::nullopt);
@@ -43,77 +43,77 @@
     return make(Base::Revision(*number));
 }
 
-MadeCommand makeCheck(const Context & /*context*/, const Arguments &arguments)
+CommandOrError makeCheck(const Context & /*context*/, const Arguments &arguments)
 {
-    return std::make_unique<CheckCommand>(arguments.words);
+    return std::make_unique<CheckCommand>(arguments.operands);
 }
 
-MadeCommand makeDiff(const Context &context, const Arguments &arguments)
+CommandOrError makeDiff(const Context &context, const Arguments &arguments)
 {
-    return std::make_unique<DiffCommand>(context, arguments.words);
+    return std::make_unique<DiffCommand>(context, arguments.operands);
 }
 
-MadeCommand makePublish(const Context &context, const Arguments &arguments)
+CommandOrError makePublish(const Context &context, const Arguments &arguments)
 {
-    return withBase(arguments, [&](std::optional<Base::Revision> base) -> MadeCommand {
+    return withBase(arguments, [&](std::optional<Base::Revision> base) -> CommandOrError {
         return std::make_unique<PublishCommand>(
-            context, PublishCommand::Options{.paths = arguments.words, .base = base});
+            context, PublishCommand::Options{.paths = arguments.operands, .base = base});
     });
 }
 
-MadeCommand makeRemove(const Context &context, const Arguments &arguments)
+CommandOrError makeRemove(const Context &context, const Arguments &arguments)
 {
-    const auto key = keyFromWords(arguments.words[0], arguments.words[1]);
+    const auto key = parseObjectKey(arguments.operands[0], arguments.operands[1]);
     if (!key)
-        return unknownKind(arguments.words[0]);
-    return withBase(arguments, [&](std::optional<Base::Revision> base) -> MadeCommand {
+        return unknownKind(arguments.operands[0]);
+    return withBase(arguments, [&](std::optional<Base::Revision> base) -> CommandOrError {
         return std::make_unique<RemoveCommand>(context, *key, base);
     });
 }
 
-MadeCommand makeHistory(const Context &context, const Arguments &arguments)
+CommandOrError makeHistory(const Context &context, const Arguments &arguments)
 {
-    if (arguments.words.empty())
+    if (arguments.operands.empty())
         return std::make_unique<HistoryCommand>(context, std::nullopt);
-    if (arguments.words.size() == 1)
+    if (arguments.operands.size() == 1)
         return usage("'history' takes KIND and NAME, or neither.");
-    const auto key = keyFromWords(arguments.words[0], arguments.words[1]);
+    const auto key = parseObjectKey(arguments.operands[0], arguments.operands[1]);
     if (!key)
-        return unknownKind(arguments.words[0]);
+        return unknownKind(arguments.operands[0]);
     return std::make_unique<HistoryCommand>(context, key);
 }
 
-MadeCommand makeShow(const Context &context, const Arguments &arguments)
+CommandOrError makeShow(const Context &context, const Arguments &arguments)
 {
     ShowCommand::Options options;
-    if (!arguments.words.empty()) {
-        options.kind = Schema::enumFromName<Schema::ObjectKind>(arguments.words[0]);
+    if (!arguments.operands.empty()) {
+        options.kind = Schema::enumFromName<Schema::ObjectKind>(arguments.operands[0]);
         if (!options.kind)
-            return unknownKind(arguments.words[0]);
+            return unknownKind(arguments.operands[0]);
     }
-    if (arguments.words.size() > 1)
-        options.name = arguments.words[1];
+    if (arguments.operands.size() > 1)
+        options.name = arguments.operands[1];
     return std::make_unique<ShowCommand>(context, options);
 }
 
-MadeCommand makeEndpointAdd(const Context &context, const Arguments &arguments)
+CommandOrError makeEndpointAdd(const Context &context, const Arguments &arguments)
 {
-    return std::make_unique<EndpointAddCommand>(context, arguments.words[0]);
+    return std::make_unique<EndpointAddCommand>(context, arguments.operands[0]);
 }
 
-MadeCommand makeEndpointDrain(const Context &context, const Arguments &arguments)
+CommandOrError makeEndpointDrain(const Context &context, const Arguments &arguments)
 {
-    return std::make_unique<EndpointStateCommand>(context, arguments.words[0],
+    return std::make_unique<EndpointStateCommand>(context, arguments.operands[0],
                                                   Schema::EndpointState::Draining);
 }
 
-MadeCommand makeEndpointUndrain(const Context &context, const Arguments &arguments)
+CommandOrError makeEndpointUndrain(const Context &context, const Arguments &arguments)
 {
-    return std::make_unique<EndpointStateCommand>(context, arguments.words[0],
+    return std::make_unique<EndpointStateCommand>(context, arguments.operands[0],
                                                   Schema::EndpointState::Active);
 }
 
-MadeCommand makeStatus(const Context &context, const Arguments &arguments)
+CommandOrError makeStatus(const Context &context, const Arguments &arguments)
 {
     if (arguments.record.empty())
         return std::make_unique<StatusCommand>(context);
@@ -122,22 +122,22 @@
     return std::make_unique<RecordCommand>(context, arguments.record);
 }
 
-MadeCommand makeRequest(const Context &context, const Arguments &arguments)
+CommandOrError makeRequest(const Context &context, const Arguments &arguments)
 {
     const bool hasKey = !arguments.workspace.empty() && !arguments.key.empty();
-    if (arguments.words.empty() != hasKey)
+    if (arguments.operands.empty() != hasKey)
         return usage("'request' takes a request id, or --workspace and --key.");
     RequestQuery query;
     if (hasKey) {
         query.workspace = Base::WorkspaceId(arguments.workspace);
         query.key = Base::IdempotencyKey(arguments.key);
     } else {
-        query.request = Base::RequestId(arguments.words[0]);
+        query.request = Base::RequestId(arguments.operands[0]);
     }
     return std::make_unique<RequestCommand>(context, query);
 }
 
-MadeCommand makeTimeline(const Context &context, const Arguments &arguments)
+CommandOrError makeTimeline(const Context &context, const Arguments &arguments)
 {
     TimelineCommand::Options options{.query = {.workspace = arguments.workspace,
                                                .endpoint = arguments.endpoint,
@@ -275,19 +275,22 @@
         if (words.size() < length)
             continue;
         if (absl::StrJoin(words.begin(), words.begin() + static_cast<int>(length), " ") == row.name)
-            return {.row = &row, .words = {words.begin() + static_cast<int>(length), words.end()}};
+            return {.row = &row,
+                    .operands = {words.begin() + static_cast<int>(length), words.end()}};
     }
     const std::string what =
         words.empty() ? "No command is given" : "Unknown command '" + words[0] + "'";
     return {.error = usage(what + "; give one of " + listOfNames() + ". See --help.")};
 }
 
-MadeCommand makeCommand(const CommandRow &row, const Context &context, const Arguments &arguments)
+CommandOrError makeCommand(const CommandRow &row, const Context &context,
+                           const Arguments &arguments)
 {
-    const std::size_t count = arguments.words.size();
-    if (count < row.minWords || count > row.maxWords) {
+    const std::size_t count = arguments.operands.size();
+    if (count < row.minOperands || count > row.maxOperands) {
         return usage(absl::StrCat("'", std::string(row.name), "' takes ",
-                                  row.words.empty() ? "no more words" : std::string(row.words),
+                                  row.operandSynopsis.empty() ? "no more words"
+                                                              : std::string(row.operandSynopsis),
                                   ". See --help."));
     }
     if (row.needsLog && !context.log) {
@@ -301,13 +304,13 @@
 {
     if (text.empty())
         return std::nullopt;
-    constexpr int mostDays = 36500;
+    constexpr int maxDays = 36500;
     const auto number = Base::parseNumber<std::uint32_t>(text.substr(0, text.size() - 1));
     if (!number)
         return std::nullopt;
     const auto as = [&](std::chrono::seconds unit) -> std::optional<Base::Duration> {
         const std::chrono::seconds period = unit * static_cast<std::int64_t>(*number);
-        if (period > std::chrono::hours(24) * mostDays)
+        if (period > std::chrono::hours(24) * maxDays)
             return std::nullopt;
         return period;
     };
--- a/src/libs/operations/commandtable.h
+++ b/src/libs/operations/commandtable.h
@@ -15,7 +15,7 @@
 /// What follows the command's name, with the flags that only some commands take.
 struct Arguments
 {
-    std::vector<std::string> words; ///< Without the command's name.
+    std::vector<std::string> operands; ///< Without the command's name.
     std::string record;
     std::string base;
     std::string workspace;
@@ -29,19 +29,19 @@
 };
 
 /// A command that is ready to start, or why the arguments do not fit.
-using MadeCommand = std::variant<std::unique_ptr<Command>, Report>;
+using CommandOrError = std::variant<std::unique_ptr<Command>, Report>;
 
 /// One command of the program.
 struct CommandRow
 {
     std::string_view name; ///< One word or two.
-    std::string_view words; ///< What follows it, for the help.
+    std::string_view operandSynopsis; ///< What follows it, for the help.
     std::string_view summary;
     std::vector<std::string_view> flags; ///< That it takes beside those of all commands.
-    std::size_t minWords = 0;
-    std::size_t maxWords = 0;
+    std::size_t minOperands = 0;
+    std::size_t maxOperands = 0;
     bool needsLog = false;
-    std::function<MadeCommand(const Context &context, const Arguments &arguments)> make;
+    std::function<CommandOrError(const Context &context, const Arguments &arguments)> make;
 };
 
 std::span<const CommandRow> commandTable();
@@ -50,13 +50,14 @@
 struct ChosenCommand
 {
     const CommandRow *row = nullptr;
-    std::vector<std::string> words;
+    std::vector<std::string> operands;
     Report error; ///< If there is no row.
 };
 ChosenCommand chooseCommand(const std::vector<std::string> &words);
 
 /// Makes the command after checking what it needs.
-MadeCommand makeCommand(const CommandRow &row, const Context &context, const Arguments &arguments);
+CommandOrError makeCommand(const CommandRow &row, const Context &context,
+                           const Arguments &arguments);
 
 /// `10s`, `5m`, `2h` or `1d`.
 std::optional<Base::Duration> parsePeriod(std::string_view text);
--- a/src/libs/operations/configurationlog.cpp
+++ b/src/libs/operations/configurationlog.cpp
@@ -19,17 +19,17 @@
     m_stream.setGapFound([this](Base::LogOffset first) { m_reducer.gapFound(first); });
 }
 
-void ConfigurationLog::read(Read done)
+void ConfigurationLog::read(ReadFinished done)
 {
     m_stream.readToEnd([this, done = std::move(done)](const Errors::Result<void> &result) {
         if (!result)
             return done(result);
         m_reducer.endReached();
-        done(checkWhole());
+        done(checkComplete());
     });
 }
 
-Errors::Result<void> ConfigurationLog::checkWhole() const
+Errors::Result<void> ConfigurationLog::checkComplete() const
 {
     if (!m_reducer.hasGap())
         return boost::outcome_v2::success();
--- a/src/libs/operations/configurationlog.h
+++ b/src/libs/operations/configurationlog.h
@@ -9,13 +9,13 @@
 class ConfigurationLog
 {
 public:
-    using Read = std::function<void(Errors::Result<void> result)>;
+    using ReadFinished = std::function<void(Errors::Result<void> result)>;
 
     explicit ConfigurationLog(const Context &context);
 
     /// Reads all that is new. Fails where the log does not answer, and where it has lost records
     /// and holds no snapshot that makes them good.
-    void read(Read done);
+    void read(ReadFinished done);
 
     const Configuration::Reducer &reducer() const { return m_reducer; }
     const Configuration::ObjectTable &objects() const { return m_reducer.objects(); }
@@ -26,7 +26,7 @@
     Base::LogOffset next() const { return m_stream.next(); }
 
 private:
-    Errors::Result<void> checkWhole() const;
+    Errors::Result<void> checkComplete() const;
 
     Configuration::Reducer m_reducer;
     StreamReader m_stream;
--- a/src/libs/operations/diffcommand.cpp
+++ b/src/libs/operations/diffcommand.cpp
@@ -43,7 +43,7 @@
     auto read = readPaths(m_paths);
     if (!read)
         return fileFailure(read.error());
-    const Schema::SettingsErrors errors = checkOnTop(read.value(), log().objects());
+    const Schema::SettingsErrors errors = checkWithExisting(read.value(), log().objects());
     if (!errors.empty())
         return fileFailure(errors);
     sortForPublishing(read.value());
@@ -51,24 +51,24 @@
     report.json["objects"] = Json::array();
     for (const Schema::ObjectDocument &document : read.value())
         addObject(report, document.object);
-    addOthers(report, read.value());
+    addObjectsOnlyInLog(report, read.value());
     return report;
 }
 
 void DiffCommand::addObject(Report &report, const Schema::ConfigurationObject &object) const
 {
     const ObjectKey key = Configuration::keyOf(object);
-    const Schema::ConfigurationObject *standing = log().objects().find(key);
+    const Schema::ConfigurationObject *current = log().objects().find(key);
     Json item = jsonOf(key);
-    if (!standing) {
+    if (!current) {
         item["state"] = "new";
         absl::StrAppend(&report.text, "new       ", toString(key), "\n");
-    } else if (*standing == object) {
+    } else if (*current == object) {
         item["state"] = "unchanged";
     } else {
         item["state"] = "changed";
         item["revision"] = log().entry(key)->revision.value();
-        item["fields"] = fieldsThatDiffer(Schema::toJson(*standing), Schema::toJson(object));
+        item["fields"] = fieldsThatDiffer(Schema::toJson(*current), Schema::toJson(object));
         absl::StrAppend(&report.text, "changed   ", toString(key), " revision ",
                         log().entry(key)->revision.value(), "\n");
         for (const Json &field : item["fields"]) {
@@ -80,13 +80,13 @@
     report.json["objects"].push_back(std::move(item));
 }
 
-void DiffCommand::addOthers(Report &report, const Documents &documents) const
+void DiffCommand::addObjectsOnlyInLog(Report &report, const Documents &documents) const
 {
-    std::set<ObjectKey> given;
+    std::set<ObjectKey> keysInFiles;
     for (const Schema::ObjectDocument &document : documents)
-        given.insert(Configuration::keyOf(document.object));
+        keysInFiles.insert(Configuration::keyOf(document.object));
     for (const auto &[key, object] : log().objects().objects()) {
-        if (given.contains(key))
+        if (keysInFiles.contains(key))
             continue;
         Json item = jsonOf(key);
         item["state"] = "only_in_log";
--- a/src/libs/operations/diffcommand.h
+++ b/src/libs/operations/diffcommand.h
@@ -19,7 +19,7 @@
 
 private:
     void addObject(Report &report, const Schema::ConfigurationObject &object) const;
-    void addOthers(Report &report, const Documents &documents) const;
+    void addObjectsOnlyInLog(Report &report, const Documents &documents) const;
 
     std::vector<std::string> m_paths;
 };
--- a/src/libs/operations/endpointcommands.cpp
+++ b/src/libs/operations/endpointcommands.cpp
@@ -15,7 +15,7 @@
     const auto read = readPaths({m_file});
     if (!read)
         return fileFailure(read.error());
-    const Schema::SettingsErrors errors = checkOnTop(read.value(), log().objects());
+    const Schema::SettingsErrors errors = checkWithExisting(read.value(), log().objects());
     if (!errors.empty())
         return fileFailure(errors);
     for (const Schema::ObjectDocument &document : read.value()) {
@@ -25,8 +25,8 @@
                            Schema::sourceOf(document.object).at("kind")
                                + ": is no endpoint; use `lagoonbank-ctl publish` for it.");
         }
-        const Schema::ConfigurationObject *standing = log().objects().find(key);
-        if (standing && *standing != document.object) {
+        const Schema::ConfigurationObject *current = log().objects().find(key);
+        if (current && *current != document.object) {
             return failure(ExitStatus::Rejected,
                            toString(key)
                                + " is there already and differs; use `lagoonbank-ctl diff` and "
@@ -46,13 +46,13 @@
 
 std::optional<Report> EndpointStateCommand::plan()
 {
-    const Schema::Endpoint *standing = log().objects().endpoint(Base::EndpointId(m_name));
-    if (!standing) {
+    const Schema::Endpoint *current = log().objects().endpoint(Base::EndpointId(m_name));
+    if (!current) {
         return failure(ExitStatus::NotFound,
                        "There is no endpoint " + m_name
                            + "; `lagoonbank-ctl show endpoint` lists them.");
     }
-    Schema::Endpoint wanted = *standing;
+    Schema::Endpoint wanted = *current;
     wanted.state = m_state;
     publisher().addObject(wanted, std::nullopt);
     return std::nullopt;
--- a/src/libs/operations/logoutcomes.cpp
+++ b/src/libs/operations/logoutcomes.cpp
@@ -30,15 +30,15 @@
     return outcome.workspace == workspace && outcome.key == key;
 }
 
-bool FoundOutcome::wasRecorded() const
+bool FoundOutcome::wasReplayed() const
 {
-    return !isClaim && outcome.key && outcome.attempts.empty()
+    return !isFromClaim && outcome.key && outcome.attempts.empty()
         && outcome.end.kind == OutcomeKind::Whole;
 }
 
 std::string sentenceOf(const FoundOutcome &found, Base::WallTime now)
 {
-    if (found.wasRecorded()) {
+    if (found.wasReplayed()) {
         return "The request did not run again: its caller got the recorded answer of an earlier "
                "request with the same key.";
     }
@@ -56,7 +56,7 @@
         [this](const PlatformClient::StoredRecord &record) { claimRead(record); });
 }
 
-void LogOutcomes::read(Read done)
+void LogOutcomes::read(ReadFinished done)
 {
     m_outcomes.readToEnd([this, done = std::move(done)](const Errors::Result<void> &result) {
         if (!result)
@@ -93,12 +93,12 @@
     if (!parsed)
         return;
     if (const auto *claim = std::get_if<Claims::Claim>(&parsed.value()))
-        return add(*claim, std::nullopt);
+        return addClaim(*claim, std::nullopt);
     const auto &end = std::get<Claims::ClaimOutcome>(parsed.value());
-    add(end.claim, end.outcome);
+    addClaim(end.claim, end.outcome);
 }
 
-void LogOutcomes::add(const Claims::Claim &claim, const std::optional<Claims::Outcome> &end)
+void LogOutcomes::addClaim(const Claims::Claim &claim, const std::optional<Claims::Outcome> &end)
 {
     Timeline::Outcome outcome{.request = claim.request,
                               .workspace = claim.key.workspace,
@@ -114,7 +114,7 @@
     if (!m_query.matches(outcome))
         return;
     FoundOutcome found{
-        .outcome = std::move(outcome), .source = "the log's stream claims", .isClaim = true};
+        .outcome = std::move(outcome), .source = "the log's stream claims", .isFromClaim = true};
     if (end)
         m_claimed[claim.request] = std::move(found);
     else
--- a/src/libs/operations/logoutcomes.h
+++ b/src/libs/operations/logoutcomes.h
@@ -27,10 +27,10 @@
 {
     Timeline::Outcome outcome;
     std::string source;
-    bool isClaim = false; ///< Told by its claim alone, which does not name the attempts.
+    bool isFromClaim = false; ///< Told by its claim alone, which does not name the attempts.
 
     /// The caller got the recorded answer of an earlier request with the same key.
-    bool wasRecorded() const;
+    bool wasReplayed() const;
 };
 
 /// One plain sentence for a support engineer.
@@ -40,12 +40,12 @@
 class LogOutcomes
 {
 public:
-    using Read = std::function<void(const Errors::Result<void> &result)>;
+    using ReadFinished = std::function<void(const Errors::Result<void> &result)>;
 
     LogOutcomes(const Context &context, RequestQuery query);
 
     /// Reads both streams to their ends.
-    void read(Read done);
+    void read(ReadFinished done);
 
     /// One for each request; what the stream `outcomes` says goes before what claims tell.
     std::vector<FoundOutcome> found() const;
@@ -55,7 +55,7 @@
 private:
     void outcomeRead(const PlatformClient::StoredRecord &record);
     void claimRead(const PlatformClient::StoredRecord &record);
-    void add(const Claims::Claim &claim, const std::optional<Claims::Outcome> &end);
+    void addClaim(const Claims::Claim &claim, const std::optional<Claims::Outcome> &end);
 
     RequestQuery m_query;
     StreamReader m_outcomes;
--- a/src/libs/operations/objectfiles.cpp
+++ b/src/libs/operations/objectfiles.cpp
@@ -26,15 +26,15 @@
     return documents;
 }
 
-Schema::SettingsErrors checkOnTop(const Documents &documents,
-                                  const Configuration::ObjectTable &table)
+Schema::SettingsErrors checkWithExisting(const Documents &documents,
+                                         const Configuration::ObjectTable &table)
 {
-    std::set<ObjectKey> given;
+    std::set<ObjectKey> keysInFiles;
     for (const Schema::ObjectDocument &document : documents)
-        given.insert(Configuration::keyOf(document.object));
+        keysInFiles.insert(Configuration::keyOf(document.object));
     Documents all = documents;
     for (const auto &[key, object] : table.objects()) {
-        if (!given.contains(key))
+        if (!keysInFiles.contains(key))
             all.push_back({.object = *object});
     }
     return Configuration::checkAll(all);
@@ -43,10 +43,10 @@
 void sortForPublishing(Documents &documents)
 {
     const std::vector<Schema::ObjectKind> order = Configuration::publishOrder();
-    const auto place = [&order](const Schema::ObjectDocument &document) {
+    const auto publishPosition = [&order](const Schema::ObjectDocument &document) {
         return std::ranges::find(order, Schema::kindOf(document.object)) - order.begin();
     };
-    std::ranges::stable_sort(documents, {}, place);
+    std::ranges::stable_sort(documents, {}, publishPosition);
 }
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/objectfiles.h
+++ b/src/libs/operations/objectfiles.h
@@ -14,8 +14,8 @@
 Schema::ReadResult<Documents> readPaths(const std::vector<std::string> &paths);
 
 /// What is wrong with the documents on top of what `table` holds.
-Schema::SettingsErrors checkOnTop(const Documents &documents,
-                                  const Configuration::ObjectTable &table);
+Schema::SettingsErrors checkWithExisting(const Documents &documents,
+                                         const Configuration::ObjectTable &table);
 
 /// Sorts the documents so that each comes after those that it names.
 void sortForPublishing(Documents &documents);
--- a/src/libs/operations/publishcommand.cpp
+++ b/src/libs/operations/publishcommand.cpp
@@ -15,7 +15,7 @@
     if (!read)
         return fileFailure(read.error());
     Documents &documents = read.value();
-    const Schema::SettingsErrors errors = checkOnTop(documents, log().objects());
+    const Schema::SettingsErrors errors = checkWithExisting(documents, log().objects());
     if (!errors.empty())
         return fileFailure(errors);
     if (m_options.base && documents.size() != 1) {
--- a/src/libs/operations/requestcommand.cpp
+++ b/src/libs/operations/requestcommand.cpp
@@ -33,7 +33,7 @@
 int rankOf(const FoundOutcome &found)
 {
     constexpr int last = 5;
-    if (found.wasRecorded())
+    if (found.wasReplayed())
         return last - 1;
     switch (found.outcome.end.kind) {
     case OutcomeKind::Whole:
@@ -53,7 +53,7 @@
 /// The other requests of the same key may say more.
 std::string hintOf(const FoundOutcome &found)
 {
-    if (!found.wasRecorded())
+    if (!found.wasReplayed())
         return {};
     return absl::StrCat("  the request that ran: lagoonbank-ctl request --workspace ",
                         shellQuote(found.outcome.workspace.value()), " --key ",
@@ -124,7 +124,7 @@
                                   "Nobody to ask; give --admin and --platform, or --settings."));
     }
     if (m_query.request.empty())
-        return askAll();
+        return queryAll();
     auto origin = Timeline::parseRequestId(m_query.request.value());
     if (!origin) {
         return m_finished(failure(ExitStatus::Usage,
@@ -139,7 +139,7 @@
 void RequestCommand::findRouter()
 {
     if (!m_context.log || m_context.admins.empty())
-        return askAll();
+        return queryAll();
     Http::Call call;
     call.target = "/vms";
     call.headTimeout = m_context.timeout;
@@ -150,55 +150,55 @@
 
 void RequestCommand::vmsRead(const Http::CallResult &result)
 {
-    std::vector<Runtime::SocketAddress> likely;
+    std::vector<Runtime::SocketAddress> candidates;
     auto vms = PlatformClient::parseVmList(result.status == statusOk ? result.body : "");
     if (vms) {
         for (const PlatformClient::VmEntry &vm : vms.value()) {
             if (vm.id != m_origin->vm)
                 continue;
             std::ranges::copy_if(
-                m_context.admins, std::back_inserter(likely),
+                m_context.admins, std::back_inserter(candidates),
                 [&vm](const auto &address) { return address.ip == ipOf(vm.address); });
         }
     }
-    askRouter(likely);
+    queryRouter(candidates);
 }
 
-void RequestCommand::askRouter(const std::vector<Runtime::SocketAddress> &addresses)
+void RequestCommand::queryRouter(const std::vector<Runtime::SocketAddress> &addresses)
 {
     if (addresses.empty())
-        return askAll();
-    m_client.ask(addresses, outcomeTarget(m_query),
-                 [this](const std::vector<AdminAnswer> &answers) {
-                     take(answers);
-                     if (m_found.empty())
-                         askAll();
-                     else
-                         askEvents();
-                 });
+        return queryAll();
+    m_client.query(addresses, outcomeTarget(m_query),
+                   [this](const std::vector<AdminAnswer> &answers) {
+                       addOutcomes(answers);
+                       if (m_found.empty())
+                           queryAll();
+                       else
+                           queryEvents();
+                   });
 }
 
-void RequestCommand::askAll()
+void RequestCommand::queryAll()
 {
-    m_client.ask(m_context.admins, outcomeTarget(m_query),
-                 [this](const std::vector<AdminAnswer> &answers) { allAnswered(answers); });
+    m_client.query(m_context.admins, outcomeTarget(m_query),
+                   [this](const std::vector<AdminAnswer> &answers) { allAnswered(answers); });
 }
 
 void RequestCommand::allAnswered(const std::vector<AdminAnswer> &answers)
 {
-    take(answers);
+    addOutcomes(answers);
     m_unreached = describeUnreached(answers);
-    m_asked = answers.size();
+    m_queried = answers.size();
     m_reached = static_cast<std::size_t>(
         std::ranges::count_if(answers, [](const auto &answer) { return answer.wasReached(); }));
     // Another router may have run the matter and been replaced, so a key is always looked up in
     // the log as well.
     if (!m_found.empty() && !m_query.request.empty())
-        return askEvents();
+        return queryEvents();
     readLog();
 }
 
-void RequestCommand::take(const std::vector<AdminAnswer> &answers)
+void RequestCommand::addOutcomes(const std::vector<AdminAnswer> &answers)
 {
     for (const AdminAnswer &answer : answers) {
         if (!answer.isOk())
@@ -214,7 +214,7 @@
 {
     if (!m_context.log) {
         m_unreached += "The log was not asked, since no --platform is given.\n";
-        return askEvents();
+        return queryEvents();
     }
     m_log.read([this](const Errors::Result<void> &result) {
         m_wasLogRead = static_cast<bool>(result);
@@ -235,21 +235,21 @@
             m_found.push_back(std::move(found));
     }
     std::ranges::stable_sort(m_found, {}, [](const FoundOutcome &found) { return rankOf(found); });
-    askEvents();
+    queryEvents();
 }
 
-void RequestCommand::askEvents()
+void RequestCommand::queryEvents()
 {
     if (m_found.empty())
-        return m_finished(nothingKnown());
-    askEvents(m_found.front().outcome.request);
+        return m_finished(notFoundReport());
+    queryEvents(m_found.front().outcome.request);
 }
 
-void RequestCommand::askEvents(const Base::RequestId &request)
+void RequestCommand::queryEvents(const Base::RequestId &request)
 {
     const std::string target = eventsTarget({.request = request.value()}, {}, 0);
-    m_client.ask(m_context.admins, target,
-                 [this](const std::vector<AdminAnswer> &answers) { finish(answers); });
+    m_client.query(m_context.admins, target,
+                   [this](const std::vector<AdminAnswer> &answers) { finish(answers); });
 }
 
 void RequestCommand::finish(const std::vector<AdminAnswer> &answers)
@@ -277,13 +277,13 @@
     return m_finished(std::move(report));
 }
 
-Report RequestCommand::nothingKnown() const
+Report RequestCommand::notFoundReport() const
 {
     const std::string subject = m_query.request.empty()
         ? absl::StrCat("the key of workspace ", m_query.workspace.value())
         : "request " + m_query.request.value();
     std::string text = absl::StrCat("Nothing is known of ", subject, ", or no longer. ", m_reached,
-                                    " of ", m_asked, " processes answered");
+                                    " of ", m_queried, " processes answered");
     absl::StrAppend(&text, m_wasLogRead ? ", and the log was read." : ", the log was not read.");
     if (m_wasLogRead && m_log.firstOutcome() > Base::LogOffset()) {
         absl::StrAppend(&text, " The log has lost its outcomes before offset ",
--- a/src/libs/operations/requestcommand.h
+++ b/src/libs/operations/requestcommand.h
@@ -27,16 +27,16 @@
 private:
     void findRouter();
     void vmsRead(const Http::CallResult &result);
-    void askRouter(const std::vector<Runtime::SocketAddress> &addresses);
-    void askAll();
+    void queryRouter(const std::vector<Runtime::SocketAddress> &addresses);
+    void queryAll();
     void allAnswered(const std::vector<AdminAnswer> &answers);
-    void take(const std::vector<AdminAnswer> &answers);
+    void addOutcomes(const std::vector<AdminAnswer> &answers);
     void readLog();
     void logRead();
-    void askEvents();
-    void askEvents(const Base::RequestId &request);
+    void queryEvents();
+    void queryEvents(const Base::RequestId &request);
     void finish(const std::vector<AdminAnswer> &answers);
-    Report nothingKnown() const;
+    Report notFoundReport() const;
 
     const Context &m_context;
     RequestQuery m_query;
@@ -46,7 +46,7 @@
     Http::CallId m_vmCall;
     std::vector<FoundOutcome> m_found;
     std::string m_unreached;
-    std::size_t m_asked = 0;
+    std::size_t m_queried = 0;
     std::size_t m_reached = 0;
     bool m_wasLogRead = false;
     Finished m_finished;
--- a/src/libs/operations/statuscommand.cpp
+++ b/src/libs/operations/statuscommand.cpp
@@ -18,11 +18,11 @@
 {
     std::string process;
     bool isReady = true;
-    std::uint64_t next = 0; ///< First record of the configuration that it has not taken in.
+    std::uint64_t nextOffset = 0; ///< First record of the configuration that it has not taken in.
     bool isLogUp = true;
     std::size_t members = 0;
     std::size_t reachable = 0;
-    std::string duty; ///< A router's endpoints or a controller's lease.
+    std::string roleDetails; ///< A router's endpoints or a controller's lease.
 };
 
 const Json &member(const Json &json, const char *name)
@@ -32,24 +32,24 @@
     return json.is_object() && found != json.end() ? *found : none;
 }
 
-bool flag(const Json &json, const char *name, bool otherwise)
+bool boolMember(const Json &json, const char *name, bool defaultValue)
 {
     const Json &value = member(json, name);
-    return value.is_boolean() ? value.get<bool>() : otherwise;
+    return value.is_boolean() ? value.get<bool>() : defaultValue;
 }
 
-std::size_t count(const Json &list, const char *name)
+std::size_t countTrue(const Json &list, const char *name)
 {
-    std::size_t count = 0;
+    std::size_t number = 0;
     for (const Json &item : list)
-        count += flag(item, name, false) ? 1 : 0;
-    return count;
+        number += boolMember(item, name, false) ? 1 : 0;
+    return number;
 }
 
 std::string describeEndpoints(const Json &endpoints)
 {
-    return absl::StrCat("endpoints ", endpoints.size(), " (", count(endpoints, "leaving"),
-                        " leaving, ", count(endpoints, "suspected"), " suspected)");
+    return absl::StrCat("endpoints ", endpoints.size(), " (", countTrue(endpoints, "leaving"),
+                        " leaving, ", countTrue(endpoints, "suspected"), " suspected)");
 }
 
 std::string describeLease(const Json &lease)
@@ -66,38 +66,39 @@
     ProcessStatus status{.process = Runtime::toString(answer.from)};
     if (const Json &process = member(answer.body, "process"); process.is_string())
         status.process = process.get<std::string>();
-    status.isReady = flag(answer.body, "ready", true);
+    status.isReady = boolMember(answer.body, "ready", true);
     const Json &configuration = member(answer.body, "configuration");
     if (const Json &next = member(configuration, "next"); next.is_number_unsigned())
-        status.next = next.get<std::uint64_t>();
-    status.isLogUp = flag(configuration, "log_up", true);
+        status.nextOffset = next.get<std::uint64_t>();
+    status.isLogUp = boolMember(configuration, "log_up", true);
     if (const Json &members = member(answer.body, "members"); members.is_array()) {
         status.members = members.size();
-        status.reachable = count(members, "reachable");
+        status.reachable = countTrue(members, "reachable");
     }
     if (const Json &endpoints = member(answer.body, "endpoints"); endpoints.is_array())
-        status.duty = describeEndpoints(endpoints);
+        status.roleDetails = describeEndpoints(endpoints);
     else if (const Json &lease = member(answer.body, "lease"); lease.is_object())
-        status.duty = describeLease(lease);
+        status.roleDetails = describeLease(lease);
     return status;
 }
 
-std::string marksOf(const ProcessStatus &status, std::uint64_t wanted)
+std::string warningsOf(const ProcessStatus &status, std::uint64_t latestOffset)
 {
-    std::string marks;
-    if (status.next < wanted)
-        absl::StrAppend(&marks, "  BEHIND by ", wanted - status.next, " records");
+    std::string warnings;
+    if (status.nextOffset < latestOffset)
+        absl::StrAppend(&warnings, "  BEHIND by ", latestOffset - status.nextOffset, " records");
     if (!status.isReady)
-        marks += "  NOT READY";
+        warnings += "  NOT READY";
     if (!status.isLogUp)
-        marks += "  log not followed";
-    return marks;
+        warnings += "  log not followed";
+    return warnings;
 }
 
-std::string lineOf(const ProcessStatus &status, std::uint64_t wanted)
+std::string lineOf(const ProcessStatus &status, std::uint64_t latestOffset)
 {
-    return absl::StrFormat("%-32s offset %-8d members %d/%d  %s%s\n", status.process, status.next,
-                           status.reachable, status.members, status.duty, marksOf(status, wanted));
+    return absl::StrFormat("%-32s offset %-8d members %d/%d  %s%s\n", status.process,
+                           status.nextOffset, status.reachable, status.members, status.roleDetails,
+                           warningsOf(status, latestOffset));
 }
 
 } // namespace
@@ -127,8 +128,9 @@
         m_logEnd = m_stream.next();
     else
         m_logError = result.error().detail;
-    m_client.ask(m_context.admins, "/admin/status",
-                 [this](const std::vector<AdminAnswer> &answers) { m_finished(report(answers)); });
+    m_client.query(
+        m_context.admins, "/admin/status",
+        [this](const std::vector<AdminAnswer> &answers) { m_finished(report(answers)); });
 }
 
 Report StatusCommand::report(const std::vector<AdminAnswer> &answers) const
@@ -136,7 +138,7 @@
     std::vector<ProcessStatus> processes;
     Report report;
     report.json["processes"] = Json::array();
-    std::uint64_t wanted = m_logEnd.value_or(Base::LogOffset()).value();
+    std::uint64_t latestOffset = m_logEnd.value_or(Base::LogOffset()).value();
     for (const AdminAnswer &answer : answers) {
         if (!answer.isOk()) {
             absl::StrAppend(&report.errors, Runtime::toString(answer.from),
@@ -144,7 +146,7 @@
             continue;
         }
         processes.push_back(readStatus(answer));
-        wanted = std::max(wanted, processes.back().next);
+        latestOffset = std::max(latestOffset, processes.back().nextOffset);
         Json item = answer.body;
         item["address"] = Runtime::toString(answer.from);
         report.json["processes"].push_back(std::move(item));
@@ -152,20 +154,20 @@
     if (!report.errors.empty())
         report.errors += "Check that these processes run, and their addresses in --admin.\n";
     report.text = m_logEnd
-        ? absl::StrCat("log: configuration ends at offset ", wanted, "\n")
-        : absl::StrCat("log: OUT (", m_logError, ") highest offset held ", wanted, "\n");
-    bool isWhole = m_logEnd && report.errors.empty();
+        ? absl::StrCat("log: configuration ends at offset ", latestOffset, "\n")
+        : absl::StrCat("log: OUT (", m_logError, ") highest offset held ", latestOffset, "\n");
+    bool isHealthy = m_logEnd && report.errors.empty();
     for (std::size_t i = 0; i < processes.size(); ++i) {
         const ProcessStatus &status = processes[i];
-        report.text += lineOf(status, wanted);
-        const bool isBehind = status.next < wanted;
-        isWhole = isWhole && status.isReady && !isBehind;
+        report.text += lineOf(status, latestOffset);
+        const bool isBehind = status.nextOffset < latestOffset;
+        isHealthy = isHealthy && status.isReady && !isBehind;
         report.json["processes"][i]["behind"] = isBehind;
     }
     report.json["log_up"] = m_logEnd.has_value();
-    report.json["offset"] = wanted;
+    report.json["offset"] = latestOffset;
     report.json["unreached"] = unreachedJson(answers);
-    report.status = isWhole ? ExitStatus::Ok : ExitStatus::Failed;
+    report.status = isHealthy ? ExitStatus::Ok : ExitStatus::Failed;
     return report;
 }
 
--- a/src/libs/operations/streamreader.cpp
+++ b/src/libs/operations/streamreader.cpp
@@ -13,7 +13,7 @@
 StreamReader::StreamReader(const Context &context, std::string stream)
     : m_context(context)
     , m_stream(std::move(stream))
-    , m_patience(context)
+    , m_retryPolicy(context)
 { }
 
 StreamReader::~StreamReader()
@@ -26,7 +26,7 @@
 void StreamReader::readToEnd(Finished finished)
 {
     m_finished = std::move(finished);
-    m_patience.renew();
+    m_retryPolicy.restart();
     readPage();
 }
 
@@ -55,13 +55,13 @@
     if (read.records.empty() || read.next <= m_next)
         return finish(boost::outcome_v2::success());
     m_next = read.next;
-    m_patience.renew();
+    m_retryPolicy.restart();
     readPage();
 }
 
 void StreamReader::retryOrFail(const Errors::Error &error)
 {
-    const std::optional<Base::Duration> delay = m_patience.next();
+    const std::optional<Base::Duration> delay = m_retryPolicy.nextDelay();
     if (!delay)
         return finish(error);
     m_timer = m_context.timers->start(*delay, [this] { readPage(); });
--- a/src/libs/operations/streamreader.h
+++ b/src/libs/operations/streamreader.h
@@ -47,7 +47,7 @@
     Finished m_finished;
     Base::LogOffset m_first;
     Base::LogOffset m_next;
-    Patience m_patience;
+    RetryPolicy m_retryPolicy;
     PlatformClient::LogClient::ReadId m_read;
     Runtime::TimerId m_timer;
 };
--- a/src/libs/operations/texts.cpp
+++ b/src/libs/operations/texts.cpp
@@ -35,8 +35,8 @@
     return {{"kind", Schema::toString(key.kind)}, {"name", key.name}};
 }
 
-std::optional<Configuration::ObjectKey> keyFromWords(const std::string &kind,
-                                                     const std::string &name)
+std::optional<Configuration::ObjectKey> parseObjectKey(const std::string &kind,
+                                                       const std::string &name)
 {
     const auto known = Schema::enumFromName<Schema::ObjectKind>(kind);
     if (!known)
--- a/src/libs/operations/texts.h
+++ b/src/libs/operations/texts.h
@@ -18,8 +18,8 @@
 /// `{"kind", "name"}`
 Json jsonOf(const Configuration::ObjectKey &key);
 /// The key that the words KIND and NAME give, or what is wrong with the kind.
-std::optional<Configuration::ObjectKey> keyFromWords(const std::string &kind,
-                                                     const std::string &name);
+std::optional<Configuration::ObjectKey> parseObjectKey(const std::string &kind,
+                                                       const std::string &name);
 /// Says which kinds there are.
 Report unknownKind(const std::string &kind);
 
--- a/src/libs/operations/timelinecommand.cpp
+++ b/src/libs/operations/timelinecommand.cpp
@@ -90,17 +90,17 @@
                                   "No process to ask; give --admin or admin_addresses in the "
                                   "settings."));
     }
-    ask();
+    queryEvents();
 }
 
-void TimelineCommand::ask()
+void TimelineCommand::queryEvents()
 {
-    if (!m_from)
-        m_from = m_context.timers->clock().wallNow();
-    m_client.ask(
+    if (!m_firstQueryTime)
+        m_firstQueryTime = m_context.timers->clock().wallNow();
+    m_client.query(
         m_context.admins,
         [this](const Runtime::SocketAddress &address) {
-            return eventsTarget(m_options.query, *m_from, m_seen[address]);
+            return eventsTarget(m_options.query, *m_firstQueryTime, m_lastSequences[address]);
         },
         [this](const std::vector<AdminAnswer> &answers) { answered(answers); });
 }
@@ -109,7 +109,7 @@
 {
     if (!m_options.follows)
         return m_finished(report(answers));
-    remember(answers);
+    updateLastSequences(answers);
     const std::vector<ProcessEvent> events = mergedEvents(answers);
     if (!events.empty())
         m_context.print(render(events));
@@ -117,15 +117,15 @@
     if (unreached != m_unreached && !unreached.empty())
         m_context.print(unreached);
     m_unreached = std::move(unreached);
-    m_timer = m_context.timers->start(followInterval, [this] { ask(); });
+    m_timer = m_context.timers->start(followInterval, [this] { queryEvents(); });
 }
 
-void TimelineCommand::remember(const std::vector<AdminAnswer> &answers)
+void TimelineCommand::updateLastSequences(const std::vector<AdminAnswer> &answers)
 {
     for (const AdminAnswer &answer : answers) {
         for (const ProcessEvent &event : mergedEvents({answer})) {
-            std::uint64_t &seen = m_seen[answer.from];
-            seen = std::max(seen, event.event.sequence);
+            std::uint64_t &lastSequence = m_lastSequences[answer.from];
+            lastSequence = std::max(lastSequence, event.event.sequence);
         }
     }
 }
--- a/src/libs/operations/timelinecommand.h
+++ b/src/libs/operations/timelinecommand.h
@@ -51,17 +51,19 @@
     void start(Finished finished) override;
 
 private:
-    void ask();
+    void queryEvents();
     void answered(const std::vector<AdminAnswer> &answers);
-    void remember(const std::vector<AdminAnswer> &answers);
+    void updateLastSequences(const std::vector<AdminAnswer> &answers);
     std::string render(const std::vector<Timeline::ProcessEvent> &events) const;
     Report report(const std::vector<AdminAnswer> &answers) const;
 
     const Context &m_context;
     Options m_options;
     AdminClient m_client;
-    std::optional<Base::WallTime> m_from; ///< Of the first question; later ones keep to it.
-    std::map<Runtime::SocketAddress, std::uint64_t> m_seen; ///< Last sequence of each process.
+    std::optional<Base::WallTime>
+        m_firstQueryTime; ///< Of the first question; later ones keep to it.
+    std::map<Runtime::SocketAddress, std::uint64_t>
+        m_lastSequences; ///< Last sequence of each process.
     std::string m_unreached;
     Runtime::TimerId m_timer;
     Finished m_finished;
--- a/tests/auto/operations/fakefleet.h
+++ b/tests/auto/operations/fakefleet.h
@@ -21,7 +21,7 @@
 public:
     using Json = Lagoonbank::Operations::Json;
 
-    enum class Append : std::uint8_t { Answered, AnswerLost, Lost, Limited };
+    enum class AppendBehaviour : std::uint8_t { Answered, AnswerLost, Lost, Limited };
 
     FakeFleet()
         : m_client({.transport = m_platform.transport(),
@@ -49,7 +49,7 @@
     {
         std::optional<Lagoonbank::Operations::Report> report;
         command.start([&](Lagoonbank::Operations::Report ended) { report = std::move(ended); });
-        for (int turn = 0; turn < mostTurns && !report; ++turn)
+        for (int step = 0; step < maxSteps && !report; ++step)
             answerOrWait();
         BOOST_REQUIRE(report);
         return *report;
@@ -61,19 +61,20 @@
         records(stream).push_back({{"offset", records(stream).size()}, {"id", id}, {"data", data}});
     }
 
-    bool isLogOut = false;
-    std::deque<Append> appends; ///< What happens to the next ones; later ones are answered.
+    bool isLogUnavailable = false;
+    std::deque<AppendBehaviour>
+        appendBehaviours; ///< What happens to the next ones; later ones are answered.
     std::function<void()> beforeAppend; ///< Another operator may come first; called once.
     std::vector<Lagoonbank::Runtime::SocketAddress> admins;
-    /// Answer of the admin port at an ip to a target; no answer if there is none.
+    /// Answer of the admin port fromPosition an ip to a target; no answer if there is none.
     std::function<std::optional<std::string>(const std::string &ip, const std::string &target)>
         admin;
     Json vms = Json::array();
-    std::uint64_t retained = 0; ///< Earlier records of all streams are gone.
+    std::uint64_t firstRetainedOffset = 0; ///< Earlier records of all streams are gone.
     std::string printed;
 
 private:
-    static constexpr int mostTurns = 10000;
+    static constexpr int maxSteps = 10000;
 
     void answerOrWait()
     {
@@ -82,7 +83,7 @@
         const Lagoonbank::Http::Call call = m_platform.calls.front().call;
         if (call.server.port != 0)
             return answerAdmin(call);
-        if (isLogOut) {
+        if (isLogUnavailable) {
             m_platform.answer(503, "{}");
         } else if (call.target == "/vms") {
             m_platform.answer(200, Json{{"vms", vms}}.dump());
@@ -111,39 +112,41 @@
     {
         if (const auto hook = std::exchange(beforeAppend, nullptr))
             hook();
-        Append fate = Append::Answered;
-        if (!appends.empty()) {
-            fate = appends.front();
-            appends.pop_front();
+        AppendBehaviour behaviour = AppendBehaviour::Answered;
+        if (!appendBehaviours.empty()) {
+            behaviour = appendBehaviours.front();
+            appendBehaviours.pop_front();
         }
-        if (fate == Append::Limited) {
+        if (behaviour == AppendBehaviour::Limited) {
             m_platform.answer(429, "{}");
             return;
         }
         Json offsets = Json::array();
         const Json body = Json::parse(call.body);
         for (const Json &record : body["records"]) {
-            if (fate == Append::Lost)
+            if (behaviour == AppendBehaviour::Lost)
                 continue;
             offsets.push_back(records(streamOf(call.target)).size());
             add(streamOf(call.target), record["id"], record["data"]);
         }
-        if (fate == Append::Answered)
+        if (behaviour == AppendBehaviour::Answered)
             m_platform.answer(200, Json{{"offsets", offsets}}.dump());
         else
             m_platform.lose();
     }
     void answerRead(const std::string &target)
     {
-        const std::size_t at = target.find("from=") + std::string("from=").size();
+        const std::size_t fromPosition = target.find("from=") + std::string("from=").size();
         const std::uint64_t from =
-            std::max(retained, static_cast<std::uint64_t>(std::atoll(target.c_str() + at)));
+            std::max(firstRetainedOffset,
+                     static_cast<std::uint64_t>(std::atoll(target.c_str() + fromPosition)));
         const std::vector<Json> &all = records(streamOf(target));
         Json page = Json::array();
         for (std::size_t i = from; i < all.size(); ++i)
             page.push_back(all[i]);
         const std::uint64_t next = std::max<std::uint64_t>(from, all.size());
-        m_platform.answer(200, Json{{"first", retained}, {"next", next}, {"records", page}}.dump());
+        m_platform.answer(
+            200, Json{{"first", firstRetainedOffset}, {"next", next}, {"records", page}}.dump());
     }
 
     FakePlatform m_platform;
--- a/tests/auto/operations/tst_commandline.cpp
+++ b/tests/auto/operations/tst_commandline.cpp
@@ -47,8 +47,8 @@
 std::string synopsis(const CommandRow &row)
 {
     std::string text(row.name);
-    if (!row.words.empty())
-        absl::StrAppend(&text, " ", std::string(row.words));
+    if (!row.operandSynopsis.empty())
+        absl::StrAppend(&text, " ", std::string(row.operandSynopsis));
     return text;
 }
 
@@ -62,14 +62,14 @@
     const Runtime::ManualClock clock;
     Runtime::TimerQueue timers(clock);
     const Context context{.timers = &timers};
-    const MadeCommand made = makeCommand(*line.row, context, line.arguments);
-    const auto *report = std::get_if<Report>(&made);
+    const CommandOrError commandOrError = makeCommand(*line.row, context, line.arguments);
+    const auto *report = std::get_if<Report>(&commandOrError);
     return report ? report->status : ExitStatus::Ok;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(thePageHasEveryCommandAndNoOther)
+BOOST_AUTO_TEST_CASE(referencePageListsExactlyTheCommands)
 {
     std::set<std::string> commands;
     for (const CommandRow &row : commandTable())
@@ -78,7 +78,7 @@
     BOOST_TEST(commands == cells, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(thePageAndTheTableHaveEveryFlagAndNoOther)
+BOOST_AUTO_TEST_CASE(commandTableAndReferencePageListExactlyTheFlags)
 {
     std::set<std::string> inTable;
     for (const std::string_view name : flagNames())
@@ -92,7 +92,7 @@
     BOOST_TEST(inTable == documented("Flags"), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(thePageHasEveryFlagOfEachCommand)
+BOOST_AUTO_TEST_CASE(referencePageListsTheFlagsOfEachCommand)
 {
     const std::string text = page();
     for (const CommandRow &row : commandTable()) {
@@ -106,13 +106,13 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(thePageHasEveryExitStatus)
+BOOST_AUTO_TEST_CASE(referencePageListsTheExitStatuses)
 {
     const std::set<std::string> numbers{"0", "1", "2", "3", "4", "5"};
     BOOST_TEST(documented("Exit statuses") == numbers, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(refusesWrongCommandLines)
+BOOST_AUTO_TEST_CASE(rejectsInvalidCommandLines)
 {
     const std::vector<std::vector<std::string>> wrong{
         {},
@@ -147,7 +147,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(takesFlagsAnywhere)
+BOOST_AUTO_TEST_CASE(acceptsFlagsInAnyPosition)
 {
     BOOST_CHECK(statusOf({"--output=json", "check", "x", "--timeout", "5s"}) == ExitStatus::Ok);
     BOOST_CHECK(statusOf({"request", "--key", "k", "--workspace", "w"}) == ExitStatus::Ok);
@@ -155,7 +155,7 @@
     BOOST_CHECK(statusOf({"--help"}) == ExitStatus::Ok);
 }
 
-BOOST_AUTO_TEST_CASE(readsPeriods)
+BOOST_AUTO_TEST_CASE(parsesPeriods)
 {
     BOOST_CHECK(parsePeriod("90s") == std::chrono::seconds(90));
     BOOST_CHECK(parsePeriod("2h") == std::chrono::hours(2));
--- a/tests/auto/operations/tst_publishing.cpp
+++ b/tests/auto/operations/tst_publishing.cpp
@@ -18,7 +18,7 @@
 
 using namespace Lagoonbank;
 using namespace Lagoonbank::Operations;
-using Append = FakeFleet::Append;
+using AppendBehaviour = FakeFleet::AppendBehaviour;
 
 namespace {
 
@@ -108,7 +108,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Publishing, Fixture)
 
-BOOST_AUTO_TEST_CASE(publishesInTheOrderOfReferencesAndOnlyWhatChanged)
+BOOST_AUTO_TEST_CASE(publishesChangedObjectsInReferenceOrder)
 {
     files.write("a-contract.yaml", contract(1));
     files.write("b-endpoint.yaml", endpoint);
@@ -124,7 +124,7 @@
     BOOST_TEST(records("configuration").size() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(changesCarryATimeAfterThoseThatWereRead)
+BOOST_AUTO_TEST_CASE(changeTimesFollowTheTimesReadFromTheLog)
 {
     publishBase();
     const auto changeOf = [this](std::size_t index) {
@@ -145,38 +145,39 @@
     BOOST_TEST((*time < *ours));
 }
 
-/// What becomes of a publish whose appends go wrong, and of asking again.
+/// What becomes of a publish whose appendBehaviours go wrong, and of asking again.
 BOOST_AUTO_TEST_CASE(tellsWhatBecameOfAppendsThatWentWrong)
 {
     struct Case
     {
         std::string name;
-        std::deque<Append> appends;
+        std::deque<AppendBehaviour> appendBehaviours;
         std::string state;
         ExitStatus status;
         std::size_t copies;
     };
     const std::vector<Case> cases{
-        {"answered", {Append::Answered}, "accepted", ExitStatus::Ok, 1},
+        {"answered", {AppendBehaviour::Answered}, "accepted", ExitStatus::Ok, 1},
         {"the answer is lost after the append",
-         {Append::AnswerLost},
+         {AppendBehaviour::AnswerLost},
          "accepted",
          ExitStatus::Ok,
          1},
-        {"the append is lost once", {Append::Lost}, "accepted", ExitStatus::Ok, 1},
+        {"the append is lost once", {AppendBehaviour::Lost}, "accepted", ExitStatus::Ok, 1},
         {"over the rate for a while",
-         {Append::Limited, Append::Limited},
+         {AppendBehaviour::Limited, AppendBehaviour::Limited},
          "accepted",
          ExitStatus::Ok,
          1},
-        {"always lost", std::deque<Append>(100, Append::Lost), "unknown", ExitStatus::Unknown, 0},
-        {"always over the rate", std::deque<Append>(1000, Append::Limited), "not_sent",
-         ExitStatus::Failed, 0},
+        {"always lost", std::deque<AppendBehaviour>(100, AppendBehaviour::Lost), "unknown",
+         ExitStatus::Unknown, 0},
+        {"always over the rate", std::deque<AppendBehaviour>(1000, AppendBehaviour::Limited),
+         "not_sent", ExitStatus::Failed, 0},
         {"lost, then over the rate",
          [] {
-             std::deque<Append> appends(1000, Append::Limited);
-             appends.front() = Append::Lost;
-             return appends;
+             std::deque<AppendBehaviour> appendBehaviours(1000, AppendBehaviour::Limited);
+             appendBehaviours.front() = AppendBehaviour::Lost;
+             return appendBehaviours;
          }(),
          "unknown", ExitStatus::Unknown, 0},
     };
@@ -185,7 +186,7 @@
         {
             Fixture fleet;
             const std::string file = fleet.files.write("north.yaml", north);
-            fleet.appends = test.appends;
+            fleet.appendBehaviours = test.appendBehaviours;
             const Report report = fleet.publish(file);
             BOOST_TEST(fleet.stateOf(report) == test.state);
             BOOST_CHECK(report.status == test.status);
@@ -193,7 +194,7 @@
             const std::string record = report.json["changes"][0]["record"];
             if (test.status == ExitStatus::Unknown)
                 BOOST_TEST(contains(report.errors, "lagoonbank-ctl status --record " + record));
-            fleet.appends.clear();
+            fleet.appendBehaviours.clear();
             const bool isThere = test.copies > 0;
             BOOST_CHECK(fleet.statusOf(record).status
                         == (isThere ? ExitStatus::Ok : ExitStatus::NotFound));
@@ -223,7 +224,7 @@
     BOOST_CHECK(history().json["changes"].back()["verdict"] == "stale");
 }
 
-BOOST_AUTO_TEST_CASE(twoOperatorsWithTheSameChangeBothSucceed)
+BOOST_AUTO_TEST_CASE(identicalConcurrentChangesBothSucceed)
 {
     publishBase();
     const std::string file = files.write("same.yml", contract(5));
@@ -251,12 +252,12 @@
     BOOST_CHECK(publish(file, "amna", Base::Revision(1)).status == ExitStatus::Ok);
 }
 
-BOOST_AUTO_TEST_CASE(sendsNothingForWrongFilesOrWhileTheLogIsOut)
+BOOST_AUTO_TEST_CASE(sendsNothingForInvalidFilesOrUnavailableLog)
 {
     struct Case
     {
         std::string text;
-        bool isLogOut;
+        bool isLogUnavailable;
         ExitStatus status;
         std::string error;
     };
@@ -268,7 +269,7 @@
     };
     for (const Case &test : cases) {
         Fixture fleet;
-        fleet.isLogOut = test.isLogOut;
+        fleet.isLogUnavailable = test.isLogUnavailable;
         const Report report = fleet.publish(fleet.files.write("f.yml", test.text));
         BOOST_CHECK(report.status == test.status);
         BOOST_TEST(contains(report.errors, test.error), report.errors);
@@ -312,7 +313,7 @@
     BOOST_TEST(contains(run(show).text, "# revision 3"));
 }
 
-BOOST_AUTO_TEST_CASE(removesOnlyWhatNobodyNames)
+BOOST_AUTO_TEST_CASE(removesOnlyUnreferencedObjects)
 {
     files.write("hall.yaml", contract(1));
     publishBase();
@@ -336,7 +337,7 @@
 BOOST_AUTO_TEST_CASE(publishesNothingOnTopOfALogThatHasLostItsBeginning)
 {
     publishBase();
-    retained = 1;
+    firstRetainedOffset = 1;
     const Report report = publish(files.write("hall.yml", contract(1)));
     BOOST_CHECK(report.status == ExitStatus::Failed);
     BOOST_TEST(contains(report.errors, "no snapshot"));
--- a/tests/auto/operations/tst_requestcommand.cpp
+++ b/tests/auto/operations/tst_requestcommand.cpp
@@ -65,20 +65,20 @@
                 {"data_centre", "dha"},
                 {"state", "live"}}};
         admin = [this](const std::string &ip, const std::string &target) {
-            asked.push_back(ip + " " + target);
+            adminRequests.push_back(ip + " " + target);
             return answer(ip, target);
         };
     }
 
     std::optional<std::string> answer(const std::string &ip, const std::string &target)
     {
-        if (ip == unreachable)
+        if (ip == unreachableIp)
             return std::nullopt;
         if (target.starts_with("/admin/events"))
-            return ip == knows ? eventsBody("vm/router", 5) : R"({"events": []})";
-        return ip == knows ? Timeline::toJson(outcome).dump() : std::string();
+            return ip == ipWithOutcome ? eventsBody("vm/router", 5) : R"({"events": []})";
+        return ip == ipWithOutcome ? Timeline::toJson(outcome).dump() : std::string();
     }
-    Report ask(bool byKey = false)
+    Report runRequestCommand(bool byKey = false)
     {
         const Context context = this->context();
         RequestQuery query{.request = id};
@@ -90,33 +90,33 @@
     }
 
     Timeline::Outcome outcome = whole();
-    std::string knows;
-    std::string unreachable;
-    std::vector<std::string> asked;
+    std::string ipWithOutcome;
+    std::string unreachableIp;
+    std::vector<std::string> adminRequests;
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(RequestCommandTests, Fixture)
 
-BOOST_AUTO_TEST_CASE(asksTheRouterThatTheIdNamesFirst)
+BOOST_AUTO_TEST_CASE(queriesTheRouterNamedInTheIdFirst)
 {
-    knows = "10.0.0.2";
-    const Report report = ask();
+    ipWithOutcome = "10.0.0.2";
+    const Report report = runRequestCommand();
     BOOST_CHECK(report.status == ExitStatus::Ok);
     BOOST_TEST(report.text.starts_with("The request ran whole on endpoint b1 in 9 ms.\n"));
     BOOST_TEST(contains(report.text, "attempt 1 on b1 after 1 ms, took 8 ms: whole"));
     BOOST_TEST(contains(report.text, "request-ended"));
-    BOOST_REQUIRE(!asked.empty());
-    BOOST_TEST(asked[0] == "10.0.0.2 /admin/outcome?id=dha~dha-vm-1~rs~7");
+    BOOST_REQUIRE(!adminRequests.empty());
+    BOOST_TEST(adminRequests[0] == "10.0.0.2 /admin/outcome?id=dha~dha-vm-1~rs~7");
 }
 
-BOOST_AUTO_TEST_CASE(asksTheOthersWhereTheListIsWrongOrOut)
+BOOST_AUTO_TEST_CASE(queriesOtherProcessesIfVmListIsWrongOrUnavailable)
 {
-    knows = "10.0.0.1";
-    BOOST_CHECK(ask().status == ExitStatus::Ok);
-    isLogOut = true;
-    BOOST_CHECK(ask().status == ExitStatus::Ok);
+    ipWithOutcome = "10.0.0.1";
+    BOOST_CHECK(runRequestCommand().status == ExitStatus::Ok);
+    isLogUnavailable = true;
+    BOOST_CHECK(runRequestCommand().status == ExitStatus::Ok);
 }
 
 /// What the log tells of a request whose router has been replaced.
@@ -157,7 +157,7 @@
                 Fixture fleet;
                 for (const auto &[stream, data] : test.records)
                     fleet.add(stream, "x", data);
-                const Report report = fleet.ask(byKey);
+                const Report report = fleet.runRequestCommand(byKey);
                 if (test.sentence.empty()) {
                     BOOST_CHECK(report.status == ExitStatus::NotFound);
                     BOOST_TEST(report.text.starts_with("Nothing is known of "));
@@ -170,9 +170,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(namesTheRequestThatRanAheadOfItsRecordedAnswers)
+BOOST_AUTO_TEST_CASE(listsTheExecutedRequestBeforeReplayedAnswers)
 {
-    knows = "10.0.0.1";
+    ipWithOutcome = "10.0.0.1";
     outcome.request = Base::RequestId("dha~dha-vm-2~rs~8");
     outcome.attempts.clear();
     outcome.key = Base::IdempotencyKey("k'1");
@@ -182,32 +182,32 @@
 
     outcome.key = whole().key;
     add("outcomes", "x", Timeline::toJson(whole()).dump());
-    const Report report = ask(true);
+    const Report report = runRequestCommand(true);
     BOOST_TEST(report.text.starts_with("The request ran whole on endpoint b1"));
     BOOST_TEST(report.json["outcomes"].size() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(isNotCertainWhileSomebodyCannotBeAsked)
 {
-    unreachable = "10.0.0.1";
-    const Report process = ask();
+    unreachableIp = "10.0.0.1";
+    const Report process = runRequestCommand();
     BOOST_CHECK(process.status == ExitStatus::Failed);
     BOOST_TEST(contains(process.text, "1 of 2 processes answered, and the log was read"));
     BOOST_TEST(contains(process.errors, "10.0.0.1:1 gave no answer"));
-    unreachable.clear();
-    isLogOut = true;
-    const Report log = ask();
+    unreachableIp.clear();
+    isLogUnavailable = true;
+    const Report log = runRequestCommand();
     BOOST_CHECK(log.status == ExitStatus::Failed);
     BOOST_TEST(contains(log.errors, "The log could not be read"));
 }
 
-BOOST_AUTO_TEST_CASE(saysWhatRetentionTook)
+BOOST_AUTO_TEST_CASE(reportsOutcomesLostByRetention)
 {
-    retained = 12;
-    BOOST_TEST(contains(ask().text, "lost its outcomes before offset 12"));
+    firstRetainedOffset = 12;
+    BOOST_TEST(contains(runRequestCommand().text, "lost its outcomes before offset 12"));
 }
 
-BOOST_AUTO_TEST_CASE(marksProcessesThatAreBehind)
+BOOST_AUTO_TEST_CASE(reportsProcessesThatAreBehind)
 {
     add("configuration", "a", "{}");
     const auto statusOf = [](int next, bool isReady) {
@@ -242,10 +242,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(mergesTheTimeLinesOfAllProcesses)
+BOOST_AUTO_TEST_CASE(mergesEventsOfAllProcesses)
 {
     admin = [this](const std::string &ip, const std::string &target) {
-        asked.push_back(target);
+        adminRequests.push_back(target);
         return eventsBody(ip, ip == "10.0.0.1" ? 20 : 10);
     };
     const Context context = this->context();
@@ -254,8 +254,8 @@
     const Report report = run(command);
     BOOST_CHECK(report.status == ExitStatus::Ok);
     BOOST_TEST(report.text.find("10.0.0.2") < report.text.find("10.0.0.1"));
-    BOOST_TEST(contains(asked.front(), "endpoint=a%20b"));
-    BOOST_TEST(contains(asked.front(), "&since=1727999400000"));
+    BOOST_TEST(contains(adminRequests.front(), "endpoint=a%20b"));
+    BOOST_TEST(contains(adminRequests.front(), "&since=1727999400000"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
