--- a/src/libs/configuration/state.cpp
+++ b/src/libs/configuration/state.cpp
@@ -99,7 +99,7 @@
     if (change.base != revision(change.key)) {
         result.verdict = Verdict::Stale;
         result.detail = "based on revision " + std::to_string(change.base.value())
-            + ", but revision " + std::to_string(revision(change.key).value()) + " stands";
+            + ", but revision " + std::to_string(revision(change.key).value()) + " is current";
         return;
     }
     result.winner.clear();
--- a/src/libs/operations/adminclient.cpp
+++ b/src/libs/operations/adminclient.cpp
@@ -15,7 +15,7 @@
 {
     AdminAnswer answer{.from = from};
     if (result.end != Http::CallEnd::Whole) {
-        answer.error = result.detail.empty() ? "no whole answer" : result.detail;
+        answer.error = result.detail.empty() ? "incomplete answer" : result.detail;
         return answer;
     }
     answer.status = result.status;
@@ -25,7 +25,7 @@
     if (result.status != statusOk)
         answer.error = absl::StrCat("answered ", result.status);
     else if (answer.body.is_null())
-        answer.error = "answered something that is not a JSON object";
+        answer.error = "the answer is not a JSON object";
     return answer;
 }
 
@@ -110,7 +110,7 @@
     for (const AdminAnswer &answer : answers) {
         if (!answer.wasReached()) {
             absl::StrAppend(&text, Runtime::toString(answer.from),
-                            " gave no answer: ", answer.error, "\n");
+                            " did not answer: ", answer.error, "\n");
         }
     }
     return text;
--- a/src/libs/operations/adminclient.h
+++ b/src/libs/operations/adminclient.h
@@ -10,25 +10,25 @@
 
 namespace Lagoonbank::Operations {
 
-/// What one process answered.
+/// The answer of one process's admin port.
 struct AdminAnswer
 {
     Runtime::SocketAddress from;
     int status = 0; ///< 0 if there was no answer.
-    Json body; ///< Null where the answer is not a JSON object.
-    std::string error; ///< Why there is no answer.
+    Json body; ///< Null if the answer is not a JSON object.
+    std::string error; ///< Why there is no usable answer.
 
     bool isOk() const;
-    /// The process answered, though maybe only that it knows nothing.
+    /// Whether the process answered, possibly with an error status such as 404.
     bool wasReached() const { return status != 0; }
 };
 
-/// Asks the admin ports of many processes, a bounded number at a time.
+/// Queries the admin ports of many processes, with a bounded number of concurrent calls.
 class AdminClient
 {
 public:
     using Answered = std::function<void(std::vector<AdminAnswer> answers)>;
-    /// Path and query for one process.
+    /// Returns the path and query of the request to one process.
     using TargetOf = std::function<std::string(const Runtime::SocketAddress &address)>;
 
     explicit AdminClient(const Context &context);
@@ -36,8 +36,8 @@
     AdminClient(const AdminClient &) = delete;
     AdminClient &operator=(const AdminClient &) = delete;
 
-    /// `answered` is called once, with one answer for each address in their order, and from
-    /// within if there are no addresses.
+    /// Calls `answered` once, with one answer per address, in the order of the addresses. Without
+    /// addresses it is called before this function returns.
     void query(const std::vector<Runtime::SocketAddress> &addresses, const TargetOf &targetOf,
                Answered answered);
     void query(const std::vector<Runtime::SocketAddress> &addresses, const std::string &target,
@@ -53,7 +53,7 @@
     std::vector<Http::CallId> m_calls;
 };
 
-/// Names the processes that did not answer, one a line; empty if all did.
+/// Lists the processes that did not answer, one per line. Empty if all answered.
 std::string describeUnreached(const std::vector<AdminAnswer> &answers);
 Json unreachedJson(const std::vector<AdminAnswer> &answers);
 
--- a/src/libs/operations/changecommand.cpp
+++ b/src/libs/operations/changecommand.cpp
@@ -35,13 +35,14 @@
 {
     switch (outcome.state) {
     case ChangeState::Rejected:
-        return "  nothing was changed; see `lagoonbank-ctl diff`, correct the file, publish again";
+        return "  nothing was changed; compare with `lagoonbank-ctl diff`, correct the file and "
+               "publish again";
     case ChangeState::Unknown:
-        return "  the answer was lost; ask again with: " + statusCommandFor(outcome)
-            + "\n  publishing again is harmless";
+        return "  the answer was lost; check the outcome with: " + statusCommandFor(outcome)
+            + "\n  publishing again is safe";
     case ChangeState::NotSent:
-        return "  the log did not take it (out, or over its rate) and nothing was changed; publish "
-               "again later";
+        return "  the log did not accept the change (unavailable or rate limited) and nothing was "
+               "changed; publish again later";
     case ChangeState::Accepted:
     case ChangeState::Unchanged:
         break;
--- a/src/libs/operations/changecommand.h
+++ b/src/libs/operations/changecommand.h
@@ -10,10 +10,10 @@
 
 namespace Lagoonbank::Operations {
 
-/// What the outcomes of changes come to, one line an object.
+/// Reports the outcomes of changes, one line per object.
 Report reportChanges(const std::vector<ChangeOutcome> &outcomes);
 
-/// A command that reads the configuration, decides on changes and publishes them.
+/// Base class of commands that read the configuration and publish changes to it.
 class ChangeCommand : public Command
 {
 public:
@@ -23,7 +23,8 @@
     Report interruptedReport() const final;
 
 protected:
-    /// Adds changes to publisher(); a report ends the command without sending anything.
+    /// Adds changes to publisher(). If it returns a report, the command ends with that report and
+    /// sends nothing.
     virtual std::optional<Report> plan() = 0;
 
     const ConfigurationLog &log() const { return m_log; }
--- a/src/libs/operations/changepublisher.cpp
+++ b/src/libs/operations/changepublisher.cpp
@@ -76,7 +76,7 @@
     } else if (base && *base != change.outcome.revision) {
         rejectStale(change,
                     absl::StrCat("based on revision ", base->value(), ", but revision ",
-                                 change.outcome.revision.value(), " stands"));
+                                 change.outcome.revision.value(), " is current"));
     } else {
         change.outcome.recordId = absl::StrCat("ctl:", m_context.operatorName, ":",
                                                m_context.invocation, ":", m_changes.size() + 1);
@@ -85,7 +85,8 @@
     m_changes.push_back(std::move(change));
 }
 
-/// Later than the changes that were read from the log, whatever this machine's clock says.
+/// Returns a hybrid time after those of all changes read from the log, even if this machine's clock
+/// is behind.
 std::string ChangePublisher::nextTimestamp()
 {
     const Base::WallTime wall = m_context.timers->clock().wallNow();
@@ -102,8 +103,8 @@
     change.outcome.detail = why;
     change.isSettled = true;
     if (const Schema::ObjectState *entry = m_log.entry(change.record.key)) {
-        absl::StrAppend(&change.outcome.detail, "; the change of ", entry->publisher, " won (",
-                        entry->recordId, ")");
+        absl::StrAppend(&change.outcome.detail, "; the change by ", entry->publisher,
+                        " was accepted first (", entry->recordId, ")");
     }
 }
 
@@ -197,7 +198,7 @@
         change.outcome.state = ChangeState::Accepted;
     } else if (result->verdict == Verdict::Stale && isInForce(change)) {
         change.outcome.state = ChangeState::Unchanged;
-        change.outcome.detail = absl::StrCat(result->winner, " published the same first");
+        change.outcome.detail = absl::StrCat(result->winner, " published the same change first");
     } else if (result->verdict == Verdict::Stale) {
         rejectStale(change, result->detail);
     } else {
--- a/src/libs/operations/changepublisher.h
+++ b/src/libs/operations/changepublisher.h
@@ -10,13 +10,13 @@
 
 namespace Lagoonbank::Operations {
 
-/// What became of one object that was to be published.
+/// The outcome of publishing one object.
 enum class ChangeState : std::uint8_t {
-    Accepted, ///< Read back from the log as the winner.
-    Unchanged, ///< The same isInForce already.
-    Rejected, ///< It is wrong, or another change came first.
-    Unknown, ///< It may be in the log or still get there.
-    NotSent ///< The log did not take it.
+    Accepted, ///< Read back from the log and accepted.
+    Unchanged, ///< The log already holds the same object.
+    Rejected, ///< The object is invalid, or another change was accepted first.
+    Unknown, ///< The change may be in the log or may still arrive there.
+    NotSent ///< The log did not accept the record.
 };
 
 std::string_view toString(ChangeState state);
@@ -25,33 +25,35 @@
 {
     Configuration::ObjectKey key;
     ChangeState state = ChangeState::NotSent;
-    Base::Revision revision; ///< That isInForce.
-    Base::LogOffset offset; ///< Of the record that made it.
-    std::string recordId; ///< Of our change; empty if none was sent.
-    std::string detail; ///< Why, and whose change won.
+    Base::Revision revision; ///< Current revision of the object.
+    Base::LogOffset offset; ///< Offset of the record with that revision.
+    std::string recordId; ///< Id of the record of this change; empty if none was made.
+    std::string detail; ///< Reason, and whose change was accepted instead.
 };
 
-/// Publishes changes as compare-and-set and reads back what became of them. Lost answers are
-/// settled by reading; a record that does not show up is appendFinished again under the same id,
-/// which is harmless since its base no longer isInForce once one copy was accepted.
+/// Publishes changes by compare-and-set on their base revisions and reads their outcomes back from
+/// the log. If the answer to an append is lost, the outcome is read from the log too. A record that
+/// is not found there is appended again with the same id. This is safe, as its base revision is no
+/// longer current once one copy has been accepted.
 class ChangePublisher
 {
 public:
     using Done = std::function<void()>;
 
-    /// `log` has been read.
+    /// `log` must have been read before.
     ChangePublisher(const Context &context, ConfigurationLog &log);
     ~ChangePublisher();
     ChangePublisher(const ChangePublisher &) = delete;
     ChangePublisher &operator=(const ChangePublisher &) = delete;
 
-    /// Changes on top of the revisions that stand, or of `base` if it is given.
+    /// Adds a change based on the object's current revision, or on `base` if it is given.
     void addObject(const Schema::ConfigurationObject &object, std::optional<Base::Revision> base);
     void addRemoval(const Configuration::ObjectKey &key, std::optional<Base::Revision> base);
-    /// Sends what was added; `done` is called once, maybe from within.
+    /// Sends the added changes. Calls `done` once, possibly before this function returns.
     void start(Done done);
 
-    /// In the order of being added; what has not been settled is Unknown or NotSent.
+    /// Outcomes in the order in which the changes were added. A change without an outcome yet is
+    /// Unknown if it may have been sent, otherwise NotSent.
     std::vector<ChangeOutcome> outcomes() const;
 
 private:
--- a/src/libs/operations/checkcommand.h
+++ b/src/libs/operations/checkcommand.h
@@ -4,7 +4,8 @@
 
 namespace Lagoonbank::Operations {
 
-/// `check PATH...`: whether the files hold a whole and right configuration, without the platform.
+/// `check PATH...`: checks whether the files hold a complete and valid configuration. Needs no
+/// platform.
 class CheckCommand : public Command
 {
 public:
--- a/src/libs/operations/command.h
+++ b/src/libs/operations/command.h
@@ -15,23 +15,23 @@
 /// The commands of operators and support engineers.
 namespace Lagoonbank::Operations {
 
-/// What commands work with.
+/// Clients and options that commands use.
 struct Context
 {
     Runtime::TimerQueue *timers = nullptr;
     PlatformClient::LogClient *log = nullptr;
     PlatformClient::Transport platform;
-    PlatformClient::Transport admin; ///< Goes to the server that the call names.
-    std::vector<Runtime::SocketAddress> admins; ///< Of routers and controllers.
+    PlatformClient::Transport admin; ///< Sends each call to the server named in it.
+    std::vector<Runtime::SocketAddress> admins; ///< Admin addresses of routers and controllers.
     std::string operatorName;
-    std::string invocation; ///< Unique for each run of the program; part of record ids.
-    Base::Duration timeout = std::chrono::seconds(5); ///< For one answer, its retries included.
-    /// Takes whole lines while a command goes on.
+    std::string invocation; ///< Unique id of each run of the program; part of record ids.
+    Base::Duration timeout = std::chrono::seconds(5); ///< For one answer, including retries.
+    /// Prints complete lines while a command is running.
     std::function<void(const std::string &text)> print;
 };
 
-/// Decides whether a step that failed is tried again: for as long as the context's timeout, and
-/// once more in any case, since the first try may have met a dead connection.
+/// Decides whether a failed step is retried: until the context's timeout has passed, but at least
+/// once, as the first attempt may have used a dead connection.
 class RetryPolicy
 {
 public:
@@ -39,9 +39,9 @@
         : m_context(context)
     { }
 
-    /// A step begins or has got on.
+    /// Must be called when a step begins or has made progress.
     void restart();
-    /// The delay before the next try, or nothing if it is time to give up.
+    /// Returns the delay before the next retry, or nothing if the step has failed.
     std::optional<Base::Duration> nextDelay();
 
 private:
@@ -51,7 +51,7 @@
     bool m_hasRetried = false;
 };
 
-/// One command that runs until it has its report.
+/// A command that runs until it has its report.
 class Command
 {
 public:
@@ -59,13 +59,14 @@
 
     virtual ~Command() = default;
 
-    /// `finished` is called once; the command must live on until it has returned.
+    /// Calls `finished` once. The command must outlive that call.
     virtual void start(Finished finished) = 0;
-    /// What is known if the command is not waited for any longer.
+    /// Returns the report of a command that timed out or was interrupted.
     virtual Report interruptedReport() const
     {
         return failure(ExitStatus::Failed,
-                       "No answer in time. Check the addresses and ask again, or raise --timeout.");
+                       "No answer in time. Check the addresses and run the command again, or raise "
+                       "--timeout.");
     }
 };
 
--- a/src/libs/operations/commandline.cpp
+++ b/src/libs/operations/commandline.cpp
@@ -15,23 +15,23 @@
 #include <algorithm>
 
 ABSL_FLAG(std::string, settings, "", "YAML file with the settings of this program.");
-ABSL_FLAG(std::string, platform, "", "ip:port of the platform, in place of the settings'.");
+ABSL_FLAG(std::string, platform, "", "ip:port of the platform; overrides the settings.");
 ABSL_FLAG(std::string, admin, "",
-          "Admin addresses of processes, with commas, in place of the settings'.");
+          "Comma-separated admin addresses of processes; overrides the settings.");
 ABSL_FLAG(std::string, output, "text", "text for people or json for scripts.");
-ABSL_FLAG(std::string, timeout, "60s", "How long the whole command may take, such as 30s or 2m.");
+ABSL_FLAG(std::string, timeout, "60s", "Maximum duration of the command, such as 30s or 2m.");
 ABSL_FLAG(std::string, base, "",
-          "Revision that the change is based on; refused if it is not the one "
-          "that stands.");
+          "Revision the change is based on; the change is rejected if it is not "
+          "the current one.");
 ABSL_FLAG(std::string, record, "", "Id of a published change, as publish printed it.");
 ABSL_FLAG(std::string, workspace, "", "Name of a workspace.");
 ABSL_FLAG(std::string, key, "", "Idempotency key of a call.");
 ABSL_FLAG(std::string, since, "", "Only events of the last 30s, 10m, 2h or 1d.");
 ABSL_FLAG(std::string, endpoint, "", "Only events of this endpoint.");
 ABSL_FLAG(std::string, request, "", "Only events of this request.");
-ABSL_FLAG(bool, follow, false, "Go on showing new events until interrupted.");
-ABSL_FLAG(std::string, format, "text", "text, json (an object a line) or html (one page).");
-ABSL_FLAG(std::string, out, "", "File to write the time line to.");
+ABSL_FLAG(bool, follow, false, "Keep showing new events until interrupted.");
+ABSL_FLAG(std::string, format, "text", "text, json (one object per line) or html (one page).");
+ABSL_FLAG(std::string, out, "", "File to write the timeline to.");
 
 namespace Lagoonbank::Operations {
 
@@ -44,10 +44,10 @@
     return failure(ExitStatus::Usage, what);
 }
 
-/// The arguments flags of the command splitArguments and its other words.
+/// The operands and the names of the flags on the command line.
 struct SplitArguments
 {
-    std::vector<std::string> words;
+    std::vector<std::string> operands;
     std::vector<std::string> flags;
     std::optional<Report> earlyReport;
 };
@@ -60,7 +60,7 @@
         : absl::FindCommandLineFlag({name.data(), name.size()});
 }
 
-/// Takes the flag at `index` and its value; false with `earlyReport` set if it is error.
+/// Parses the flag at `index` and its value. Sets `earlyReport` and returns false if it is invalid.
 bool parseFlag(const std::vector<std::string> &arguments, std::size_t &index,
                SplitArguments &splitArguments)
 {
@@ -100,22 +100,22 @@
             return splitArguments;
         }
         if (!arguments[i].starts_with("--"))
-            splitArguments.words.push_back(arguments[i]);
+            splitArguments.operands.push_back(arguments[i]);
         else if (!parseFlag(arguments, i, splitArguments))
             return splitArguments;
     }
     return splitArguments;
 }
 
-std::optional<Report> checkFlags(const CommandRow &row, const std::vector<std::string> &arguments)
+std::optional<Report> checkFlags(const CommandRow &row, const std::vector<std::string> &givenFlags)
 {
     const std::vector<std::string_view> common = commonFlagNames();
-    for (const std::string &name : arguments) {
-        const bool fits = std::ranges::find(common, name) != common.end()
+    for (const std::string &name : givenFlags) {
+        const bool isAccepted = std::ranges::find(common, name) != common.end()
             || std::ranges::find(row.flags, name) != row.flags.end();
-        if (!fits) {
-            return usage(absl::StrCat("'", std::string(row.name), "' does not take --", name,
-                                      "; --help lists what it takes."));
+        if (!isAccepted) {
+            return usage(absl::StrCat("'", std::string(row.name), "' does not accept --", name,
+                                      "; --help lists the flags of each command."));
         }
     }
     return std::nullopt;
@@ -140,7 +140,7 @@
     for (const std::string &address : addresses) {
         const auto parsed = Runtime::parseSocketAddress(address);
         if (!parsed) {
-            return usage("'" + address + "' is no address: " + parsed.error().detail
+            return usage("'" + address + "' is not an address: " + parsed.error().detail
                          + " Give ip:port.");
         }
     }
@@ -190,22 +190,22 @@
 
 std::string helpText()
 {
-    std::string text = "Publishes configuration and tells what became of requests.\n\n"
-                       "  lagoonbank-ctl COMMAND [WORDS] [FLAGS]\n\nCommands:\n";
+    std::string text = "Publishes configuration and reports the outcomes of requests.\n\n"
+                       "  lagoonbank-ctl COMMAND [ARGUMENTS] [FLAGS]\n\nCommands:\n";
     for (const CommandRow &row : commandTable()) {
         const std::string synopsis =
             absl::StrCat(std::string(row.name), " ", std::string(row.operandSynopsis));
         absl::StrAppendFormat(&text, "  %-26s %s\n", synopsis, std::string(row.summary));
         if (!row.flags.empty())
-            absl::StrAppendFormat(&text, "  %-26s   takes %s\n", "", flagsText(row));
+            absl::StrAppendFormat(&text, "  %-26s   accepts %s\n", "", flagsText(row));
     }
     text += "\nFlags:\n";
     for (const std::string_view name : flagNames()) {
         absl::StrAppendFormat(&text, "  --%-12s %s\n", std::string(name), findFlag(name)->Help());
     }
     text +=
-        "\nExit statuses: 0 ok, 1 failed or not reached, 2 wrong command line or file, 3 change "
-        "rejected,\n4 a change may or may not have landed, 5 not found.\n";
+        "\nExit statuses: 0 ok, 1 failed or unreachable, 2 invalid command line or file, 3 change "
+        "rejected,\n4 outcome of a change unknown, 5 not found.\n";
     return text;
 }
 
@@ -214,7 +214,7 @@
     SplitArguments splitArguments = split(words);
     if (splitArguments.earlyReport)
         return *splitArguments.earlyReport;
-    ChosenCommand chosen = chooseCommand(splitArguments.words);
+    ChosenCommand chosen = chooseCommand(splitArguments.operands);
     if (!chosen.row)
         return chosen.error;
     if (std::optional<Report> error = checkFlags(*chosen.row, splitArguments.flags))
--- a/src/libs/operations/commandline.h
+++ b/src/libs/operations/commandline.h
@@ -10,25 +10,25 @@
 
 namespace Lagoonbank::Operations {
 
-/// What the command line asks for, after the settings file has been read.
+/// The parsed command line together with the settings file.
 struct CommandLine
 {
     const CommandRow *row = nullptr;
     Arguments arguments;
     Schema::CtlSettings settings;
     bool isJson = false;
-    Base::Duration commandTimeout{}; ///< For the whole command; it is not used by --follow.
+    Base::Duration commandTimeout{}; ///< For the entire command; unused with --follow.
 };
 
-/// A command line, or a report that ends the program: the help, or what is wrong.
+/// A command line, or a report that ends the program: the help or an error.
 using ParsedCommandLine = std::variant<CommandLine, Report>;
 
-/// Reads the words after the program's name.
+/// Parses the arguments after the program's name.
 ParsedCommandLine parseCommandLine(const std::vector<std::string> &words);
 
-/// Names of all flags, in the order of the help.
+/// The names of all flags, in the order of the help.
 std::vector<std::string_view> flagNames();
-/// The flags that every command takes.
+/// The names of the flags that every command accepts.
 std::vector<std::string_view> commonFlagNames();
 
 /// The text of `--help`.
--- a/src/libs/operations/commandtable.cpp
+++ b/src/libs/operations/commandtable.cpp
@@ -76,7 +76,7 @@
     if (arguments.operands.empty())
         return std::make_unique<HistoryCommand>(context, std::nullopt);
     if (arguments.operands.size() == 1)
-        return usage("'history' takes KIND and NAME, or neither.");
+        return usage("'history' takes either KIND and NAME or no arguments.");
     const auto key = parseObjectKey(arguments.operands[0], arguments.operands[1]);
     if (!key)
         return unknownKind(arguments.operands[0]);
@@ -155,7 +155,9 @@
     }
     const bool isPage = options.format == TimelineFormat::Html;
     if (options.follows && (isPage || !options.file.empty()))
-        return usage("--follow goes to the standard output as text or json; leave out --out.");
+        return usage(
+            "--follow prints text or json to the standard output and cannot be combined with "
+            "--out.");
     return std::make_unique<TimelineCommand>(context, options);
 }
 
@@ -180,7 +182,7 @@
          makeDiff},
         {"publish",
          "PATH...",
-         "Publish the files' objects; unchanged ones are left alone.",
+         "Publish the objects in the files; unchanged objects are skipped.",
          {"base"},
          1,
          anyNumber,
@@ -189,7 +191,7 @@
         {"remove", "KIND NAME", "Remove an object.", {"base"}, 2, 2, true, makeRemove},
         {"history",
          "[KIND NAME]",
-         "List the changes and what became of each.",
+         "List the changes and their outcomes.",
          {},
          0,
          2,
@@ -197,23 +199,16 @@
          makeHistory},
         {"show",
          "[KIND [NAME]]",
-         "Show an object as YAML, or list what there is.",
+         "Show an object as YAML, or list the objects.",
          {},
          0,
          2,
          true,
          makeShow},
-        {"endpoint add",
-         "FILE",
-         "Publish endpoints that are not there yet.",
-         {},
-         1,
-         1,
-         true,
-         makeEndpointAdd},
+        {"endpoint add", "FILE", "Publish new endpoints.", {}, 1, 1, true, makeEndpointAdd},
         {"endpoint drain",
          "NAME",
-         "Give an endpoint no new work; what runs there finishes.",
+         "Send no new requests to an endpoint; running requests finish.",
          {},
          1,
          1,
@@ -221,7 +216,7 @@
          makeEndpointDrain},
         {"endpoint undrain",
          "NAME",
-         "Give an endpoint work again.",
+         "Send requests to an endpoint again.",
          {},
          1,
          1,
@@ -229,7 +224,7 @@
          makeEndpointUndrain},
         {"status",
          "",
-         "Show how each process stands, or what became of one change.",
+         "Show the state of each process, or the outcome of one change.",
          {"record"},
          0,
          0,
@@ -237,7 +232,7 @@
          makeStatus},
         {"request",
          "[ID]",
-         "Tell what became of a request.",
+         "Show the outcome of a request.",
          {"workspace", "key"},
          0,
          1,
@@ -289,7 +284,7 @@
     const std::size_t count = arguments.operands.size();
     if (count < row.minOperands || count > row.maxOperands) {
         return usage(absl::StrCat("'", std::string(row.name), "' takes ",
-                                  row.operandSynopsis.empty() ? "no more words"
+                                  row.operandSynopsis.empty() ? "no arguments"
                                                               : std::string(row.operandSynopsis),
                                   ". See --help."));
     }
--- a/src/libs/operations/commandtable.h
+++ b/src/libs/operations/commandtable.h
@@ -12,7 +12,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// What follows the command's name, with the flags that only some commands take.
+/// The operands of a command and the values of the flags that only some commands accept.
 struct Arguments
 {
     std::vector<std::string> operands; ///< Without the command's name.
@@ -28,16 +28,16 @@
     bool follows = false;
 };
 
-/// A command that is ready to start, or why the arguments do not fit.
+/// A command that is ready to start, or a report of what is wrong with its arguments.
 using CommandOrError = std::variant<std::unique_ptr<Command>, Report>;
 
 /// One command of the program.
 struct CommandRow
 {
     std::string_view name; ///< One word or two.
-    std::string_view operandSynopsis; ///< What follows it, for the help.
+    std::string_view operandSynopsis; ///< For the help, such as `KIND NAME`.
     std::string_view summary;
-    std::vector<std::string_view> flags; ///< That it takes beside those of all commands.
+    std::vector<std::string_view> flags; ///< Accepted in addition to the common flags.
     std::size_t minOperands = 0;
     std::size_t maxOperands = 0;
     bool needsLog = false;
@@ -46,20 +46,20 @@
 
 std::span<const CommandRow> commandTable();
 
-/// The command that the words name, without its own words, or a usage report.
+/// The chosen command and its operands, or a usage report.
 struct ChosenCommand
 {
     const CommandRow *row = nullptr;
     std::vector<std::string> operands;
-    Report error; ///< If there is no row.
+    Report error; ///< Set if there is no row.
 };
 ChosenCommand chooseCommand(const std::vector<std::string> &words);
 
-/// Makes the command after checking what it needs.
+/// Creates the command after checking the number of operands and whether it needs the log.
 CommandOrError makeCommand(const CommandRow &row, const Context &context,
                            const Arguments &arguments);
 
-/// `10s`, `5m`, `2h` or `1d`.
+/// Parses a period such as `10s`, `5m`, `2h` or `1d`.
 std::optional<Base::Duration> parsePeriod(std::string_view text);
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/configurationlog.cpp
+++ b/src/libs/operations/configurationlog.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// The history shows them all.
+/// Large enough for the history command to show all changes in the log.
 constexpr std::size_t maxChangeResults = 1'000'000;
 
 } // namespace
@@ -34,10 +34,10 @@
     if (!m_reducer.hasGap())
         return boost::outcome_v2::success();
     return Errors::makeError(Errors::ErrorKind::NotReady,
-                             "The log has lost its records before offset "
-                                 + std::to_string(first().value())
-                                 + " and holds no snapshot. Wait until a controller has appended "
-                                   "one and ask again.");
+                             "Records before offset " + std::to_string(first().value())
+                                 + " are no longer in the log, and it holds no snapshot. Wait "
+                                   "until a controller has appended one, then run the command "
+                                   "again.");
 }
 
 const Schema::ObjectState *ConfigurationLog::entry(const Configuration::ObjectKey &key) const
--- a/src/libs/operations/configurationlog.h
+++ b/src/libs/operations/configurationlog.h
@@ -5,7 +5,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// The configuration as the log gives it.
+/// Reads the configuration from the log.
 class ConfigurationLog
 {
 public:
@@ -13,15 +13,16 @@
 
     explicit ConfigurationLog(const Context &context);
 
-    /// Reads all that is new. Fails where the log does not answer, and where it has lost records
-    /// and holds no snapshot that makes them good.
+    /// Reads all new records. Fails if the log does not answer, or if retention removed unread
+    /// records and the log holds no snapshot that replaces them.
     void read(ReadFinished done);
 
     const Configuration::Reducer &reducer() const { return m_reducer; }
     const Configuration::ObjectTable &objects() const { return m_reducer.objects(); }
-    /// Null for an object that never was; a removed one has its last revision.
+    /// Returns null for an object that never existed. The entry of a removed object has its last
+    /// revision.
     const Schema::ObjectState *entry(const Configuration::ObjectKey &key) const;
-    /// First record that the log still has.
+    /// Offset of the first record that is still in the log.
     Base::LogOffset first() const { return m_stream.first(); }
     Base::LogOffset next() const { return m_stream.next(); }
 
--- a/src/libs/operations/diffcommand.cpp
+++ b/src/libs/operations/diffcommand.cpp
@@ -18,7 +18,7 @@
     return found == object.end() ? "none" : found->dump();
 }
 
-/// `{"field", "from", "to"}` for each top-level field that differs.
+/// Returns `{"field", "from", "to"}` for each top-level field that differs.
 Json fieldsThatDiffer(const Json &from, const Json &to)
 {
     std::set<std::string> names;
--- a/src/libs/operations/diffcommand.h
+++ b/src/libs/operations/diffcommand.h
@@ -5,7 +5,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// `diff PATH...`: what publishing the files would change.
+/// `diff PATH...`: shows what publishing the files would change.
 class DiffCommand final : public ReadCommand
 {
 public:
--- a/src/libs/operations/endpointcommands.cpp
+++ b/src/libs/operations/endpointcommands.cpp
@@ -23,13 +23,13 @@
         if (key.kind != Schema::ObjectKind::Endpoint) {
             return failure(ExitStatus::Usage,
                            Schema::sourceOf(document.object).at("kind")
-                               + ": is no endpoint; use `lagoonbank-ctl publish` for it.");
+                               + ": is not an endpoint; use `lagoonbank-ctl publish` instead.");
         }
         const Schema::ConfigurationObject *current = log().objects().find(key);
         if (current && *current != document.object) {
             return failure(ExitStatus::Rejected,
                            toString(key)
-                               + " is there already and differs; use `lagoonbank-ctl diff` and "
+                               + " already exists and differs; use `lagoonbank-ctl diff` and "
                                  "`lagoonbank-ctl publish` to change it.");
         }
         publisher().addObject(document.object, std::nullopt);
--- a/src/libs/operations/endpointcommands.h
+++ b/src/libs/operations/endpointcommands.h
@@ -4,7 +4,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// `endpoint add FILE`: publishes endpoints that are not there yet.
+/// `endpoint add FILE`: publishes endpoints that do not exist yet.
 class EndpointAddCommand final : public ChangeCommand
 {
 public:
@@ -17,7 +17,7 @@
     std::string m_file;
 };
 
-/// `endpoint drain NAME` and `endpoint undrain NAME`
+/// `endpoint drain NAME` and `endpoint undrain NAME`: publish an endpoint's new state.
 class EndpointStateCommand final : public ChangeCommand
 {
 public:
--- a/src/libs/operations/historycommand.cpp
+++ b/src/libs/operations/historycommand.cpp
@@ -20,7 +20,7 @@
         absl::StrAppend(&line, " by ", result.publisher);
     absl::StrAppend(&line, " record ", result.recordId);
     if (!result.winner.empty())
-        absl::StrAppend(&line, " lost to ", result.winner);
+        absl::StrAppend(&line, " conflicts with a change by ", result.winner);
     if (!result.detail.empty())
         absl::StrAppend(&line, ": ", result.detail);
     return line + "\n";
@@ -48,7 +48,7 @@
     report.json["changes"] = Json::array();
     if (log().first() > Base::LogOffset()) {
         absl::StrAppend(&report.text, "records before offset ", log().first().value(),
-                        " are gone through retention\n");
+                        " were removed by retention\n");
     }
     for (const ChangeResult &result : log().reducer().changeResults()) {
         if (m_key && result.key != m_key)
@@ -59,14 +59,13 @@
     if (!m_key || !report.json["changes"].empty())
         return report;
     if (log().entry(*m_key)) {
-        absl::StrAppend(&report.text, "no change of ", toString(*m_key),
-                        " is in the log any more; see `lagoonbank-ctl show`\n");
+        absl::StrAppend(&report.text, "changes of ", toString(*m_key),
+                        " are no longer in the log; see `lagoonbank-ctl show`\n");
         return report;
     }
     return failure(ExitStatus::NotFound,
-                   "There never was a " + toString(*m_key)
-                       + ", as far as the log reaches back; `lagoonbank-ctl show` lists what "
-                         "there is.");
+                   "The log has no record of " + toString(*m_key)
+                       + "; `lagoonbank-ctl show` lists the objects that exist.");
 }
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/historycommand.h
+++ b/src/libs/operations/historycommand.h
@@ -6,7 +6,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// `history [KIND NAME]`: the changes that the log still holds, and what became of each.
+/// `history [KIND NAME]`: lists the changes that are still in the log and their outcomes.
 class HistoryCommand final : public ReadCommand
 {
 public:
--- a/src/libs/operations/logoutcomes.h
+++ b/src/libs/operations/logoutcomes.h
@@ -12,31 +12,31 @@
 
 namespace Lagoonbank::Operations {
 
-/// Names one request, or all requests of one matter.
+/// Selects one request, or all requests of one workspace with the same idempotency key.
 struct RequestQuery
 {
-    Base::RequestId request; ///< Empty if the key is given.
+    Base::RequestId request; ///< Empty if the workspace and key are given.
     Base::WorkspaceId workspace;
     Base::IdempotencyKey key;
 
     bool matches(const Timeline::Outcome &outcome) const;
 };
 
-/// An outcome and where it was found.
+/// An outcome and the source that it was read from.
 struct FoundOutcome
 {
     Timeline::Outcome outcome;
     std::string source;
-    bool isFromClaim = false; ///< Told by its claim alone, which does not name the attempts.
+    bool isFromClaim = false; ///< Known from its claim only, which has no attempts.
 
-    /// The caller got the recorded answer of an earlier request with the same key.
+    /// Whether the caller got the recorded answer of an earlier request with the same key.
     bool wasReplayed() const;
 };
 
-/// One plain sentence for a support engineer.
+/// Describes the outcome in one sentence for support engineers.
 std::string sentenceOf(const FoundOutcome &found, Base::WallTime now);
 
-/// Looks for outcomes in the log's streams `outcomes` and `claims`.
+/// Finds outcomes in the log's streams `outcomes` and `claims`.
 class LogOutcomes
 {
 public:
@@ -47,9 +47,9 @@
     /// Reads both streams to their ends.
     void read(ReadFinished done);
 
-    /// One for each request; what the stream `outcomes` says goes before what claims tell.
+    /// One outcome per request. Records of the stream `outcomes` take precedence over claims.
     std::vector<FoundOutcome> found() const;
-    /// Records before this one of the stream `outcomes` were lost by retention.
+    /// Offset of the first record still in the stream `outcomes`; retention removed earlier ones.
     Base::LogOffset firstOutcome() const { return m_outcomes.first(); }
 
 private:
--- a/src/libs/operations/objectfiles.h
+++ b/src/libs/operations/objectfiles.h
@@ -10,14 +10,14 @@
 
 using Documents = std::vector<Schema::ObjectDocument>;
 
-/// All objects of the files and folders, or every mistake in them.
+/// Reads all objects from the files and folders. Returns all errors in them if there are any.
 Schema::ReadResult<Documents> readPaths(const std::vector<std::string> &paths);
 
-/// What is wrong with the documents on top of what `table` holds.
+/// Checks the documents together with the objects in `table` that they do not replace.
 Schema::SettingsErrors checkWithExisting(const Documents &documents,
                                          const Configuration::ObjectTable &table);
 
-/// Sorts the documents so that each comes after those that it names.
+/// Sorts the documents so that each object follows the objects that it refers to.
 void sortForPublishing(Documents &documents);
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/publishcommand.h
+++ b/src/libs/operations/publishcommand.h
@@ -5,14 +5,14 @@
 
 namespace Lagoonbank::Operations {
 
-/// `publish PATH...`: puts the files' objects into the log.
+/// `publish PATH...`: publishes the objects in the files to the log.
 class PublishCommand final : public ChangeCommand
 {
 public:
     struct Options
     {
         std::vector<std::string> paths;
-        std::optional<Base::Revision> base; ///< That the file is based on; for one object alone.
+        std::optional<Base::Revision> base; ///< Revision the file is based on; for one object only.
     };
 
     PublishCommand(const Context &context, Options options);
--- a/src/libs/operations/readcommand.cpp
+++ b/src/libs/operations/readcommand.cpp
@@ -8,7 +8,7 @@
 {
     m_finished = std::move(finished);
     m_log.read([this](const Errors::Result<void> &result) {
-        m_finished(result ? report() : logFailure(result.error(), "Nothing can be said."));
+        m_finished(result ? report() : logFailure(result.error(), "The command has no result."));
     });
 }
 
--- a/src/libs/operations/readcommand.h
+++ b/src/libs/operations/readcommand.h
@@ -5,7 +5,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// A command that reads the configuration from the log and tells something about it.
+/// Base class of commands that read the configuration from the log and report on it.
 class ReadCommand : public Command
 {
 public:
--- a/src/libs/operations/recordcommand.cpp
+++ b/src/libs/operations/recordcommand.cpp
@@ -32,11 +32,12 @@
     report.status = ExitStatus::NotFound;
     report.errors =
         absl::StrCat("The record is not in the log before offset ", log().next().value(),
-                     ". It may still come; publish again, which "
-                     "is harmless.\n");
+                     ". It may still arrive; publishing the "
+                     "change again is safe.\n");
     if (log().first() > Base::LogOffset()) {
         absl::StrAppend(&report.errors, "Records before offset ", log().first().value(),
-                        " are gone; if it is older than that, nothing is known any more.\n");
+                        " were removed by retention; the outcome of an older change is no longer "
+                        "known.\n");
     }
     return report;
 }
--- a/src/libs/operations/recordcommand.h
+++ b/src/libs/operations/recordcommand.h
@@ -6,7 +6,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// `status --record ID`: what became of one published change.
+/// `status --record ID`: shows the outcome of one published change.
 class RecordCommand final : public ReadCommand
 {
 public:
--- a/src/libs/operations/removecommand.cpp
+++ b/src/libs/operations/removecommand.cpp
@@ -14,7 +14,7 @@
     if (!log().entry(m_key)) {
         return failure(ExitStatus::NotFound,
                        "There is no " + toString(m_key)
-                           + "; `lagoonbank-ctl show` lists what there is.");
+                           + "; `lagoonbank-ctl show` lists the objects that exist.");
     }
     publisher().addRemoval(m_key, m_base);
     return std::nullopt;
--- a/src/libs/operations/removecommand.h
+++ b/src/libs/operations/removecommand.h
@@ -4,7 +4,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// `remove KIND NAME`
+/// `remove KIND NAME`: removes an object from the configuration.
 class RemoveCommand final : public ChangeCommand
 {
 public:
--- a/src/libs/operations/report.h
+++ b/src/libs/operations/report.h
@@ -11,26 +11,27 @@
 /// Exit statuses of the program; docs/reference/ctl.md explains them to operators.
 enum class ExitStatus : int {
     Ok = 0,
-    Failed = 1, ///< Something could not be reached or is not as it should be.
-    Usage = 2, ///< The command line or a file is wrong; nothing was sent.
-    Rejected = 3, ///< A change was refused or another one won.
-    Unknown = 4, ///< A change may or may not have landed.
-    NotFound = 5 ///< Nothing is known by that name or id.
+    Failed = 1, ///< Something is unreachable or not in its expected state.
+    Usage = 2, ///< The command line or a file is invalid; nothing was sent.
+    Rejected = 3, ///< A change was rejected, or another change was accepted first.
+    Unknown = 4, ///< It is not known whether a change was accepted.
+    NotFound = 5 ///< The name or id is not known.
 };
 
-/// What a command found.
+/// The result of a command.
 struct Report
 {
     ExitStatus status = ExitStatus::Ok;
-    std::string text; ///< For people; whole lines, to the standard output.
-    std::string errors; ///< What went wrong and what to do; whole lines, to the error output.
-    Json json = Json::object(); ///< The same for scripts.
+    std::string text; ///< Complete lines for people, for standard output.
+    std::string errors; ///< Complete lines with what went wrong and what to do, for
+                        ///< standard error.
+    Json json = Json::object(); ///< The result for scripts.
 };
 
-/// A report that consists of one error; `what` tells what to do about it.
+/// Makes a report that consists of one error. `what` should also say what to do about it.
 Report failure(ExitStatus status, const std::string &what);
 
-/// The JSON text that scripts get: the report's JSON with `exit_status` and, if any, `error`.
+/// Returns the report's JSON for scripts, with `exit_status` and, if there are any errors, `error`.
 std::string toJsonText(const Report &report);
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/requestcommand.cpp
+++ b/src/libs/operations/requestcommand.cpp
@@ -29,12 +29,13 @@
                         "&key=", percentEncode(query.key.value()));
 }
 
-/// Of several requests of one matter the one that says most about it comes first.
+/// Sort key for several requests with the same idempotency key: the most informative outcome has
+/// the lowest rank.
 int rankOf(const FoundOutcome &found)
 {
-    constexpr int last = 5;
+    constexpr int lastRank = 5;
     if (found.wasReplayed())
-        return last - 1;
+        return lastRank - 1;
     switch (found.outcome.end.kind) {
     case OutcomeKind::Whole:
         return 0;
@@ -47,15 +48,15 @@
     case OutcomeKind::Refused:
         break;
     }
-    return last;
+    return lastRank;
 }
 
-/// The other requests of the same key may say more.
+/// Returns the command that finds the executed request if this one got a recorded answer.
 std::string hintOf(const FoundOutcome &found)
 {
     if (!found.wasReplayed())
         return {};
-    return absl::StrCat("  the request that ran: lagoonbank-ctl request --workspace ",
+    return absl::StrCat("  the request that was executed: lagoonbank-ctl request --workspace ",
                         shellQuote(found.outcome.workspace.value()), " --key ",
                         shellQuote(found.outcome.key->value()), "\n");
 }
@@ -78,7 +79,7 @@
         absl::StrAppend(&text, " of workspace ", outcome.workspace.value());
     if (outcome.end.status != 0)
         absl::StrAppend(&text, ", status ", outcome.end.status);
-    absl::StrAppend(&text, ", known from ", found.source, "\n");
+    absl::StrAppend(&text, ", according to ", found.source, "\n");
     for (std::size_t i = 0; i < outcome.attempts.size(); ++i)
         text += attemptLine(i + 1, outcome.attempts[i]);
     return text;
@@ -121,14 +122,15 @@
     m_finished = std::move(finished);
     if (m_context.admins.empty() && !m_context.log) {
         return m_finished(failure(ExitStatus::Usage,
-                                  "Nobody to ask; give --admin and --platform, or --settings."));
+                                  "No process or log to query; give --admin and --platform, or "
+                                  "--settings."));
     }
     if (m_query.request.empty())
         return queryAll();
     auto origin = Timeline::parseRequestId(m_query.request.value());
     if (!origin) {
         return m_finished(failure(ExitStatus::Usage,
-                                  "This is not a request id: " + origin.error().detail
+                                  "Invalid request id: " + origin.error().detail
                                       + " Give the X-Request-Id of the answer, or --workspace "
                                         "and --key."));
     }
@@ -191,8 +193,8 @@
     m_queried = answers.size();
     m_reached = static_cast<std::size_t>(
         std::ranges::count_if(answers, [](const auto &answer) { return answer.wasReached(); }));
-    // Another router may have run the matter and been replaced, so a key is always looked up in
-    // the log as well.
+    // Another router, which has been replaced since, may have executed a request with this key.
+    // Keys are therefore always looked up in the log as well.
     if (!m_found.empty() && !m_query.request.empty())
         return queryEvents();
     readLog();
@@ -213,7 +215,7 @@
 void RequestCommand::readLog()
 {
     if (!m_context.log) {
-        m_unreached += "The log was not asked, since no --platform is given.\n";
+        m_unreached += "The log was not read because --platform is not given.\n";
         return queryEvents();
     }
     m_log.read([this](const Errors::Result<void> &result) {
@@ -271,7 +273,7 @@
     report.json["events"] = Json::array();
     for (const ProcessEvent &event : events)
         report.json["events"].push_back(Timeline::toJson(event));
-    report.text += events.empty() ? "  no events of it are kept any more\n"
+    report.text += events.empty() ? "  no events of the request are kept any more\n"
                                   : indented(Timeline::renderText(events));
     report.errors = describeUnreached(answers);
     return m_finished(std::move(report));
@@ -282,12 +284,13 @@
     const std::string subject = m_query.request.empty()
         ? absl::StrCat("the key of workspace ", m_query.workspace.value())
         : "request " + m_query.request.value();
-    std::string text = absl::StrCat("Nothing is known of ", subject, ", or no longer. ", m_reached,
-                                    " of ", m_queried, " processes answered");
-    absl::StrAppend(&text, m_wasLogRead ? ", and the log was read." : ", the log was not read.");
+    std::string text = absl::StrCat("No outcome is known for ", subject, "; it may have expired. ",
+                                    m_reached, " of ", m_queried, " processes answered");
+    absl::StrAppend(&text,
+                    m_wasLogRead ? ", and the log was read." : ", but the log was not read.");
     if (m_wasLogRead && m_log.firstOutcome() > Base::LogOffset()) {
-        absl::StrAppend(&text, " The log has lost its outcomes before offset ",
-                        m_log.firstOutcome().value(), ".");
+        absl::StrAppend(&text, " Retention removed the outcomes before offset ",
+                        m_log.firstOutcome().value(), " from the log.");
     }
     text += "\n";
     Report report{.status = ExitStatus::NotFound, .text = std::move(text)};
@@ -296,7 +299,9 @@
     if (m_unreached.empty())
         return report;
     report.status = ExitStatus::Failed;
-    report.errors = m_unreached + "Ask again once these answer; until then this is not certain.\n";
+    report.errors = m_unreached
+        + "The result is not certain without them; run the command again once "
+          "they answer.\n";
     return report;
 }
 
--- a/src/libs/operations/requestcommand.h
+++ b/src/libs/operations/requestcommand.h
@@ -12,8 +12,9 @@
 
 namespace Lagoonbank::Operations {
 
-/// `request ID` and `request --workspace W --key K`: what became of a request. Asks its router
-/// first, then all processes, then the log, so that it answers for replaced routers too.
+/// `request ID` and `request --workspace W --key K`: shows the outcome of a request. Queries the
+/// request's router first, then all processes, and then reads the log, which also has the outcomes
+/// of routers that have been replaced.
 class RequestCommand final : public Command
 {
 public:
--- a/src/libs/operations/showcommand.cpp
+++ b/src/libs/operations/showcommand.cpp
@@ -51,7 +51,7 @@
     if (!entry) {
         return failure(ExitStatus::NotFound,
                        "There is no " + toString(key)
-                           + "; `lagoonbank-ctl show` lists what there is.");
+                           + "; `lagoonbank-ctl show` lists the objects that exist.");
     }
     if (entry->removed || !object) {
         return failure(ExitStatus::NotFound,
--- a/src/libs/operations/showcommand.h
+++ b/src/libs/operations/showcommand.h
@@ -7,7 +7,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// `show [KIND [NAME]]`: one object with its revision, or a list of what there is.
+/// `show [KIND [NAME]]`: shows one object with its revision, or lists the objects.
 class ShowCommand final : public ReadCommand
 {
 public:
--- a/src/libs/operations/statuscommand.cpp
+++ b/src/libs/operations/statuscommand.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// What the tool reads of one answer; a process may leave parts out.
+/// The parts of a status answer that are used. All of them are optional in the answer.
 struct ProcessStatus
 {
     std::string process;
     bool isReady = true;
-    std::uint64_t nextOffset = 0; ///< First record of the configuration that it has not taken in.
+    std::uint64_t nextOffset = 0; ///< First configuration record that it has not applied.
     bool isLogUp = true;
     std::size_t members = 0;
     std::size_t reachable = 0;
@@ -114,7 +114,7 @@
     m_finished = std::move(finished);
     if (m_context.admins.empty()) {
         return m_finished(failure(ExitStatus::Usage,
-                                  "No process to ask; give --admin or admin_addresses in the "
+                                  "No process to query; give --admin or admin_addresses in the "
                                   "settings."));
     }
     if (!m_context.log)
@@ -142,7 +142,7 @@
     for (const AdminAnswer &answer : answers) {
         if (!answer.isOk()) {
             absl::StrAppend(&report.errors, Runtime::toString(answer.from),
-                            " gave no status: ", answer.error, "\n");
+                            " did not report its status: ", answer.error, "\n");
             continue;
         }
         processes.push_back(readStatus(answer));
@@ -152,10 +152,11 @@
         report.json["processes"].push_back(std::move(item));
     }
     if (!report.errors.empty())
-        report.errors += "Check that these processes run, and their addresses in --admin.\n";
-    report.text = m_logEnd
-        ? absl::StrCat("log: configuration ends at offset ", latestOffset, "\n")
-        : absl::StrCat("log: OUT (", m_logError, ") highest offset held ", latestOffset, "\n");
+        report.errors +=
+            "Check that these processes are running, and their addresses in --admin.\n";
+    report.text = m_logEnd ? absl::StrCat("log: configuration ends at offset ", latestOffset, "\n")
+                           : absl::StrCat("log: UNAVAILABLE (", m_logError,
+                                          ") highest offset of a process ", latestOffset, "\n");
     bool isHealthy = m_logEnd && report.errors.empty();
     for (std::size_t i = 0; i < processes.size(); ++i) {
         const ProcessStatus &status = processes[i];
--- a/src/libs/operations/statuscommand.h
+++ b/src/libs/operations/statuscommand.h
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// `status`: how each process stands, and whether the configuration is in force everywhere.
+/// `status`: shows the state of each process and whether all of them have the latest configuration.
 class StatusCommand final : public Command
 {
 public:
@@ -23,7 +23,7 @@
     const Context &m_context;
     StreamReader m_stream;
     AdminClient m_client;
-    std::optional<Base::LogOffset> m_logEnd; ///< Not set while the log is out.
+    std::optional<Base::LogOffset> m_logEnd; ///< Not set if the log is unavailable.
     std::string m_logError;
     Finished m_finished;
 };
--- a/src/libs/operations/streamreader.h
+++ b/src/libs/operations/streamreader.h
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Operations {
 
-/// Reads a stream of the log to its end, trying again where it fails.
+/// Reads a stream of the log to its end and retries failed reads.
 class StreamReader
 {
 public:
@@ -22,13 +22,13 @@
     StreamReader &operator=(const StreamReader &) = delete;
 
     void setRecordRead(RecordRead hook) { m_recordRead = std::move(hook); }
-    /// Records before `first` were lost by retention.
+    /// Sets a hook that is called if retention removed unread records before `first`.
     void setGapFound(std::function<void(Base::LogOffset first)> hook)
     {
         m_gapFound = std::move(hook);
     }
 
-    /// Reads on from where it stands; one read at a time.
+    /// Continues reading at next(). Must not be called again before `finished` has been called.
     void readToEnd(Finished finished);
 
     Base::LogOffset first() const { return m_first; }
--- a/src/libs/operations/texts.cpp
+++ b/src/libs/operations/texts.cpp
@@ -46,7 +46,7 @@
 
 Report unknownKind(const std::string &kind)
 {
-    std::string text = absl::StrCat("'", kind, "' is no kind of object; give one of");
+    std::string text = absl::StrCat("'", kind, "' is not an object kind; give one of");
     for (const auto &row : Schema::enumNames(Schema::ObjectKind{}))
         absl::StrAppend(&text, " ", std::string(row.name));
     return failure(ExitStatus::Usage, text + ".");
--- a/src/libs/operations/texts.h
+++ b/src/libs/operations/texts.h
@@ -10,23 +10,23 @@
 
 namespace Lagoonbank::Operations {
 
-/// The log could not be read; `consequence` says what that means for the command.
+/// Reports that the log could not be read. `consequence` says what that means for the command.
 Report logFailure(const Errors::Error &error, const std::string &consequence);
-/// Mistakes in files, one a line.
+/// Reports errors in files, one per line.
 Report fileFailure(const Schema::SettingsErrors &errors);
 
-/// `{"kind", "name"}`
+/// Returns `{"kind", "name"}`.
 Json jsonOf(const Configuration::ObjectKey &key);
-/// The key that the words KIND and NAME give, or what is wrong with the kind.
+/// Makes a key from the operands KIND and NAME. Returns nothing if the kind is unknown.
 std::optional<Configuration::ObjectKey> parseObjectKey(const std::string &kind,
                                                        const std::string &name);
-/// Says which kinds there are.
+/// Reports an unknown kind and lists the valid ones.
 Report unknownKind(const std::string &kind);
 
-/// The text as one word of a POSIX shell.
+/// Quotes the text as one word for a POSIX shell.
 std::string shellQuote(const std::string &text);
 
-/// Escapes all but letters, digits and `-._~` for a query.
+/// Percent-encodes all characters except letters, digits and `-._~` for use in a query.
 std::string percentEncode(std::string_view text);
 
 } // namespace Lagoonbank::Operations
--- a/src/libs/operations/timelinecommand.cpp
+++ b/src/libs/operations/timelinecommand.cpp
@@ -87,7 +87,7 @@
     m_finished = std::move(finished);
     if (m_context.admins.empty()) {
         return m_finished(failure(ExitStatus::Usage,
-                                  "No process to ask; give --admin or admin_addresses in the "
+                                  "No process to query; give --admin or admin_addresses in the "
                                   "settings."));
     }
     queryEvents();
@@ -136,7 +136,7 @@
     case TimelineFormat::Json:
         return Timeline::renderJsonLines(events);
     case TimelineFormat::Html:
-        return Timeline::renderHtml(events, "lagoonbank time line");
+        return Timeline::renderHtml(events, "lagoonbank timeline");
     case TimelineFormat::Text:
         break;
     }
@@ -150,7 +150,9 @@
     report.errors = describeUnreached(answers);
     if (!report.errors.empty()) {
         report.status = ExitStatus::Failed;
-        report.errors += "The time line lacks their events. Check that these processes run.\n";
+        report.errors +=
+            "Their events are missing from the timeline. Check that these processes are "
+            "running.\n";
     }
     report.json["events"] = eventsJson(events);
     report.json["unreached"] = unreachedJson(answers);
--- a/src/libs/operations/timelinecommand.h
+++ b/src/libs/operations/timelinecommand.h
@@ -12,26 +12,27 @@
 
 namespace Lagoonbank::Operations {
 
-/// How a time line is shown.
+/// Output format of a timeline.
 enum class TimelineFormat : std::uint8_t { Text, Json, Html };
 
 std::optional<TimelineFormat> timelineFormat(std::string_view name);
 
-/// Which events are wanted.
+/// Selects events.
 struct EventQuery
 {
-    std::optional<Base::Duration> since; ///< Back from now.
+    std::optional<Base::Duration> since; ///< Only events of this period before now.
     std::string workspace;
     std::string endpoint;
     std::string request;
 };
 
-/// Path and query of the admin port for these events; those up to `after` are left out.
+/// Path and query that request these events from an admin port. Events with a sequence up to
+/// `after` are left out.
 std::string eventsTarget(const EventQuery &query, Base::WallTime now, std::uint64_t after);
-/// All events of the answers in causal order.
+/// Merges the events of all answers in causal order.
 std::vector<Timeline::ProcessEvent> mergedEvents(const std::vector<AdminAnswer> &answers);
 
-/// `timeline`: the events of all processes in causal order.
+/// `timeline`: shows the events of all processes in causal order.
 class TimelineCommand final : public Command
 {
 public:
@@ -39,7 +40,7 @@
     {
         EventQuery query;
         TimelineFormat format = TimelineFormat::Text;
-        std::string file; ///< Written in place of the standard output.
+        std::string file; ///< Written instead of standard output.
         bool follows = false;
     };
 
@@ -60,10 +61,8 @@
     const Context &m_context;
     Options m_options;
     AdminClient m_client;
-    std::optional<Base::WallTime>
-        m_firstQueryTime; ///< Of the first question; later ones keep to it.
-    std::map<Runtime::SocketAddress, std::uint64_t>
-        m_lastSequences; ///< Last sequence of each process.
+    std::optional<Base::WallTime> m_firstQueryTime; ///< Later queries use it too.
+    std::map<Runtime::SocketAddress, std::uint64_t> m_lastSequences; ///< Of each process.
     std::string m_unreached;
     Runtime::TimerId m_timer;
     Finished m_finished;
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -88,7 +88,7 @@
     BOOST_REQUIRE(loser);
     BOOST_TEST(loser->verdict == Verdict::Stale);
     BOOST_TEST(loser->winner == "ann");
-    BOOST_TEST(loser->detail == "based on revision 1, but revision 2 stands");
+    BOOST_TEST(loser->detail == "based on revision 1, but revision 2 is current");
     BOOST_TEST(regionOf(reducer, "north") == "east");
     BOOST_TEST(reducer.findChangeResult("cleo-1") == nullptr);
 }
--- a/tests/auto/operations/fakefleet.h
+++ b/tests/auto/operations/fakefleet.h
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-/// A log and the admin ports of processes that answer a command's calls on a paused clock.
+/// Answers a command's calls to the log and to the admin ports of processes, with a manual clock.
 class FakeFleet
 {
 public:
@@ -62,15 +62,16 @@
     }
 
     bool isLogUnavailable = false;
-    std::deque<AppendBehaviour>
-        appendBehaviours; ///< What happens to the next ones; later ones are answered.
-    std::function<void()> beforeAppend; ///< Another operator may come first; called once.
+    std::deque<AppendBehaviour> appendBehaviours; ///< Of the next appends; later ones are answered.
+    std::function<void()> beforeAppend; ///< Called once, for a concurrent change.
     std::vector<Lagoonbank::Runtime::SocketAddress> admins;
-    /// Answer of the admin port fromPosition an ip to a target; no answer if there is none.
+    /// Returns the answer of the admin port at an ip to a target. Returns nothing to refuse the
+    /// connection, or an empty text for status 404.
     std::function<std::optional<std::string>(const std::string &ip, const std::string &target)>
         admin;
     Json vms = Json::array();
-    std::uint64_t firstRetainedOffset = 0; ///< Earlier records of all streams are gone.
+    /// Retention removed the earlier records of all streams.
+    std::uint64_t firstRetainedOffset = 0;
     std::string printed;
 
 private:
--- a/tests/auto/operations/tst_commandline.cpp
+++ b/tests/auto/operations/tst_commandline.cpp
@@ -30,7 +30,7 @@
     return text.str();
 }
 
-/// First cells of the table rows under a heading.
+/// Returns the first cells of the table rows under a heading of the reference page.
 std::set<std::string> documented(const std::string &heading)
 {
     const std::string text = page();
--- a/tests/auto/operations/tst_publishing.cpp
+++ b/tests/auto/operations/tst_publishing.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-/// A folder of configuration files that goes with the test.
+/// A temporary folder with configuration files.
 class Files
 {
 public:
@@ -71,7 +71,7 @@
         PublishCommand command(context, {.paths = {path}, .base = base});
         return run(command);
     }
-    /// Publishes what the other files name.
+    /// Publishes the objects that the other files refer to.
     void publishBase()
     {
         files.write("north.yaml", north);
@@ -131,7 +131,7 @@
         const std::string data = records("configuration").at(index)["data"];
         return std::get<Configuration::ChangeRecord>(Configuration::decode(data).value());
     };
-    // The operator before had a clock that was 10 s ahead of ours.
+    // The clock of the previous operator was 10 s ahead.
     Configuration::ChangeRecord before = changeOf(0);
     auto time = Timeline::parseHybridTime(before.time);
     BOOST_REQUIRE(time.has_value());
@@ -145,7 +145,7 @@
     BOOST_TEST((*time < *ours));
 }
 
-/// What becomes of a publish whose appendBehaviours go wrong, and of asking again.
+/// Publishes while appends fail, then requests the status of the change and publishes it again.
 BOOST_AUTO_TEST_CASE(tellsWhatBecameOfAppendsThatWentWrong)
 {
     struct Case
@@ -164,16 +164,16 @@
          ExitStatus::Ok,
          1},
         {"the append is lost once", {AppendBehaviour::Lost}, "accepted", ExitStatus::Ok, 1},
-        {"over the rate for a while",
+        {"rate limited for a while",
          {AppendBehaviour::Limited, AppendBehaviour::Limited},
          "accepted",
          ExitStatus::Ok,
          1},
         {"always lost", std::deque<AppendBehaviour>(100, AppendBehaviour::Lost), "unknown",
          ExitStatus::Unknown, 0},
-        {"always over the rate", std::deque<AppendBehaviour>(1000, AppendBehaviour::Limited),
+        {"always rate limited", std::deque<AppendBehaviour>(1000, AppendBehaviour::Limited),
          "not_sent", ExitStatus::Failed, 0},
-        {"lost, then over the rate",
+        {"lost, then rate limited",
          [] {
              std::deque<AppendBehaviour> appendBehaviours(1000, AppendBehaviour::Limited);
              appendBehaviours.front() = AppendBehaviour::Lost;
@@ -220,7 +220,7 @@
     const Report report = publish(ours);
     BOOST_CHECK(report.status == ExitStatus::Rejected);
     BOOST_TEST(stateOf(report) == "rejected");
-    BOOST_TEST(contains(report.text, "the change of bilal won"));
+    BOOST_TEST(contains(report.text, "the change by bilal was accepted first"));
     BOOST_CHECK(history().json["changes"].back()["verdict"] == "stale");
 }
 
@@ -239,7 +239,7 @@
     const Report report = publish(file);
     BOOST_CHECK(report.status == ExitStatus::Ok);
     BOOST_TEST(stateOf(report) == "unchanged");
-    BOOST_TEST(contains(report.text, "bilal published the same first"));
+    BOOST_TEST(contains(report.text, "bilal published the same change first"));
 }
 
 BOOST_AUTO_TEST_CASE(refusesAChangeThatIsBasedOnAnOlderRevision)
--- a/tests/auto/operations/tst_requestcommand.cpp
+++ b/tests/auto/operations/tst_requestcommand.cpp
@@ -119,14 +119,14 @@
     BOOST_CHECK(runRequestCommand().status == ExitStatus::Ok);
 }
 
-/// What the log tells of a request whose router has been replaced.
+/// The router of the request has been replaced, so that only the log has the outcome.
 BOOST_AUTO_TEST_CASE(asksTheLogWhereNoProcessKnows)
 {
     struct Case
     {
         std::string name;
         std::vector<std::pair<std::string, std::string>> records; ///< Stream and data.
-        std::string sentence; ///< Empty if nothing is known.
+        std::string sentence; ///< Empty if no outcome is known.
     };
     const std::string outcomeRecord = Timeline::toJson(whole()).dump();
     const std::string claimRecord = Claims::toRecord(claim()).data;
@@ -145,7 +145,7 @@
         {"claim that did not run",
          {{"claims", claimRecord}, {"claims", claimEnd(Errors::Ran::No)}},
          "It was refused and did not run: the cause is not known."},
-        {"claim alone",
+        {"claim only",
          {{"claims", claimRecord}},
          "It is not known what became of it: the cause is not known. It may have run."},
         {"malformed records", {{"claims", "{"}, {"outcomes", "[1"}, {"outcomes", "{}"}}, ""},
@@ -160,7 +160,7 @@
                 const Report report = fleet.runRequestCommand(byKey);
                 if (test.sentence.empty()) {
                     BOOST_CHECK(report.status == ExitStatus::NotFound);
-                    BOOST_TEST(report.text.starts_with("Nothing is known of "));
+                    BOOST_TEST(report.text.starts_with("No outcome is known for "));
                 } else {
                     BOOST_CHECK(report.status == ExitStatus::Ok);
                     BOOST_TEST(report.text.substr(0, report.text.find('\n')) == test.sentence);
@@ -193,7 +193,7 @@
     const Report process = runRequestCommand();
     BOOST_CHECK(process.status == ExitStatus::Failed);
     BOOST_TEST(contains(process.text, "1 of 2 processes answered, and the log was read"));
-    BOOST_TEST(contains(process.errors, "10.0.0.1:1 gave no answer"));
+    BOOST_TEST(contains(process.errors, "10.0.0.1:1 did not answer"));
     unreachableIp.clear();
     isLogUnavailable = true;
     const Report log = runRequestCommand();
@@ -204,7 +204,7 @@
 BOOST_AUTO_TEST_CASE(reportsOutcomesLostByRetention)
 {
     firstRetainedOffset = 12;
-    BOOST_TEST(contains(runRequestCommand().text, "lost its outcomes before offset 12"));
+    BOOST_TEST(contains(runRequestCommand().text, "removed the outcomes before offset 12"));
 }
 
 BOOST_AUTO_TEST_CASE(reportsProcessesThatAreBehind)
@@ -218,7 +218,7 @@
     {
         std::optional<std::string> second;
         ExitStatus status;
-        std::string mark;
+        std::string expectedText;
     };
     const std::vector<Case> cases{
         {statusOf(1, true), ExitStatus::Ok, "offset 1"},
@@ -226,7 +226,7 @@
         {statusOf(1, false), ExitStatus::Failed, "NOT READY"},
         {R"({"process": "c", "configuration": {"next": 1}, "lease": {"state": "held", "fencing": 4}})",
          ExitStatus::Ok, "lease held, fencing number 4"},
-        {std::nullopt, ExitStatus::Failed, "10.0.0.2:1 gave no status"},
+        {std::nullopt, ExitStatus::Failed, "10.0.0.2:1 did not report its status"},
         {"[]", ExitStatus::Failed, "not a JSON object"},
         {"{}", ExitStatus::Failed, "BEHIND"},
     };
@@ -238,7 +238,7 @@
         StatusCommand command(context);
         const Report report = run(command);
         BOOST_CHECK(report.status == test.status);
-        BOOST_TEST(contains(report.text + report.errors, test.mark), report.text);
+        BOOST_TEST(contains(report.text + report.errors, test.expectedText), report.text);
     }
 }
 
