--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -79,7 +79,7 @@
 bool RequestRun::endIfCallerLeft()
 {
     const Base::Duration age = m_timers.clock().now() - m_arrivedAt;
-    if (age < closeCheckAge && m_gateway.m_options.loop->lag().behind() < closeCheckAge)
+    if (age < closeCheckAge && m_gateway.m_options.loop->lag().current() < closeCheckAge)
         return false;
     const std::shared_ptr<RequestRun> self = shared_from_this();
     m_responder->lookForClose();
--- a/src/libs/http/h2oserver.cpp
+++ b/src/libs/http/h2oserver.cpp
@@ -261,7 +261,7 @@
 void H2oServer::acceptAll()
 {
     const Base::MonoTime now = m_loop.clock().now();
-    const Arrival arrival{.earliest = now - m_loop.lag().sinceLookBefore(), .latest = now};
+    const Arrival arrival{.earliest = now - m_loop.lag().maxPolledEventAge(), .latest = now};
     while (m_listener && m_waiting.size() < maxWaiting) {
         h2o_socket_t *socket = h2o_evloop_socket_accept(m_listener);
         if (!socket)
@@ -280,7 +280,7 @@
     while (most > 0 && !m_waiting.empty()) {
         const Waiting next = m_waiting.front();
         m_waiting.pop_front();
-        m_loop.lag().noteWaited(now - next.arrival.latest);
+        m_loop.lag().noteDeferredWork(now - next.arrival.latest);
         if (hasLeft(next)) {
             h2o_socket_close(next.socket);
             if (m_options.leftUnread)
--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -212,7 +212,7 @@
     const Base::MonoTime now = m_context.loop->clock().now();
     if (m_aheadSince)
         return *m_aheadSince;
-    const Base::Duration sinceLook = m_context.loop->lag().sinceLookBefore();
+    const Base::Duration sinceLook = m_context.loop->lag().maxPolledEventAge();
     const bool isFirstLook = isFirst && now - m_startedAt <= sinceLook + leastUnread;
     const Base::Duration least = isFirstLook ? now - m_arrival.latest : Base::Duration::zero();
     const Base::Duration most = isFirstLook ? now - m_arrival.earliest : sinceLook;
--- a/src/libs/runtime/loop.cpp
+++ b/src/libs/runtime/loop.cpp
@@ -52,7 +52,7 @@
     explicit Private(const Clock *givenClock)
         : clock(givenClock ? *givenClock : systemClock)
         , timers(clock)
-        , lag({.clock = &clock, .waited = [this] { return waited(); }})
+        , lag({.clock = &clock, .pollWait = [this] { return currentPollWait(); }})
         , native(h2o_evloop_create())
         , lastWallOffset(wallOffset())
     {
@@ -72,7 +72,7 @@
 
     void followWallClock();
     void poll(std::int32_t maxWaitMs);
-    Base::Duration waited() const;
+    Base::Duration currentPollWait() const;
     void readSignals();
     void runPosted();
     void runOwn();
@@ -122,24 +122,24 @@
 /// own measure of the callbacks: the last of its slots, if it has used one.
 void Loop::Private::poll(std::int32_t maxWaitMs)
 {
-    lag.pollBegins(maxWaitMs > 0);
+    lag.beginPoll(maxWaitMs > 0);
     pollBeganAt = std::chrono::steady_clock::now();
     const h2o_sliding_counter_t &counter = native->exec_time_counter;
     const std::size_t slot = counter.prev.index;
     h2o_evloop_run(native, maxWaitMs);
     if (maxWaitMs <= 0) {
-        lag.pollEnded({});
+        lag.endPoll({});
         return;
     }
     const Base::Duration took = std::chrono::steady_clock::now() - pollBeganAt;
     const bool hadEvents = counter.prev.index != slot;
     const Base::Duration callbacks =
         std::chrono::milliseconds(hadEvents ? counter.prev.slots[slot] : 0);
-    lag.pollEnded(std::max(took - callbacks, Base::Duration::zero()));
+    lag.endPoll(std::max(took - callbacks, Base::Duration::zero()));
 }
 
 /// From the begin of the poll under way to its return, after which the event loop reads the time.
-Base::Duration Loop::Private::waited() const
+Base::Duration Loop::Private::currentPollWait() const
 {
     timeval wall{};
     gettimeofday(&wall, nullptr);
@@ -264,7 +264,7 @@
     d->followWallClock();
     d->poll(waitMilliseconds(wait));
     d->runOwnWithin();
-    d->lag.turnEnded();
+    d->lag.endIteration();
 }
 
 void Loop::post(std::function<void()> callback)
--- a/src/libs/runtime/looplag.cpp
+++ b/src/libs/runtime/looplag.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr Base::Duration sampleInterval = std::chrono::seconds(1);
-/// Waits are known to a millisecond; a shorter one may be none.
-constexpr Base::Duration leastWait = std::chrono::milliseconds(2);
+/// The wait of a poll is known to the millisecond only; shorter ones cannot be told from none.
+constexpr Base::Duration minMeasurableWait = std::chrono::milliseconds(2);
 
 Base::Duration threadProcessorTime()
 {
@@ -21,125 +21,128 @@
     return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-void add(LoopLag::Figures &sum, const LoopLag::Figures &more)
+void add(LoopLag::Statistics &sum, const LoopLag::Statistics &other)
 {
-    sum.wall += more.wall;
-    sum.wanted += more.wanted;
-    sum.processor += more.processor;
-    sum.longestTurn = std::max(sum.longestTurn, more.longestTurn);
-    sum.mostBehind = std::max(sum.mostBehind, more.mostBehind);
-    sum.turns += more.turns;
+    sum.elapsed += other.elapsed;
+    sum.busyTime += other.busyTime;
+    sum.processorTime += other.processorTime;
+    sum.longestIteration = std::max(sum.longestIteration, other.longestIteration);
+    sum.maxLag = std::max(sum.maxLag, other.maxLag);
+    sum.iterations += other.iterations;
 }
 
 } // namespace
 
-double LoopLag::Figures::givenShare() const
+double LoopLag::Statistics::processorShare() const
 {
-    if (wanted <= Base::Duration::zero())
+    if (busyTime <= Base::Duration::zero())
         return 1;
-    return std::min(1.0, Base::toSeconds(processor) / Base::toSeconds(wanted));
+    return std::min(1.0, Base::toSeconds(processorTime) / Base::toSeconds(busyTime));
 }
 
 LoopLag::LoopLag(Options options)
     : m_options(std::move(options))
-    , m_beganAt(m_options.clock->now())
-    , m_lookedAt(m_beganAt)
-    , m_lookedBefore(m_beganAt)
-    , m_sampledAt(m_beganAt)
+    , m_pollStart(m_options.clock->now())
+    , m_waitEnd(m_pollStart)
+    , m_previousWaitEnd(m_pollStart)
+    , m_lastSampleTime(m_pollStart)
 {
     if (!m_options.processorTime)
         m_options.processorTime = threadProcessorTime;
-    m_processorAtSample = m_options.processorTime();
+    m_processorTimeAtLastSample = m_options.processorTime();
 }
 
-Base::Duration LoopLag::behind() const
+Base::Duration LoopLag::current() const
 {
-    return std::max({sinceLookBefore(), m_waitedInTurn, m_waitedBefore});
+    return std::max({maxPolledEventAge(), m_maxDeferredAge, m_previousMaxDeferredAge});
 }
 
-Base::Duration LoopLag::sinceLookBefore() const
+Base::Duration LoopLag::maxPolledEventAge() const
 {
     const Base::MonoTime now = m_options.clock->now();
     if (!m_isPolling)
-        return now - oldestSince(m_lookedAt, m_hasWaited);
+        return now - earliestEventTime(m_waitEnd, m_hasWaited);
     const Base::Duration waited =
-        m_mayWait && m_options.waited ? m_options.waited() : Base::Duration::zero();
-    return now - oldestSince(std::min(m_beganAt + waited, now), waited >= leastWait);
+        m_mayWait && m_options.pollWait ? m_options.pollWait() : Base::Duration::zero();
+    return now
+        - earliestEventTime(std::min(m_pollStart + waited, now), waited >= minMeasurableWait);
 }
 
-/// Before a poll that has waited there was nothing to do.
-Base::MonoTime LoopLag::oldestSince(Base::MonoTime looked, bool hasWaited) const
+/// A poll only waits if nothing was ready before.
+Base::MonoTime LoopLag::earliestEventTime(Base::MonoTime waitEnd, bool hasWaited) const
 {
-    return hasWaited ? looked : m_lookedBefore;
+    return hasWaited ? waitEnd : m_previousWaitEnd;
 }
 
-void LoopLag::noteWaited(Base::Duration waited)
+void LoopLag::noteDeferredWork(Base::Duration age)
 {
-    m_waitedInTurn = std::max(m_waitedInTurn, waited);
+    m_maxDeferredAge = std::max(m_maxDeferredAge, age);
 }
 
-void LoopLag::pollBegins(bool mayWait)
+void LoopLag::beginPoll(bool mayWait)
 {
-    m_beganAt = m_options.clock->now();
-    m_lookedBefore = m_lookedAt;
+    m_pollStart = m_options.clock->now();
+    m_previousWaitEnd = m_waitEnd;
     m_isPolling = true;
     m_mayWait = mayWait;
 }
 
-void LoopLag::pollEnded(Base::Duration waited)
+void LoopLag::endPoll(Base::Duration waited)
 {
     const Base::MonoTime now = m_options.clock->now();
     m_isPolling = false;
-    m_lookedAt = std::clamp(m_beganAt + waited, m_beganAt, now);
-    m_hasWaited = waited >= leastWait;
-    m_mostInTurn = std::max(m_mostInTurn, now - oldestSince(m_lookedAt, m_hasWaited));
-    m_turn += now - m_lookedAt;
+    m_waitEnd = std::clamp(m_pollStart + waited, m_pollStart, now);
+    m_hasWaited = waited >= minMeasurableWait;
+    m_maxEventAge = std::max(m_maxEventAge, now - earliestEventTime(m_waitEnd, m_hasWaited));
+    m_busyTime += now - m_waitEnd;
 }
 
-void LoopLag::turnEnded()
+void LoopLag::endIteration()
 {
     const Base::MonoTime now = m_options.clock->now();
-    const Base::Duration turn = std::exchange(m_turn, {});
-    m_waitedBefore = std::exchange(m_waitedInTurn, {});
-    const Base::Duration most = std::max(std::exchange(m_mostInTurn, {}), m_waitedBefore);
-    add(m_second, {.wanted = turn, .longestTurn = turn, .mostBehind = most, .turns = 1});
-    if (turned)
-        turned(turn);
-    judge(now, most);
-    if (now - m_sampledAt >= sampleInterval)
+    const Base::Duration duration = std::exchange(m_busyTime, {});
+    m_previousMaxDeferredAge = std::exchange(m_maxDeferredAge, {});
+    const Base::Duration lag = std::max(std::exchange(m_maxEventAge, {}), m_previousMaxDeferredAge);
+    add(m_sample,
+        {.busyTime = duration, .longestIteration = duration, .maxLag = lag, .iterations = 1});
+    if (iterationFinished)
+        iterationFinished(duration);
+    updateLagState(now, lag);
+    if (now - m_lastSampleTime >= sampleInterval)
         sample(now);
 }
 
 void LoopLag::sample(Base::MonoTime now)
 {
-    const Base::Duration processor = m_options.processorTime();
-    m_second.wall = now - std::exchange(m_sampledAt, now);
-    // Systems that count waits as processor time too tell more than was wanted.
-    m_second.processor = std::min(processor - m_processorAtSample, m_second.wanted);
-    m_processorAtSample = processor;
-    const Figures second = std::exchange(m_second, {});
-    if (m_isBehind)
-        add(m_spell, second);
+    const Base::Duration processorTime = m_options.processorTime();
+    m_sample.elapsed = now - std::exchange(m_lastSampleTime, now);
+    // Some systems count waiting as processor time too and report more than the busy time.
+    m_sample.processorTime =
+        std::min(processorTime - m_processorTimeAtLastSample, m_sample.busyTime);
+    m_processorTimeAtLastSample = processorTime;
+    const Statistics statistics = std::exchange(m_sample, {});
+    if (m_isLagging)
+        add(m_sinceLagStart, statistics);
     if (sampled)
-        sampled(second);
+        sampled(statistics);
 }
 
-void LoopLag::judge(Base::MonoTime now, Base::Duration most)
+void LoopLag::updateLagState(Base::MonoTime now, Base::Duration lag)
 {
-    if (most >= m_options.caughtUpAt)
-        m_calmSince = now;
-    if (!m_isBehind && most >= m_options.behindAt) {
-        m_isBehind = true;
-        m_spell = {};
-        // What came before belongs to the figures too: it led there.
+    if (lag >= m_options.endThreshold)
+        m_lastOverEndThreshold = now;
+    if (!m_isLagging && lag >= m_options.startThreshold) {
+        m_isLagging = true;
+        m_sinceLagStart = {};
+        // The period before belongs to the statistics too: it led to the lag.
         sample(now);
-        if (fellBehind)
-            fellBehind(m_spell);
-    } else if (m_isBehind && now - m_calmSince >= m_options.calmTime) {
+        if (lagStarted)
+            lagStarted(m_sinceLagStart);
+    } else if (m_isLagging && now - m_lastOverEndThreshold >= m_options.endDelay) {
         sample(now);
-        m_isBehind = false;
-        if (caughtUp)
-            caughtUp(m_spell);
+        m_isLagging = false;
+        if (lagEnded)
+            lagEnded(m_sinceLagStart);
     }
 }
 
--- a/src/libs/runtime/looplag.h
+++ b/src/libs/runtime/looplag.h
@@ -8,89 +8,89 @@
 
 namespace Lagoonbank::Runtime {
 
-/// How far behind its work a loop is, how long its turns take, and what processor time it gets. The
-/// loop tells of its polls; costs three readings of clocks a turn and a system call a second.
+/// Measures the lag of an event loop, the duration of its iterations and the processor time that
+/// its thread gets. Fed by the loop around each poll; costs three clock readings per iteration and
+/// one system call per second.
 class LoopLag
 {
 public:
     struct Options
     {
         const Clock *clock = nullptr;
-        /// Processor time that this thread has got; the machine's figure if null.
+        /// Processor time used by this thread; read from the system if null.
         std::function<Base::Duration()> processorTime;
-        /// For how long the poll that is under way has waited for something to come.
-        std::function<Base::Duration()> waited;
-        /// A loop is behind from here on. A VM whose processor time is a quota may stand still for
-        /// most of a tenth of a second, which is no backlog; urgent callers wait 300 ms.
-        Base::Duration behindAt = std::chrono::milliseconds(200);
-        /// And has caught up once it has been less than this behind for as long as calmTime, so
-        /// that a line each is written twice a second at most.
-        Base::Duration caughtUpAt = std::chrono::milliseconds(50);
-        Base::Duration calmTime = std::chrono::seconds(1);
+        /// How long the current poll waited before events were ready.
+        std::function<Base::Duration()> pollWait;
+        /// The loop counts as lagging from this lag on. A VM with a CPU quota may pause for most of
+        /// 100 ms, which is no backlog; callers with urgent requests wait for 300 ms.
+        Base::Duration startThreshold = std::chrono::milliseconds(200);
+        /// The loop has caught up once its lag has stayed below this threshold for endDelay. The
+        /// delay limits the log to one line of each kind per second.
+        Base::Duration endThreshold = std::chrono::milliseconds(50);
+        Base::Duration endDelay = std::chrono::seconds(1);
     };
-    /// Sums over a span of time.
-    struct Figures
+    /// Totals over a period.
+    struct Statistics
     {
-        Base::Duration wall{};
-        Base::Duration wanted{}; ///< In which the loop had something to do.
-        Base::Duration processor{}; ///< Processor time that it got.
-        Base::Duration longestTurn{};
-        Base::Duration mostBehind{};
-        std::size_t turns = 0;
+        Base::Duration elapsed{};
+        Base::Duration busyTime{}; ///< Time in which the loop had work to do.
+        Base::Duration processorTime{}; ///< Processor time used by the thread.
+        Base::Duration longestIteration{};
+        Base::Duration maxLag{};
+        std::size_t iterations = 0;
 
-        /// Of the processor time that was wanted; 1 if none was.
-        double givenShare() const;
+        /// Processor time as a share of the busy time; 1 if the loop was idle.
+        double processorShare() const;
     };
 
     explicit LoopLag(Options options);
 
-    /// How old the oldest work can be that the loop has at hand now: what it reads in this poll
-    /// came after the last look before, or after the wait of this one; and what was put off before
-    /// has waited since then.
-    Base::Duration behind() const;
-    /// The same without what noteWaited() told.
-    Base::Duration sinceLookBefore() const;
-    bool isBehind() const { return m_isBehind; }
+    /// Upper bound of the age of the oldest event or deferred work that the loop is handling.
+    Base::Duration current() const;
+    /// Upper bound of the age of the events of the current or last poll. They arrived after the
+    /// previous poll returned; if this poll had to wait, they arrived at the end of its wait.
+    Base::Duration maxPolledEventAge() const;
+    bool isLagging() const { return m_isLagging; }
 
-    /// Called at the end of each turn.
-    std::function<void(Base::Duration turn)> turned;
-    /// Called about once a second with the figures since the last time.
-    std::function<void(const Figures &figures)> sampled;
-    /// Called when the loop begins to be behind, with the figures of at most the last second.
-    std::function<void(const Figures &figures)> fellBehind;
-    /// Called when it has caught up, with the figures since it fell behind.
-    std::function<void(const Figures &figures)> caughtUp;
+    /// Called at the end of each iteration with its duration, without the wait of the poll.
+    std::function<void(Base::Duration duration)> iterationFinished;
+    /// Called about once a second with the statistics since the previous call.
+    std::function<void(const Statistics &statistics)> sampled;
+    /// Called when the loop starts lagging, with the statistics of at most the last second.
+    std::function<void(const Statistics &statistics)> lagStarted;
+    /// Called when the loop has caught up, with the statistics since it started lagging.
+    std::function<void(const Statistics &statistics)> lagEnded;
 
-    /// Work is taken up that was put off in an earlier turn.
-    void noteWaited(Base::Duration waited);
+    /// Records that work deferred by an earlier iteration starts now, \a age after it arrived.
+    void noteDeferredWork(Base::Duration age);
 
-    /// For the loop.
-    void pollBegins(bool mayWait);
-    void pollEnded(Base::Duration waited);
-    void turnEnded();
+    // Called by the loop only.
+    void beginPoll(bool mayWait);
+    void endPoll(Base::Duration waited);
+    void endIteration();
 
 private:
-    Base::MonoTime oldestSince(Base::MonoTime looked, bool hasWaited) const;
+    Base::MonoTime earliestEventTime(Base::MonoTime waitEnd, bool hasWaited) const;
     void sample(Base::MonoTime now);
-    void judge(Base::MonoTime now, Base::Duration most);
+    void updateLagState(Base::MonoTime now, Base::Duration lag);
 
     Options m_options;
-    Base::MonoTime m_beganAt; ///< Of the poll under way, or the last one.
-    Base::MonoTime m_lookedAt; ///< When the last poll had ended its wait.
-    Base::MonoTime m_lookedBefore; ///< The same of the poll before.
+    Base::MonoTime m_pollStart; ///< Start of the current or last poll.
+    Base::MonoTime m_waitEnd; ///< When the last finished poll ended its wait.
+    Base::MonoTime m_previousWaitEnd; ///< The same for the poll before that.
     bool m_isPolling = false;
     bool m_mayWait = false;
     bool m_hasWaited = false;
-    Base::Duration m_turn{}; ///< Of the turn under way, without its wait.
-    Base::Duration m_mostInTurn{};
-    Base::Duration m_waitedInTurn{}; ///< The longest that noteWaited() told.
-    Base::Duration m_waitedBefore{}; ///< The same in the turn before.
-    Figures m_second; ///< Since the last sample.
-    Figures m_spell; ///< Since the loop fell behind.
-    Base::MonoTime m_sampledAt;
-    Base::Duration m_processorAtSample{};
-    bool m_isBehind = false;
-    Base::MonoTime m_calmSince;
+    Base::Duration m_busyTime{}; ///< Time of the current iteration without its waits.
+    Base::Duration m_maxEventAge{}; ///< Maximum over the polls of the current iteration.
+    Base::Duration m_maxDeferredAge{}; ///< Deferred work of the current iteration.
+    Base::Duration m_previousMaxDeferredAge{}; ///< Deferred work of the previous iteration.
+    Statistics m_sample; ///< Since the last sample.
+    Statistics m_sinceLagStart;
+    Base::MonoTime m_lastSampleTime;
+    Base::Duration m_processorTimeAtLastSample{};
+    bool m_isLagging = false;
+    Base::MonoTime m_lastOverEndThreshold; ///< Last time at which the lag reached endThreshold.
 };
 
 } // namespace Lagoonbank::Runtime
--- a/tests/auto/http/tst_unreadrequests.cpp
+++ b/tests/auto/http/tst_unreadrequests.cpp
@@ -206,7 +206,7 @@
     Base::Duration oldest{};
     f.looked = [&](Responder &) {
         f.clock.advance(std::chrono::milliseconds(4));
-        behind = std::max(behind, f.loop.lag().behind());
+        behind = std::max(behind, f.loop.lag().current());
         oldest = std::max(oldest, f.clock.now() - f.requests.back().cameAt);
     };
     BOOST_TEST(f.runUntil([&] { return f.requests.size() == 100; }));
