--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -309,14 +309,14 @@
     m_stop = std::make_unique<Runtime::GracefulStop>(
         Runtime::GracefulStop::Options{.timers = &m_loop.timers(),
                                        .noticeTime = balancerNoticeTime,
-                                       .longest = m_objects->policy().drainTimeout,
+                                       .timeout = m_objects->policy().drainTimeout,
                                        .announce =
                                            [this] {
                                                m_callerApi->announceStop();
                                                m_callerServer->startDraining();
                                                m_peers->leave();
                                            },
-                                       .takeNothingNew =
+                                       .stopAccepting =
                                            [this] {
                                                m_callerApi->setDraining(true);
                                                m_callerServer->stopAccepting();
--- a/src/libs/runtime/gracefulstop.cpp
+++ b/src/libs/runtime/gracefulstop.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// How often it is checked whether all is done; a stop is late by this at most.
+/// Interval of the idle checks; a stop is late by at most this much.
 constexpr Base::Duration checkInterval = std::chrono::milliseconds(50);
 
 } // namespace
@@ -19,14 +19,14 @@
     if (m_hasBegun)
         return;
     m_hasBegun = true;
-    m_deadline = m_options.timers->clock().now() + m_options.longest;
+    m_deadline = m_options.timers->clock().now() + m_options.timeout;
     m_options.announce();
     m_timer = m_options.timers->start(m_options.noticeTime, [this] { noticeEnded(); });
 }
 
 void GracefulStop::noticeEnded()
 {
-    m_options.takeNothingNew();
+    m_options.stopAccepting();
     check();
 }
 
--- a/src/libs/runtime/gracefulstop.h
+++ b/src/libs/runtime/gracefulstop.h
@@ -7,22 +7,23 @@
 
 namespace Lagoonbank::Runtime {
 
-/// The planned stop of a server process: first it only says that it leaves and goes on serving, so
-/// that a balancer that does not know yet loses nothing; then it takes nothing new; then it waits
-/// for what is in flight.
+/// The planned stop of a server process, in three steps. It announces the stop but still serves new
+/// requests, so that balancers that have not noticed yet lose none; then it stops accepting
+/// requests; then it waits for those in flight.
 class GracefulStop
 {
 public:
     struct Options
     {
         TimerQueue *timers = nullptr;
-        /// How long new requests are still served after the stop was announced.
+        /// For how long new requests are still served after the announcement.
         Base::Duration noticeTime{};
-        /// When the process ends at the latest, counted from the announcement.
-        Base::Duration longest{};
-        std::function<void()> announce; ///< Not ready any more; connections end with an answer.
-        std::function<void()> takeNothingNew;
-        std::function<bool()> isIdle; ///< Nothing is in flight.
+        /// Longest time from the announcement to the end of the process.
+        Base::Duration timeout{};
+        std::function<void()>
+            announce; ///< Makes the process not ready; connections close after an answer.
+        std::function<void()> stopAccepting;
+        std::function<bool()> isIdle; ///< Whether no request is in flight.
         std::function<void()> stopped;
     };
 
@@ -33,7 +34,7 @@
     GracefulStop(const GracefulStop &) = delete;
     GracefulStop &operator=(const GracefulStop &) = delete;
 
-    /// Begins the stop; does nothing when it has begun.
+    /// Does nothing if the stop has already begun.
     void begin();
     bool hasBegun() const { return m_hasBegun; }
 
--- a/tests/auto/runtime/tst_gracefulstop.cpp
+++ b/tests/auto/runtime/tst_gracefulstop.cpp
@@ -13,7 +13,7 @@
 
 struct Fixture
 {
-    void pass(Base::Duration duration)
+    void advance(Base::Duration duration)
     {
         constexpr Base::Duration step = std::chrono::milliseconds(10);
         for (auto left = duration; left > left.zero(); left -= step) {
@@ -28,44 +28,44 @@
     bool isIdle = false;
     Runtime::GracefulStop stop{{.timers = &timers,
                                 .noticeTime = std::chrono::seconds(3),
-                                .longest = std::chrono::seconds(7),
+                                .timeout = std::chrono::seconds(7),
                                 .announce = [this] { steps += "announce "; },
-                                .takeNothingNew = [this] { steps += "close "; },
+                                .stopAccepting = [this] { steps += "close "; },
                                 .isIdle = [this] { return isIdle; },
                                 .stopped = [this] { steps += "stopped"; }}};
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(newRequestsAreServedUntilTheBalancerHasHadTimeToSee)
+BOOST_AUTO_TEST_CASE(servesNewRequestsDuringNoticeTime)
 {
     Fixture f;
     f.isIdle = true;
     f.stop.begin();
-    f.pass(std::chrono::milliseconds(2900));
+    f.advance(std::chrono::milliseconds(2900));
     BOOST_TEST(f.steps == "announce ");
-    f.pass(std::chrono::milliseconds(200));
+    f.advance(std::chrono::milliseconds(200));
     BOOST_TEST(f.steps == "announce close stopped");
 }
 
-BOOST_AUTO_TEST_CASE(whatIsInFlightIsWaitedFor)
+BOOST_AUTO_TEST_CASE(waitsForRequestsInFlight)
 {
     Fixture f;
     f.stop.begin();
-    f.pass(std::chrono::seconds(5));
+    f.advance(std::chrono::seconds(5));
     BOOST_TEST(f.steps == "announce close ");
     f.isIdle = true;
-    f.pass(std::chrono::milliseconds(100));
+    f.advance(std::chrono::milliseconds(100));
     BOOST_TEST(f.steps == "announce close stopped");
 }
 
-BOOST_AUTO_TEST_CASE(theProcessEndsInTimeWhateverIsInFlight)
+BOOST_AUTO_TEST_CASE(stopsAtTimeoutWithRequestsInFlight)
 {
     Fixture f;
     f.stop.begin();
     f.stop.begin();
-    f.pass(std::chrono::milliseconds(6950));
+    f.advance(std::chrono::milliseconds(6950));
     BOOST_TEST(f.steps == "announce close ");
-    f.pass(std::chrono::milliseconds(100));
+    f.advance(std::chrono::milliseconds(100));
     BOOST_TEST(f.steps == "announce close stopped");
 }
