--- a/src/apps/ctl/main.cpp
+++ b/src/apps/ctl/main.cpp
@@ -79,7 +79,7 @@
             .transport = context.platform,
             .timers = &loop.timers(),
             .appendTimeout = timeout,
-            .settleTimeout = std::min(longestSettling, timeout / settlingShare),
+            .readBackTimeout = std::min(longestSettling, timeout / settlingShare),
             .readTimeout = timeout});
         context.log = log.get();
     }
--- a/src/libs/node/configurationfollower.cpp
+++ b/src/libs/node/configurationfollower.cpp
@@ -61,7 +61,7 @@
                                         .stream = std::string(Configuration::streamName),
                                         .from = m_reducer.next(),
                                         .wait = longPoll,
-                                        .rememberedIds = 0,
+                                        .recentIdCapacity = 0,
                                         .backoff = m_backoff});
     m_tailer->setRecordReceived([this](const PlatformClient::StoredRecord &stored) {
         const Configuration::LogRecord record{stored.offset, stored.id, stored.data};
--- a/src/libs/platformclient/logclient.cpp
+++ b/src/libs/platformclient/logclient.cpp
@@ -114,7 +114,7 @@
     Append &append = *m_appends[id];
     if (append.attempt.appendEnded(result) == AppendAttempt::Next::Done)
         return finish(id);
-    append.settleUntil = m_options.timers->clock().now() + m_options.settleTimeout;
+    append.settleUntil = m_options.timers->clock().now() + m_options.readBackTimeout;
     settle(id);
 }
 
--- a/src/libs/platformclient/logclient.h
+++ b/src/libs/platformclient/logclient.h
@@ -33,7 +33,7 @@
         Runtime::TimerQueue *timers = nullptr;
         Base::Duration appendTimeout = std::chrono::seconds(2);
         /// For reading back an append whose answer was lost.
-        Base::Duration settleTimeout = std::chrono::seconds(2);
+        Base::Duration readBackTimeout = std::chrono::seconds(2);
         /// For the answer to a read, on top of the time that it may wait for news.
         Base::Duration readTimeout = std::chrono::seconds(1);
         Backoff::Options backoff;
--- a/src/libs/platformclient/tailer.cpp
+++ b/src/libs/platformclient/tailer.cpp
@@ -14,7 +14,7 @@
 Tailer::Tailer(const Options &options)
     : m_options(options)
     , m_backoff(options.backoff)
-    , m_ids(options.rememberedIds)
+    , m_ids(options.recentIdCapacity)
     , m_position(options.from)
 {
     m_health.since = options.timers->clock().now();
--- a/src/libs/platformclient/tailer.h
+++ b/src/libs/platformclient/tailer.h
@@ -31,7 +31,7 @@
         Base::LogOffset from;
         std::size_t pageRecords = 500;
         Base::Duration wait = std::chrono::seconds(2); ///< Of one long poll.
-        std::size_t rememberedIds = 8192; ///< Within which a repeated id is found out.
+        std::size_t recentIdCapacity = 8192; ///< Within which a repeated id is found out.
         Backoff::Options backoff;
     };
 
--- a/tests/auto/operations/fakefleet.h
+++ b/tests/auto/operations/fakefleet.h
@@ -27,7 +27,7 @@
         : m_client({.transport = m_platform.transport(),
                     .timers = &m_platform.timers,
                     .appendTimeout = std::chrono::seconds(1),
-                    .settleTimeout = std::chrono::seconds(1),
+                    .readBackTimeout = std::chrono::seconds(1),
                     .readTimeout = std::chrono::seconds(1)})
     { }
 
