--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -330,7 +330,7 @@
 void RequestRun::refuse(ErrorKind kind, Ran ran, std::optional<Base::Duration> retryAfter)
 {
     m_gateway.countRefusal(kind);
-    if (m_gateway.m_options.log->wants()) {
+    if (m_gateway.m_options.log->shouldLogRequest()) {
         m_gateway.m_options.log->request(
             part, "Refused.",
             {{"request", m_request.id.value()},
@@ -407,7 +407,7 @@
     m_isEnded = true;
     const Base::MonoTime now = m_timers.clock().now();
     m_gateway.m_options.metrics->requestTime.observe(Base::toSeconds(now - m_arrivedAt));
-    if (m_gateway.m_options.log->wants())
+    if (m_gateway.m_options.log->shouldLogRequest())
         logEnd(outcome, status, now);
     cancelAttempt();
     leaveQueue();
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -178,7 +178,7 @@
     if (isQuarantined()) // Checked again: it may have waited or been retried since its arrival.
         return;
     const CacheSource source = cacheSource(placement);
-    if (m_gateway.m_options.log->wants())
+    if (m_gateway.m_options.log->shouldLogRequest())
         logSend(placement, source);
     send(placement.endpoint, source);
 }
@@ -264,7 +264,7 @@
 void RequestRun::queueWaitFailed()
 {
     m_queueTicket.reset();
-    if (m_gateway.m_options.log->wants()) {
+    if (m_gateway.m_options.log->shouldLogRequest()) {
         m_gateway.m_options.log->request(
             part, "No endpoint has a free slot.",
             {{"request", m_request.id.value()},
--- a/src/libs/logging/decisionlog.cpp
+++ b/src/libs/logging/decisionlog.cpp
@@ -74,7 +74,7 @@
     , m_toldAt(m_filledAt)
 { }
 
-bool DecisionLog::wants()
+bool DecisionLog::shouldLogRequest()
 {
     fill();
     if (m_tokens >= 1)
@@ -86,7 +86,7 @@
 
 void DecisionLog::request(std::string_view part, std::string_view sentence, Fields fields)
 {
-    if (!wants())
+    if (!shouldLogRequest())
         return;
     m_tokens -= 1;
     m_options.output->write(line(part, sentence, fields, std::exchange(m_leftOutBefore, 0)));
--- a/src/libs/logging/decisionlog.h
+++ b/src/libs/logging/decisionlog.h
@@ -71,7 +71,7 @@
 
     /// Whether a line about a request would be written now; if not, it counts as left out. For
     /// those that come for each request, before their values are worked out.
-    bool wants();
+    bool shouldLogRequest();
     /// A line about one request. Left out where there are too many; the next one then says how many
     /// were left out before it.
     void request(std::string_view part, std::string_view sentence, Fields fields);
--- a/tests/auto/logging/tst_decisionlog.cpp
+++ b/tests/auto/logging/tst_decisionlog.cpp
@@ -95,13 +95,13 @@
 {
     Fixture f;
     for (int i = 0; i < 8; ++i) {
-        if (f.log.wants())
+        if (f.log.shouldLogRequest())
             f.log.request("gateway", "Sending.", {{"request", i}});
     }
     BOOST_TEST(f.lines().size() == 5U);
     f.now += std::chrono::milliseconds(100);
-    BOOST_TEST(f.log.wants());
-    BOOST_TEST(f.log.wants()); // Asking takes nothing.
+    BOOST_TEST(f.log.shouldLogRequest());
+    BOOST_TEST(f.log.shouldLogRequest()); // Asking takes nothing.
     f.log.request("gateway", "Sending.", {});
     f.now += std::chrono::seconds(1);
     f.log.request("gateway", "Ended.", {});
