--- a/src/libs/runtime/clock.cpp
+++ b/src/libs/runtime/clock.cpp
@@ -8,7 +8,7 @@
 
 Base::MonoTime SystemClock::now() const
 {
-    // Counts on while the VM is suspended, so that no lease outlives a suspension.
+    // CLOCK_BOOTTIME includes the time that the VM is suspended, so that leases expire meanwhile.
     timespec time{};
     clock_gettime(CLOCK_BOOTTIME, &time);
     return Base::MonoTime(std::chrono::seconds(time.tv_sec)
--- a/src/libs/runtime/clock.h
+++ b/src/libs/runtime/clock.h
@@ -4,17 +4,18 @@
 
 namespace Lagoonbank::Runtime {
 
-/// Source of time for everything that waits. Decisions take it or a time, never the system's clock.
+/// Source of time for timers and decisions, which never read the system clock directly, so that
+/// tests can control the time.
 class Clock
 {
 public:
     virtual ~Clock() = default;
     virtual Base::MonoTime now() const = 0;
-    /// For time lines and people; may jump.
+    /// For logs and other output for people; may jump.
     virtual Base::WallTime wallNow() const = 0;
 };
 
-/// The machine's clocks.
+/// The clocks of the operating system.
 class SystemClock final : public Clock
 {
 public:
@@ -22,14 +23,14 @@
     Base::WallTime wallNow() const override;
 };
 
-/// Stands still until it is advanced; for tests.
+/// Only moves when it is advanced; for tests.
 class ManualClock final : public Clock
 {
 public:
     Base::MonoTime now() const override { return m_now; }
     Base::WallTime wallNow() const override { return m_wall; }
     void advance(Base::Duration duration);
-    /// Makes the wall clock jump; the monotonic clock stays.
+    /// Sets the wall clock only; the monotonic clock is not changed.
     void setWall(Base::WallTime wall) { m_wall = wall; }
 
 private:
--- a/src/libs/runtime/filewatch.cpp
+++ b/src/libs/runtime/filewatch.cpp
@@ -8,7 +8,7 @@
 
 FileWatch::FileWatch(Options options)
     : m_options(std::move(options))
-    , m_mark(look())
+    , m_status(readStatus())
 {
     m_timer = m_options.timers->start(m_options.interval, [this] { check(); });
 }
@@ -18,26 +18,26 @@
     m_options.timers->cancel(m_timer);
 }
 
-FileWatch::Mark FileWatch::look() const
+FileWatch::FileStatus FileWatch::readStatus() const
 {
-    struct stat state
+    struct stat status
     { };
-    if (stat(m_options.path.c_str(), &state) != 0)
+    if (stat(m_options.path.c_str(), &status) != 0)
         return {};
-    return {.inode = state.st_ino,
-            .size = state.st_size,
-            .modifiedAt = std::chrono::seconds(state.st_mtim.tv_sec)
-                + std::chrono::nanoseconds(state.st_mtim.tv_nsec)};
+    return {.inode = status.st_ino,
+            .size = status.st_size,
+            .modificationTime = std::chrono::seconds(status.st_mtim.tv_sec)
+                + std::chrono::nanoseconds(status.st_mtim.tv_nsec)};
 }
 
 void FileWatch::check()
 {
     m_timer = m_options.timers->start(m_options.interval, [this] { check(); });
-    const Mark mark = look();
-    // A file that is missing is being replaced.
-    if (mark == m_mark || mark == Mark())
+    const FileStatus status = readStatus();
+    // A missing file is about to be replaced.
+    if (status == m_status || status == FileStatus())
         return;
-    m_mark = mark;
+    m_status = status;
     m_options.changed();
 }
 
--- a/src/libs/runtime/filewatch.h
+++ b/src/libs/runtime/filewatch.h
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Runtime {
 
-/// Looks at a file again and again and tells when it was written or replaced.
+/// Polls a file and reports when it was written or replaced.
 class FileWatch
 {
 public:
@@ -27,20 +27,20 @@
     FileWatch &operator=(const FileWatch &) = delete;
 
 private:
-    /// What tells one state of a file from another.
-    struct Mark
+    /// Attributes by which a change of the file is detected.
+    struct FileStatus
     {
         std::uint64_t inode = 0;
         std::int64_t size = -1;
-        Base::Duration modifiedAt{};
-        bool operator==(const Mark &) const = default;
+        Base::Duration modificationTime{};
+        bool operator==(const FileStatus &) const = default;
     };
 
-    Mark look() const;
+    FileStatus readStatus() const;
     void check();
 
     Options m_options;
-    Mark m_mark;
+    FileStatus m_status;
     TimerId m_timer;
 };
 
--- a/src/libs/runtime/loop.cpp
+++ b/src/libs/runtime/loop.cpp
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr Base::Duration longestWait = std::chrono::minutes(1);
-/// Less than any jump that matters and more than two readings of clocks differ by.
+/// Smaller than any jump with an effect, larger than the error of reading two clocks in a row.
 constexpr Base::Duration wallJumpTolerance = std::chrono::milliseconds(20);
-/// Turns at the end for sockets that are still closing.
-constexpr int closingTurns = 32;
+/// Iterations of the destructor that let sockets finish closing.
+constexpr int closingIterations = 32;
 
 struct Watch
 {
@@ -49,45 +49,45 @@
 class Loop::Private
 {
 public:
-    explicit Private(const Clock *givenClock)
-        : clock(givenClock ? *givenClock : systemClock)
+    explicit Private(const Clock *customClock)
+        : clock(customClock ? *customClock : systemClock)
         , timers(clock)
         , lag({.clock = &clock, .pollWait = [this] { return currentPollWait(); }})
         , native(h2o_evloop_create())
         , lastWallOffset(wallOffset())
     {
-        h2o_timeout_init(native, &ownTimeout, 0);
-        ownEntry.entry.cb = [](h2o_timeout_entry_t *entry) {
-            H2O_STRUCT_FROM_MEMBER(OwnEntry, entry, entry)->loop->runOwn();
+        h2o_timeout_init(native, &callbackTimeouts, 0);
+        callbackTimeout.entry.cb = [](h2o_timeout_entry_t *entry) {
+            H2O_STRUCT_FROM_MEMBER(CallbackTimeout, entry, entry)->loop->runCallbacks();
         };
-        ownEntry.loop = this;
+        callbackTimeout.loop = this;
     }
 
-    /// An entry of the event loop's timeouts that runs this loop's own callbacks.
-    struct OwnEntry
+    /// A timeout of the native event loop that runs posted callbacks and timers.
+    struct CallbackTimeout
     {
         h2o_timeout_entry_t entry{};
         Private *loop = nullptr;
     };
 
-    void followWallClock();
+    void compensateWallClockJump();
     void poll(std::int32_t maxWaitMs);
     Base::Duration currentPollWait() const;
     void readSignals();
     void runPosted();
-    void runOwn();
-    void runOwnWithin();
+    void runCallbacks();
+    void runCallbacksInPoll();
 
     SystemClock systemClock;
     const Clock &clock;
     TimerQueue timers;
     LoopLag lag;
     h2o_evloop_t *native;
-    h2o_timeout_t ownTimeout{};
-    OwnEntry ownEntry;
+    h2o_timeout_t callbackTimeouts{};
+    CallbackTimeout callbackTimeout;
     Base::Duration lastWallOffset;
-    Base::MonoTime lookedAt; ///< When the last poll of a turn began.
-    std::chrono::steady_clock::time_point pollBeganAt; ///< Real time, also with a ManualClock.
+    Base::MonoTime lastPollTime; ///< Start of the last poll of an iteration.
+    std::chrono::steady_clock::time_point pollStart; ///< System time even with a ManualClock.
     bool stopped = false;
     std::vector<std::function<void()>> posted;
     absl::flat_hash_map<int, std::shared_ptr<Watch>> watches;
@@ -96,9 +96,9 @@
     int signalFd = -1;
 };
 
-/// The event loop's own short timeouts run on the wall clock. When it jumps they are moved along,
-/// so that none fires early or is held up.
-void Loop::Private::followWallClock()
+/// The short timeouts of h2o's event loop use the wall clock. When that clock jumps, they are
+/// shifted by as much, so that none fires early or late.
+void Loop::Private::compensateWallClockJump()
 {
     const Base::Duration offset = wallOffset();
     const Base::Duration jump = offset - lastWallOffset;
@@ -118,12 +118,12 @@
     }
 }
 
-/// One poll of the sockets with their callbacks. How long it waited is known from the event loop's
-/// own measure of the callbacks: the last of its slots, if it has used one.
+/// Polls the sockets once and runs their callbacks. The wait is the total time without the time of
+/// the callbacks, which h2o measures: it fills one slot of its counter per poll that had events.
 void Loop::Private::poll(std::int32_t maxWaitMs)
 {
     lag.beginPoll(maxWaitMs > 0);
-    pollBeganAt = std::chrono::steady_clock::now();
+    pollStart = std::chrono::steady_clock::now();
     const h2o_sliding_counter_t &counter = native->exec_time_counter;
     const std::size_t slot = counter.prev.index;
     h2o_evloop_run(native, maxWaitMs);
@@ -131,14 +131,15 @@
         lag.endPoll({});
         return;
     }
-    const Base::Duration took = std::chrono::steady_clock::now() - pollBeganAt;
+    const Base::Duration took = std::chrono::steady_clock::now() - pollStart;
     const bool hadEvents = counter.prev.index != slot;
-    const Base::Duration callbacks =
+    const Base::Duration callbackTime =
         std::chrono::milliseconds(hadEvents ? counter.prev.slots[slot] : 0);
-    lag.endPoll(std::max(took - callbacks, Base::Duration::zero()));
+    lag.endPoll(std::max(took - callbackTime, Base::Duration::zero()));
 }
 
-/// From the begin of the poll under way to its return, after which the event loop reads the time.
+/// Time from the start of the current poll until its wait ended, when h2o's event loop updated its
+/// own time.
 Base::Duration Loop::Private::currentPollWait() const
 {
     timeval wall{};
@@ -147,7 +148,7 @@
         std::chrono::seconds(wall.tv_sec) + std::chrono::microseconds(wall.tv_usec);
     const Base::Duration sinceReturn =
         sinceEpoch - std::chrono::milliseconds(static_cast<std::int64_t>(native->_now));
-    const Base::Duration took = std::chrono::steady_clock::now() - pollBeganAt;
+    const Base::Duration took = std::chrono::steady_clock::now() - pollStart;
     return std::clamp(took - sinceReturn, Base::Duration::zero(), took);
 }
 
@@ -171,31 +172,32 @@
         callback();
 }
 
-void Loop::Private::runOwn()
+void Loop::Private::runCallbacks()
 {
     runPosted();
-    // What came before a timer was due has been read by then: a callback of the poll that takes
-    // long, such as reading a large configuration (0.1 to 0.4 s on a small VM), does not make the
-    // answers that wait behind it look silent. Up to the 256 sockets of one poll, that is.
-    timers.runDue(lookedAt);
+    // Only runs timers that were due when the last poll began, so that data which arrived before a
+    // timer was due is read first. A slow callback, such as reading a large configuration (0.1 to
+    // 0.4 s on a small VM), then causes no timeouts for answers that are waiting to be read. This
+    // holds for the 256 sockets of one poll.
+    timers.runDue(lastPollTime);
 }
 
-/// Runs posted callbacks and due timers from a callback of the event loop, which ends with what
-/// they wrote being told. Written from outside of it, a socket would still count as writing at the
-/// next wait; when its event then does not fit among the 256 of one wait, the library aborts.
-void Loop::Private::runOwnWithin()
+/// Runs posted callbacks and due timers from a callback of h2o's event loop, which reports
+/// completed writes before it returns. A socket written to from outside would still count as
+/// writing at the next wait, and h2o aborts if its event is not among the 256 events of that wait.
+void Loop::Private::runCallbacksInPoll()
 {
     const std::optional<Base::MonoTime> due = timers.nextDue();
-    lookedAt = clock.now();
-    if (posted.empty() && (!due || *due > lookedAt))
+    lastPollTime = clock.now();
+    if (posted.empty() && (!due || *due > lastPollTime))
         return;
-    h2o_timeout_link(native, &ownTimeout, &ownEntry.entry);
+    h2o_timeout_link(native, &callbackTimeouts, &callbackTimeout.entry);
     poll(0);
-    if (!h2o_timeout_is_linked(&ownEntry.entry))
+    if (!h2o_timeout_is_linked(&callbackTimeout.entry))
         return;
-    // The wall clock, by which the event loop counts, went back just now.
-    h2o_timeout_unlink(&ownEntry.entry);
-    runOwn();
+    // The timeout did not fire because the wall clock, which h2o uses, was just set back.
+    h2o_timeout_unlink(&callbackTimeout.entry);
+    runCallbacks();
 }
 
 Loop::Loop()
@@ -217,12 +219,12 @@
     }
     while (!d->watches.empty())
         unwatch(d->watches.begin()->first);
-    for (int turn = 0; turn < closingTurns; ++turn) {
+    for (int i = 0; i < closingIterations; ++i) {
         d->runPosted();
         h2o_evloop_run(d->native, 0);
     }
-    h2o_timeout_dispose(d->native, &d->ownTimeout);
-    // The event loop must not be destroyed under timeouts that something still owns.
+    h2o_timeout_dispose(d->native, &d->callbackTimeouts);
+    // The native loop must outlive timeouts that others still own.
     if (h2o_linklist_is_empty(&d->native->_timeouts))
         h2o_evloop_destroy(d->native);
 }
@@ -261,9 +263,9 @@
         wait = Base::Duration::zero();
     if (const auto due = d->timers.nextDue())
         wait = std::min(wait, *due - d->clock.now());
-    d->followWallClock();
+    d->compensateWallClockJump();
     d->poll(waitMilliseconds(wait));
-    d->runOwnWithin();
+    d->runCallbacksInPoll();
     d->lag.endIteration();
 }
 
@@ -307,7 +309,7 @@
     h2o_socket_t *socket = found->second->socket;
     d->watches.erase(found);
     h2o_socket_read_stop(socket);
-    // Exporting frees the socket and leaves the descriptor open.
+    // Exporting frees the socket but keeps the descriptor open.
     h2o_socket_export_t exported{};
     if (h2o_socket_export(socket, &exported) == 0)
         h2o_buffer_dispose(&exported.input);
--- a/src/libs/runtime/loop.h
+++ b/src/libs/runtime/loop.h
@@ -12,14 +12,15 @@
 
 namespace Lagoonbank::Runtime {
 
-/// The one loop of a process, on one thread: sockets (h2o's event loop), timers and signals.
+/// The event loop of a process, on one thread: sockets (through h2o's event loop), timers and
+/// signals.
 class Loop
 {
 public:
     struct Options
     {
-        /// Clock of the timers; the machine's if null. With a ManualClock timers fire only when it
-        /// is advanced.
+        /// Clock of the timers; the system clock if null. With a ManualClock timers only fire when
+        /// it is advanced.
         const Clock *clock = nullptr;
     };
 
@@ -31,24 +32,24 @@
 
     const Clock &clock() const;
     TimerQueue &timers();
-    /// How far behind its work this loop is.
     LoopLag &lag();
 
     /// Runs until stop().
     void run();
     void stop();
-    /// One turn: waits for sockets at most \a maxWait, less if a timer is due, then runs the timers
-    /// that were due when it looked at the sockets last.
+    /// Runs one iteration: waits for sockets, for \a maxWait at most or until a timer is due, then
+    /// runs the timers that were due when the sockets were last polled.
     void runOnce(Base::Duration maxWait);
-    /// Calls \a callback in a later turn of the loop.
+    /// Calls \a callback from the loop after the current callback has returned.
     void post(std::function<void()> callback);
-    /// Calls \a callback on the loop when the process gets \a signal (SIGTERM, SIGINT, SIGHUP).
+    /// Calls \a callback on the loop when the process receives \a signal (SIGTERM, SIGINT, SIGHUP).
     void onSignal(int signal, std::function<void()> callback);
-    /// Calls \a callback whenever \a fd is readable, until unwatch. The loop owns neither.
+    /// Calls \a callback whenever \a fd is readable, until unwatch(). The caller keeps ownership of
+    /// \a fd.
     void watchReadable(int fd, std::function<void()> callback);
     void unwatch(int fd);
 
-    /// For the libraries runtime and http alone.
+    /// h2o's event loop; only for the libraries runtime and http.
     st_h2o_evloop_t *native();
 
 private:
--- a/src/libs/runtime/timerqueue.cpp
+++ b/src/libs/runtime/timerqueue.cpp
@@ -22,7 +22,7 @@
 void TimerQueue::cancel(TimerId timer)
 {
     m_callbacks.erase(timer);
-    // Calls cancel nearly all their timers long before they are due.
+    // Most timers are cancelled long before they are due: HTTP calls cancel nearly all of theirs.
     if (m_entries.size() > minEntriesToSweep && m_entries.size() > 4 * m_callbacks.size())
         sweepCancelled();
 }
@@ -37,15 +37,15 @@
 
 std::size_t TimerQueue::runDue(Base::MonoTime until)
 {
-    // Timers started from a callback wait for the next call, so that a zero delay cannot spin here.
+    // Timers started by a callback run in the next call, so that a zero delay cannot loop forever.
     const TimerId last{m_lastId};
     std::size_t count = 0;
-    std::vector<Entry> later;
+    std::vector<Entry> startedMeanwhile;
     while (!m_entries.empty() && m_entries.top().due <= until) {
         const Entry entry = m_entries.top();
         m_entries.pop();
         if (entry.id > last) {
-            later.push_back(entry);
+            startedMeanwhile.push_back(entry);
             continue;
         }
         auto found = m_callbacks.find(entry.id);
@@ -56,7 +56,7 @@
         callback();
         ++count;
     }
-    for (const Entry &entry : later)
+    for (const Entry &entry : startedMeanwhile)
         m_entries.push(entry);
     return count;
 }
--- a/src/libs/runtime/timerqueue.h
+++ b/src/libs/runtime/timerqueue.h
@@ -31,16 +31,16 @@
 
     const Clock &clock() const { return m_clock; }
 
-    /// Calls \a callback once, \a delay from now or later, from runDue().
+    /// Calls \a callback once from runDue(), after \a delay at the earliest.
     TimerId start(Base::Duration delay, Callback callback);
-    /// Does nothing for a timer that has fired or was cancelled.
+    /// Does nothing if the timer has already fired or was cancelled.
     void cancel(TimerId timer);
     std::optional<Base::MonoTime> nextDue();
-    /// Runs every timer due now, in order of due time, then of start; returns how many ran.
+    /// Runs all timers due now, ordered by due time and then by start; returns their number.
     std::size_t runDue() { return runDue(m_clock.now()); }
-    /// The same for what was due at \a until, which is not after now.
+    /// Runs all timers that were due at \a until, which must not be in the future.
     std::size_t runDue(Base::MonoTime until);
-    /// Timers that will still fire.
+    /// Number of timers that will still fire.
     std::size_t pending() const { return m_callbacks.size(); }
 
 private:
--- a/src/libs/runtime/udpsocket.cpp
+++ b/src/libs/runtime/udpsocket.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr std::size_t maxDatagram = 65536;
-/// Datagrams read in one turn, so that a flood does not starve the rest of the loop.
-constexpr int maxReadsPerTurn = 64;
+constexpr std::size_t maxDatagramBytes = 65536;
+/// Datagrams read per loop iteration, so that a flood does not starve other sockets and timers.
+constexpr int maxReadsPerIteration = 64;
 
 bool toNative(const SocketAddress &address, sockaddr_in &native)
 {
@@ -36,7 +36,7 @@
     return {text.data(), ntohs(native.sin_port)};
 }
 
-Errors::Error cannotBind(const SocketAddress &address, std::string_view step)
+Errors::Error bindError(const SocketAddress &address, std::string_view step)
 {
     return Errors::makeError(Errors::ErrorKind::BadSettings,
                              "cannot " + std::string(step) + " UDP " + toString(address) + ": "
@@ -83,11 +83,11 @@
     }
     const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0)
-        return cannotBind(options.address, "open");
+        return bindError(options.address, "open");
     socklen_t length = sizeof native;
     if (::bind(fd, reinterpret_cast<sockaddr *>(&native), length) != 0
         || getsockname(fd, reinterpret_cast<sockaddr *>(&native), &length) != 0) {
-        const Errors::Error error = cannotBind(options.address, "bind");
+        const Errors::Error error = bindError(options.address, "bind");
         close(fd);
         return error;
     }
@@ -120,10 +120,10 @@
 
 void UdpSocket::readAll()
 {
-    static thread_local std::array<char, maxDatagram> buffer;
+    static thread_local std::array<char, maxDatagramBytes> buffer;
     // The callback may destroy this socket.
     const std::weak_ptr<bool> alive = m_alive;
-    for (int i = 0; i < maxReadsPerTurn && !alive.expired(); ++i) {
+    for (int i = 0; i < maxReadsPerIteration && !alive.expired(); ++i) {
         sockaddr_in native{};
         socklen_t length = sizeof native;
         const ssize_t size = recvfrom(m_fd, buffer.data(), buffer.size(), MSG_DONTWAIT,
--- a/src/libs/runtime/udpsocket.h
+++ b/src/libs/runtime/udpsocket.h
@@ -21,18 +21,18 @@
     auto operator<=>(const SocketAddress &) const = default;
 };
 
-/// Reads "ip:port"; the error names what is wrong.
+/// Parses "ip:port"; the error says what is wrong.
 Errors::Result<SocketAddress> parseSocketAddress(std::string_view text);
 std::string toString(const SocketAddress &address);
 
-/// A UDP socket on the loop.
+/// A UDP socket that is read by an event loop.
 class UdpSocket
 {
 public:
     struct Options
     {
         Loop *loop = nullptr;
-        SocketAddress address; ///< Port 0 takes a free one.
+        SocketAddress address; ///< Port 0 chooses a free one.
     };
     using Received = std::function<void(const SocketAddress &from, std::string_view datagram)>;
 
@@ -43,7 +43,7 @@
 
     const SocketAddress &address() const { return m_address; }
     void setReceived(Received received) { m_received = std::move(received); }
-    /// Sends at once or drops; datagrams may be lost anyway.
+    /// Sends at once without blocking; returns false if the datagram was dropped.
     bool send(const SocketAddress &to, std::string_view datagram);
 
 private:
--- a/tests/auto/runtime/tst_filewatch.cpp
+++ b/tests/auto/runtime/tst_filewatch.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aFileThatWasWrittenOrReplacedIsToldOfOnce)
+BOOST_AUTO_TEST_CASE(reportsWrittenAndReplacedFilesOnce)
 {
     Fixture f;
     const Runtime::FileWatch watch(
@@ -53,9 +53,9 @@
     f.pass(std::chrono::seconds(1));
     f.pass(std::chrono::seconds(1));
     BOOST_TEST(f.changes == 1);
-    const fs::path next = f.path.string() + ".new";
-    Fixture::write(next, "longer");
-    fs::rename(next, f.path);
+    const fs::path replacement = f.path.string() + ".new";
+    Fixture::write(replacement, "longer");
+    fs::rename(replacement, f.path);
     f.pass(std::chrono::seconds(1));
     BOOST_TEST(f.changes == 2);
     fs::remove(f.path);
--- a/tests/auto/runtime/tst_gracefulstop.cpp
+++ b/tests/auto/runtime/tst_gracefulstop.cpp
@@ -13,7 +13,7 @@
 
 struct Fixture
 {
-    void advance(Base::Duration duration)
+    void pass(Base::Duration duration)
     {
         constexpr Base::Duration step = std::chrono::milliseconds(10);
         for (auto left = duration; left > left.zero(); left -= step) {
@@ -42,9 +42,9 @@
     Fixture f;
     f.isIdle = true;
     f.stop.begin();
-    f.advance(std::chrono::milliseconds(2900));
+    f.pass(std::chrono::milliseconds(2900));
     BOOST_TEST(f.steps == "announce ");
-    f.advance(std::chrono::milliseconds(200));
+    f.pass(std::chrono::milliseconds(200));
     BOOST_TEST(f.steps == "announce close stopped");
 }
 
@@ -52,10 +52,10 @@
 {
     Fixture f;
     f.stop.begin();
-    f.advance(std::chrono::seconds(5));
+    f.pass(std::chrono::seconds(5));
     BOOST_TEST(f.steps == "announce close ");
     f.isIdle = true;
-    f.advance(std::chrono::milliseconds(100));
+    f.pass(std::chrono::milliseconds(100));
     BOOST_TEST(f.steps == "announce close stopped");
 }
 
@@ -64,8 +64,8 @@
     Fixture f;
     f.stop.begin();
     f.stop.begin();
-    f.advance(std::chrono::milliseconds(6950));
+    f.pass(std::chrono::milliseconds(6950));
     BOOST_TEST(f.steps == "announce close ");
-    f.advance(std::chrono::milliseconds(100));
+    f.pass(std::chrono::milliseconds(100));
     BOOST_TEST(f.steps == "announce close stopped");
 }
--- a/tests/auto/runtime/tst_loop.cpp
+++ b/tests/auto/runtime/tst_loop.cpp
@@ -23,7 +23,7 @@
 {
     bool runUntil(const std::function<bool()> &condition)
     {
-        for (int turn = 0; turn < 1000 && !condition(); ++turn)
+        for (int i = 0; i < 1000 && !condition(); ++i)
             loop.runOnce(std::chrono::milliseconds(5));
         return condition();
     }
@@ -40,8 +40,8 @@
         close(ends[0]);
         close(ends[1]);
     }
-    void put() const { BOOST_REQUIRE_EQUAL(write(ends[1], "x", 1), 1); }
-    void take() const
+    void writeByte() const { BOOST_REQUIRE_EQUAL(write(ends[1], "x", 1), 1); }
+    void readByte() const
     {
         char byte = 0;
         BOOST_REQUIRE_EQUAL(read(ends[0], &byte, 1), 1);
@@ -51,7 +51,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(timersFireOnTheLoopsClockInOrder, Fixture)
+BOOST_FIXTURE_TEST_CASE(firesTimersInOrderByLoopClock, Fixture)
 {
     std::vector<int> fired;
     loop.timers().start(std::chrono::seconds(2), [&] { fired.push_back(2); });
@@ -69,7 +69,7 @@
     BOOST_TEST(fired == (std::vector<int>{1, 2}), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(manyCancelledTimersLeaveTheOthersInPlace, Fixture)
+BOOST_FIXTURE_TEST_CASE(cancellingManyTimersKeepsTheOthers, Fixture)
 {
     int fired = 0;
     for (int i = 0; i < 1000; ++i) {
@@ -86,7 +86,7 @@
     BOOST_TEST(!loop.timers().nextDue());
 }
 
-BOOST_FIXTURE_TEST_CASE(postedCallbacksDoNotWaitForSockets, Fixture)
+BOOST_FIXTURE_TEST_CASE(runsPostedCallbacksWithoutWaiting, Fixture)
 {
     std::vector<std::string> calls;
     loop.post([&] {
@@ -105,44 +105,45 @@
     BOOST_TEST(calls.size() == 3U);
 }
 
-/// Each row is a stall of the loop, in a callback of the poll that goes before the timers.
-BOOST_FIXTURE_TEST_CASE(whatCameBeforeATimerWasDueIsReadFirst, Fixture)
+/// Data that arrives while a callback stalls the loop must be read before the timers run, for
+/// several lengths of the stall.
+BOOST_FIXTURE_TEST_CASE(readsDataBeforeTimersThatBecameDueLater, Fixture)
 {
     for (const int stallMs : {50, 200, 600, 2000}) {
         BOOST_TEST_CONTEXT("stall of " << stallMs << " ms")
         {
             const Pipe configuration;
             const Pipe endpoint;
-            int silences = 0;
-            const Base::Duration silence = std::chrono::milliseconds(stallMs - 10);
-            const TimerId silent = loop.timers().start(silence, [&] { ++silences; });
+            int timeouts = 0;
+            const Base::Duration timeout = std::chrono::milliseconds(stallMs - 10);
+            const TimerId timeoutTimer = loop.timers().start(timeout, [&] { ++timeouts; });
             loop.watchReadable(endpoint.ends[0], [&] {
-                endpoint.take();
-                loop.timers().cancel(silent);
+                endpoint.readByte();
+                loop.timers().cancel(timeoutTimer);
             });
             int polls = 0;
             loop.watchReadable(configuration.ends[0], [&] {
                 if (++polls < 2)
-                    return; // Stays readable for the second poll of this turn.
-                configuration.take();
-                endpoint.put();
+                    return; // Stays readable for the second poll of this iteration.
+                configuration.readByte();
+                endpoint.writeByte();
                 clock.advance(std::chrono::milliseconds(stallMs));
             });
-            configuration.put();
+            configuration.writeByte();
             loop.post([] {});
             loop.runOnce(longWait);
             BOOST_TEST(polls == 2);
-            BOOST_TEST(silences == 0);
+            BOOST_TEST(timeouts == 0);
             loop.runOnce(longWait);
             loop.runOnce(Base::Duration::zero());
-            BOOST_TEST(silences == 0);
+            BOOST_TEST(timeouts == 0);
             loop.unwatch(endpoint.ends[0]);
             loop.unwatch(configuration.ends[0]);
         }
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(timersThatBecomeDueInAStallFireInTheNextTurn, Fixture)
+BOOST_FIXTURE_TEST_CASE(timersDueDuringAStallFireInTheNextIteration, Fixture)
 {
     const Pipe pipe;
     std::vector<std::string> calls;
@@ -151,11 +152,11 @@
     loop.watchReadable(pipe.ends[0], [&] {
         if (++polls < 2)
             return;
-        pipe.take();
+        pipe.readByte();
         clock.advance(std::chrono::milliseconds(300));
         calls.emplace_back("stall");
     });
-    pipe.put();
+    pipe.writeByte();
     loop.post([&] { calls.emplace_back("posted"); });
     loop.runOnce(longWait);
     BOOST_TEST(calls == (std::vector<std::string>{"stall", "posted"}),
@@ -166,17 +167,17 @@
     loop.unwatch(pipe.ends[0]);
 }
 
-BOOST_AUTO_TEST_CASE(runEndsAtStop)
+BOOST_AUTO_TEST_CASE(runReturnsAfterStop)
 {
     Loop loop;
-    int turns = 0;
-    loop.timers().start(std::chrono::milliseconds(1), [&] { ++turns; });
+    int fired = 0;
+    loop.timers().start(std::chrono::milliseconds(1), [&] { ++fired; });
     loop.timers().start(std::chrono::milliseconds(2), [&] { loop.stop(); });
     loop.run();
-    BOOST_TEST(turns == 1);
+    BOOST_TEST(fired == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(signalsComeThroughTheLoop, Fixture)
+BOOST_FIXTURE_TEST_CASE(deliversSignalsThroughLoop, Fixture)
 {
     std::vector<int> caught;
     loop.onSignal(SIGTERM, [&] { caught.push_back(SIGTERM); });
@@ -186,30 +187,30 @@
     BOOST_TEST(runUntil([&] { return caught.size() == 2; }));
 }
 
-BOOST_FIXTURE_TEST_CASE(watchedDescriptorsStayOpenAndMayBeUnwatchedFromTheirCallback, Fixture)
+BOOST_FIXTURE_TEST_CASE(unwatchInCallbackKeepsDescriptorOpen, Fixture)
 {
     const Pipe pipe;
     int calls = 0;
     loop.watchReadable(pipe.ends[0], [&] {
         ++calls;
-        pipe.take();
+        pipe.readByte();
         if (calls == 2)
             loop.unwatch(pipe.ends[0]);
     });
     loop.runOnce(std::chrono::milliseconds(1));
     BOOST_TEST(calls == 0);
     for (int i = 1; i <= 2; ++i) {
-        pipe.put();
+        pipe.writeByte();
         BOOST_TEST(runUntil([&] { return calls == i; }));
     }
-    pipe.put();
+    pipe.writeByte();
     for (int i = 0; i < 3; ++i)
         loop.runOnce(std::chrono::milliseconds(1));
     BOOST_TEST(calls == 2);
-    pipe.take();
+    pipe.readByte();
 }
 
-BOOST_FIXTURE_TEST_CASE(datagramsGoBothWays, Fixture)
+BOOST_FIXTURE_TEST_CASE(exchangesDatagrams, Fixture)
 {
     auto first = UdpSocket::bind({.loop = &loop, .address = {"127.0.0.1", 0}});
     auto second = UdpSocket::bind({.loop = &loop, .address = {"127.0.0.2", 0}});
@@ -232,18 +233,18 @@
     BOOST_TEST(answer == "hello!");
 }
 
-BOOST_FIXTURE_TEST_CASE(takenOrWrongAddressesAreNamed, Fixture)
+BOOST_FIXTURE_TEST_CASE(bindRejectsUsedAndInvalidAddresses, Fixture)
 {
     const auto first = UdpSocket::bind({.loop = &loop, .address = {"127.0.0.1", 0}});
     BOOST_REQUIRE(first);
-    const SocketAddress taken = first.value()->address();
-    const auto second = UdpSocket::bind({.loop = &loop, .address = taken});
+    const SocketAddress usedAddress = first.value()->address();
+    const auto second = UdpSocket::bind({.loop = &loop, .address = usedAddress});
     BOOST_REQUIRE(!second);
-    BOOST_TEST(second.error().detail.find(toString(taken)) != std::string::npos);
+    BOOST_TEST(second.error().detail.find(toString(usedAddress)) != std::string::npos);
     BOOST_TEST(!UdpSocket::bind({.loop = &loop, .address = {"localhost", 0}}));
 }
 
-BOOST_AUTO_TEST_CASE(addressesAreRead)
+BOOST_AUTO_TEST_CASE(parsesSocketAddresses)
 {
     const auto address = parseSocketAddress("127.0.0.9:8080");
     BOOST_REQUIRE(address);
@@ -258,57 +259,57 @@
 
 namespace {
 
-/// Reading a large message takes 0.2 s; meanwhile an answer comes, and its time limit passes.
+/// Reading a large message takes 0.2 s. Meanwhile an answer arrives and its time limit passes.
 struct StalledLoop : Fixture
 {
     StalledLoop()
     {
         loop.watchReadable(answer.ends[0], [this] {
-            answer.take();
-            order.emplace_back("answer");
+            answer.readByte();
+            events.emplace_back("answer");
         });
         loop.watchReadable(message.ends[0], [this] {
-            message.take();
-            answer.put();
+            message.readByte();
+            answer.writeByte();
             clock.advance(std::chrono::milliseconds(200));
         });
         loop.timers().start(std::chrono::milliseconds(120),
-                            [this] { order.emplace_back("limit"); });
+                            [this] { events.emplace_back("limit"); });
     }
     ~StalledLoop()
     {
         loop.unwatch(answer.ends[0]);
         loop.unwatch(message.ends[0]);
     }
-    bool isAnswerFirst()
+    bool isAnswerReadBeforeTimeout()
     {
-        runUntil([this] { return order.size() == 2; });
-        return order.front() == "answer";
+        runUntil([this] { return events.size() == 2; });
+        return events.front() == "answer";
     }
 
     Pipe answer;
     Pipe message;
-    std::vector<std::string> order;
+    std::vector<std::string> events;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(whatCameDuringALongCallbackIsReadBeforeTimersFire, StalledLoop)
+BOOST_FIXTURE_TEST_CASE(readsDataThatArrivedDuringSlowCallbackBeforeTimers, StalledLoop)
 {
-    message.put();
-    BOOST_TEST(isAnswerFirst());
+    message.writeByte();
+    BOOST_TEST(isAnswerReadBeforeTimeout());
 }
 
-/// The same where the message comes just after the wait of a turn, before its timers.
-BOOST_FIXTURE_TEST_CASE(whatCameDuringALateLongCallbackIsReadBeforeTimersFire, StalledLoop)
+/// The same if the message arrives after the wait of an iteration but before its timers.
+BOOST_FIXTURE_TEST_CASE(readsDataThatArrivedDuringLateSlowCallbackBeforeTimers, StalledLoop)
 {
     Pipe other;
     loop.watchReadable(other.ends[0], [&] {
-        other.take();
-        message.put();
+        other.readByte();
+        message.writeByte();
         loop.post([] {});
     });
-    other.put();
-    BOOST_TEST(isAnswerFirst());
+    other.writeByte();
+    BOOST_TEST(isAnswerReadBeforeTimeout());
     loop.unwatch(other.ends[0]);
 }
