--- a/src/libs/platformclient/appendattempt.cpp
+++ b/src/libs/platformclient/appendattempt.cpp
@@ -12,7 +12,7 @@
 constexpr int statusTooManyRequests = 429;
 constexpr int statusUnavailable = 503;
 
-/// The log's word that it appended nothing.
+/// Whether the status means that the log appended nothing.
 bool isRefusal(int status)
 {
     return (status >= 400 && status < 500) || status == statusUnavailable;
@@ -34,16 +34,16 @@
     if (!result.mayHaveLeft && result.status == 0)
         return refuse();
     if (result.end != Http::CallEnd::Whole)
-        return Next::Settle;
+        return Next::ReadBack;
     if (isRefusal(result.status)) {
-        m_wasLimited = result.status == statusTooManyRequests;
+        m_wasRateLimited = result.status == statusTooManyRequests;
         return refuse();
     }
     if (result.status != statusOk)
-        return Next::Settle;
+        return Next::ReadBack;
     const auto offsets = parseAppendAnswer(result.body, m_ids.size());
     if (!offsets)
-        return Next::Settle;
+        return Next::ReadBack;
     return accept(offsets.value());
 }
 
@@ -61,7 +61,7 @@
     const bool all = std::all_of(m_outcomes.begin(), m_outcomes.end(), [](const auto &outcome) {
         return outcome.state == AppendState::Appended;
     });
-    return all ? Next::Done : Next::Settle;
+    return all ? Next::Done : Next::ReadBack;
 }
 
 AppendAttempt::Next AppendAttempt::refuse()
--- a/src/libs/platformclient/backoff.h
+++ b/src/libs/platformclient/backoff.h
@@ -7,8 +7,8 @@
 
 namespace Lagoonbank::PlatformClient {
 
-/// Delays between tries: doubled after each failure up to a limit, with the upper half random so
-/// that many processes do not try in step.
+/// Exponential backoff between retries. The upper half of each delay is random, so that processes
+/// do not retry at the same time.
 class Backoff
 {
 public:
@@ -16,19 +16,19 @@
     {
         Base::Duration initial = std::chrono::milliseconds(50);
         Base::Duration max = std::chrono::seconds(2);
-        std::uint64_t seed = 1; ///< Different in each process.
+        std::uint64_t seed = 1; ///< Must differ between processes.
     };
 
     explicit Backoff(const Options &options);
 
-    /// The delay before the next try after one more failure.
+    /// Returns the delay before the next retry and doubles the maximum for the one after it.
     Base::Duration next();
-    /// After a success.
-    void reset() { m_ceiling = m_options.initial; }
+    /// Starts again with the initial delay; call after a success.
+    void reset() { m_maxDelay = m_options.initial; }
 
 private:
     Options m_options;
-    Base::Duration m_ceiling;
+    Base::Duration m_maxDelay;
     std::minstd_rand m_random;
 };
 
--- a/src/libs/platformclient/batchappender.cpp
+++ b/src/libs/platformclient/batchappender.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// How fast the interval shrinks again with each batch that the log takes.
+/// Factor by which the interval shrinks with each batch that is not refused.
 constexpr double intervalDecay = 0.9;
 
 std::size_t sizeOf(const Record &record)
@@ -20,7 +20,7 @@
 
 BatchAppender::BatchAppender(const Options &options)
     : m_options(options)
-    , m_outage(options.backoff)
+    , m_backoff(options.backoff)
     , m_interval(options.interval)
 { }
 
@@ -33,14 +33,15 @@
 bool BatchAppender::add(Record record, Appended appended)
 {
     const std::size_t size = sizeOf(record);
-    if (m_queue.size() >= m_options.queuedRecords || m_queuedBytes + size > m_options.queuedBytes)
+    if (m_queue.size() >= m_options.maxQueuedRecords
+        || m_queuedBytes + size > m_options.maxQueuedBytes)
         return false;
     m_queuedBytes += size;
     m_queue.push_back({.record = std::move(record),
                        .deadline = m_options.timers->clock().now() + m_options.deadline,
                        .appended = std::move(appended)});
     if (m_queue.size() == 1)
-        watchDeadline();
+        restartDeadlineTimer();
     schedule(untilNextBatch());
     return true;
 }
@@ -58,17 +59,17 @@
 
 Base::Duration BatchAppender::untilNextBatch() const
 {
-    return std::max(m_nextBatch - m_options.timers->clock().now(), Base::Duration::zero());
+    return std::max(m_nextBatchTime - m_options.timers->clock().now(), Base::Duration::zero());
 }
 
 void BatchAppender::sendBatch()
 {
-    expire();
-    // A hook of an expired record may have added one and so scheduled a batch of its own.
+    expireRecords();
+    // The callback of an expired record may have added a record and so have scheduled a batch.
     if (m_queue.empty() || m_isSending)
         return;
     m_isSending = true;
-    m_nextBatch = m_options.timers->clock().now() + m_interval;
+    m_nextBatchTime = m_options.timers->clock().now() + m_interval;
     std::vector<Entry> batch = takeBatch();
     std::vector<Record> records;
     records.reserve(batch.size());
@@ -86,28 +87,28 @@
 {
     std::vector<Entry> batch;
     std::size_t bytes = 0;
-    while (!m_queue.empty() && batch.size() < m_options.batchRecords) {
+    while (!m_queue.empty() && batch.size() < m_options.maxBatchRecords) {
         const std::size_t size = sizeOf(m_queue.front().record);
-        if (!batch.empty() && bytes + size > m_options.batchBytes)
+        if (!batch.empty() && bytes + size > m_options.maxBatchBytes)
             break;
         bytes += size;
         batch.push_back(std::move(m_queue.front()));
         m_queue.pop_front();
     }
     m_queuedBytes -= bytes;
-    watchDeadline();
+    restartDeadlineTimer();
     return batch;
 }
 
 void BatchAppender::batchEnded(std::vector<Entry> batch, const AppendResult &result)
 {
     m_isSending = false;
-    // All records of an append are refused or none is.
+    // The log refuses either all records of an append or none.
     const bool refused = result.outcomes.front().state == AppendState::NotAppended;
     adjustInterval(result, refused);
     if (refused) {
-        putBack(std::move(batch));
-        expire();
+        requeue(std::move(batch));
+        expireRecords();
         return schedule(untilNextBatch());
     }
     schedule(untilNextBatch());
@@ -115,31 +116,31 @@
         batch[i].appended(result.outcomes[i]);
 }
 
-void BatchAppender::putBack(std::vector<Entry> entries)
+void BatchAppender::requeue(std::vector<Entry> entries)
 {
     for (const Entry &entry : entries)
         m_queuedBytes += sizeOf(entry.record);
     m_queue.insert(m_queue.begin(), std::make_move_iterator(entries.begin()),
                    std::make_move_iterator(entries.end()));
-    watchDeadline();
+    restartDeadlineTimer();
 }
 
 void BatchAppender::adjustInterval(const AppendResult &result, bool refused)
 {
     const Base::MonoTime now = m_options.timers->clock().now();
     if (!refused) {
-        m_outage.reset();
+        m_backoff.reset();
         const auto shrunk = std::chrono::duration_cast<Base::Duration>(m_interval * intervalDecay);
         m_interval = std::max(shrunk, m_options.interval);
         return;
     }
-    const Base::Duration pause = m_outage.next();
-    if (result.wasLimited)
+    const Base::Duration delay = m_backoff.next();
+    if (result.wasRateLimited)
         m_interval = std::min(m_interval * 2, m_options.maxInterval);
-    m_nextBatch = std::max(m_nextBatch, now + std::max(pause, m_interval / 2));
+    m_nextBatchTime = std::max(m_nextBatchTime, now + std::max(delay, m_interval / 2));
 }
 
-void BatchAppender::expire()
+void BatchAppender::expireRecords()
 {
     const Base::MonoTime now = m_options.timers->clock().now();
     std::vector<Appended> expired;
@@ -148,18 +149,18 @@
         expired.push_back(std::move(m_queue.front().appended));
         m_queue.pop_front();
     }
-    watchDeadline();
+    restartDeadlineTimer();
     for (const Appended &appended : expired)
         appended({.state = AppendState::NotAppended});
 }
 
-void BatchAppender::watchDeadline()
+void BatchAppender::restartDeadlineTimer()
 {
     m_options.timers->cancel(m_deadlineTimer);
     if (m_queue.empty())
         return;
     const Base::Duration left = m_queue.front().deadline - m_options.timers->clock().now();
-    m_deadlineTimer = m_options.timers->start(left, [this] { expire(); });
+    m_deadlineTimer = m_options.timers->start(left, [this] { expireRecords(); });
 }
 
 } // namespace Lagoonbank::PlatformClient
--- a/src/libs/platformclient/batchappender.h
+++ b/src/libs/platformclient/batchappender.h
@@ -13,8 +13,8 @@
 
 namespace Lagoonbank::PlatformClient {
 
-/// Collects the records of one stream and appends them in batches, one batch at a time and in
-/// order. Slows down where the log says that its rate is spent.
+/// Queues the records of one stream and appends them in order, in batches, one at a time. Increases
+/// the interval between batches while the log refuses them because of its rate limit.
 class BatchAppender
 {
 public:
@@ -23,14 +23,16 @@
         LogClient *log = nullptr;
         Runtime::TimerQueue *timers = nullptr;
         std::string stream;
-        Base::Duration interval = std::chrono::milliseconds(20); ///< Between batches at least.
-        Base::Duration maxInterval = std::chrono::seconds(2); ///< While the rate is spent.
-        Base::Duration deadline = std::chrono::seconds(3); ///< For a record to be sent.
-        std::size_t batchRecords = 500;
-        std::size_t batchBytes = 256 * 1024;
-        std::size_t queuedRecords = 20'000;
-        std::size_t queuedBytes = 8 * 1024 * 1024;
-        Backoff::Options backoff; ///< While the log cannot be reached.
+        Base::Duration interval = std::chrono::milliseconds(20); ///< Shortest time between batches.
+        Base::Duration maxInterval =
+            std::chrono::seconds(2); ///< Longest time between batches when rate limited.
+        Base::Duration deadline =
+            std::chrono::seconds(3); ///< Longest time that a record waits to be appended.
+        std::size_t maxBatchRecords = 500;
+        std::size_t maxBatchBytes = 256 * 1024;
+        std::size_t maxQueuedRecords = 20'000;
+        std::size_t maxQueuedBytes = 8 * 1024 * 1024;
+        Backoff::Options backoff; ///< Delays while the log refuses batches or cannot be reached.
     };
     using Appended = std::function<void(AppendOutcome)>;
 
@@ -39,12 +41,13 @@
     BatchAppender(const BatchAppender &) = delete;
     BatchAppender &operator=(const BatchAppender &) = delete;
 
-    /// Queues \a record; false if the queue is full, and then \a appended is not called. Else it
-    /// is called once, later. NotAppended if the log took it not once before the deadline.
+    /// Queues \a record. Returns false, without calling \a appended, if the queue is full.
+    /// Otherwise \a appended is called once, later; with NotAppended if no attempt succeeded by the
+    /// deadline.
     bool add(Record record, Appended appended);
 
     std::size_t queued() const { return m_queue.size(); }
-    /// Between batches at present.
+    /// Current minimum time between batches.
     Base::Duration interval() const { return m_interval; }
 
 private:
@@ -59,23 +62,24 @@
     void sendBatch();
     std::vector<Entry> takeBatch();
     void batchEnded(std::vector<Entry> batch, const AppendResult &result);
-    void putBack(std::vector<Entry> entries);
+    void requeue(std::vector<Entry> entries);
     void adjustInterval(const AppendResult &result, bool refused);
-    void expire();
-    void watchDeadline();
+    void expireRecords();
+    void restartDeadlineTimer();
     Base::Duration untilNextBatch() const;
 
     Options m_options;
-    Backoff m_outage;
+    Backoff m_backoff;
     Base::Duration m_interval;
     std::deque<Entry> m_queue;
     std::size_t m_queuedBytes = 0;
     bool m_isSending = false;
     bool m_isScheduled = false;
-    Base::MonoTime m_nextBatch;
+    Base::MonoTime m_nextBatchTime;
     Runtime::TimerId m_batchTimer;
     Runtime::TimerId m_deadlineTimer;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For calls that outlive it.
+    std::shared_ptr<bool> m_alive =
+        std::make_shared<bool>(true); ///< For callbacks that may outlive the object.
 };
 
 } // namespace Lagoonbank::PlatformClient
--- a/src/libs/platformclient/logclient.cpp
+++ b/src/libs/platformclient/logclient.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr int statusOk = 200;
-constexpr std::size_t settlePageLimit = 500;
-constexpr Base::Duration settleWait = std::chrono::milliseconds(500);
-/// Between reads that found nothing, should the log not wait as it was asked to.
-constexpr Base::Duration emptyReadPause = std::chrono::milliseconds(10);
+constexpr std::size_t readBackPageLimit = 500;
+constexpr Base::Duration readBackWait = std::chrono::milliseconds(500);
+/// Delay after a read without records, in case the log ignores the requested wait.
+constexpr Base::Duration emptyReadDelay = std::chrono::milliseconds(10);
 
 Errors::Error readError(const Http::CallResult &result)
 {
@@ -33,7 +33,7 @@
     AppendAttempt attempt;
     Appended appended;
     Backoff backoff;
-    Base::MonoTime settleUntil;
+    Base::MonoTime readBackDeadline;
     Http::CallId call;
     ReadId read;
     Runtime::TimerId timer;
@@ -59,7 +59,7 @@
     const std::uint64_t id = ++m_lastId;
     m_appends.emplace(id,
                       new Append{.stream = stream,
-                                 .attempt = AppendAttempt(records, m_ends[stream]),
+                                 .attempt = AppendAttempt(records, m_streamEnds[stream]),
                                  .appended = std::move(appended),
                                  .backoff = Backoff(m_options.backoff)});
     auto body = appendBody(records);
@@ -114,37 +114,37 @@
     Append &append = *m_appends[id];
     if (append.attempt.appendEnded(result) == AppendAttempt::Next::Done)
         return finish(id);
-    append.settleUntil = m_options.timers->clock().now() + m_options.readBackTimeout;
-    settle(id);
+    append.readBackDeadline = m_options.timers->clock().now() + m_options.readBackTimeout;
+    readBack(id);
 }
 
-void LogClient::settle(std::uint64_t id)
+void LogClient::readBack(std::uint64_t id)
 {
     Append &append = *m_appends[id];
-    const Base::Duration left = append.settleUntil - m_options.timers->clock().now();
+    const Base::Duration left = append.readBackDeadline - m_options.timers->clock().now();
     if (left <= Base::Duration::zero())
         return finish(id);
     const ReadRequest request{.stream = append.stream,
                               .from = append.attempt.readFrom(),
-                              .limit = settlePageLimit,
-                              .wait = std::min(left, settleWait)};
-    append.read =
-        read(request, [this, id](const Errors::Result<ReadPage> &page) { settleRead(id, page); });
+                              .limit = readBackPageLimit,
+                              .wait = std::min(left, readBackWait)};
+    append.read = read(
+        request, [this, id](const Errors::Result<ReadPage> &page) { readBackEnded(id, page); });
 }
 
-void LogClient::settleRead(std::uint64_t id, const Errors::Result<ReadPage> &page)
+void LogClient::readBackEnded(std::uint64_t id, const Errors::Result<ReadPage> &page)
 {
     Append &append = *m_appends[id];
     if (!page)
-        return settleLater(id, append.backoff.next());
+        return readBackLater(id, append.backoff.next());
     if (append.attempt.pageRead(page.value()) == AppendAttempt::Next::Done)
         return finish(id);
-    settleLater(id, page.value().records.empty() ? emptyReadPause : Base::Duration::zero());
+    readBackLater(id, page.value().records.empty() ? emptyReadDelay : Base::Duration::zero());
 }
 
-void LogClient::settleLater(std::uint64_t id, Base::Duration delay)
+void LogClient::readBackLater(std::uint64_t id, Base::Duration delay)
 {
-    m_appends[id]->timer = m_options.timers->start(delay, [this, id] { settle(id); });
+    m_appends[id]->timer = m_options.timers->start(delay, [this, id] { readBack(id); });
 }
 
 void LogClient::finish(std::uint64_t id)
@@ -153,10 +153,10 @@
     const std::unique_ptr<Append> append = std::move(found->second);
     m_appends.erase(found);
     AppendResult result{.outcomes = append->attempt.outcomes(),
-                        .wasLimited = append->attempt.wasLimited()};
+                        .wasRateLimited = append->attempt.wasRateLimited()};
     for (const AppendOutcome &outcome : result.outcomes) {
         if (outcome.state == AppendState::Appended)
-            learnEnd(append->stream, outcome.offset + Base::LogOffset(1));
+            noteStreamEnd(append->stream, outcome.offset + Base::LogOffset(1));
     }
     append->appended(std::move(result));
 }
@@ -169,22 +169,22 @@
         return pageRead(readError(result));
     auto page = parseReadAnswer(result.body, request.from);
     if (page)
-        learnEnd(request.stream, page.value().next);
+        noteStreamEnd(request.stream, page.value().next);
     pageRead(std::move(page));
 }
 
-void LogClient::learnEnd(const std::string &stream, Base::LogOffset end)
+void LogClient::noteStreamEnd(const std::string &stream, Base::LogOffset end)
 {
-    Base::LogOffset &known = m_ends[stream];
+    Base::LogOffset &known = m_streamEnds[stream];
     known = std::max(known, end);
 }
 
 Http::CallId LogClient::start(Http::Call call, Transport::Finished finished)
 {
-    call.freshConnection = m_distrustsConnections;
+    call.freshConnection = m_needsFreshConnection;
     return m_options.transport.start(
         std::move(call), [this, finished = std::move(finished)](const Http::CallResult &result) {
-            m_distrustsConnections = result.end != Http::CallEnd::Whole;
+            m_needsFreshConnection = result.end != Http::CallEnd::Whole;
             finished(result);
         });
 }
--- a/src/libs/platformclient/logprotocol.cpp
+++ b/src/libs/platformclient/logprotocol.cpp
@@ -51,14 +51,14 @@
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("offsets") || !json["offsets"].is_array()
         || json["offsets"].size() != count)
-        return badAnswer("The log's answer to an append has not one offset for each record.");
+        return badAnswer("The log's answer to an append does not have one offset per record.");
     std::vector<Base::LogOffset> offsets;
     for (const Json &entry : json["offsets"]) {
         if (!entry.is_number_unsigned())
-            return badAnswer("An offset of the log is not a number.");
+            return badAnswer("An offset in the log's answer is not a number.");
         const Base::LogOffset offset{entry.get<std::uint64_t>()};
         if (!offsets.empty() && offset <= offsets.back())
-            return badAnswer("The offsets of an append do not go up.");
+            return badAnswer("The offsets of an append are not increasing.");
         offsets.push_back(offset);
     }
     return offsets;
@@ -72,15 +72,15 @@
         return badAnswer("The log's answer to a read lacks first, next or records.");
     ReadPage page{.first = offsetOf(json, "first"), .next = offsetOf(json, "next")};
     if (page.next < from)
-        return badAnswer("The log ends before the offset that was asked for.");
-    Base::LogOffset least = std::max(from, page.first);
+        return badAnswer("The log ends before the requested offset.");
+    Base::LogOffset minOffset = std::max(from, page.first);
     for (const Json &entry : json["records"]) {
         if (!isStoredRecord(entry))
             return badAnswer("A record of the log lacks offset, id or data.");
         const Base::LogOffset offset = offsetOf(entry, "offset");
-        if (offset < least || offset >= page.next)
+        if (offset < minOffset || offset >= page.next)
             return badAnswer("The records of a read are out of order.");
-        least = offset + Base::LogOffset(1);
+        minOffset = offset + Base::LogOffset(1);
         page.records.push_back(
             {offset, entry["id"].get<std::string>(), entry["data"].get<std::string>()});
     }
--- a/src/libs/platformclient/recentids.h
+++ b/src/libs/platformclient/recentids.h
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::PlatformClient {
 
-/// The ids of the last records of a stream, so that a record that was appended twice counts once.
+/// The ids of the most recent records of a stream, for detecting records that were appended twice.
 class RecentIds
 {
 public:
@@ -16,7 +16,7 @@
         : m_capacity(capacity)
     { }
 
-    /// False if \a id is among the last ones; remembers it otherwise.
+    /// Adds \a id; returns false if it is among the recent ids already.
     bool insert(const std::string &id);
 
 private:
--- a/src/libs/platformclient/record.h
+++ b/src/libs/platformclient/record.h
@@ -7,15 +7,15 @@
 
 namespace Lagoonbank::PlatformClient {
 
-/// A record to append. Its id is unique over all writers, so that a reader can tell a repeated
-/// append from a new one.
+/// A record to append. Its id is unique across all writers, so that readers can detect a repeated
+/// append of the same record.
 struct Record
 {
     std::string id;
-    std::string data; ///< UTF-8; binary content has to be encoded by its writer.
+    std::string data; ///< UTF-8; writers must encode binary content.
 };
 
-/// A record as the log keeps it.
+/// A record as stored in the log.
 struct StoredRecord
 {
     Base::LogOffset offset;
@@ -23,11 +23,11 @@
     std::string data;
 };
 
-/// What one read of a stream gave.
+/// Result of one read of a stream.
 struct ReadPage
 {
-    Base::LogOffset first; ///< Above the offset asked for if records were lost by retention.
-    Base::LogOffset next; ///< Where to read on.
+    Base::LogOffset first; ///< Above the requested offset if retention removed records.
+    Base::LogOffset next; ///< Offset for the next read.
     std::vector<StoredRecord> records;
 };
 
--- a/src/libs/platformclient/tailer.cpp
+++ b/src/libs/platformclient/tailer.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// After a poll without news, should the log not wait as it was asked to.
-constexpr Base::Duration emptyPollPause = std::chrono::milliseconds(5);
+/// Delay after a poll without records, in case the log ignores the requested wait.
+constexpr Base::Duration emptyPollDelay = std::chrono::milliseconds(5);
 
 } // namespace
 
@@ -25,24 +25,24 @@
     stop();
 }
 
-void Tailer::setRecordReceived(std::function<void(const StoredRecord &)> hook)
+void Tailer::setRecordReceived(std::function<void(const StoredRecord &)> callback)
 {
-    m_recordReceived = std::move(hook);
+    m_recordReceived = std::move(callback);
 }
 
-void Tailer::setGapFound(std::function<void(Base::LogOffset, Base::LogOffset)> hook)
+void Tailer::setGapFound(std::function<void(Base::LogOffset, Base::LogOffset)> callback)
 {
-    m_gapFound = std::move(hook);
+    m_gapFound = std::move(callback);
 }
 
-void Tailer::setHealthChanged(std::function<void(const LogHealth &)> hook)
+void Tailer::setHealthChanged(std::function<void(const LogHealth &)> callback)
 {
-    m_healthChanged = std::move(hook);
+    m_healthChanged = std::move(callback);
 }
 
-void Tailer::setCaughtUp(std::function<void()> hook)
+void Tailer::setCaughtUp(std::function<void()> callback)
 {
-    m_caughtUp = std::move(hook);
+    m_caughtUp = std::move(callback);
 }
 
 void Tailer::start()
@@ -62,9 +62,9 @@
 
 std::optional<Base::Duration> Tailer::lag() const
 {
-    if (!m_lastAtEnd)
+    if (!m_lastEndReached)
         return std::nullopt;
-    return m_options.timers->clock().now() - *m_lastAtEnd;
+    return m_options.timers->clock().now() - *m_lastEndReached;
 }
 
 void Tailer::poll()
@@ -86,7 +86,7 @@
 
 void Tailer::pageRead(const Errors::Result<ReadPage> &page)
 {
-    setUp(page.has_value());
+    updateHealth(page.has_value());
     if (!page)
         return pollLater(m_backoff.next());
     m_backoff.reset();
@@ -94,7 +94,7 @@
     if (!m_isRunning)
         return;
     updateCaughtUp(page.value().records.size() < m_options.pageRecords);
-    pollLater(page.value().records.empty() ? emptyPollPause : Base::Duration::zero());
+    pollLater(page.value().records.empty() ? emptyPollDelay : Base::Duration::zero());
 }
 
 void Tailer::deliver(const ReadPage &page)
@@ -113,7 +113,7 @@
         m_position = page.next;
 }
 
-void Tailer::setUp(bool isUp)
+void Tailer::updateHealth(bool isUp)
 {
     if (m_hasHealth && m_health.isUp == isUp)
         return;
@@ -126,7 +126,7 @@
 void Tailer::updateCaughtUp(bool isAtEnd)
 {
     if (isAtEnd)
-        m_lastAtEnd = m_options.timers->clock().now();
+        m_lastEndReached = m_options.timers->clock().now();
     const bool wasCaughtUp = std::exchange(m_isCaughtUp, isAtEnd);
     if (isAtEnd && !wasCaughtUp && m_caughtUp)
         m_caughtUp();
--- a/src/libs/platformclient/tailer.h
+++ b/src/libs/platformclient/tailer.h
@@ -11,15 +11,15 @@
 
 namespace Lagoonbank::PlatformClient {
 
-/// Whether the log answers, and since when it has been so.
+/// Whether the log answers, and when that last changed.
 struct LogHealth
 {
     bool isUp = false;
     Base::MonoTime since;
 };
 
-/// Follows one stream: gives each record once and in order, reconnects after failures and tells
-/// of records that were lost by retention.
+/// Follows one stream: delivers each record once and in order, reconnects after failures and
+/// reports records that were removed by retention before they were read.
 class Tailer
 {
 public:
@@ -30,8 +30,8 @@
         std::string stream;
         Base::LogOffset from;
         std::size_t pageRecords = 500;
-        Base::Duration wait = std::chrono::seconds(2); ///< Of one long poll.
-        std::size_t recentIdCapacity = 8192; ///< Within which a repeated id is found out.
+        Base::Duration wait = std::chrono::seconds(2); ///< Duration of a long poll.
+        std::size_t recentIdCapacity = 8192; ///< Window for detecting repeated ids.
         Backoff::Options backoff;
     };
 
@@ -40,13 +40,14 @@
     Tailer(const Tailer &) = delete;
     Tailer &operator=(const Tailer &) = delete;
 
-    // The hooks may call stop() but not destroy the tailer.
-    void setRecordReceived(std::function<void(const StoredRecord &)> hook);
-    /// Records from \a from to before \a first are gone.
-    void setGapFound(std::function<void(Base::LogOffset from, Base::LogOffset first)> hook);
-    void setHealthChanged(std::function<void(const LogHealth &)> hook);
-    /// The end of the stream was reached for the first time or after falling behind.
-    void setCaughtUp(std::function<void()> hook);
+    // The callbacks may call stop() but must not destroy the tailer.
+    void setRecordReceived(std::function<void(const StoredRecord &)> callback);
+    /// Called when the records from \a from up to, but not including, \a first are gone.
+    void setGapFound(std::function<void(Base::LogOffset from, Base::LogOffset first)> callback);
+    void setHealthChanged(std::function<void(const LogHealth &)> callback);
+    /// Called when the end of the stream is reached for the first time or again after falling
+    /// behind.
+    void setCaughtUp(std::function<void()> callback);
 
     void start();
     void stop();
@@ -54,7 +55,7 @@
     Base::LogOffset position() const { return m_position; }
     const LogHealth &health() const { return m_health; }
     bool isCaughtUp() const { return m_isCaughtUp; }
-    /// How old the last look at the end of the stream is; nothing before the first.
+    /// Time since a read last reached the end of the stream; nullopt before the first time.
     std::optional<Base::Duration> lag() const;
 
 private:
@@ -62,7 +63,7 @@
     void pollLater(Base::Duration delay);
     void pageRead(const Errors::Result<ReadPage> &page);
     void deliver(const ReadPage &page);
-    void setUp(bool isUp);
+    void updateHealth(bool isUp);
     void updateCaughtUp(bool isAtEnd);
 
     Options m_options;
@@ -73,7 +74,7 @@
     bool m_isRunning = false;
     bool m_isCaughtUp = false;
     bool m_hasHealth = false;
-    std::optional<Base::MonoTime> m_lastAtEnd;
+    std::optional<Base::MonoTime> m_lastEndReached;
     LogClient::ReadId m_read;
     Runtime::TimerId m_timer;
     std::function<void(const StoredRecord &)> m_recordReceived;
--- a/src/libs/platformclient/transport.cpp
+++ b/src/libs/platformclient/transport.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Request line's method-independent part, host and content-length as the client writes them.
+/// The request line without method and target, and the host and content-length headers.
 constexpr std::size_t requestOverhead = 70;
-/// Status line and the empty line.
+/// The status line and the empty line after the headers.
 constexpr std::size_t answerOverhead = 20;
-/// Colon, space and line end of a header.
+/// The colon, space and line end of a header.
 constexpr std::size_t headerOverhead = 4;
 
 std::size_t sizeOf(const Http::Headers &headers)
--- a/src/libs/platformclient/transport.h
+++ b/src/libs/platformclient/transport.h
@@ -8,14 +8,14 @@
 
 namespace Lagoonbank::PlatformClient {
 
-/// How the clients of this library reach the platform; tests put their own in.
+/// Sends the HTTP calls of this library to the platform; replaced in tests.
 struct Transport
 {
     using Finished = std::function<void(const Http::CallResult &)>;
 
-    /// Starts a call; Call::server is filled in here. Finished is never called from within.
+    /// Starts a call and sets its Call::server. Finished is never called before start() returns.
     std::function<Http::CallId(Http::Call, Finished)> start;
-    /// Drops a call; Finished is not called any more.
+    /// Cancels a call, whose Finished is then not called.
     std::function<void(Http::CallId)> cancel;
 };
 
@@ -26,17 +26,17 @@
     Base::VmId vm;
     Base::DataCentreId dataCentre;
     Base::Duration connectTimeout = std::chrono::milliseconds(500);
-    /// Told the size of each exchange, so that it counts as control traffic. Bytes below HTTP are
-    /// not in it.
+    /// Called with the size of each exchange for the accounting of control traffic; excludes the
+    /// overhead of the layers below HTTP.
     std::function<void(Base::Bytes sent, Base::Bytes received)> metered;
 };
 
-/// Reaches the platform over HTTP. The client has to outlive the transport's calls.
+/// Reaches the platform over HTTP. The client must outlive the calls.
 Transport httpTransport(const HttpTransportOptions &options);
 
-/// Size of \a call as HTTP/1.1.
+/// Approximate size of \a call in HTTP/1.1.
 Base::Bytes wireSize(const Http::Call &call);
-/// Size of \a result as HTTP/1.1.
+/// Approximate size of \a result in HTTP/1.1.
 Base::Bytes wireSize(const Http::CallResult &result);
 
 } // namespace Lagoonbank::PlatformClient
--- a/src/libs/platformclient/vmlistclient.cpp
+++ b/src/libs/platformclient/vmlistclient.cpp
@@ -55,10 +55,10 @@
         vms.push_back(readEntry(entry));
     }
     std::sort(vms.begin(), vms.end(), [](const auto &a, const auto &b) { return a.id < b.id; });
-    const auto twice = std::adjacent_find(
+    const auto duplicate = std::adjacent_find(
         vms.begin(), vms.end(), [](const auto &a, const auto &b) { return a.id == b.id; });
-    if (twice != vms.end())
-        return badList("The VM list names " + twice->id.value() + " twice.");
+    if (duplicate != vms.end())
+        return badList("The VM list contains " + duplicate->id.value() + " twice.");
     return vms;
 }
 
@@ -105,14 +105,15 @@
     call.progressTimeout = m_options.timeout;
     call.freshConnection = !m_isUp;
     call.maxBodyBytes = maxListBytes;
-    m_call = m_options.transport.start(std::move(call),
-                                       [this](const Http::CallResult &result) { ended(result); });
+    m_call = m_options.transport.start(
+        std::move(call), [this](const Http::CallResult &result) { callEnded(result); });
 }
 
-void VmListClient::ended(const Http::CallResult &result)
+void VmListClient::callEnded(const Http::CallResult &result)
 {
     const bool isAnswer = result.end == Http::CallEnd::Whole && result.status == statusOk;
-    auto list = isAnswer ? parseVmList(result.body) : badList("No VM list came.");
+    auto list =
+        isAnswer ? parseVmList(result.body) : badList("The platform did not send a VM list.");
     m_isUp = list.has_value();
     const Base::Duration delay =
         m_isUp ? m_options.interval : std::max(m_backoff.next(), m_options.interval / 2);
--- a/src/libs/platformclient/vmlistclient.h
+++ b/src/libs/platformclient/vmlistclient.h
@@ -16,7 +16,7 @@
 
 enum class VmState : std::uint8_t { Live, Leaving };
 
-/// One VM as the platform lists it; the list lags behind the truth.
+/// One VM of the platform's list, which may be out of date.
 struct VmEntry
 {
     Base::VmId id;
@@ -27,22 +27,22 @@
     bool operator==(const VmEntry &) const = default;
 };
 
-/// What differs between two lists.
+/// Differences between two lists.
 struct VmChanges
 {
     std::vector<VmEntry> added;
-    std::vector<VmEntry> changed; ///< The same id with another state, address or data centre.
+    std::vector<VmEntry> changed; ///< Same id, but another state, address or data centre.
     std::vector<VmEntry> removed;
 
     bool empty() const { return added.empty() && changed.empty() && removed.empty(); }
 };
 
-/// Reads the body of `GET /vms`; sorted by id. Malformed or with an id twice: an error.
+/// Parses the body of `GET /vms` and sorts the VMs by id. Duplicate ids are an error.
 Errors::Result<std::vector<VmEntry>> parseVmList(std::string_view body);
-/// Both lists have to be sorted by id.
+/// Both lists must be sorted by id.
 VmChanges compareVmLists(const std::vector<VmEntry> &before, const std::vector<VmEntry> &after);
 
-/// Polls the VM list and keeps the last one through outages.
+/// Polls the VM list and keeps the last one during outages.
 class VmListClient
 {
 public:
@@ -69,7 +69,7 @@
 
 private:
     void poll();
-    void ended(const Http::CallResult &result);
+    void callEnded(const Http::CallResult &result);
 
     Options m_options;
     Backoff m_backoff;
--- a/src/libs/platformclient/weightstoreclient.cpp
+++ b/src/libs/platformclient/weightstoreclient.cpp
@@ -26,7 +26,7 @@
            });
 }
 
-Errors::Result<Base::Bytes> weightBytes(const Http::Headers &headers)
+Errors::Result<Base::Bytes> parseWeightBytes(const Http::Headers &headers)
 {
     const auto bytes =
         Base::parseNumber<std::uint64_t>(headers.find("x-weight-bytes").value_or(""));
@@ -36,7 +36,7 @@
     return Base::Bytes(*bytes);
 }
 
-bool mayRetry(const Http::CallResult &result)
+bool isRetryable(const Http::CallResult &result)
 {
     return result.end != Http::CallEnd::Whole || result.status == statusTooManyRequests
         || result.status >= statusServerError;
@@ -67,7 +67,7 @@
                               Fetched fetched)
 {
     const bool isSafe = isSafeName(model.value()) && isSafeName(version);
-    if (!isSafe || m_queue.size() >= m_options.queued) {
+    if (!isSafe || m_queue.size() >= m_options.maxQueued) {
         const auto error = isSafe
             ? Errors::makeError(Errors::ErrorKind::QueueFull, "Too many fetches of weights wait.")
             : Errors::makeError(Errors::ErrorKind::BadRequest,
@@ -102,24 +102,24 @@
     call.target = m_queue.front().target;
     call.headTimeout = std::min(m_options.timeout, left);
     call.progressTimeout = call.headTimeout;
-    call.freshConnection = m_distrustsConnections;
-    m_call = m_options.transport.start(std::move(call),
-                                       [this](const Http::CallResult &result) { ended(result); });
+    call.freshConnection = m_needsFreshConnection;
+    m_call = m_options.transport.start(
+        std::move(call), [this](const Http::CallResult &result) { callEnded(result); });
 }
 
-void WeightStoreClient::ended(const Http::CallResult &result)
+void WeightStoreClient::callEnded(const Http::CallResult &result)
 {
-    m_distrustsConnections = result.end != Http::CallEnd::Whole;
-    if (mayRetry(result)) {
-        const Base::Duration least = retryAfter(result.headers).value_or(Base::Duration::zero());
-        return startLater(std::max(least, m_backoff.next()));
+    m_needsFreshConnection = result.end != Http::CallEnd::Whole;
+    if (isRetryable(result)) {
+        const Base::Duration minDelay = retryAfter(result.headers).value_or(Base::Duration::zero());
+        return startLater(std::max(minDelay, m_backoff.next()));
     }
     m_backoff.reset();
     if (result.status != statusOk)
         return finish(Errors::makeError(Errors::ErrorKind::NotFound,
                                         absl::StrCat("The weight store answered ", result.status,
                                                      " for ", m_queue.front().target, ".")));
-    finish(weightBytes(result.headers));
+    finish(parseWeightBytes(result.headers));
 }
 
 void WeightStoreClient::finish(Errors::Result<Base::Bytes> result)
--- a/src/libs/platformclient/weightstoreclient.h
+++ b/src/libs/platformclient/weightstoreclient.h
@@ -13,10 +13,11 @@
 
 namespace Lagoonbank::PlatformClient {
 
-/// The seconds that a Retry-After header asks for; nothing if it is not a whole number.
+/// The delay of a Retry-After header in seconds; nullopt if it is missing or not an integer. At
+/// most one hour.
 std::optional<Base::Duration> retryAfter(const Http::Headers &headers);
 
-/// Asks the weight store for weights, one call at a time and no sooner than it allows.
+/// Fetches model weights from the weight store, one call at a time, and honours its Retry-After.
 class WeightStoreClient
 {
 public:
@@ -24,10 +25,11 @@
     {
         Transport transport;
         Runtime::TimerQueue *timers = nullptr;
-        Base::Duration timeout = std::chrono::seconds(5); ///< Of one call.
-        Base::Duration deadline = std::chrono::seconds(60); ///< For a whole fetch, with retries.
-        std::size_t queued = 1000;
-        Backoff::Options backoff; ///< Where the store does not answer.
+        Base::Duration timeout = std::chrono::seconds(5); ///< Limit for one call.
+        Base::Duration deadline =
+            std::chrono::seconds(60); ///< Limit for one fetch including retries.
+        std::size_t maxQueued = 1000;
+        Backoff::Options backoff; ///< Between retries.
     };
     using Fetched = std::function<void(Errors::Result<Base::Bytes>)>;
 
@@ -36,8 +38,7 @@
     WeightStoreClient(const WeightStoreClient &) = delete;
     WeightStoreClient &operator=(const WeightStoreClient &) = delete;
 
-    /// Gives the size of the weights once the store has given them out. \a fetched is called
-    /// once, later.
+    /// Fetches the weights. \a fetched is called once, later, with their size or an error.
     void fetch(const Base::ModelId &model, const std::string &version, Fetched fetched);
 
 private:
@@ -50,15 +51,15 @@
 
     void startLater(Base::Duration delay);
     void startNext();
-    void ended(const Http::CallResult &result);
+    void callEnded(const Http::CallResult &result);
     void finish(Errors::Result<Base::Bytes> result);
     Base::MonoTime now() const { return m_options.timers->clock().now(); }
 
     Options m_options;
     Backoff m_backoff;
-    std::deque<Fetch> m_queue; ///< The first one is being fetched.
+    std::deque<Fetch> m_queue; ///< The first fetch is running.
     bool m_isBusy = false;
-    bool m_distrustsConnections = false;
+    bool m_needsFreshConnection = false;
     Http::CallId m_call;
     Runtime::TimerId m_timer;
 };
--- a/tests/auto/operations/fakefleet.h
+++ b/tests/auto/operations/fakefleet.h
@@ -133,7 +133,7 @@
         if (behaviour == AppendBehaviour::Answered)
             m_platform.answer(200, Json{{"offsets", offsets}}.dump());
         else
-            m_platform.lose();
+            m_platform.loseAnswer();
     }
     void answerRead(const std::string &target)
     {
--- a/tests/auto/platformclient/fakeplatform.h
+++ b/tests/auto/platformclient/fakeplatform.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-/// Takes calls in place of the platform and answers them when a test says so.
+/// Receives calls in place of the platform; tests decide when and how they are answered.
 class FakePlatform
 {
 public:
@@ -33,7 +33,7 @@
                     }};
     }
 
-    /// Moves the clock on in small steps, so that timers started by timers run too.
+    /// Advances the clock in small steps, so that timers started by other timers run too.
     void advance(Lagoonbank::Base::Duration duration)
     {
         constexpr Lagoonbank::Base::Duration step = std::chrono::milliseconds(1);
@@ -46,7 +46,7 @@
         timers.runDue();
     }
 
-    /// Ends the oldest call; returns what was asked.
+    /// Finishes the oldest call and returns it.
     Lagoonbank::Http::Call finish(const Lagoonbank::Http::CallResult &result)
     {
         Pending pending = std::move(calls.front());
@@ -59,8 +59,9 @@
     {
         return finish({.mayHaveLeft = true, .status = status, .headers = headers, .body = body});
     }
-    /// The answer is lost: the connection breaks or stays silent past the deadline.
-    Lagoonbank::Http::Call lose(Lagoonbank::Http::CallEnd end = Lagoonbank::Http::CallEnd::TimedOut)
+    /// Loses the answer: the connection breaks, or stays silent until the timeout.
+    Lagoonbank::Http::Call
+    loseAnswer(Lagoonbank::Http::CallEnd end = Lagoonbank::Http::CallEnd::TimedOut)
     {
         return finish({.end = end, .mayHaveLeft = true});
     }
--- a/tests/auto/platformclient/tst_appendattempt.cpp
+++ b/tests/auto/platformclient/tst_appendattempt.cpp
@@ -11,21 +11,21 @@
 
 const std::vector<PlatformClient::Record> twoRecords{{"a", "1"}, {"b", "2"}};
 
-struct EndCase
+struct AppendCase
 {
     const char *name;
     Http::CallResult result;
     AppendAttempt::Next next;
     AppendState state;
-    bool wasLimited = false;
+    bool wasRateLimited = false;
 };
 
-const EndCase endCases[] = {
+const AppendCase appendCases[] = {
     {"appended",
      {.mayHaveLeft = true, .status = 200, .body = R"({"offsets":[5,6],"more":1})"},
      AppendAttempt::Next::Done,
      AppendState::Appended},
-    {"over the rate",
+    {"rate limited",
      {.mayHaveLeft = true, .status = 429},
      AppendAttempt::Next::Done,
      AppendState::NotAppended,
@@ -38,57 +38,57 @@
      {.end = Http::CallEnd::NotConnected},
      AppendAttempt::Next::Done,
      AppendState::NotAppended},
-    {"timed out before a byte left",
+    {"timed out before sending",
      {.end = Http::CallEnd::TimedOut},
      AppendAttempt::Next::Done,
      AppendState::NotAppended},
     {"silent",
      {.end = Http::CallEnd::TimedOut, .mayHaveLeft = true},
-     AppendAttempt::Next::Settle,
+     AppendAttempt::Next::ReadBack,
      AppendState::Unknown},
     {"broken",
      {.end = Http::CallEnd::Broken, .mayHaveLeft = true},
-     AppendAttempt::Next::Settle,
+     AppendAttempt::Next::ReadBack,
      AppendState::Unknown},
     {"broken after a refusal's head",
      {.end = Http::CallEnd::Broken, .mayHaveLeft = true, .status = 503},
-     AppendAttempt::Next::Settle,
+     AppendAttempt::Next::ReadBack,
      AppendState::Unknown},
     {"server error",
      {.mayHaveLeft = true, .status = 500},
-     AppendAttempt::Next::Settle,
+     AppendAttempt::Next::ReadBack,
      AppendState::Unknown},
     {"malformed answer",
      {.mayHaveLeft = true, .status = 200, .body = "{\"offsets\":[5"},
-     AppendAttempt::Next::Settle,
+     AppendAttempt::Next::ReadBack,
      AppendState::Unknown},
     {"too few offsets",
      {.mayHaveLeft = true, .status = 200, .body = R"({"offsets":[5]})"},
-     AppendAttempt::Next::Settle,
+     AppendAttempt::Next::ReadBack,
      AppendState::Unknown},
-    {"offsets that go down",
+    {"decreasing offsets",
      {.mayHaveLeft = true, .status = 200, .body = R"({"offsets":[5,4]})"},
-     AppendAttempt::Next::Settle,
+     AppendAttempt::Next::ReadBack,
      AppendState::Unknown},
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(tellsARefusalFromALostAnswer)
+BOOST_AUTO_TEST_CASE(distinguishesRefusalFromLostAnswer)
 {
-    for (const EndCase &row : endCases) {
+    for (const AppendCase &row : appendCases) {
         BOOST_TEST_CONTEXT(row.name)
         {
             AppendAttempt attempt(twoRecords, Base::LogOffset(3));
             BOOST_TEST((attempt.appendEnded(row.result) == row.next));
             for (const auto &outcome : attempt.outcomes())
                 BOOST_TEST((outcome.state == row.state));
-            BOOST_TEST(attempt.wasLimited() == row.wasLimited);
+            BOOST_TEST(attempt.wasRateLimited() == row.wasRateLimited);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(findsItsRecordsOverPagesAndTakesTheFirstCopy)
+BOOST_AUTO_TEST_CASE(findsFirstCopyOfRecordsAcrossPages)
 {
     AppendAttempt attempt(twoRecords, Base::LogOffset(3));
     attempt.appendEnded({.end = Http::CallEnd::Broken, .mayHaveLeft = true});
@@ -96,7 +96,7 @@
         Base::LogOffset(3),
         Base::LogOffset(5),
         {{Base::LogOffset(3), "x", ""}, {Base::LogOffset(4), "a", ""}}};
-    BOOST_TEST((attempt.pageRead(first) == AppendAttempt::Next::Settle));
+    BOOST_TEST((attempt.pageRead(first) == AppendAttempt::Next::ReadBack));
     BOOST_TEST(attempt.readFrom() == Base::LogOffset(5));
     const PlatformClient::ReadPage second{
         Base::LogOffset(5),
--- a/tests/auto/platformclient/tst_batchappender.cpp
+++ b/tests/auto/platformclient/tst_batchappender.cpp
@@ -21,8 +21,8 @@
     BatchAppender::Options options{.log = &log,
                                    .timers = &platform.timers,
                                    .stream = "claims",
-                                   .batchRecords = 2,
-                                   .queuedRecords = 4};
+                                   .maxBatchRecords = 2,
+                                   .maxQueuedRecords = 4};
     BatchAppender appender{options};
     std::map<std::string, AppendOutcome> outcomes;
 
@@ -35,7 +35,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(appendsInOrderInOneBatchAnInterval, Fixture)
+BOOST_FIXTURE_TEST_CASE(appendsOneBatchPerIntervalInOrder, Fixture)
 {
     for (const char *id : {"a", "b", "c"})
         BOOST_TEST(add(id));
@@ -52,7 +52,7 @@
     BOOST_TEST(outcomes["c"].offset == Base::LogOffset(9));
 }
 
-BOOST_FIXTURE_TEST_CASE(slowsDownWhileTheRateIsSpentAndLosesNothing, Fixture)
+BOOST_FIXTURE_TEST_CASE(slowsDownWhileRateLimitedWithoutLoss, Fixture)
 {
     add("a");
     Base::Duration before = appender.interval();
@@ -70,7 +70,7 @@
     BOOST_TEST(appender.interval().count() < before.count());
 }
 
-BOOST_FIXTURE_TEST_CASE(anOutagePastTheDeadlineIsNotAppended, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsNotAppendedWhenOutageOutlastsDeadline, Fixture)
 {
     add("a");
     for (int i = 0; i < 100 && outcomes.empty(); ++i) {
@@ -84,11 +84,11 @@
     BOOST_TEST(platform.calls.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(aBatchWhoseAnswerIsLostIsSentOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(sendsBatchOnceIfAnswerIsLost, Fixture)
 {
     add("a");
     platform.advance(1ms);
-    platform.lose();
+    platform.loseAnswer();
     add("b");
     platform.advance(50ms);
     BOOST_REQUIRE(platform.calls.size() == 1);
@@ -101,7 +101,7 @@
     BOOST_TEST(outcomes["b"].offset == Base::LogOffset(1));
 }
 
-BOOST_FIXTURE_TEST_CASE(aFullQueueRefuses, Fixture)
+BOOST_FIXTURE_TEST_CASE(fullQueueRejectsRecords, Fixture)
 {
     for (const char *id : {"a", "b", "c", "d"})
         BOOST_TEST(add(id));
--- a/tests/auto/platformclient/tst_logclient.cpp
+++ b/tests/auto/platformclient/tst_logclient.cpp
@@ -28,12 +28,12 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(settlesALostAnswerByReadingFromTheKnownEnd, Fixture)
+BOOST_FIXTURE_TEST_CASE(resolvesLostAnswerByReadingFromKnownEnd, Fixture)
 {
     append("first");
     BOOST_TEST(platform.answer(200, R"({"offsets":[2]})").target == "/log/claims/append");
     append("second");
-    platform.lose();
+    platform.loseAnswer();
     BOOST_REQUIRE(platform.calls.size() == 1);
     BOOST_TEST(platform.calls.front().call.target == "/log/claims?from=3&limit=500&wait_ms=500");
     BOOST_TEST(platform.calls.front().call.freshConnection);
@@ -44,10 +44,10 @@
     BOOST_TEST(results[1].outcomes[0].offset == Base::LogOffset(3));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRecordThatShowsLateIsFoundWithinTheDeadline, Fixture)
+BOOST_FIXTURE_TEST_CASE(findsLateRecordWithinTimeout, Fixture)
 {
     append("late");
-    platform.lose(Http::CallEnd::Broken);
+    platform.loseAnswer(Http::CallEnd::Broken);
     platform.answer(503, "");
     platform.advance(100ms);
     platform.answer(200, emptyPage);
@@ -57,10 +57,10 @@
     BOOST_TEST((results[0].outcomes[0].state == AppendState::Appended));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRecordThatNeverShowsIsUnknownAndNotAppendedAgain, Fixture)
+BOOST_FIXTURE_TEST_CASE(missingRecordIsUnknownAndNotAppendedAgain, Fixture)
 {
     append("gone");
-    platform.lose();
+    platform.loseAnswer();
     for (int i = 0; i < 1000 && results.empty(); ++i) {
         platform.advance(20ms);
         while (!platform.calls.empty())
@@ -70,7 +70,7 @@
     BOOST_TEST((results[0].outcomes[0].state == AppendState::Unknown));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRecordThatIsNotUtf8IsNotSent, Fixture)
+BOOST_FIXTURE_TEST_CASE(doesNotSendRecordThatIsNotUtf8, Fixture)
 {
     append("\xff");
     BOOST_TEST(platform.calls.empty());
@@ -79,7 +79,7 @@
     BOOST_TEST((results[0].outcomes[0].state == AppendState::NotAppended));
 }
 
-BOOST_AUTO_TEST_CASE(refusesMalformedPages)
+BOOST_AUTO_TEST_CASE(rejectsMalformedPages)
 {
     const char *const bodies[] = {
         "",
--- a/tests/auto/platformclient/tst_tailer.cpp
+++ b/tests/auto/platformclient/tst_tailer.cpp
@@ -19,14 +19,14 @@
                                    .stream = "configuration",
                                    .from = LogOffset(5),
                                    .pageRecords = 2}};
-    std::string seen;
+    std::string received;
     std::vector<std::pair<LogOffset, LogOffset>> gaps;
     std::vector<bool> health;
     int caughtUp = 0;
 
     Fixture()
     {
-        tailer.setRecordReceived([this](const auto &record) { seen += record.data; });
+        tailer.setRecordReceived([this](const auto &record) { received += record.data; });
         tailer.setGapFound(
             [this](LogOffset from, LogOffset first) { gaps.emplace_back(from, first); });
         tailer.setHealthChanged([this](const auto &now) { health.push_back(now.isUp); });
@@ -37,7 +37,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(deliversInOrderThenWaitsAtTheEnd, Fixture)
+BOOST_FIXTURE_TEST_CASE(deliversInOrderAndWaitsAtEnd, Fixture)
 {
     platform.answer(200, R"({"first":5,"next":7,"records":[{"offset":5,"id":"a","data":"1"},
                              {"offset":6,"id":"b","data":"2"}]})");
@@ -48,7 +48,7 @@
         platform.answer(200, R"({"first":7,"next":8,"records":[{"offset":7,"id":"c","data":"3"}]})")
             .target
         == "/log/configuration?from=7&limit=2&wait_ms=0");
-    BOOST_TEST(seen == "123");
+    BOOST_TEST(received == "123");
     BOOST_TEST(caughtUp == 1);
     platform.advance(10ms);
     BOOST_REQUIRE(platform.calls.size() == 1);
@@ -58,11 +58,11 @@
     BOOST_TEST((*tailer.lag() == 10ms));
 }
 
-BOOST_FIXTURE_TEST_CASE(tellsAGapAndReadsOnBehindIt, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsGapAndContinuesAfterIt, Fixture)
 {
     platform.answer(200, R"({"first":9,"next":10,"records":[{"offset":9,"id":"a","data":"9"}]})");
     BOOST_TEST((gaps == std::vector{std::pair(LogOffset(5), LogOffset(9))}));
-    BOOST_TEST(seen == "9");
+    BOOST_TEST(received == "9");
     BOOST_TEST(tailer.position() == LogOffset(10));
     platform.advance(10ms);
     platform.answer(200, R"({"first":20,"next":20,"records":[]})");
@@ -70,54 +70,54 @@
     BOOST_TEST(tailer.position() == LogOffset(20));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRecordAppendedTwiceIsReadOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(deliversRecordAppendedTwiceOnce, Fixture)
 {
     platform.answer(200, R"({"first":5,"next":7,"records":[{"offset":5,"id":"a","data":"1"},
                              {"offset":6,"id":"a","data":"1"}]})");
     platform.advance(10ms);
     platform.answer(200, R"({"first":7,"next":9,"records":[{"offset":7,"id":"b","data":"2"},
                              {"offset":8,"id":"a","data":"1"}]})");
-    BOOST_TEST(seen == "12");
+    BOOST_TEST(received == "12");
     BOOST_TEST(tailer.position() == LogOffset(9));
 }
 
-BOOST_FIXTURE_TEST_CASE(triesAgainOnAFreshConnectionAndTellsHealth, Fixture)
+BOOST_FIXTURE_TEST_CASE(retriesOnFreshConnectionAndReportsHealth, Fixture)
 {
     platform.answer(200, R"({"first":5,"next":5,"records":[]})");
     platform.advance(10ms);
     for (int failures = 0; failures < 4; ++failures) {
         BOOST_REQUIRE(platform.calls.size() == 1);
-        failures % 2 == 0 ? platform.lose() : platform.answer(503, "");
+        failures % 2 == 0 ? platform.loseAnswer() : platform.answer(503, "");
         BOOST_TEST(platform.calls.empty());
         platform.advance(2s);
     }
     BOOST_TEST(!tailer.health().isUp);
-    platform.lose();
+    platform.loseAnswer();
     platform.advance(2s);
     BOOST_TEST(platform.calls.front().call.freshConnection);
     BOOST_TEST(platform.calls.front().call.target == "/log/configuration?from=5&limit=2&wait_ms=0");
     platform.answer(200, R"({"first":5,"next":6,"records":[{"offset":5,"id":"a","data":"1"}]})");
-    BOOST_TEST(seen == "1");
+    BOOST_TEST(received == "1");
     BOOST_TEST((health == std::vector{true, false, true}));
 }
 
-BOOST_FIXTURE_TEST_CASE(aLogThatEndsBeforeItsPositionIsNotFollowed, Fixture)
+BOOST_FIXTURE_TEST_CASE(rejectsLogThatEndsBeforeItsPosition, Fixture)
 {
     platform.answer(200, R"({"first":0,"next":2,"records":[]})");
     BOOST_TEST((health == std::vector{false}));
     BOOST_TEST(tailer.position() == LogOffset(5));
 }
 
-BOOST_FIXTURE_TEST_CASE(stopsFromItsOwnHook, Fixture)
+BOOST_FIXTURE_TEST_CASE(stopInCallback, Fixture)
 {
     tailer.setRecordReceived([this](const auto &record) {
-        seen += record.data;
+        received += record.data;
         tailer.stop();
     });
     platform.answer(200, R"({"first":5,"next":7,"records":[{"offset":5,"id":"a","data":"1"},
                              {"offset":6,"id":"b","data":"2"}]})");
     platform.advance(5s);
-    BOOST_TEST(seen == "1");
+    BOOST_TEST(received == "1");
     BOOST_TEST(tailer.position() == LogOffset(6));
     BOOST_TEST(platform.calls.empty());
 }
--- a/tests/auto/platformclient/tst_vmlistclient.cpp
+++ b/tests/auto/platformclient/tst_vmlistclient.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(tellsWhatChanged, Fixture)
+BOOST_FIXTURE_TEST_CASE(reportsChanges, Fixture)
 {
     platform.answer(200, list(vm("b", "1:1", "live") + "," + vm("a", "2:2", "live")));
     BOOST_REQUIRE(changes.size() == 1);
@@ -53,20 +53,20 @@
     BOOST_TEST(changes.size() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(keepsTheLastListThroughOutagesAndMalformedAnswers, Fixture)
+BOOST_FIXTURE_TEST_CASE(keepsLastListDuringOutagesAndMalformedAnswers, Fixture)
 {
     platform.answer(200, list(vm("a", "1:1", "live")));
-    const std::string bad[] = {"", "{}", list(vm("a", "1:1", "gone")),
-                               list(vm("a", "1:1", "live") + "," + vm("a", "2:2", "live")),
-                               list(R"({"id":7})")};
-    for (const std::string &body : bad) {
+    const std::string malformed[] = {"", "{}", list(vm("a", "1:1", "gone")),
+                                     list(vm("a", "1:1", "live") + "," + vm("a", "2:2", "live")),
+                                     list(R"({"id":7})")};
+    for (const std::string &body : malformed) {
         platform.advance(4s);
         BOOST_REQUIRE(platform.calls.size() == 1);
         platform.answer(200, body);
         BOOST_TEST(!client.isUp());
     }
     platform.advance(4s);
-    platform.lose();
+    platform.loseAnswer();
     BOOST_TEST(client.vms().size() == 1);
     BOOST_TEST(changes.size() == 1);
     platform.advance(4s);
--- a/tests/auto/platformclient/tst_weightstoreclient.cpp
+++ b/tests/auto/platformclient/tst_weightstoreclient.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(waitsAsLongAsTheStoreAsks, Fixture)
+BOOST_FIXTURE_TEST_CASE(honoursRetryAfter, Fixture)
 {
     fetch("hints");
     fetch("tags");
@@ -44,19 +44,19 @@
     BOOST_TEST((results.at(1).error().kind == ErrorKind::NotFound));
 }
 
-BOOST_FIXTURE_TEST_CASE(givesUpAtTheDeadline, Fixture)
+BOOST_FIXTURE_TEST_CASE(failsAtDeadline, Fixture)
 {
     fetch("hints");
     for (int i = 0; i < 200 && results.empty(); ++i) {
         platform.advance(500ms);
         while (!platform.calls.empty())
-            platform.lose();
+            platform.loseAnswer();
     }
     BOOST_REQUIRE(results.size() == 1);
     BOOST_TEST((results[0].error().kind == ErrorKind::DeadlinePassed));
 }
 
-BOOST_FIXTURE_TEST_CASE(aNameThatIsAPathIsRefused, Fixture)
+BOOST_FIXTURE_TEST_CASE(rejectsNamesThatArePaths, Fixture)
 {
     for (const char *model : {"../vms", "a/b", "", "..", "a?b"})
         fetch(model);
