--- a/src/libs/base/parsenumber.h
+++ b/src/libs/base/parsenumber.h
@@ -7,14 +7,14 @@
 
 namespace Lagoonbank::Base {
 
-/// The whole of \a text as a decimal number that fits \a Number; nothing otherwise.
+/// Parses all of \a text as a decimal number; nullopt if it is none or does not fit \a Number.
 template<typename Number>
 std::optional<Number> parseNumber(std::string_view text)
 {
     Number number{};
     const char *const end = text.data() + text.size();
-    const auto [rest, error] = std::from_chars(text.data(), end, number);
-    if (error != std::errc() || rest != end)
+    const auto [parsedEnd, error] = std::from_chars(text.data(), end, number);
+    if (error != std::errc() || parsedEnd != end)
         return std::nullopt;
     return number;
 }
--- a/src/libs/base/strongtype.h
+++ b/src/libs/base/strongtype.h
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Base {
 
-/// An id kept as text. Ids with different tags do not convert into one another.
+/// An id stored as text. Ids with different tags do not convert to each other.
 template<typename Tag>
 class TextId
 {
@@ -45,7 +45,7 @@
     std::string m_value;
 };
 
-/// A number with a meaning of its own: a count in some unit, a revision, an offset.
+/// A number with a distinct type, such as a count in some unit, a revision or an offset.
 template<typename Tag, typename Rep>
 class StrongNumber
 {
--- a/src/libs/base/text.h
+++ b/src/libs/base/text.h
@@ -6,7 +6,7 @@
 
 namespace Lagoonbank::Base {
 
-/// Without spaces and tabs at both ends.
+/// Returns \a text without leading and trailing spaces and tabs.
 inline std::string_view trimmed(std::string_view text)
 {
     const std::size_t first = text.find_first_not_of(" \t");
@@ -15,7 +15,7 @@
     return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-/// With the letters A to Z as small ones.
+/// Returns \a text with the ASCII letters in lower case.
 inline std::string lowered(std::string_view text)
 {
     std::string lower(text);
@@ -26,15 +26,15 @@
     return lower;
 }
 
-/// The pieces of \a text between separators, trimmed; one piece for an empty text.
+/// Splits \a text at \a separator and trims the parts; an empty text has one empty part.
 inline std::vector<std::string_view> split(std::string_view text, char separator)
 {
-    std::vector<std::string_view> pieces;
+    std::vector<std::string_view> parts;
     while (true) {
         const std::size_t end = text.find(separator);
-        pieces.push_back(trimmed(text.substr(0, end)));
+        parts.push_back(trimmed(text.substr(0, end)));
         if (end == std::string_view::npos)
-            return pieces;
+            return parts;
         text.remove_prefix(end + 1);
     }
 }
--- a/src/libs/base/units.h
+++ b/src/libs/base/units.h
@@ -7,7 +7,7 @@
 
 namespace Lagoonbank::Base {
 
-/// Tokens of a prompt or of an answer.
+/// Number of tokens of a prompt or an answer.
 using Tokens = StrongNumber<struct TokensTag, std::int64_t>;
 /// Load of an engine: uncached prompt tokens plus weighted expected output tokens.
 using WorkUnits = StrongNumber<struct WorkUnitsTag, double>;
@@ -16,7 +16,7 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// The monotonic clock of the runtime; unrelated to the wall clock and never set back.
+/// The monotonic clock of the runtime; independent of the wall clock and never set back.
 struct MonotonicClockTag
 {
     using rep = Duration::rep; // NOLINT(readability-identifier-naming)
@@ -25,7 +25,7 @@
     static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming)
 };
 using MonoTime = std::chrono::time_point<MonotonicClockTag, Duration>;
-/// Wall clock; for people and time lines only, never for deadlines or leases.
+/// Wall-clock time; only for output, never for deadlines or leases.
 using WallTime = std::chrono::sys_time<Duration>;
 
 using std::chrono_literals::operator""ms;
