--- a/src/libs/errors/errorbody.h
+++ b/src/libs/errors/errorbody.h
@@ -7,7 +7,7 @@
 
 namespace Lagoonbank::Errors {
 
-/// `{"error": {...}}` as callers get it; \a requestId may be empty.
+/// JSON body of an error answer, `{"error": {...}}`; \a requestId may be empty.
 std::string errorBody(ErrorKind kind, Ran ran, std::string_view requestId = {});
 
 } // namespace Lagoonbank::Errors
--- a/src/libs/errors/errorkind.cpp
+++ b/src/libs/errors/errorkind.cpp
@@ -88,7 +88,7 @@
     }
     return table.size() == static_cast<std::size_t>(Internal) + 1;
 }
-static_assert(isInOrder(), "the rows stand in the order of ErrorKind");
+static_assert(isInOrder(), "the table must contain every ErrorKind, in the order of the enum");
 
 } // namespace
 
--- a/src/libs/errors/errorkind.h
+++ b/src/libs/errors/errorkind.h
@@ -7,7 +7,7 @@
 
 namespace Lagoonbank::Errors {
 
-/// The closed list of ways in which something can go wrong. errorTable() gives each its answer.
+/// All kinds of errors. errorTable() defines the answer that callers get for each.
 enum class ErrorKind : std::uint8_t {
     BadRequest,
     BodyTooLarge,
@@ -58,15 +58,15 @@
 /// Whether the request ran on an endpoint.
 enum class Ran : std::uint8_t { No, Yes, Unknown };
 
-/// What a caller is told for one kind of error.
+/// The answer that callers get for one kind of error.
 struct ErrorRow
 {
     ErrorKind kind;
-    std::string_view name; ///< `error.kind` of the answer, snake case.
+    std::string_view name; ///< `error.kind` of the answer, in snake case.
     int httpStatus;
-    Ran ran; ///< What holds where the place that failed knows no better.
-    bool retryable; ///< Whether the same call can be sent again as it is.
-    std::string_view text; ///< One sentence for the caller.
+    Ran ran; ///< Default for errors that do not set Error::ran.
+    bool retryable; ///< Whether the same request may be sent again unchanged.
+    std::string_view text; ///< Message for the caller, one sentence.
 };
 
 /// All rows, in the order of ErrorKind.
--- a/src/libs/errors/result.h
+++ b/src/libs/errors/result.h
@@ -10,11 +10,11 @@
 
 namespace Lagoonbank::Errors {
 
-/// An error of the closed list with what is known of this one case.
+/// An error kind with the details of one occurrence.
 struct Error
 {
     ErrorKind kind = ErrorKind::Internal;
-    std::string detail; ///< What was wrong and what would be right; never keys, prompts or tokens.
+    std::string detail; ///< What is wrong and what is expected; never keys, prompts or tokens.
     Ran ran = Ran::Unknown;
 };
 
@@ -31,7 +31,7 @@
     return stream;
 }
 
-/// A value or an Error; reading the wrong one is a programming error and terminates.
+/// A value or an Error; accessing the one that is not set is a programming error and terminates.
 template<typename T>
 using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
