--- a/src/libs/logging/boundedoutput.cpp
+++ b/src/libs/logging/boundedoutput.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// A pipe that is ready for writing takes this much at once (POSIX), so that a write of it cannot
-/// wait although the descriptor is a blocking one, which it shares with other processes.
-constexpr std::size_t safeWrite = PIPE_BUF;
+/// A writable pipe accepts this many bytes at once (POSIX), so that such a write does not block.
+/// The descriptor itself must stay in blocking mode because other processes share it.
+constexpr std::size_t maxWriteBytes = PIPE_BUF;
 
 bool isWritable(int descriptor)
 {
@@ -26,7 +26,7 @@
 bool BoundedOutput::write(std::string_view line)
 {
     if (queuedBytes() + line.size() + 1 > m_options.capacity) {
-        ++m_dropped;
+        ++m_droppedLines;
         return false;
     }
     m_buffer += line;
@@ -37,12 +37,12 @@
 void BoundedOutput::flush()
 {
     while (queuedBytes() > 0 && isWritable(m_options.descriptor)) {
-        const std::size_t size = std::min(queuedBytes(), safeWrite);
+        const std::size_t size = std::min(queuedBytes(), maxWriteBytes);
         const ssize_t written = ::write(m_options.descriptor, m_buffer.data() + m_written, size);
         if (written < 0 && errno == EINTR)
             continue;
         if (written <= 0)
-            break; // The reader has gone or is slow; the capacity bounds what waits.
+            break; // The reader is gone or slow; the capacity limits the buffer.
         m_written += static_cast<std::size_t>(written);
     }
     if (m_written == m_buffer.size() || m_written >= m_options.capacity / 2) {
--- a/src/libs/logging/decisionlog.cpp
+++ b/src/libs/logging/decisionlog.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Base::Duration tellInterval = std::chrono::seconds(1);
+constexpr Base::Duration reportInterval = std::chrono::seconds(1);
 
 void appendText(std::string &line, std::string_view text)
 {
@@ -23,7 +23,8 @@
             line += '\\';
             line += c;
         } else if (byte < 0x20 || byte >= 0x7f) {
-            // Bytes from outside that are no ASCII are shown one by one, so that a line is UTF-8.
+            // Bytes outside ASCII are escaped one by one, so that a line is valid UTF-8 for any
+            // input.
             line += "\\u00";
             line += digits[byte >> 4U];
             line += digits[byte & 15U];
@@ -70,41 +71,42 @@
 DecisionLog::DecisionLog(Options options)
     : m_options(std::move(options))
     , m_tokens(m_options.burst)
-    , m_filledAt(m_options.now())
-    , m_toldAt(m_filledAt)
+    , m_lastRefillTime(m_options.now())
+    , m_lastReportTime(m_lastRefillTime)
 { }
 
 bool DecisionLog::shouldLogRequest()
 {
-    fill();
+    refillTokens();
     if (m_tokens >= 1)
         return true;
-    ++m_leftOut;
-    ++m_leftOutBefore;
+    ++m_suppressed;
+    ++m_suppressedBefore;
     return false;
 }
 
-void DecisionLog::request(std::string_view part, std::string_view sentence, Fields fields)
+void DecisionLog::request(std::string_view part, std::string_view message, Fields fields)
 {
     if (!shouldLogRequest())
         return;
     m_tokens -= 1;
-    m_options.output->write(line(part, sentence, fields, std::exchange(m_leftOutBefore, 0)));
+    m_options.output->write(
+        formatLine(part, message, fields, std::exchange(m_suppressedBefore, 0)));
 }
 
-void DecisionLog::event(std::string_view part, std::string_view sentence, Fields fields)
+void DecisionLog::event(std::string_view part, std::string_view message, Fields fields)
 {
-    m_options.output->write(line(part, sentence, fields));
+    m_options.output->write(formatLine(part, message, fields));
 }
 
 void DecisionLog::flush()
 {
-    tellLeftOut();
+    reportSuppressed();
     m_options.output->flush();
 }
 
-std::string DecisionLog::line(std::string_view part, std::string_view sentence, Fields fields,
-                              std::uint64_t leftOutBefore) const
+std::string DecisionLog::formatLine(std::string_view part, std::string_view message, Fields fields,
+                                    std::uint64_t suppressedBefore) const
 {
     std::string text;
     text.reserve(256);
@@ -113,39 +115,39 @@
     text += R"(","part":)";
     appendText(text, part);
     text += R"(,"text":)";
-    appendText(text, sentence);
+    appendText(text, message);
     for (const Field &field : fields) {
         text += ',';
         appendText(text, field.name);
         text += ':';
         appendValue(text, field.value);
     }
-    if (leftOutBefore > 0) {
+    if (suppressedBefore > 0) {
         text += R"(,"left_out_before":)";
-        text += std::to_string(leftOutBefore);
+        text += std::to_string(suppressedBefore);
     }
     text += '}';
     return text;
 }
 
-void DecisionLog::fill()
+void DecisionLog::refillTokens()
 {
     const Base::MonoTime now = m_options.now();
-    m_tokens += Base::toSeconds(now - m_filledAt) * m_options.linesPerSecond;
+    m_tokens += Base::toSeconds(now - m_lastRefillTime) * m_options.linesPerSecond;
     m_tokens = std::min(m_tokens, m_options.burst);
-    m_filledAt = now;
+    m_lastRefillTime = now;
 }
 
-void DecisionLog::tellLeftOut()
+void DecisionLog::reportSuppressed()
 {
     const Base::MonoTime now = m_options.now();
-    const std::uint64_t dropped = m_options.output->droppedLines() - m_toldDropped;
-    if ((m_leftOut == 0 && dropped == 0) || now - m_toldAt < tellInterval)
+    const std::uint64_t dropped = m_options.output->droppedLines() - m_reportedDropped;
+    if ((m_suppressed == 0 && dropped == 0) || now - m_lastReportTime < reportInterval)
         return;
-    m_toldAt = now;
-    m_toldDropped += dropped;
+    m_lastReportTime = now;
+    m_reportedDropped += dropped;
     event("log", "Lines were left out.",
-          {{"too_many", std::exchange(m_leftOut, 0)}, {"not_read", dropped}});
+          {{"too_many", std::exchange(m_suppressed, 0)}, {"not_read", dropped}});
 }
 
 } // namespace Lagoonbank::Logging
--- a/src/libs/logging/decisionlog.h
+++ b/src/libs/logging/decisionlog.h
@@ -13,7 +13,7 @@
 
 namespace Lagoonbank::Logging {
 
-/// One value of a line, with its name.
+/// A named value of a log line.
 struct Field
 {
     using Value = std::variant<std::string_view, std::int64_t, double, bool>;
@@ -40,7 +40,7 @@
         : name(fieldName)
         , value(number)
     { }
-    /// In milliseconds; the name should end so.
+    /// Written in milliseconds; the name should end in `_ms`.
     Field(std::string_view fieldName, Base::Duration duration)
         : name(fieldName)
         , value(Base::toSeconds(duration) * 1000)
@@ -52,47 +52,48 @@
 
 using Fields = std::initializer_list<Field>;
 
-/// Writes one line of JSON for each decision: time, part, a short sentence and named values. The
-/// lines about requests are bounded in number; how many were left out is told once a second.
+/// Writes one JSON line per decision: time, part, a short message and named values. Lines about
+/// requests are rate limited; the number of suppressed lines is logged once a second.
 class DecisionLog
 {
 public:
     struct Options
     {
         BoundedOutput *output = nullptr;
-        /// Wall time, for people, and the steady clock that bounds the rate.
+        /// The time written to the lines, and the monotonic time for rate limiting.
         std::function<Base::WallTime()> wallNow;
         std::function<Base::MonoTime()> now;
-        double linesPerSecond = 400; ///< About requests.
-        double burst = 800; ///< Lines about requests that may come at once.
+        double linesPerSecond = 400; ///< Limit for lines about requests.
+        double burst = 800; ///< Lines about requests that may be written at once.
     };
 
     explicit DecisionLog(Options options);
 
-    /// Whether a line about a request would be written now; if not, it counts as left out. For
-    /// those that come for each request, before their values are worked out.
+    /// Whether a line about a request would be written now; if not, it is counted as suppressed.
+    /// Lets callers skip computing the values of a suppressed line.
     bool shouldLogRequest();
-    /// A line about one request. Left out where there are too many; the next one then says how many
-    /// were left out before it.
-    void request(std::string_view part, std::string_view sentence, Fields fields);
-    /// A line about the process or about what it believes. Left out only if nobody reads.
-    void event(std::string_view part, std::string_view sentence, Fields fields);
-    /// Writes what waits, and how many lines were left out.
+    /// Logs a line about a request unless it exceeds the rate limit. The next line about a request
+    /// contains the number of lines suppressed before it.
+    void request(std::string_view part, std::string_view message, Fields fields);
+    /// Logs a line about the process or its view of endpoints and peers. Dropped only if the output
+    /// is full.
+    void event(std::string_view part, std::string_view message, Fields fields);
+    /// Flushes the output; also logs the number of suppressed and dropped lines.
     void flush();
 
 private:
-    std::string line(std::string_view part, std::string_view sentence, Fields fields,
-                     std::uint64_t leftOutBefore = 0) const;
-    void fill();
-    void tellLeftOut();
+    std::string formatLine(std::string_view part, std::string_view message, Fields fields,
+                           std::uint64_t suppressedBefore = 0) const;
+    void refillTokens();
+    void reportSuppressed();
 
     Options m_options;
     double m_tokens;
-    Base::MonoTime m_filledAt;
-    std::uint64_t m_leftOut = 0; ///< Not told of yet.
-    std::uint64_t m_leftOutBefore = 0; ///< Since the last line about a request.
-    std::uint64_t m_toldDropped = 0;
-    Base::MonoTime m_toldAt;
+    Base::MonoTime m_lastRefillTime;
+    std::uint64_t m_suppressed = 0; ///< Suppressed lines not reported yet.
+    std::uint64_t m_suppressedBefore = 0; ///< Lines suppressed since the last line about a request.
+    std::uint64_t m_reportedDropped = 0;
+    Base::MonoTime m_lastReportTime;
 };
 
 } // namespace Lagoonbank::Logging
--- a/src/libs/logging/logging.cpp
+++ b/src/libs/logging/logging.cpp
@@ -72,7 +72,7 @@
     return el::Level::Info;
 }
 
-/// One sentence is one line, whatever is in its values.
+/// Keeps a message on one line even if its values contain line breaks.
 std::string withoutControlCharacters(std::string text)
 {
     for (char &c : text) {
@@ -82,7 +82,7 @@
     return text;
 }
 
-/// Takes every line from easylogging++ and writes it to the stream of the options.
+/// Receives all lines from easylogging++ and writes them to the configured stream.
 class Sink final : public el::LogDispatchCallback
 {
 protected:
@@ -106,7 +106,7 @@
     }
 };
 
-/// Takes the place of easylogging++'s own output, once.
+/// Replaces the default output of easylogging++ on the first call.
 void installSink()
 {
     static const bool isInstalled = [] {
--- a/src/libs/logging/logging.h
+++ b/src/libs/logging/logging.h
@@ -6,22 +6,22 @@
 #include <ostream>
 #include <string_view>
 
-/// Log lines on standard error: time, level, part, sentence.
+/// Log lines on standard error: time, level, part, message.
 namespace Lagoonbank::Logging {
 
 enum class Level : std::uint8_t { Debug, Info, Warning, Error };
 
 struct Options
 {
-    Level level = Level::Info; ///< Lines below it are not written.
-    bool json = false; ///< One JSON object a line, instead of plain text.
+    Level level = Level::Info; ///< Lines below this level are not written.
+    bool json = false; ///< Write one JSON object per line instead of plain text.
     std::ostream *stream = nullptr; ///< Standard error if null.
 };
 
-/// Sets how all loggers of the process write; the last call holds.
+/// Configures all loggers of the process; replaces the previous options.
 void configure(const Options &options);
 bool isEnabled(Level level);
-/// Reads "debug", "info", "warning" or "error".
+/// Parses "debug", "info", "warning" or "error".
 Errors::Result<Level> parseLevel(std::string_view text);
 std::string_view toString(Level level);
 
--- a/tests/auto/logging/tst_boundedoutput.cpp
+++ b/tests/auto/logging/tst_boundedoutput.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(linesComeWholeAndInOrder)
+BOOST_AUTO_TEST_CASE(writesCompleteLinesInOrder)
 {
     Pipe pipe;
     BoundedOutput output({.descriptor = pipe.ends[1]});
@@ -49,32 +49,32 @@
     BOOST_TEST(output.queuedBytes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatDoesNotReadHoldsNothingUp)
+BOOST_AUTO_TEST_CASE(slowReaderDoesNotBlock)
 {
     Pipe pipe;
     BoundedOutput output({.descriptor = pipe.ends[1], .capacity = 100000});
     const std::string line(1000, 'x');
-    std::size_t taken = 0;
+    std::size_t accepted = 0;
     for (int i = 0; i < 1000; ++i) {
-        taken += output.write(line) ? 1 : 0;
-        output.flush(); // Would never return if it waited: a pipe holds 64 KiB.
+        accepted += output.write(line) ? 1 : 0;
+        output.flush(); // Would hang if it blocked: a pipe holds 64 KiB.
     }
-    BOOST_TEST(taken < 1000U);
-    BOOST_TEST(output.droppedLines() == 1000 - taken);
+    BOOST_TEST(accepted < 1000U);
+    BOOST_TEST(output.droppedLines() == 1000 - accepted);
     BOOST_TEST(output.queuedBytes() <= 100000U);
 
     std::string all;
-    while (all.size() < taken * 1001) {
+    while (all.size() < accepted * 1001) {
         const std::string got = pipe.read(4096);
         if (got.empty())
             break;
         all += got;
         output.flush();
     }
-    BOOST_TEST(all.size() == taken * 1001);
+    BOOST_TEST(all.size() == accepted * 1001);
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatHasGoneIsNoError)
+BOOST_AUTO_TEST_CASE(closedReaderIsNoError)
 {
     std::signal(SIGPIPE, SIG_IGN);
     Pipe pipe;
--- a/tests/auto/logging/tst_decisionlog.cpp
+++ b/tests/auto/logging/tst_decisionlog.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(aLineIsOneJsonObject)
+BOOST_AUTO_TEST_CASE(writesLinesAsJsonObjects)
 {
     Fixture f;
     f.log.event("router", "It \"works\".",
@@ -78,7 +78,7 @@
     BOOST_TEST(line["wait_ms"] == 1.5);
 }
 
-BOOST_AUTO_TEST_CASE(linesAboutRequestsAreBoundedAndTheRestIsCounted)
+BOOST_AUTO_TEST_CASE(limitsRequestLinesAndCountsSuppressedOnes)
 {
     Fixture f;
     for (int i = 0; i < 20; ++i)
@@ -91,7 +91,7 @@
     BOOST_TEST(later[1]["too_many"] == 15);
 }
 
-BOOST_AUTO_TEST_CASE(whoAsksFirstCountsAsLeftOutAndTheNextLineTellsOfIt)
+BOOST_AUTO_TEST_CASE(shouldLogRequestCountsSuppressedLines)
 {
     Fixture f;
     for (int i = 0; i < 8; ++i) {
@@ -101,7 +101,7 @@
     BOOST_TEST(f.lines().size() == 5U);
     f.now += std::chrono::milliseconds(100);
     BOOST_TEST(f.log.shouldLogRequest());
-    BOOST_TEST(f.log.shouldLogRequest()); // Asking takes nothing.
+    BOOST_TEST(f.log.shouldLogRequest()); // Consumes no token.
     f.log.request("gateway", "Sending.", {});
     f.now += std::chrono::seconds(1);
     f.log.request("gateway", "Ended.", {});
@@ -112,7 +112,7 @@
     BOOST_TEST(later[2]["too_many"] == 3);
 }
 
-BOOST_AUTO_TEST_CASE(eventsOfTheProcessAreNotBoundedWithThem)
+BOOST_AUTO_TEST_CASE(doesNotLimitEvents)
 {
     Fixture f;
     for (int i = 0; i < 20; ++i)
--- a/tests/auto/logging/tst_logging.cpp
+++ b/tests/auto/logging/tst_logging.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(linesHaveLevelPartAndSentence, Fixture)
+BOOST_FIXTURE_TEST_CASE(writesLevelPartAndMessage, Fixture)
 {
     const std::string text = logged({});
     BOOST_TEST(countLines(text) == 3U);
@@ -44,14 +44,14 @@
     BOOST_TEST(text.find("Z error router: Stopped.\n") != std::string::npos);
 }
 
-BOOST_FIXTURE_TEST_CASE(linesBelowTheLevelAreLeftOut, Fixture)
+BOOST_FIXTURE_TEST_CASE(skipsLinesBelowLevel, Fixture)
 {
     BOOST_TEST(countLines(logged({.level = Logging::Level::Debug})) == 4U);
     stream.str({});
     BOOST_TEST(countLines(logged({.level = Logging::Level::Error})) == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(jsonLinesAreObjects, Fixture)
+BOOST_FIXTURE_TEST_CASE(writesJsonObjects, Fixture)
 {
     std::istringstream lines(logged({.json = true}));
     std::string line;
@@ -65,7 +65,7 @@
     BOOST_TEST(nlohmann::json::parse(line).at("text") == "Split\nline");
 }
 
-BOOST_AUTO_TEST_CASE(levelsAreReadByName)
+BOOST_AUTO_TEST_CASE(parsesLevels)
 {
     BOOST_TEST((Logging::parseLevel("warning").value() == Logging::Level::Warning));
     BOOST_TEST(!Logging::parseLevel("loud"));
