--- a/src/libs/metrics/registry.cpp
+++ b/src/libs/metrics/registry.cpp
@@ -14,8 +14,8 @@
 class Registry::Private
 {
 public:
-    explicit Private(Catalogue given)
-        : catalogue(given)
+    explicit Private(Catalogue metrics)
+        : catalogue(metrics)
     { }
 
     const Metric &find(std::string_view name, Kind kind) const
--- a/src/libs/metrics/registry.h
+++ b/src/libs/metrics/registry.h
@@ -17,7 +17,7 @@
 
 using Labels = std::map<std::string, std::string>;
 
-/// Only goes up. Handles are cheap to copy and live as long as their registry.
+/// A value that only increases. Handles are cheap to copy and valid as long as their registry.
 class Counter
 {
 public:
@@ -57,9 +57,9 @@
     prometheus::Histogram *m_native;
 };
 
-/// The metrics of one process, all named by its catalogue. Asking for one that the catalogue does
-/// not hold, or holds as another kind, is a programming error: std::logic_error. Label values must
-/// come from a bounded set; look a handle up once and keep it.
+/// The metrics of one process, as defined by its catalogue. Requesting a metric that the catalogue
+/// does not contain, or contains as another kind, throws std::logic_error. Label values must come
+/// from a bounded set. Look a handle up once and keep it.
 class Registry
 {
 public:
@@ -71,7 +71,7 @@
     Counter counter(std::string_view name, const Labels &labels = {});
     Gauge gauge(std::string_view name, const Labels &labels = {});
     Histogram histogram(std::string_view name, const Labels &labels = {});
-    /// In Prometheus' text format, which textType names.
+    /// All metrics in the Prometheus text format; textType is its content type.
     std::string text() const;
 
     static constexpr std::string_view textType = "text/plain; version=0.0.4; charset=utf-8";
--- a/tests/auto/metrics/tst_metrics.cpp
+++ b/tests/auto/metrics/tst_metrics.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(textHoldsEveryMetricThatWasTouched)
+BOOST_AUTO_TEST_CASE(textContainsUsedMetrics)
 {
     Registry registry(catalogue);
     Counter counter = registry.counter("requests_total", {{"outcome", "whole"}});
@@ -47,7 +47,7 @@
     BOOST_TEST(text.find("open_requests 3") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(histogramsCountByBucket)
+BOOST_AUTO_TEST_CASE(histogramCountsValuesInBuckets)
 {
     Registry registry(withHistogram);
     registry.histogram("latency_seconds").observe(0.003);
@@ -57,14 +57,14 @@
     BOOST_TEST(text.find("latency_seconds_count 1") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(whatTheCatalogueLacksCannotBeCounted)
+BOOST_AUTO_TEST_CASE(rejectsMetricsMissingFromCatalogue)
 {
     Registry registry(catalogue);
     BOOST_CHECK_THROW(registry.counter("others_total"), std::logic_error);
     BOOST_CHECK_THROW(registry.gauge("requests_total"), std::logic_error);
 }
 
-BOOST_AUTO_TEST_CASE(catalogueIsListedForThePages)
+BOOST_AUTO_TEST_CASE(formatsCatalogueAsMarkdown)
 {
     const std::string table = toMarkdown(catalogue);
     BOOST_TEST(
