--- a/src/standins/engine/app/main.cpp
+++ b/src/standins/engine/app/main.cpp
@@ -1,4 +1,4 @@
-// The engine stand-in: a model engine's HTTP interface over a model of its batching and cache.
+// Engine stand-in: the HTTP interface of a model engine over a model of its batching and cache.
 
 #include "runtime/loop.h"
 #include "standins/engine/engineapi.h"
@@ -11,21 +11,21 @@
 #include <chrono>
 #include <string>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address \"ip:port\"; port 0 takes a free one");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address \"ip:port\"; port 0 picks a free port");
 ABSL_FLAG(std::string, name, "engine", "Name in the ledger");
 ABSL_FLAG(std::string, model, "", "Model loaded at the start; any model is served if empty");
 ABSL_FLAG(std::string, role, "", "Role at the start");
-ABSL_FLAG(std::uint32_t, max_batch, 16, "Requests that run together");
-ABSL_FLAG(std::uint32_t, max_queue, 1024, "Requests that wait; more are refused");
-ABSL_FLAG(double, step_ms, 5, "Time in which every running request gets one token");
-ABSL_FLAG(double, prefill_tokens_per_ms, 20, "Uncached prompt tokens read per ms, over all");
-ABSL_FLAG(std::uint32_t, cache_blocks, 4096, "Blocks of 16 tokens that the prefix cache holds");
-ABSL_FLAG(std::uint32_t, event_delay_ms, 200, "Time from a cache event to its showing");
-ABSL_FLAG(std::uint32_t, event_gap_every, 0, "Each such cache event is lost; 0 for none");
-ABSL_FLAG(std::uint32_t, load_lag_ms, 0, "Age of the load that is reported");
-ABSL_FLAG(double, capacity, 0, "Work taken at full speed; 0 for 512 a request of the batch");
-ABSL_FLAG(std::uint32_t, keep_ms, 30000, "Time for which an ended stream can be resumed");
-ABSL_FLAG(std::uint32_t, weight_load_ms, 500, "Time that loading other weights takes");
+ABSL_FLAG(std::uint32_t, max_batch, 16, "Maximum number of requests in a batch");
+ABSL_FLAG(std::uint32_t, max_queue, 1024, "Maximum number of queued requests; more are refused");
+ABSL_FLAG(double, step_ms, 5, "Time in which each request of the batch produces a token");
+ABSL_FLAG(double, prefill_tokens_per_ms, 20, "Uncached prompt tokens read per ms by all requests");
+ABSL_FLAG(std::uint32_t, cache_blocks, 4096, "Capacity of the prefix cache in blocks of 16 tokens");
+ABSL_FLAG(std::uint32_t, event_delay_ms, 200, "Time until readers see a cache event");
+ABSL_FLAG(std::uint32_t, event_gap_every, 0, "Every n-th cache event is lost; 0 for none");
+ABSL_FLAG(std::uint32_t, load_lag_ms, 0, "Age of the reported load");
+ABSL_FLAG(double, capacity, 0, "Capacity in units of work; 0 for 512 per request of the batch");
+ABSL_FLAG(std::uint32_t, keep_ms, 30000, "Time that an ended stream can be resumed");
+ABSL_FLAG(std::uint32_t, weight_load_ms, 500, "Time to load other weights");
 ABSL_FLAG(bool, check_fencing, true, "Refuse orders with an older fencing number");
 
 namespace {
@@ -33,7 +33,7 @@
 using namespace Lagoonbank;
 using std::chrono::milliseconds;
 
-constexpr double shortestStepMs = 0.1;
+constexpr double minStepMs = 0.1;
 
 Standins::EngineModel::Options modelOptions(const Runtime::Clock &clock)
 {
@@ -48,7 +48,7 @@
     options.events.gapEvery = absl::GetFlag(FLAGS_event_gap_every);
     options.loadLag = milliseconds(absl::GetFlag(FLAGS_load_lag_ms));
     options.capacity = Base::WorkUnits(absl::GetFlag(FLAGS_capacity));
-    options.keepEnded = milliseconds(absl::GetFlag(FLAGS_keep_ms));
+    options.endedRunRetention = milliseconds(absl::GetFlag(FLAGS_keep_ms));
     return options;
 }
 
@@ -63,12 +63,12 @@
     return options;
 }
 
-/// What is wrong with the flags; empty if nothing is.
+/// Error in the flags; empty if they are valid.
 std::string flagError()
 {
     if (absl::GetFlag(FLAGS_max_batch) == 0)
         return "--max_batch must be at least 1";
-    if (!(absl::GetFlag(FLAGS_step_ms) >= shortestStepMs))
+    if (!(absl::GetFlag(FLAGS_step_ms) >= minStepMs))
         return "--step_ms must be at least 0.1";
     if (!(absl::GetFlag(FLAGS_prefill_tokens_per_ms) > 0))
         return "--prefill_tokens_per_ms must be more than 0";
@@ -82,7 +82,7 @@
     absl::SetProgramUsageMessage("Stands in for a model engine in tests and demos.");
     absl::ParseCommandLine(argc, argv);
     if (const std::string error = flagError(); !error.empty())
-        return Standins::usageError("lagoonbank-standin-engine", error);
+        return Standins::reportUsageError("lagoonbank-standin-engine", error);
     Runtime::Loop loop;
     Standins::EngineApi api({.timers = &loop.timers(),
                              .name = absl::GetFlag(FLAGS_name),
@@ -94,6 +94,6 @@
          .loop = &loop,
          .handler = [&api](const Http::Request &request,
                            const auto &responder) { api.handle(request, responder); },
-         .draining = [&api] { api.leave(); },
+         .startDraining = [&api] { api.startDraining(); },
          .isIdle = [&api] { return api.isIdle(); }});
 }
--- a/src/standins/engine/blockchain.cpp
+++ b/src/standins/engine/blockhashchain.cpp
@@ -1,4 +1,4 @@
-#include "standins/engine/blockchain.h"
+#include "standins/engine/blockhashchain.h"
 
 #include <xxhash.h>
 
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void BlockChain::appendText(std::string_view text)
+void BlockHashChain::appendText(std::string_view text)
 {
     std::size_t begin = text.find_first_not_of(whiteSpace);
     while (begin != std::string_view::npos) {
@@ -20,11 +20,11 @@
     }
 }
 
-void BlockChain::appendToken(std::string_view token)
+void BlockHashChain::appendToken(std::string_view token)
 {
-    m_running = XXH3_64bits_withSeed(token.data(), token.size(), m_running);
+    m_tokenHash = XXH3_64bits_withSeed(token.data(), token.size(), m_tokenHash);
     if (++m_tokenCount % tokensPerBlock == 0)
-        m_hashes.push_back(m_running);
+        m_hashes.push_back(m_tokenHash);
 }
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/engine/blockchain.h
+++ b/src/standins/engine/blockhashchain.h
@@ -7,18 +7,18 @@
 
 namespace Lagoonbank::Standins {
 
-/// Hash of one block of tokens and of all blocks before it.
+/// Hash of a block of tokens and all blocks before it.
 using BlockHash = std::uint64_t;
 
 constexpr std::size_t tokensPerBlock = 16;
 
-/// The chained hashes of a growing text's whole blocks. A token is a run of characters between
+/// Chained hashes of the complete blocks of a text that can be extended. Tokens are separated by
 /// white space.
-class BlockChain
+class BlockHashChain
 {
 public:
-    BlockChain() = default;
-    explicit BlockChain(std::string_view text) { appendText(text); }
+    BlockHashChain() = default;
+    explicit BlockHashChain(std::string_view text) { appendText(text); }
 
     void appendText(std::string_view text);
     void appendToken(std::string_view token);
@@ -28,7 +28,7 @@
 
 private:
     std::vector<BlockHash> m_hashes;
-    BlockHash m_running = 0;
+    BlockHash m_tokenHash = 0; ///< Hash of all tokens so far.
     std::size_t m_tokenCount = 0;
 };
 
--- a/src/standins/engine/cacheeventlog.h
+++ b/src/standins/engine/cacheeventlog.h
@@ -17,24 +17,25 @@
     std::uint64_t offset = 0;
     CacheOp op = CacheOp::Stored;
     Base::ChatId chat;
-    Base::Tokens tokens; ///< Of the chat's prefix that are cached after the event.
+    Base::Tokens tokens; ///< Tokens of the chat's prefix that are cached after the event.
 };
 
-/// Cache events by offset in a bounded ring; readers see them late and with gaps.
+/// Bounded ring of cache events, addressed by offset. Readers can be made to see events with a
+/// delay and with gaps.
 class CacheEventLog
 {
 public:
     struct Options
     {
         std::size_t maxEvents = 4096;
-        Base::Duration delay{}; ///< From an event to its showing.
-        std::uint64_t gapEvery = 0; ///< Each such event never shows; 0 for none.
+        Base::Duration delay{}; ///< Time until readers see an event.
+        std::uint64_t gapEvery = 0; ///< Readers never see each n-th event; 0 for no gaps.
         std::size_t maxPerRead = 1000;
     };
     struct Page
     {
-        std::uint64_t first = 0; ///< Oldest offset that the ring still reaches.
-        std::uint64_t next = 0; ///< Where to read on.
+        std::uint64_t first = 0; ///< Oldest offset in the ring.
+        std::uint64_t next = 0; ///< Offset at which the next read continues.
         std::vector<CacheEvent> events;
     };
 
@@ -50,11 +51,11 @@
     {
         Base::MonoTime time;
         CacheEvent event;
-        bool lost = false;
+        bool isLost = false;
     };
 
     Options m_options;
-    std::uint64_t m_first = 0;
+    std::uint64_t m_firstOffset = 0;
     std::deque<Entry> m_entries;
 };
 
--- a/src/standins/engine/engineapi.cpp
+++ b/src/standins/engine/engineapi.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::int64_t mostTokens = 100'000;
+constexpr std::int64_t maxTokensPerRequest = 100'000;
 constexpr std::int64_t lowestPriority = 1000;
 
 std::string_view toString(CacheOp op)
@@ -54,7 +54,7 @@
     for (const Orders::Record &record : orders.records()) {
         records.push_back({{"fencing", record.fencing.value()},
                            {"order_id", record.orderId},
-                           {"at_ms", wallMilliseconds(record.time)},
+                           {"at_ms", wallMilliseconds(record.receivedAt)},
                            {"applied", record.applied},
                            {"stale", record.stale}});
     }
@@ -79,7 +79,7 @@
 {
     const std::string route = request.method + ' ' + request.path;
     if (route == "POST /faults")
-        return orderFaults(request, *responder);
+        return injectFault(request, *responder);
     if (route == "GET /ledger")
         return sendLedger(request, *responder);
     if (m_faults.isDown())
@@ -105,10 +105,10 @@
     sendRefusal(*responder, httpNotFound, "no such path");
 }
 
-void EngineApi::leave()
+void EngineApi::startDraining()
 {
-    m_leaving = true;
-    m_streams.abortSilent();
+    m_isStopping = true;
+    m_streams.abortUnanswered();
 }
 
 void EngineApi::generate(const Http::Request &request, const ResponderPtr &responder)
@@ -120,13 +120,14 @@
     generation.chat = Base::ChatId(fields.text("chat", std::string()));
     const std::string model = fields.text("model", std::string());
     generation.prompt = fields.text("prompt");
-    generation.maxTokens = Base::Tokens(fields.number("max_tokens", std::nullopt, 1, mostTokens));
+    generation.maxTokens =
+        Base::Tokens(fields.number("max_tokens", std::nullopt, 1, maxTokensPerRequest));
     generation.priority = static_cast<int>(fields.number("priority", 0, 0, lowestPriority));
-    const std::int64_t from = fields.number("from", 0, 0, mostTokens);
+    const std::int64_t from = fields.number("from", 0, 0, maxTokensPerRequest);
     if (const auto read = fields.finish(); !read)
         return sendRefusal(*responder, httpBadRequest, read.error().detail);
-    const RequestFaults faults = m_faults.take();
-    if (stopBeforeRun(faults, responder))
+    const RequestFaults faults = m_faults.takeForRequest();
+    if (applyPreRunFault(faults, responder))
         return;
     if (const std::string reason = refusalReason(model, faults); !reason.empty())
         return refuse(*responder, httpUnavailable, reason);
@@ -140,24 +141,24 @@
     if (faults.has(FaultKind::RunTwice))
         m_model.submit(generation);
     const std::optional<RunNumber> run = m_model.submit(generation);
-    armStep();
+    scheduleStep();
     if (!run)
         return refuse(*responder, httpTooManyRequests, "the queue is full");
     if (faults.has(FaultKind::RanButRefused))
         return refuse(*responder, httpUnavailable, "refused");
     m_streams.open(makeStream(*run, generation.requestId, from, faults, responder));
-    m_otherId = generation.requestId;
+    m_previousRequestId = generation.requestId;
 }
 
 void EngineApi::resume(const Http::Request &request, const ResponderPtr &responder)
 {
     RequestFields fields = RequestFields::parse(request.body);
     const Base::RequestId requestId(fields.text("request_id"));
-    const std::int64_t from = fields.number("from", std::nullopt, 0, mostTokens);
+    const std::int64_t from = fields.number("from", std::nullopt, 0, maxTokensPerRequest);
     if (const auto read = fields.finish(); !read)
         return sendRefusal(*responder, httpBadRequest, read.error().detail);
-    const RequestFaults faults = m_faults.take();
-    if (stopBeforeRun(faults, responder))
+    const RequestFaults faults = m_faults.takeForRequest();
+    if (applyPreRunFault(faults, responder))
         return;
     const std::optional<RunNumber> run = m_model.find(requestId);
     if (!run)
@@ -187,11 +188,11 @@
     sendState(responder);
 }
 
-void EngineApi::orderFaults(const Http::Request &request, Http::Responder &responder)
+void EngineApi::injectFault(const Http::Request &request, Http::Responder &responder)
 {
-    if (const auto ordered = m_faults.order(request.body); !ordered)
-        return sendRefusal(responder, httpBadRequest, ordered.error().detail);
-    m_model.setSlowness(m_faults.slowFactor());
+    if (const auto injected = m_faults.inject(request.body); !injected)
+        return sendRefusal(responder, httpBadRequest, injected.error().detail);
+    m_model.setSlowFactor(m_faults.slowFactor());
     sendJson(responder, httpOk, m_faults.describe());
 }
 
@@ -252,8 +253,8 @@
 void EngineApi::importChat(const Http::Request &request, Http::Responder &responder)
 {
     const nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
-    const bool isObject = body.is_object() && body.contains("chat") && body.contains("blocks");
-    const bool isExport = isObject && body["chat"].is_string() && body["blocks"].is_array();
+    const bool hasFields = body.is_object() && body.contains("chat") && body.contains("blocks");
+    const bool isExport = hasFields && body["chat"].is_string() && body["blocks"].is_array();
     if (!isExport)
         return sendRefusal(responder, httpBadRequest, "the body must be what an export gave");
     std::vector<BlockHash> blocks;
@@ -266,7 +267,7 @@
     sendJson(responder, httpOk, {{"tokens", blocks.size() * tokensPerBlock}});
 }
 
-bool EngineApi::stopBeforeRun(const RequestFaults &faults, const ResponderPtr &responder)
+bool EngineApi::applyPreRunFault(const RequestFaults &faults, const ResponderPtr &responder)
 {
     if (faults.has(FaultKind::CrashBefore)) {
         responder->abort();
@@ -279,7 +280,7 @@
     const Fault *silent = faults.find(FaultKind::Silent);
     if (!silent || silent->afterTokens)
         return false;
-    m_streams.holdSilent(responder);
+    m_streams.holdUnanswered(responder);
     return true;
 }
 
@@ -295,10 +296,10 @@
     return {};
 }
 
-void EngineApi::refuse(Http::Responder &responder, int status, std::string_view why)
+void EngineApi::refuse(Http::Responder &responder, int status, std::string_view reason)
 {
-    m_model.ledger().noteRefused(m_clock.wallNow(), isDraining());
-    sendRefusal(responder, status, why);
+    m_model.ledger().countRefusal(m_clock.wallNow(), isDraining());
+    sendRefusal(responder, status, reason);
 }
 
 EngineStreams::Stream EngineApi::makeStream(RunNumber run, const Base::RequestId &requestId,
@@ -307,17 +308,18 @@
 {
     EngineStreams::Stream stream{.run = run,
                                  .responder = responder,
-                                 .shownId = requestId,
+                                 .reportedId = requestId,
                                  .contentId = requestId,
                                  .from = from,
                                  .faults = faults};
     const Fault *crossed = faults.find(FaultKind::Crossed);
     if (!crossed)
         return stream;
-    const bool hasOther = !m_otherId.empty() && m_otherId != requestId;
-    stream.contentId = hasOther ? m_otherId : Base::RequestId(requestId.value() + "-other");
+    const bool hasPrevious = !m_previousRequestId.empty() && m_previousRequestId != requestId;
+    stream.contentId =
+        hasPrevious ? m_previousRequestId : Base::RequestId(requestId.value() + "-other");
     if (!crossed->keepId)
-        stream.shownId = stream.contentId;
+        stream.reportedId = stream.contentId;
     return stream;
 }
 
@@ -332,16 +334,16 @@
             .age = report.age};
 }
 
-void EngineApi::armStep()
+void EngineApi::scheduleStep()
 {
-    const std::optional<Base::MonoTime> next = m_model.nextStep();
-    if (m_stepArmed || !next)
+    const std::optional<Base::MonoTime> nextStep = m_model.nextStepTime();
+    if (m_isStepScheduled || !nextStep)
         return;
-    m_stepArmed = true;
-    m_options.timers->start(*next - m_clock.now(), [this] {
-        m_stepArmed = false;
+    m_isStepScheduled = true;
+    m_options.timers->start(*nextStep - m_clock.now(), [this] {
+        m_isStepScheduled = false;
         m_model.advance();
-        armStep();
+        scheduleStep();
     });
 }
 
--- a/src/standins/engine/engineapi.h
+++ b/src/standins/engine/engineapi.h
@@ -12,7 +12,7 @@
 
 namespace Lagoonbank::Standins {
 
-/// The HTTP interface of the engine stand-in; needs no sockets, only timers.
+/// HTTP interface of the engine stand-in. Depends on timers only, not on sockets.
 class EngineApi
 {
 public:
@@ -27,8 +27,8 @@
     explicit EngineApi(const Options &options);
 
     void handle(const Http::Request &request, const ResponderPtr &responder);
-    /// Takes no new work from now on and gives up the exchanges that would never end.
-    void leave();
+    /// Refuses new requests from now on and aborts those that would never be answered.
+    void startDraining();
     bool isIdle() const { return m_model.isIdle() && m_streams.isEmpty(); }
 
 private:
@@ -38,7 +38,7 @@
     void resume(const Http::Request &request, const ResponderPtr &responder);
     void cancel(const Http::Request &request, Http::Responder &responder);
     void order(const Http::Request &request, Http::Responder &responder);
-    void orderFaults(const Http::Request &request, Http::Responder &responder);
+    void injectFault(const Http::Request &request, Http::Responder &responder);
     void sendLoad(Http::Responder &responder);
     void sendState(Http::Responder &responder);
     void sendLedger(const Http::Request &request, Http::Responder &responder);
@@ -46,17 +46,17 @@
     void exportChat(const Http::Request &request, Http::Responder &responder);
     void importChat(const Http::Request &request, Http::Responder &responder);
 
-    /// Whether one of the faults has dealt with the request before it could run.
-    bool stopBeforeRun(const RequestFaults &faults, const ResponderPtr &responder);
-    /// Why a new request for \a model can't run now; empty if it can.
+    /// Applies a fault that keeps the request from running; returns whether there was one.
+    bool applyPreRunFault(const RequestFaults &faults, const ResponderPtr &responder);
+    /// Reason to refuse a new request for \a model; empty if it can run now.
     std::string refusalReason(const std::string &model, const RequestFaults &faults) const;
-    void refuse(Http::Responder &responder, int status, std::string_view why);
+    void refuse(Http::Responder &responder, int status, std::string_view reason);
     EngineStreams::Stream makeStream(RunNumber run, const Base::RequestId &requestId,
                                      std::int64_t from, const RequestFaults &faults,
                                      const ResponderPtr &responder);
-    bool isDraining() const { return m_leaving || m_orders.settings().draining; }
+    bool isDraining() const { return m_isStopping || m_orders.settings().draining; }
     LoadFigures load() const;
-    void armStep();
+    void scheduleStep();
 
     Options m_options;
     const Runtime::Clock &m_clock;
@@ -65,9 +65,9 @@
     Orders m_orders;
     EngineModel m_model;
     EngineStreams m_streams;
-    Base::RequestId m_otherId; ///< Of the request before, for answers that are mixed up.
-    bool m_stepArmed = false;
-    bool m_leaving = false;
+    Base::RequestId m_previousRequestId; ///< Source of the content of crossed answers.
+    bool m_isStepScheduled = false;
+    bool m_isStopping = false;
 };
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/engine/enginemodel.cpp
+++ b/src/standins/engine/enginemodel.cpp
@@ -25,8 +25,8 @@
     m_cache.stored = [this](const Base::ChatId &chat, Base::Tokens cached) {
         m_events.append(m_options.clock->now(), CacheOp::Stored, chat, cached);
     };
-    m_cache.evicted = [this](const Base::ChatId &chat, Base::Tokens left) {
-        m_events.append(m_options.clock->now(), CacheOp::Evicted, chat, left);
+    m_cache.evicted = [this](const Base::ChatId &chat, Base::Tokens remaining) {
+        m_events.append(m_options.clock->now(), CacheOp::Evicted, chat, remaining);
     };
 }
 
@@ -35,10 +35,10 @@
     if (m_queue.size() >= m_options.maxQueue)
         return std::nullopt;
     if (isIdle()) {
-        m_nextStep = m_options.clock->now() + stepTime();
+        m_nextStepTime = m_options.clock->now() + stepDuration();
         m_prefillCarry = 0;
     }
-    const RunNumber number{++m_lastRun};
+    const RunNumber number{++m_lastRunNumber};
     auto owned = std::make_unique<Run>();
     Run &run = *owned;
     run.number = number;
@@ -46,19 +46,19 @@
     run.tokenHash = shortHash(generation.requestId);
     run.chat = generation.chat;
     run.chain.appendText(generation.prompt);
-    run.place = {generation.priority, number.value()};
+    run.queueKey = {generation.priority, number.value()};
     run.promptTokens = static_cast<std::int64_t>(run.chain.tokenCount());
     run.maxTokens = generation.maxTokens.value();
     run.cachedTokens = m_cache.cachedTokens(run.chain.hashes()).value();
     run.prefillLeft = run.promptTokens - run.cachedTokens;
-    run.ledger = m_ledger.begin({.requestId = run.requestId,
-                                 .chat = run.chat,
-                                 .started = m_options.clock->wallNow(),
-                                 .promptTokens = Base::Tokens(run.promptTokens),
-                                 .afterDrain = generation.afterDrain});
-    m_work += workOf(run);
-    m_queue.emplace(run.place, &run);
-    m_byRequest[run.requestId] = number;
+    run.ledgerNumber = m_ledger.begin({.requestId = run.requestId,
+                                       .chat = run.chat,
+                                       .started = m_options.clock->wallNow(),
+                                       .promptTokens = Base::Tokens(run.promptTokens),
+                                       .afterDrain = generation.afterDrain});
+    m_pendingWork += workOf(run);
+    m_queue.emplace(run.queueKey, &run);
+    m_runByRequest[run.requestId] = number;
     m_runs.emplace(number, std::move(owned));
     recordLoad();
     return number;
@@ -72,10 +72,10 @@
     Run &run = *m_runs.at(*number);
     if (run.state != RunState::Running)
         return false;
-    takeOut(run);
+    removeFromSchedule(run);
     end(run, RunState::Cancelled);
     recordLoad();
-    notify();
+    notifyProgress();
     return true;
 }
 
@@ -85,9 +85,9 @@
     if (found == m_runs.end())
         return;
     if (found->second->state == RunState::Running) {
-        takeOut(*found->second);
+        removeFromSchedule(*found->second);
         end(*found->second, RunState::Crashed);
-        std::erase(m_changed, number);
+        std::erase(m_changedRuns, number);
         recordLoad();
     }
     forget(number);
@@ -98,55 +98,55 @@
     const auto found = m_runs.find(number);
     if (found == m_runs.end() || found->second->state == RunState::Running)
         return;
-    const auto byRequest = m_byRequest.find(found->second->requestId);
-    if (byRequest != m_byRequest.end() && byRequest->second == number)
-        m_byRequest.erase(byRequest);
+    const auto byRequest = m_runByRequest.find(found->second->requestId);
+    if (byRequest != m_runByRequest.end() && byRequest->second == number)
+        m_runByRequest.erase(byRequest);
     m_runs.erase(found);
 }
 
 std::optional<RunNumber> EngineModel::find(const Base::RequestId &requestId) const
 {
-    const auto found = m_byRequest.find(requestId);
-    if (found == m_byRequest.end())
+    const auto found = m_runByRequest.find(requestId);
+    if (found == m_runByRequest.end())
         return std::nullopt;
     return found->second;
 }
 
-std::optional<RunView> EngineModel::view(RunNumber number) const
+std::optional<RunProgress> EngineModel::progressOf(RunNumber number) const
 {
     const auto found = m_runs.find(number);
     if (found == m_runs.end())
         return std::nullopt;
     const Run &run = *found->second;
-    return RunView{run.requestId, Base::Tokens(run.produced), Base::Tokens(run.promptTokens),
-                   Base::Tokens(run.cachedTokens), run.state};
+    return RunProgress{run.requestId, Base::Tokens(run.produced), Base::Tokens(run.promptTokens),
+                       Base::Tokens(run.cachedTokens), run.state};
 }
 
 void EngineModel::advance()
 {
     const Base::MonoTime now = m_options.clock->now();
     int steps = 0;
-    while (!isIdle() && m_nextStep <= now) {
+    while (!isIdle() && m_nextStepTime <= now) {
         step();
-        m_nextStep += stepTime();
-        notify();
+        m_nextStepTime += stepDuration();
+        notifyProgress();
         if (++steps < maxCatchUpSteps)
             continue;
-        m_nextStep = now + stepTime();
+        m_nextStepTime = now + stepDuration();
     }
-    dropOldEnded();
+    dropExpiredRuns();
 }
 
-std::optional<Base::MonoTime> EngineModel::nextStep() const
+std::optional<Base::MonoTime> EngineModel::nextStepTime() const
 {
     if (isIdle())
         return std::nullopt;
-    return m_nextStep;
+    return m_nextStepTime;
 }
 
-Base::Duration EngineModel::stepTime() const
+Base::Duration EngineModel::stepDuration() const
 {
-    return std::chrono::duration_cast<Base::Duration>(m_options.step * m_slowness);
+    return std::chrono::duration_cast<Base::Duration>(m_options.step * m_slowFactor);
 }
 
 void EngineModel::step()
@@ -156,9 +156,9 @@
     double budget = m_options.prefillTokensPerMs * stepMs + m_prefillCarry;
     for (Run *run : m_batch) {
         if (prefill(*run, budget))
-            produce(*run);
+            produceToken(*run);
     }
-    // A fraction of a token is kept for the next step, so that slow reading makes progress.
+    // Carry a fraction of a token over to the next step so that a slow prefill makes progress.
     m_prefillCarry = std::min(budget, 1.0);
     std::erase_if(m_batch, [](const Run *run) { return run->state != RunState::Running; });
     recordLoad();
@@ -177,11 +177,11 @@
 void EngineModel::startPrefill(Run &run)
 {
     // The cache may have changed while the request waited.
-    m_work -= workOf(run);
+    m_pendingWork -= workOf(run);
     run.cachedTokens = m_cache.cachedTokens(run.chain.hashes()).value();
     run.prefillLeft = run.promptTokens - run.cachedTokens;
-    m_work += workOf(run);
-    if (LedgerEntry *entry = m_ledger.find(run.ledger))
+    m_pendingWork += workOf(run);
+    if (LedgerEntry *entry = m_ledger.find(run.ledgerNumber))
         entry->cachedTokens = Base::Tokens(run.cachedTokens);
 }
 
@@ -191,7 +191,7 @@
         return true;
     const std::int64_t share = std::min(run.prefillLeft, static_cast<std::int64_t>(budget));
     run.prefillLeft -= share;
-    m_work -= static_cast<double>(share);
+    m_pendingWork -= static_cast<double>(share);
     budget -= static_cast<double>(share);
     if (run.prefillLeft > 0)
         return false;
@@ -200,44 +200,45 @@
     return true;
 }
 
-void EngineModel::produce(Run &run)
+void EngineModel::produceToken(Run &run)
 {
     run.chain.appendText(tokenText(run.tokenHash, run.produced));
     ++run.produced;
-    m_work -= workPerOutputToken;
+    m_pendingWork -= workPerOutputToken;
     if (run.produced == run.maxTokens) {
         m_cache.store(run.chat, run.chain.hashes());
         end(run, RunState::Whole);
         return;
     }
-    m_changed.push_back(run.number);
+    m_changedRuns.push_back(run.number);
 }
 
 void EngineModel::end(Run &run, RunState state)
 {
-    m_work -= workOf(run);
+    m_pendingWork -= workOf(run);
     run.state = state;
-    run.chain = BlockChain();
-    if (LedgerEntry *entry = m_ledger.find(run.ledger))
+    run.chain = BlockHashChain();
+    if (LedgerEntry *entry = m_ledger.find(run.ledgerNumber))
         entry->tokens = Base::Tokens(run.produced);
-    m_ledger.end(run.ledger, state, m_options.clock->wallNow());
-    m_ended.push_back({m_options.clock->now(), run.number});
-    m_changed.push_back(run.number);
+    m_ledger.end(run.ledgerNumber, state, m_options.clock->wallNow());
+    m_endedRuns.push_back({m_options.clock->now(), run.number});
+    m_changedRuns.push_back(run.number);
 }
 
-void EngineModel::takeOut(const Run &run)
+void EngineModel::removeFromSchedule(const Run &run)
 {
     std::erase(m_batch, &run);
-    m_queue.erase(run.place);
+    m_queue.erase(run.queueKey);
 }
 
-void EngineModel::dropOldEnded()
+void EngineModel::dropExpiredRuns()
 {
-    const Base::MonoTime oldest = m_options.clock->now() - m_options.keepEnded;
-    while (!m_ended.empty()
-           && (m_ended.front().time < oldest || m_ended.size() > m_options.maxEnded)) {
-        forget(m_ended.front().run);
-        m_ended.pop_front();
+    const Base::MonoTime cutoff = m_options.clock->now() - m_options.endedRunRetention;
+    while (
+        !m_endedRuns.empty()
+        && (m_endedRuns.front().endedAt < cutoff || m_endedRuns.size() > m_options.maxEndedRuns)) {
+        forget(m_endedRuns.front().run);
+        m_endedRuns.pop_front();
     }
 }
 
@@ -254,7 +255,7 @@
         largest = std::max(largest, workOf(*run));
     m_loadHistory.record(
         m_options.clock->now(),
-        {m_batch.size(), m_queue.size(), Base::WorkUnits(m_work), Base::WorkUnits(largest)});
+        {m_batch.size(), m_queue.size(), Base::WorkUnits(m_pendingWork), Base::WorkUnits(largest)});
 }
 
 LoadReport EngineModel::load() const
@@ -284,10 +285,10 @@
     m_cache.store(chat, chain);
 }
 
-void EngineModel::notify()
+void EngineModel::notifyProgress()
 {
     std::vector<RunNumber> changed;
-    changed.swap(m_changed);
+    changed.swap(m_changedRuns);
     if (!progressed)
         return;
     for (const RunNumber run : changed)
--- a/src/standins/engine/enginemodel.h
+++ b/src/standins/engine/enginemodel.h
@@ -3,7 +3,7 @@
 #include "base/ids.h"
 #include "base/units.h"
 #include "runtime/clock.h"
-#include "standins/engine/blockchain.h"
+#include "standins/engine/blockhashchain.h"
 #include "standins/engine/cacheeventlog.h"
 #include "standins/engine/prefixcache.h"
 #include "standins/support/ledger.h"
@@ -24,22 +24,22 @@
 
 namespace Lagoonbank::Standins {
 
-/// Counts the runs of one engine.
+/// Sequence number of a run at one engine.
 using RunNumber = Base::StrongNumber<struct RunNumberTag, std::uint64_t>;
 
-/// One request for tokens.
+/// A request to generate tokens.
 struct Generation
 {
     Base::RequestId requestId;
     Base::ChatId chat;
     std::string prompt;
     Base::Tokens maxTokens;
-    int priority = 0; ///< 0 is most urgent.
-    bool afterDrain = false;
+    int priority = 0; ///< 0 is the most urgent.
+    bool afterDrain = false; ///< Whether the engine was draining when the request arrived.
 };
 
-/// How far one run is.
-struct RunView
+/// Progress of one run.
+struct RunProgress
 {
     Base::RequestId requestId;
     Base::Tokens produced;
@@ -48,8 +48,9 @@
     RunState state = RunState::Running;
 };
 
-/// An engine that batches continuously: in each step every request of the batch gets a share of
-/// the prompt reading or one token. Steps happen in advance(), on the clock; nothing else waits.
+/// Model of an engine with continuous batching: in each step, every request of the batch reads a
+/// share of its prompt and, once its prompt is read, produces one token. advance() runs the steps
+/// that are due by the clock; no call blocks.
 class EngineModel
 {
 public:
@@ -59,39 +60,40 @@
         std::size_t maxBatch = 16;
         std::size_t maxQueue = 1024;
         Base::Duration step = std::chrono::milliseconds(5);
-        double prefillTokensPerMs = 20; ///< Of the whole engine.
+        double prefillTokensPerMs = 20; ///< Shared by all requests of the batch.
         std::size_t cacheBlocks = 4096;
         CacheEventLog::Options events;
         Base::Duration loadLag{};
-        Base::WorkUnits capacity; ///< 0: a full batch of average requests.
-        Base::Duration keepEnded = std::chrono::seconds(30);
-        std::size_t maxEnded = 20000;
+        Base::WorkUnits capacity; ///< 0 for the work of a full batch of average requests.
+        Base::Duration endedRunRetention = std::chrono::seconds(30);
+        std::size_t maxEndedRuns = 20000;
         std::size_t maxLedger = 200000;
     };
 
     explicit EngineModel(const Options &options);
 
-    /// A run has new tokens or has ended; called from advance() and cancel(), after the step.
+    /// Called from advance() and cancel() for each run that has new tokens or has ended.
     std::function<void(RunNumber run)> progressed;
 
-    /// Nothing if the queue is full. The same request id may run again; the last run counts.
+    /// Queues a run; empty if the queue is full. If a request id is submitted again, find() returns
+    /// its latest run.
     std::optional<RunNumber> submit(const Generation &generation);
-    /// Ends the request's run if it still goes on; whether it did.
+    /// Cancels the request's run; false if it is unknown or has ended.
     bool cancel(const Base::RequestId &requestId);
-    /// Loses the run as a crash would: it can't be found any more.
+    /// Drops the run as a crash would: find() no longer returns it.
     void crash(RunNumber run);
-    /// Forgets an ended run, so that it can't be resumed.
+    /// Removes an ended run, which can no longer be resumed.
     void forget(RunNumber run);
 
     std::optional<RunNumber> find(const Base::RequestId &requestId) const;
-    std::optional<RunView> view(RunNumber run) const;
+    std::optional<RunProgress> progressOf(RunNumber run) const;
 
-    /// Does all steps that are due. Steps missed by more than a few are left out.
+    /// Runs the steps that are due, up to `maxCatchUpSteps` of them; skips the rest.
     void advance();
-    /// When the next step is due; nothing while no request is there.
-    std::optional<Base::MonoTime> nextStep() const;
-    /// Makes each step take \a factor times as long.
-    void setSlowness(double factor) { m_slowness = factor; }
+    /// Time at which the next step is due; empty while idle.
+    std::optional<Base::MonoTime> nextStepTime() const;
+    /// Multiplies the duration of each step by \a factor.
+    void setSlowFactor(double factor) { m_slowFactor = factor; }
 
     bool isIdle() const { return m_batch.empty() && m_queue.empty(); }
     LoadReport load() const;
@@ -108,52 +110,52 @@
         Base::RequestId requestId;
         std::string tokenHash;
         Base::ChatId chat;
-        BlockChain chain;
-        std::pair<int, std::uint64_t> place; ///< In the queue: priority, then arrival.
+        BlockHashChain chain;
+        std::pair<int, std::uint64_t> queueKey; ///< Priority, then order of arrival.
         std::int64_t promptTokens = 0;
         std::int64_t cachedTokens = 0;
         std::int64_t prefillLeft = 0;
         std::int64_t maxTokens = 0;
         std::int64_t produced = 0;
         RunState state = RunState::Running;
-        Ledger::Number ledger = 0;
+        Ledger::Number ledgerNumber = 0;
     };
-    struct Ended
+    struct EndedRun
     {
-        Base::MonoTime time;
+        Base::MonoTime endedAt;
         RunNumber run;
     };
 
-    Base::Duration stepTime() const;
+    Base::Duration stepDuration() const;
     void step();
     void admit();
     void startPrefill(Run &run);
-    /// Whether the run's prompt is read, after taking its share of \a budget.
+    /// Reads prompt tokens within \a budget; returns whether the run's prompt is read.
     bool prefill(Run &run, double &budget);
-    void produce(Run &run);
+    void produceToken(Run &run);
     void end(Run &run, RunState state);
-    void takeOut(const Run &run);
-    void dropOldEnded();
+    void removeFromSchedule(const Run &run);
+    void dropExpiredRuns();
     double workOf(const Run &run) const;
     void recordLoad();
-    void notify();
+    void notifyProgress();
 
     Options m_options;
     PrefixCache m_cache;
     CacheEventLog m_events;
     LoadHistory m_loadHistory;
     Ledger m_ledger;
-    double m_slowness = 1;
+    double m_slowFactor = 1;
     double m_prefillCarry = 0;
-    double m_work = 0;
-    std::uint64_t m_lastRun = 0;
-    Base::MonoTime m_nextStep;
+    double m_pendingWork = 0;
+    std::uint64_t m_lastRunNumber = 0;
+    Base::MonoTime m_nextStepTime;
     absl::flat_hash_map<RunNumber, std::unique_ptr<Run>> m_runs;
-    absl::flat_hash_map<Base::RequestId, RunNumber> m_byRequest;
+    absl::flat_hash_map<Base::RequestId, RunNumber> m_runByRequest;
     std::map<std::pair<int, std::uint64_t>, Run *> m_queue;
     std::vector<Run *> m_batch;
-    std::deque<Ended> m_ended;
-    std::vector<RunNumber> m_changed;
+    std::deque<EndedRun> m_endedRuns;
+    std::vector<RunNumber> m_changedRuns;
 };
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/engine/enginestreams.cpp
+++ b/src/standins/engine/enginestreams.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::int64_t defaultTokensBeforeFault = 1;
 
-/// The fault that stops the stream after some of its tokens, if there is one.
+/// The fault that stops the stream after some of its tokens; null if there is none.
 const Fault *stoppingFault(const RequestFaults &faults)
 {
     for (const FaultKind kind :
@@ -32,28 +32,28 @@
 
 void EngineStreams::open(const Stream &stream)
 {
-    auto open = std::make_shared<Open>();
+    auto open = std::make_shared<OpenStream>();
     static_cast<Stream &>(*open) = stream;
     open->tokenHash = shortHash(stream.contentId);
-    open->next = stream.from;
+    open->nextToken = stream.from;
     const Fault *late = stream.faults.find(FaultKind::Late);
     if (!late) {
         begin(open);
         return;
     }
-    ++m_heldBack;
+    ++m_delayedAnswers;
     m_options.timers->start(late->delay, [this, open] {
-        --m_heldBack;
+        --m_delayedAnswers;
         begin(open);
     });
 }
 
-void EngineStreams::begin(const OpenPtr &stream)
+void EngineStreams::begin(const OpenStreamPtr &stream)
 {
     if (!stream->faults.has(FaultKind::CrashAfterRequest)) {
         stream->responder->begin(httpOk,
                                  {{"content-type", "text/event-stream"},
-                                  {"x-request-id", stream->shownId.value()},
+                                  {"x-request-id", stream->reportedId.value()},
                                   {"x-load", loadHeader(m_options.load())}});
     }
     if (pump(*stream))
@@ -65,24 +65,24 @@
     const auto found = m_streams.find(run);
     if (found == m_streams.end())
         return;
-    std::vector<OpenPtr> streams = std::move(found->second);
+    std::vector<OpenStreamPtr> streams = std::move(found->second);
     m_streams.erase(found);
-    std::erase_if(streams, [this](const OpenPtr &stream) { return !pump(*stream); });
+    std::erase_if(streams, [this](const OpenStreamPtr &stream) { return !pump(*stream); });
     if (!streams.empty())
         m_streams[run] = std::move(streams);
 }
 
-bool EngineStreams::pump(Open &stream)
+bool EngineStreams::pump(OpenStream &stream)
 {
     if (stream.responder->isGone())
         return false;
-    const std::optional<RunView> run = m_options.model->view(stream.run);
+    const std::optional<RunProgress> run = m_options.model->progressOf(stream.run);
     if (!run) {
         stream.responder->abort();
         return false;
     }
     if (stream.faults.has(FaultKind::CrashAfterRequest))
-        return finishUnanswered(stream, *run);
+        return abortAfterRun(stream, *run);
     const Fault *fault = stoppingFault(stream.faults);
     std::int64_t end = run->produced.value();
     const bool stops =
@@ -91,7 +91,7 @@
         end = stream.from + fault->afterTokens.value_or(defaultTokensBeforeFault);
     writeTokens(stream, end);
     if (stops) {
-        stopAtLimit(stream, *fault);
+        stopAtFault(stream, *fault);
         return false;
     }
     if (run->state == RunState::Running)
@@ -100,44 +100,44 @@
     return false;
 }
 
-bool EngineStreams::finishUnanswered(Open &stream, const RunView &run)
+bool EngineStreams::abortAfterRun(OpenStream &stream, const RunProgress &run)
 {
     if (run.state == RunState::Running)
         return true;
     stream.responder->abort();
-    leaveRun(stream, *stream.faults.find(FaultKind::CrashAfterRequest));
+    crashUnlessKept(stream, *stream.faults.find(FaultKind::CrashAfterRequest));
     return false;
 }
 
-void EngineStreams::writeTokens(Open &stream, std::int64_t end)
+void EngineStreams::writeTokens(OpenStream &stream, std::int64_t end)
 {
     std::string events;
-    for (; stream.next < end; ++stream.next) {
+    for (; stream.nextToken < end; ++stream.nextToken) {
         events += "data: {\"i\": ";
-        events += std::to_string(stream.next);
+        events += std::to_string(stream.nextToken);
         events += ", \"t\": \"";
-        events += tokenText(stream.tokenHash, stream.next);
+        events += tokenText(stream.tokenHash, stream.nextToken);
         events += "\"}\n\n";
     }
     if (!events.empty())
         stream.responder->write(events);
 }
 
-void EngineStreams::stopAtLimit(Open &stream, const Fault &fault)
+void EngineStreams::stopAtFault(OpenStream &stream, const Fault &fault)
 {
     if (fault.kind == FaultKind::Silent) {
-        m_silent.add(stream.responder);
+        m_unanswered.add(stream.responder);
         return;
     }
     if (fault.kind == FaultKind::Cut) {
         stream.responder->end();
         return;
     }
-    breakOffSoon(*m_options.timers, stream.responder);
-    leaveRun(stream, fault);
+    abortAfterDelay(*m_options.timers, stream.responder);
+    crashUnlessKept(stream, fault);
 }
 
-void EngineStreams::finish(Open &stream, const RunView &run)
+void EngineStreams::finish(OpenStream &stream, const RunProgress &run)
 {
     if (run.state != RunState::Whole) {
         stream.responder->abort();
@@ -149,24 +149,24 @@
         stream.responder->end();
         return;
     }
-    breakOffSoon(*m_options.timers, stream.responder);
-    leaveRun(stream, *fault);
+    abortAfterDelay(*m_options.timers, stream.responder);
+    crashUnlessKept(stream, *fault);
 }
 
-void EngineStreams::leaveRun(const Open &stream, const Fault &fault)
+void EngineStreams::crashUnlessKept(const OpenStream &stream, const Fault &fault)
 {
-    if (!fault.keep)
+    if (!fault.keepRun)
         m_options.model->crash(stream.run);
 }
 
-std::string EngineStreams::lastEvent(const Open &stream, const RunView &run) const
+std::string EngineStreams::lastEvent(const OpenStream &stream, const RunProgress &run) const
 {
     const LoadFigures load = m_options.load();
     const nlohmann::json event{{"done", true},
                                {"n", run.produced.value()},
                                {"prompt_tokens", run.promptTokens.value()},
                                {"cached_tokens", run.cachedTokens.value()},
-                               {"request_id", stream.shownId.value()},
+                               {"request_id", stream.reportedId.value()},
                                {"load",
                                 {{"work", std::llround(load.work)},
                                  {"age_ms", Base::toMilliseconds(load.age)},
--- a/src/standins/engine/enginestreams.h
+++ b/src/standins/engine/enginestreams.h
@@ -15,7 +15,7 @@
 
 namespace Lagoonbank::Standins {
 
-/// Sends the tokens of runs to the exchanges that wait for them, with the faults of each.
+/// Streams the tokens of runs to the requests that wait for them, with the faults of each request.
 class EngineStreams
 {
 public:
@@ -29,43 +29,44 @@
     {
         RunNumber run;
         ResponderPtr responder;
-        Base::RequestId shownId; ///< Whose id the answer carries.
-        Base::RequestId contentId; ///< Whose tokens the answer carries.
-        std::int64_t from = 0;
+        Base::RequestId reportedId; ///< Request id in the answer.
+        Base::RequestId contentId; ///< Request whose tokens are sent.
+        std::int64_t from = 0; ///< Index of the first token to send.
         RequestFaults faults;
     };
 
     explicit EngineStreams(Options options);
 
     void open(const Stream &stream);
-    /// Sends what the run has produced since the last time.
+    /// Sends the tokens that the run has produced since the last call.
     void progress(RunNumber run);
-    void holdSilent(ResponderPtr responder) { m_silent.add(std::move(responder)); }
-    void abortSilent() { m_silent.abortAll(); }
-    bool isEmpty() const { return m_streams.empty() && m_heldBack == 0; }
+    void holdUnanswered(ResponderPtr responder) { m_unanswered.add(std::move(responder)); }
+    void abortUnanswered() { m_unanswered.abortAll(); }
+    bool isEmpty() const { return m_streams.empty() && m_delayedAnswers == 0; }
 
 private:
-    struct Open : Stream
+    struct OpenStream : Stream
     {
         std::string tokenHash;
-        std::int64_t next = 0;
+        std::int64_t nextToken = 0;
     };
-    using OpenPtr = std::shared_ptr<Open>;
+    using OpenStreamPtr = std::shared_ptr<OpenStream>;
 
-    void begin(const OpenPtr &stream);
-    /// Whether the stream goes on.
-    bool pump(Open &stream);
-    bool finishUnanswered(Open &stream, const RunView &run);
-    void writeTokens(Open &stream, std::int64_t end);
-    void stopAtLimit(Open &stream, const Fault &fault);
-    void finish(Open &stream, const RunView &run);
-    void leaveRun(const Open &stream, const Fault &fault);
-    std::string lastEvent(const Open &stream, const RunView &run) const;
+    void begin(const OpenStreamPtr &stream);
+    /// Sends the tokens that are available; returns whether the stream stays open.
+    bool pump(OpenStream &stream);
+    /// Breaks the connection once the run has ended; returns whether the stream stays open.
+    bool abortAfterRun(OpenStream &stream, const RunProgress &run);
+    void writeTokens(OpenStream &stream, std::int64_t end);
+    void stopAtFault(OpenStream &stream, const Fault &fault);
+    void finish(OpenStream &stream, const RunProgress &run);
+    void crashUnlessKept(const OpenStream &stream, const Fault &fault);
+    std::string lastEvent(const OpenStream &stream, const RunProgress &run) const;
 
     Options m_options;
-    absl::flat_hash_map<RunNumber, std::vector<OpenPtr>> m_streams;
-    SilentExchanges m_silent;
-    std::size_t m_heldBack = 0;
+    absl::flat_hash_map<RunNumber, std::vector<OpenStreamPtr>> m_streams;
+    UnansweredRequests m_unanswered;
+    std::size_t m_delayedAnswers = 0;
 };
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/engine/orders.cpp
+++ b/src/standins/engine/orders.cpp
@@ -8,7 +8,7 @@
 Orders::Orders(Options options)
     : m_options(std::move(options))
     , m_settings(m_options.initial)
-    , m_loadedAt(m_options.clock->now())
+    , m_loadingEndsAt(m_options.clock->now())
 { }
 
 bool Orders::apply(const Order &order)
@@ -27,21 +27,21 @@
 
 bool Orders::isLoading() const
 {
-    return m_options.clock->now() < m_loadedAt;
+    return m_options.clock->now() < m_loadingEndsAt;
 }
 
 void Orders::set(const Order &order)
 {
-    const EngineSettings before = m_settings;
-    m_settings.model = order.model.value_or(before.model);
-    m_settings.adapter = order.adapter.value_or(before.adapter);
-    m_settings.version = order.version.value_or(before.version);
-    m_settings.role = order.role.value_or(before.role);
-    m_settings.draining = order.draining.value_or(before.draining);
-    const bool reload = m_settings.model != before.model || m_settings.adapter != before.adapter
-        || m_settings.version != before.version;
+    const EngineSettings previous = m_settings;
+    m_settings.model = order.model.value_or(previous.model);
+    m_settings.adapter = order.adapter.value_or(previous.adapter);
+    m_settings.version = order.version.value_or(previous.version);
+    m_settings.role = order.role.value_or(previous.role);
+    m_settings.draining = order.draining.value_or(previous.draining);
+    const bool reload = m_settings.model != previous.model || m_settings.adapter != previous.adapter
+        || m_settings.version != previous.version;
     if (reload)
-        m_loadedAt = m_options.clock->now() + m_options.loadTime;
+        m_loadingEndsAt = m_options.clock->now() + m_options.loadTime;
 }
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/engine/orders.h
+++ b/src/standins/engine/orders.h
@@ -11,7 +11,7 @@
 
 namespace Lagoonbank::Standins {
 
-/// What orders can set at an engine.
+/// Engine settings that a controller's orders can change.
 struct EngineSettings
 {
     Base::ModelId model;
@@ -21,7 +21,7 @@
     bool draining = false;
 };
 
-/// One order of a controller; what is empty stays as it is.
+/// Order of a controller to change engine settings. Settings without a value stay unchanged.
 struct Order
 {
     Base::FencingNumber fencing;
@@ -33,7 +33,7 @@
     std::optional<bool> draining;
 };
 
-/// Keeps what orders have set. Setting another model, adapter or version takes time.
+/// Applies orders to the engine settings. Loading another model, adapter or version takes time.
 class Orders
 {
 public:
@@ -45,19 +45,19 @@
         EngineSettings initial;
         std::size_t maxRecords = 1000;
     };
-    /// One order as it came.
+    /// An order that was received.
     struct Record
     {
         Base::FencingNumber fencing;
         std::string orderId;
-        Base::WallTime time;
+        Base::WallTime receivedAt;
         bool applied = false;
-        bool stale = false; ///< Its fencing number was older than one seen before.
+        bool stale = false; ///< Whether its fencing number was lower than the highest so far.
     };
 
     explicit Orders(Options options);
 
-    /// False for an order with an older fencing number, which changes nothing.
+    /// Returns false, without changes, if `checkFencing` is set and the order is stale.
     bool apply(const Order &order);
     bool isLoading() const;
     const EngineSettings &settings() const { return m_settings; }
@@ -69,8 +69,8 @@
 
     Options m_options;
     EngineSettings m_settings;
-    Base::FencingNumber m_fencing;
-    Base::MonoTime m_loadedAt;
+    Base::FencingNumber m_fencing; ///< Highest of all applied orders.
+    Base::MonoTime m_loadingEndsAt;
     std::deque<Record> m_records;
 };
 
--- a/src/standins/engine/prefixcache.cpp
+++ b/src/standins/engine/prefixcache.cpp
@@ -16,7 +16,7 @@
 
 std::size_t PrefixCache::cachedBlocks(std::span<const BlockHash> chain) const
 {
-    const auto isMissing = [this](BlockHash hash) { return !m_blocks.contains(hash); };
+    const auto isMissing = [this](BlockHash hash) { return !m_blocksByHash.contains(hash); };
     return static_cast<std::size_t>(std::ranges::find_if(chain, isMissing) - chain.begin());
 }
 
@@ -28,14 +28,14 @@
 void PrefixCache::store(const Base::ChatId &chat, std::span<const BlockHash> chain)
 {
     chain = chain.first(std::min(chain.size(), m_maxBlocks));
-    const std::size_t before = cachedBlocks(chain);
-    // The start of the prefix is touched last, so that it outlives its end.
+    const std::size_t cachedBefore = cachedBlocks(chain);
+    // Touch the start of the prefix last so that its end is evicted first.
     for (std::size_t i = chain.size(); i > 0; --i)
         touch(chat, chain[i - 1]);
     if (!chain.empty())
         m_chats[chat].chain.assign(chain.begin(), chain.end());
     evict();
-    if (chain.size() > before && stored)
+    if (chain.size() > cachedBefore && stored)
         stored(chat, cachedTokens(chain));
 }
 
@@ -53,44 +53,44 @@
 
 void PrefixCache::touch(const Base::ChatId &chat, BlockHash hash)
 {
-    const auto found = m_blocks.find(hash);
-    if (found == m_blocks.end()) {
-        m_order.push_front({hash, chat});
-        m_blocks.emplace(hash, m_order.begin());
-        ++m_chats[chat].owned;
+    const auto found = m_blocksByHash.find(hash);
+    if (found == m_blocksByHash.end()) {
+        m_lruBlocks.push_front({hash, chat});
+        m_blocksByHash.emplace(hash, m_lruBlocks.begin());
+        ++m_chats[chat].ownedBlocks;
         return;
     }
     const Blocks::iterator block = found->second;
-    m_order.splice(m_order.begin(), m_order, block);
+    m_lruBlocks.splice(m_lruBlocks.begin(), m_lruBlocks, block);
     if (block->owner == chat)
         return;
-    disown(block->owner);
+    releaseBlock(block->owner);
     block->owner = chat;
-    ++m_chats[chat].owned;
+    ++m_chats[chat].ownedBlocks;
 }
 
-void PrefixCache::disown(const Base::ChatId &chat)
+void PrefixCache::releaseBlock(const Base::ChatId &chat)
 {
     const auto found = m_chats.find(chat);
-    if (found != m_chats.end() && --found->second.owned == 0)
+    if (found != m_chats.end() && --found->second.ownedBlocks == 0)
         m_chats.erase(found);
 }
 
 void PrefixCache::evict()
 {
-    std::set<Base::ChatId> losers;
-    while (m_blocks.size() > m_maxBlocks) {
-        const Block block = m_order.back();
-        m_order.pop_back();
-        m_blocks.erase(block.hash);
-        losers.insert(block.owner);
-        disown(block.owner);
+    std::set<Base::ChatId> affectedChats;
+    while (m_blocksByHash.size() > m_maxBlocks) {
+        const Block block = m_lruBlocks.back();
+        m_lruBlocks.pop_back();
+        m_blocksByHash.erase(block.hash);
+        affectedChats.insert(block.owner);
+        releaseBlock(block.owner);
     }
-    for (const Base::ChatId &chat : losers) {
+    for (const Base::ChatId &chat : affectedChats) {
         const auto found = m_chats.find(chat);
-        const bool gone = found == m_chats.end();
+        const bool isGone = found == m_chats.end();
         if (evicted)
-            evicted(chat, gone ? Base::Tokens() : cachedTokens(found->second.chain));
+            evicted(chat, isGone ? Base::Tokens() : cachedTokens(found->second.chain));
     }
 }
 
--- a/src/standins/engine/prefixcache.h
+++ b/src/standins/engine/prefixcache.h
@@ -2,7 +2,7 @@
 
 #include "base/ids.h"
 #include "base/units.h"
-#include "standins/engine/blockchain.h"
+#include "standins/engine/blockhashchain.h"
 
 #include <absl/container/flat_hash_map.h>
 
@@ -15,8 +15,8 @@
 
 namespace Lagoonbank::Standins {
 
-/// Cached prefixes as blocks of tokens; the blocks used longest ago go first, a prefix from its
-/// end. A block belongs to the chat that used it last.
+/// LRU cache of prompt prefixes in blocks of tokens. Within a prefix, the blocks at its end are
+/// evicted first. A block is owned by the chat that used it last.
 class PrefixCache
 {
 public:
@@ -24,18 +24,18 @@
         : m_maxBlocks(maxBlocks)
     { }
 
-    /// Called with the tokens of the chat's prefix that are left.
-    std::function<void(const Base::ChatId &chat, Base::Tokens left)> evicted;
-    /// Called with the tokens of the chat's prefix that are cached, if they grew.
+    /// Called after an eviction with the tokens of the chat's prefix that are still cached.
+    std::function<void(const Base::ChatId &chat, Base::Tokens remaining)> evicted;
+    /// Called with the cached tokens of the chat's prefix when their number has grown.
     std::function<void(const Base::ChatId &chat, Base::Tokens cached)> stored;
 
-    /// Tokens at the start of \a chain that are cached.
+    /// Number of cached tokens at the start of \a chain.
     Base::Tokens cachedTokens(std::span<const BlockHash> chain) const;
-    /// Caches all blocks of \a chain for \a chat and makes them the last used.
+    /// Caches the blocks of \a chain for \a chat and marks them as most recently used.
     void store(const Base::ChatId &chat, std::span<const BlockHash> chain);
-    /// The cached blocks of the chat's prefix; nothing for a chat that has none.
+    /// The cached blocks of the chat's prefix; empty if there are none.
     std::optional<std::vector<BlockHash>> chainOf(const Base::ChatId &chat) const;
-    std::size_t blockCount() const { return m_blocks.size(); }
+    std::size_t blockCount() const { return m_blocksByHash.size(); }
 
 private:
     struct Block
@@ -46,18 +46,18 @@
     struct Chat
     {
         std::vector<BlockHash> chain;
-        std::size_t owned = 0;
+        std::size_t ownedBlocks = 0;
     };
     using Blocks = std::list<Block>;
 
     std::size_t cachedBlocks(std::span<const BlockHash> chain) const;
     void touch(const Base::ChatId &chat, BlockHash hash);
-    void disown(const Base::ChatId &chat);
+    void releaseBlock(const Base::ChatId &chat);
     void evict();
 
     std::size_t m_maxBlocks;
-    Blocks m_order; ///< Last used first.
-    absl::flat_hash_map<BlockHash, Blocks::iterator> m_blocks;
+    Blocks m_lruBlocks; ///< Most recently used first.
+    absl::flat_hash_map<BlockHash, Blocks::iterator> m_blocksByHash;
     absl::flat_hash_map<Base::ChatId, Chat> m_chats;
 };
 
--- a/src/standins/service/app/main.cpp
+++ b/src/standins/service/app/main.cpp
@@ -1,4 +1,4 @@
-// The service stand-in: a plain service whose calls may not be repeated, with a ledger of its runs.
+// Service stand-in: a plain service whose calls must not be repeated, with a ledger of its runs.
 
 #include "runtime/loop.h"
 #include "standins/service/serviceapi.h"
@@ -11,12 +11,12 @@
 #include <chrono>
 #include <string>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address \"ip:port\"; port 0 takes a free one");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address \"ip:port\"; port 0 picks a free port");
 ABSL_FLAG(std::string, name, "service", "Name in the ledger");
-ABSL_FLAG(double, work_ms, 5, "Time that one request runs");
-ABSL_FLAG(std::uint32_t, concurrency, 16, "Requests that run together");
-ABSL_FLAG(std::uint32_t, max_queue, 1024, "Requests that wait; more are refused");
-ABSL_FLAG(std::uint32_t, load_lag_ms, 0, "Age of the load that is reported");
+ABSL_FLAG(double, work_ms, 5, "Run time of a request");
+ABSL_FLAG(std::uint32_t, concurrency, 16, "Maximum number of requests that run at once");
+ABSL_FLAG(std::uint32_t, max_queue, 1024, "Maximum number of queued requests; more are refused");
+ABSL_FLAG(std::uint32_t, load_lag_ms, 0, "Age of the reported load");
 
 int main(int argc, char **argv)
 {
@@ -24,10 +24,11 @@
     absl::SetProgramUsageMessage("Stands in for a plain service in tests and demos.");
     absl::ParseCommandLine(argc, argv);
     if (absl::GetFlag(FLAGS_concurrency) == 0)
-        return Standins::usageError("lagoonbank-standin-service",
-                                    "--concurrency must be at least 1");
+        return Standins::reportUsageError("lagoonbank-standin-service",
+                                          "--concurrency must be at least 1");
     if (!(absl::GetFlag(FLAGS_work_ms) >= 0))
-        return Standins::usageError("lagoonbank-standin-service", "--work_ms must not be negative");
+        return Standins::reportUsageError("lagoonbank-standin-service",
+                                          "--work_ms must not be negative");
     Runtime::Loop loop;
     Standins::ServiceApi api(
         {.timers = &loop.timers(),
@@ -42,6 +43,6 @@
          .loop = &loop,
          .handler = [&api](const Http::Request &request,
                            const auto &responder) { api.handle(request, responder); },
-         .draining = [&api] { api.leave(); },
+         .startDraining = [&api] { api.startDraining(); },
          .isIdle = [&api] { return api.isIdle(); }});
 }
--- a/src/standins/service/serviceapi.cpp
+++ b/src/standins/service/serviceapi.cpp
@@ -36,28 +36,28 @@
 {
     const std::string route = request.method + ' ' + request.path;
     if (route == "POST /faults")
-        return orderFaults(request, *responder);
+        return injectFault(request, *responder);
     if (route == "GET /ledger")
         return sendLedger(request, *responder);
     if (m_faults.isDown())
         return responder->abort();
     if (route == "GET /v1/load")
-        return sendJson(*responder, httpOk, loadBody(load(), m_incarnation, m_leaving));
+        return sendJson(*responder, httpOk, loadBody(load(), m_incarnation, m_isDraining));
     call(request, responder);
 }
 
-void ServiceApi::leave()
+void ServiceApi::startDraining()
 {
-    m_leaving = true;
-    m_silent.abortAll();
+    m_isDraining = true;
+    m_unanswered.abortAll();
 }
 
 void ServiceApi::call(const Http::Request &request, const ResponderPtr &responder)
 {
-    const RequestFaults faults = m_faults.take();
-    if (stopBeforeRun(faults, responder))
+    const RequestFaults faults = m_faults.takeForRequest();
+    if (applyPreRunFault(faults, responder))
         return;
-    if (m_leaving && !faults.has(FaultKind::AcceptWhileDraining))
+    if (m_isDraining && !faults.has(FaultKind::AcceptWhileDraining))
         return refuse(*responder, httpUnavailable, "draining");
     if (m_queue.size() >= m_options.maxQueue)
         return refuse(*responder, httpTooManyRequests, "the queue is full");
@@ -75,7 +75,7 @@
     enqueue(run);
 }
 
-bool ServiceApi::stopBeforeRun(const RequestFaults &faults, const ResponderPtr &responder)
+bool ServiceApi::applyPreRunFault(const RequestFaults &faults, const ResponderPtr &responder)
 {
     if (faults.has(FaultKind::CrashBefore)) {
         responder->abort();
@@ -86,7 +86,7 @@
         return true;
     }
     if (faults.has(FaultKind::Silent)) {
-        m_silent.add(responder);
+        m_unanswered.add(responder);
         return true;
     }
     return false;
@@ -94,11 +94,11 @@
 
 void ServiceApi::enqueue(const RunPtr &run)
 {
-    run->number = ++m_lastRun;
-    run->ledger = m_ledger.begin({.requestId = run->requestId,
-                                  .key = run->key,
-                                  .started = m_clock.wallNow(),
-                                  .afterDrain = m_leaving});
+    run->runNumber = ++m_lastRunNumber;
+    run->ledgerNumber = m_ledger.begin({.requestId = run->requestId,
+                                        .key = run->key,
+                                        .started = m_clock.wallNow(),
+                                        .afterDrain = m_isDraining});
     m_queue.push_back(run);
     startNext();
     recordLoad();
@@ -119,21 +119,21 @@
 void ServiceApi::finish(const RunPtr &run)
 {
     --m_running;
-    m_ledger.end(run->ledger, RunState::Whole, m_clock.wallNow());
+    m_ledger.end(run->ledgerNumber, RunState::Whole, m_clock.wallNow());
     startNext();
     recordLoad();
     if (run->responder)
-        answerInTime(run);
+        answerAfterDelay(run);
 }
 
-void ServiceApi::answerInTime(const RunPtr &run)
+void ServiceApi::answerAfterDelay(const RunPtr &run)
 {
     const Fault *late = run->faults.find(FaultKind::Late);
     if (!late)
         return answer(*run);
-    ++m_heldBack;
+    ++m_delayedAnswers;
     m_options.timers->start(late->delay, [this, run] {
-        --m_heldBack;
+        --m_delayedAnswers;
         answer(*run);
     });
 }
@@ -142,31 +142,32 @@
 {
     if (run.faults.has(FaultKind::CrashAfterRequest))
         return run.responder->abort();
-    Base::RequestId shownId = run.requestId;
+    Base::RequestId reportedId = run.requestId;
     std::string receipt = run.receipt;
     if (const Fault *crossed = run.faults.find(FaultKind::Crossed)) {
-        const bool hasOther = !m_otherId.empty() && m_otherReceipt != run.receipt;
-        receipt = hasOther ? m_otherReceipt : serviceReceipt(run.receipt);
+        const bool hasPrevious = !m_previousRequestId.empty() && m_previousReceipt != run.receipt;
+        receipt = hasPrevious ? m_previousReceipt : serviceReceipt(run.receipt);
         if (!crossed->keepId)
-            shownId = hasOther ? m_otherId : Base::RequestId(run.requestId.value() + "-other");
+            reportedId = hasPrevious ? m_previousRequestId
+                                     : Base::RequestId(run.requestId.value() + "-other");
     }
-    m_otherId = run.requestId;
-    m_otherReceipt = run.receipt;
+    m_previousRequestId = run.requestId;
+    m_previousReceipt = run.receipt;
     Http::Headers headers{{"x-load", loadHeader(load())}};
-    if (!shownId.empty())
-        headers.add("x-request-id", shownId.value());
+    if (!reportedId.empty())
+        headers.add("x-request-id", reportedId.value());
     sendJson(*run.responder, httpOk,
-             {{"request_id", shownId.value()},
+             {{"request_id", reportedId.value()},
               {"key", run.key.value()},
-              {"run", run.number},
+              {"run", run.runNumber},
               {"receipt", receipt}},
              std::move(headers));
 }
 
-void ServiceApi::refuse(Http::Responder &responder, int status, std::string_view why)
+void ServiceApi::refuse(Http::Responder &responder, int status, std::string_view reason)
 {
-    m_ledger.noteRefused(m_clock.wallNow(), m_leaving);
-    sendRefusal(responder, status, why);
+    m_ledger.countRefusal(m_clock.wallNow(), m_isDraining);
+    sendRefusal(responder, status, reason);
 }
 
 void ServiceApi::sendLedger(const Http::Request &request, Http::Responder &responder)
@@ -178,10 +179,10 @@
     sendJson(responder, httpOk, body);
 }
 
-void ServiceApi::orderFaults(const Http::Request &request, Http::Responder &responder)
+void ServiceApi::injectFault(const Http::Request &request, Http::Responder &responder)
 {
-    if (const auto ordered = m_faults.order(request.body); !ordered)
-        return sendRefusal(responder, httpBadRequest, ordered.error().detail);
+    if (const auto injected = m_faults.inject(request.body); !injected)
+        return sendRefusal(responder, httpBadRequest, injected.error().detail);
     sendJson(responder, httpOk, m_faults.describe());
 }
 
--- a/src/standins/service/serviceapi.h
+++ b/src/standins/service/serviceapi.h
@@ -15,8 +15,8 @@
 
 namespace Lagoonbank::Standins {
 
-/// The HTTP interface of the stand-in for a plain service. Each request on a path of its own runs
-/// for a fixed time, some together; the answer names the run and a receipt.
+/// HTTP interface of the service stand-in. A request whose path is not one of the stand-in's own
+/// runs for a fixed time; its answer contains the run number and a receipt of the request body.
 class ServiceApi
 {
 public:
@@ -25,8 +25,8 @@
         Runtime::TimerQueue *timers = nullptr;
         std::string name;
         Base::Duration workTime = std::chrono::milliseconds(5);
-        std::size_t concurrency = 16; ///< Requests that run together.
-        std::size_t maxQueue = 1024; ///< Requests that wait; more are refused.
+        std::size_t concurrency = 16; ///< Maximum number of requests that run at once.
+        std::size_t maxQueue = 1024; ///< Maximum number of queued requests; more are refused.
         Base::Duration loadLag{};
         std::size_t maxLedger = 200000;
     };
@@ -34,33 +34,33 @@
     explicit ServiceApi(const Options &options);
 
     void handle(const Http::Request &request, const ResponderPtr &responder);
-    /// Takes no new work from now on and gives up the exchanges that would never end.
-    void leave();
-    bool isIdle() const { return m_running == 0 && m_queue.empty() && m_heldBack == 0; }
+    /// Refuses new requests from now on and aborts those that would never be answered.
+    void startDraining();
+    bool isIdle() const { return m_running == 0 && m_queue.empty() && m_delayedAnswers == 0; }
 
 private:
     struct Run
     {
-        Ledger::Number ledger = 0;
-        std::uint64_t number = 0;
+        Ledger::Number ledgerNumber = 0;
+        std::uint64_t runNumber = 0;
         Base::RequestId requestId;
         Base::IdempotencyKey key;
         std::string receipt;
         RequestFaults faults;
-        ResponderPtr responder; ///< Null if nobody waits for the answer.
+        ResponderPtr responder; ///< Null if the run sends no answer.
     };
     using RunPtr = std::shared_ptr<Run>;
 
     void call(const Http::Request &request, const ResponderPtr &responder);
-    bool stopBeforeRun(const RequestFaults &faults, const ResponderPtr &responder);
+    bool applyPreRunFault(const RequestFaults &faults, const ResponderPtr &responder);
     void enqueue(const RunPtr &run);
     void startNext();
     void finish(const RunPtr &run);
-    void answerInTime(const RunPtr &run);
+    void answerAfterDelay(const RunPtr &run);
     void answer(const Run &run);
-    void refuse(Http::Responder &responder, int status, std::string_view why);
+    void refuse(Http::Responder &responder, int status, std::string_view reason);
     void sendLedger(const Http::Request &request, Http::Responder &responder);
-    void orderFaults(const Http::Request &request, Http::Responder &responder);
+    void injectFault(const Http::Request &request, Http::Responder &responder);
     void recordLoad();
     LoadFigures load() const;
 
@@ -70,17 +70,17 @@
     FaultSet m_faults;
     Ledger m_ledger;
     LoadHistory m_loadHistory;
-    SilentExchanges m_silent;
+    UnansweredRequests m_unanswered;
     std::deque<RunPtr> m_queue;
     std::size_t m_running = 0;
-    std::size_t m_heldBack = 0;
-    std::uint64_t m_lastRun = 0;
-    Base::RequestId m_otherId; ///< Of the request before, for answers that are mixed up.
-    std::string m_otherReceipt;
-    bool m_leaving = false;
+    std::size_t m_delayedAnswers = 0;
+    std::uint64_t m_lastRunNumber = 0;
+    Base::RequestId m_previousRequestId; ///< Source of the content of crossed answers.
+    std::string m_previousReceipt;
+    bool m_isDraining = false;
 };
 
-/// The receipt for a request with that body: hexadecimal digits, the same for the same body.
+/// Receipt of a request with \a body: hexadecimal digits that depend on the body only.
 std::string serviceReceipt(std::string_view body);
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/support/answers.cpp
+++ b/src/standins/support/answers.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Base::Duration breakOffDelay = std::chrono::milliseconds(5);
+constexpr Base::Duration abortDelay = std::chrono::milliseconds(5);
 
 } // namespace
 
@@ -19,23 +19,23 @@
                    body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-void sendRefusal(Http::Responder &responder, int status, std::string_view why)
+void sendRefusal(Http::Responder &responder, int status, std::string_view reason)
 {
-    sendJson(responder, status, {{"error", why}, {"ran", "no"}}, {{"x-ran", "no"}});
+    sendJson(responder, status, {{"error", reason}, {"ran", "no"}}, {{"x-ran", "no"}});
 }
 
-void breakOffSoon(Runtime::TimerQueue &timers, ResponderPtr responder)
+void abortAfterDelay(Runtime::TimerQueue &timers, ResponderPtr responder)
 {
-    timers.start(breakOffDelay, [responder = std::move(responder)] { responder->abort(); });
+    timers.start(abortDelay, [responder = std::move(responder)] { responder->abort(); });
 }
 
-void SilentExchanges::add(ResponderPtr responder)
+void UnansweredRequests::add(ResponderPtr responder)
 {
     std::erase_if(m_responders, [](const ResponderPtr &held) { return held->isGone(); });
     m_responders.push_back(std::move(responder));
 }
 
-void SilentExchanges::abortAll()
+void UnansweredRequests::abortAll()
 {
     for (const ResponderPtr &responder : m_responders)
         responder->abort();
--- a/src/standins/support/answers.h
+++ b/src/standins/support/answers.h
@@ -23,16 +23,16 @@
 constexpr int httpTooManyRequests = 429;
 constexpr int httpUnavailable = 503;
 
-/// Answers with JSON; \a headers are sent besides the content type.
+/// Sends a JSON response; \a headers are added to the content type.
 void sendJson(Http::Responder &responder, int status, const nlohmann::json &body,
               Http::Headers headers = {});
-/// Answers that the request did not run, by `X-Ran: no` and in the body.
-void sendRefusal(Http::Responder &responder, int status, std::string_view why);
-/// Breaks the answer off once what was written has had time to leave.
-void breakOffSoon(Runtime::TimerQueue &timers, ResponderPtr responder);
+/// Sends an error response whose `X-Ran: no` header and body say that the request did not run.
+void sendRefusal(Http::Responder &responder, int status, std::string_view reason);
+/// Aborts the response after a short delay, so that data already written is sent first.
+void abortAfterDelay(Runtime::TimerQueue &timers, ResponderPtr responder);
 
-/// Exchanges that are never answered. They stay open until the caller leaves.
-class SilentExchanges
+/// Requests that are never answered. They stay open until the client disconnects or abortAll().
+class UnansweredRequests
 {
 public:
     void add(ResponderPtr responder);
@@ -42,20 +42,20 @@
     std::vector<ResponderPtr> m_responders;
 };
 
-/// What a stand-in reports as its load.
+/// Load that a stand-in reports.
 struct LoadFigures
 {
     std::size_t running = 0;
     std::size_t queued = 0;
     double work = 0;
-    double largest = 0; ///< Work of the largest request; 0 if it is not told.
+    double largest = 0; ///< Work of the largest running request; 0 if not reported.
     double capacity = 0;
-    Base::Duration age{};
+    Base::Duration age{}; ///< Time since the other values were sampled.
 };
 
-/// The value of the header `X-Load`.
+/// Value of the `X-Load` header.
 std::string loadHeader(const LoadFigures &load);
-/// The body of `GET /v1/load`.
+/// Body of the response to `GET /v1/load`.
 nlohmann::json loadBody(const LoadFigures &load, Base::Incarnation incarnation, bool draining);
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/support/faults.cpp
+++ b/src/standins/support/faults.cpp
@@ -15,7 +15,7 @@
 {
     FaultKind kind;
     std::string_view name;
-    bool perRequest; ///< Whether it hits single requests, so that a count makes sense.
+    bool perRequest; ///< Whether it affects single requests and can be limited by a count.
 };
 
 constexpr std::array faultTable{
@@ -35,8 +35,8 @@
     FaultRow{FaultKind::AcceptWhileDraining, "accept_while_draining", true},
 };
 
-constexpr std::int64_t mostTokens = 1'000'000;
-constexpr double largestFactor = 1000;
+constexpr std::int64_t maxAfterTokens = 1'000'000;
+constexpr double maxSlowFactor = 1000;
 constexpr Base::Duration defaultPeriod = std::chrono::seconds(1);
 
 const FaultRow *rowByName(std::string_view name)
@@ -56,11 +56,11 @@
     if (row.perRequest && fields.has("count"))
         fault.count = fields.number("count", std::nullopt, 1, std::numeric_limits<int>::max());
     if (fields.has("after_tokens"))
-        fault.afterTokens = fields.number("after_tokens", std::nullopt, 0, mostTokens);
-    fault.factor = fields.real("factor", 1, 1, largestFactor);
+        fault.afterTokens = fields.number("after_tokens", std::nullopt, 0, maxAfterTokens);
+    fault.factor = fields.real("factor", 1, 1, maxSlowFactor);
     fault.delay = fields.milliseconds("delay_ms", Base::Duration::zero());
     fault.period = fields.milliseconds("period_ms", defaultPeriod);
-    fault.keep = fields.flag("keep", false);
+    fault.keepRun = fields.flag("keep", false);
     fault.keepId = fields.flag("keep_id", false);
     return fault;
 }
@@ -73,7 +73,7 @@
     return found == m_faults.end() ? nullptr : &*found;
 }
 
-Errors::Result<void> FaultSet::order(std::string_view body)
+Errors::Result<void> FaultSet::inject(std::string_view body)
 {
     RequestFields fields = RequestFields::parse(body);
     const std::string name = fields.text("fault");
@@ -91,13 +91,13 @@
     }
     if (fault.period <= Base::Duration::zero())
         return badRequest("\"period_ms\" must be more than 0");
-    fault.since = m_clock.now();
+    fault.injectedAt = m_clock.now();
     std::erase_if(m_faults, [&](const Fault &old) { return old.kind == fault.kind; });
     m_faults.push_back(fault);
     return boost::outcome_v2::success();
 }
 
-RequestFaults FaultSet::take()
+RequestFaults FaultSet::takeForRequest()
 {
     std::vector<Fault> taken = m_faults;
     for (Fault &fault : m_faults) {
@@ -119,7 +119,7 @@
     const auto found = std::ranges::find(m_faults, FaultKind::Flap, &Fault::kind);
     if (found == m_faults.end())
         return false;
-    return ((m_clock.now() - found->since) / found->period) % 2 == 0;
+    return ((m_clock.now() - found->injectedAt) / found->period) % 2 == 0;
 }
 
 nlohmann::json FaultSet::describe() const
--- a/src/standins/support/faults.h
+++ b/src/standins/support/faults.h
@@ -13,39 +13,39 @@
 
 namespace Lagoonbank::Standins {
 
-/// What a stand-in can be told to do wrong. The names on the wire are in faultTable().
+/// Kinds of faults that can be injected into a stand-in. Their wire names are in `faultTable`.
 enum class FaultKind : std::uint8_t {
     Slow, ///< All work takes `factor` times as long.
-    CrashBefore, ///< The connection breaks before any byte; the request does not run.
-    CrashAfterRequest, ///< The request runs whole; the connection breaks without a byte.
-    CrashMidStream, ///< The connection breaks after `after_tokens`, and the run with it.
-    CrashAfterAnswer, ///< The connection breaks after the whole answer.
-    Silent, ///< Never answers; with `after_tokens` runs and goes silent after them.
-    Late, ///< The answer waits for `delay_ms`; the run does not.
-    Crossed, ///< Answers with the content of another request and, without `keep_id`, its id.
-    Cut, ///< Ends the stream as if whole after `after_tokens`, without its last event.
-    RanButRefused, ///< Runs the request and says that it did not.
+    CrashBefore, ///< Breaks the connection before any byte is sent; the request does not run.
+    CrashAfterRequest, ///< Runs the request, then breaks the connection before any byte is sent.
+    CrashMidStream, ///< Breaks the connection after `after_tokens`; the run crashes unless kept.
+    CrashAfterAnswer, ///< Breaks the connection after the complete answer.
+    Silent, ///< Never answers; with `after_tokens` runs, but sends only so many tokens.
+    Late, ///< Delays the answer, but not the run, by `delay_ms`.
+    Crossed, ///< Answers with another request's content and, unless `keep_id` is set, id.
+    Cut, ///< Ends the stream cleanly after `after_tokens`, without its last event.
+    RanButRefused, ///< Runs the request, but answers that it did not run.
     RunTwice, ///< Runs the request twice.
-    Refuse, ///< Refuses; the request does not run.
-    Flap, ///< Breaks every connection for `period_ms`, then works as long, and so on.
-    AcceptWhileDraining ///< Takes new work while draining.
+    Refuse, ///< Refuses the request, which does not run.
+    Flap, ///< Alternates between breaking all connections and working, each for `period_ms`.
+    AcceptWhileDraining ///< Accepts new requests while draining.
 };
 
-/// One fault as ordered.
+/// An injected fault.
 struct Fault
 {
     FaultKind kind = FaultKind::Slow;
-    std::optional<std::int64_t> count; ///< Requests still to be hit; all if empty.
+    std::optional<std::int64_t> count; ///< Remaining requests to affect; unlimited if empty.
     double factor = 1;
     std::optional<std::int64_t> afterTokens;
     Base::Duration delay{};
     Base::Duration period{};
-    bool keep = false; ///< A broken connection leaves its run alive, so that it can be resumed.
-    bool keepId = false;
-    Base::MonoTime since;
+    bool keepRun = false; ///< A run survives its broken connection, so that it can be resumed.
+    bool keepId = false; ///< A crossed answer keeps the id of its own request.
+    Base::MonoTime injectedAt;
 };
 
-/// The faults that hit one request.
+/// Faults that apply to one request.
 class RequestFaults
 {
 public:
@@ -61,7 +61,7 @@
     std::vector<Fault> m_faults;
 };
 
-/// The faults ordered of one stand-in; several kinds may be active at once.
+/// Active faults of one stand-in, at most one of each kind.
 class FaultSet
 {
 public:
@@ -69,12 +69,13 @@
         : m_clock(clock)
     { }
 
-    /// Reads the body of POST /faults; "none" clears all; a kind replaces its own earlier order.
-    Errors::Result<void> order(std::string_view body);
-    /// The faults of the next request; uses up their counts.
-    RequestFaults take();
+    /// Applies the body of `POST /faults`. "none" clears all faults; any other fault replaces the
+    /// active one of its kind.
+    Errors::Result<void> inject(std::string_view body);
+    /// The faults that apply to the next request; decrements their counts.
+    RequestFaults takeForRequest();
     double slowFactor() const;
-    /// Whether a flapping stand-in is down now.
+    /// Whether a flapping stand-in is currently breaking connections.
     bool isDown() const;
     nlohmann::json describe() const;
 
--- a/src/standins/support/ledger.cpp
+++ b/src/standins/support/ledger.cpp
@@ -51,17 +51,17 @@
     m_entries.push_back(std::move(entry));
     if (m_entries.size() > m_maxEntries) {
         m_entries.pop_front();
-        ++m_first;
+        ++m_firstNumber;
         ++m_dropped;
     }
-    return m_first + m_entries.size() - 1;
+    return m_firstNumber + m_entries.size() - 1;
 }
 
 LedgerEntry *Ledger::find(Number number)
 {
-    if (number < m_first || number - m_first >= m_entries.size())
+    if (number < m_firstNumber || number - m_firstNumber >= m_entries.size())
         return nullptr;
-    return &m_entries[number - m_first];
+    return &m_entries[number - m_firstNumber];
 }
 
 void Ledger::end(Number number, RunState state, Base::WallTime now)
@@ -73,7 +73,7 @@
     entry->ended = now;
 }
 
-void Ledger::noteRefused(Base::WallTime now, bool afterDrain)
+void Ledger::countRefusal(Base::WallTime now, bool afterDrain)
 {
     ++m_refused;
     if (!afterDrain)
@@ -86,7 +86,7 @@
 {
     while (!m_entries.empty() && m_entries.front().state != RunState::Running) {
         m_entries.pop_front();
-        ++m_first;
+        ++m_firstNumber;
     }
     m_dropped = 0;
     m_refused = 0;
--- a/src/standins/support/ledger.h
+++ b/src/standins/support/ledger.h
@@ -27,10 +27,10 @@
     std::optional<Base::Tokens> promptTokens;
     std::optional<Base::Tokens> cachedTokens;
     std::optional<Base::Tokens> tokens;
-    bool afterDrain = false; ///< The stand-in was draining when the request came.
+    bool afterDrain = false; ///< Whether the stand-in was draining when the request arrived.
 };
 
-/// What a stand-in ran since its start or the last clear(), oldest first and bounded.
+/// Bounded record of the runs of a stand-in since its start or the last clear(), oldest first.
 class Ledger
 {
 public:
@@ -41,19 +41,19 @@
     { }
 
     Number begin(LedgerEntry entry);
-    /// The entry, to be filled in; null once it was dropped.
+    /// The entry, which may be modified; null if it has been dropped.
     LedgerEntry *find(Number number);
     void end(Number number, RunState state, Base::WallTime now);
-    /// Notes a request that was refused and did not run.
-    void noteRefused(Base::WallTime now, bool afterDrain);
-    /// Forgets the entries before the first that still runs, and the counts.
+    /// Counts a request that was refused and did not run.
+    void countRefusal(Base::WallTime now, bool afterDrain);
+    /// Removes the entries before the first that is still running and resets the counters.
     void clear();
     nlohmann::json toJson() const;
     std::size_t size() const { return m_entries.size(); }
 
 private:
     std::size_t m_maxEntries;
-    Number m_first = 0;
+    Number m_firstNumber = 0;
     std::uint64_t m_dropped = 0;
     std::uint64_t m_refused = 0;
     std::uint64_t m_refusedAfterDrain = 0;
@@ -61,7 +61,7 @@
     std::deque<LedgerEntry> m_entries;
 };
 
-/// Wall-clock milliseconds since the epoch.
+/// Milliseconds since the Unix epoch.
 std::int64_t wallMilliseconds(Base::WallTime time);
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/support/loadhistory.cpp
+++ b/src/standins/support/loadhistory.cpp
@@ -22,9 +22,9 @@
 
 LoadReport LoadHistory::report(Base::MonoTime now) const
 {
-    const Base::MonoTime shown = std::max(now - m_lag, m_samples.front().time);
-    const auto after = std::ranges::upper_bound(m_samples, shown, {}, &Sample::time);
-    return {std::prev(after)->load, now - shown};
+    const Base::MonoTime reportedTime = std::max(now - m_lag, m_samples.front().time);
+    const auto after = std::ranges::upper_bound(m_samples, reportedTime, {}, &Sample::time);
+    return {std::prev(after)->load, now - reportedTime};
 }
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/support/loadhistory.h
+++ b/src/standins/support/loadhistory.h
@@ -7,22 +7,22 @@
 
 namespace Lagoonbank::Standins {
 
-/// Load of an engine at one time.
+/// Load of a stand-in at one point in time.
 struct Load
 {
     std::size_t running = 0;
     std::size_t queued = 0;
     Base::WorkUnits work;
-    Base::WorkUnits largest; ///< Of one request that is running.
+    Base::WorkUnits largest; ///< Work of the largest running request.
 };
 
 struct LoadReport
 {
     Load load;
-    Base::Duration age{}; ///< The load is as it was so long ago.
+    Base::Duration age{}; ///< Time since `load` was current.
 };
 
-/// Keeps the load of the last while so that reports can lag.
+/// Keeps recent load samples so that reports lag behind by a fixed time.
 class LoadHistory
 {
 public:
--- a/src/standins/support/requestfields.cpp
+++ b/src/standins/support/requestfields.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::int64_t longestMilliseconds = 24LL * 3600 * 1000;
+constexpr std::int64_t maxMilliseconds = 24LL * 3600 * 1000;
 
-std::string unescaped(std::string_view text)
+std::string decoded(std::string_view text)
 {
     std::string result;
     for (std::size_t i = 0; i < text.size(); ++i) {
@@ -40,9 +40,9 @@
     return RequestFields(nlohmann::json::parse(body, nullptr, false));
 }
 
-const nlohmann::json *RequestFields::take(const std::string &key, bool required)
+const nlohmann::json *RequestFields::findField(const std::string &key, bool required)
 {
-    m_taken.insert(key);
+    m_readKeys.insert(key);
     if (!m_object.is_object())
         return nullptr;
     const auto found = m_object.find(key);
@@ -53,62 +53,62 @@
     return nullptr;
 }
 
-std::string RequestFields::text(const std::string &key, const std::optional<std::string> &missing)
+std::string RequestFields::text(const std::string &key, const std::optional<std::string> &fallback)
 {
-    const nlohmann::json *value = take(key, !missing);
+    const nlohmann::json *value = findField(key, !fallback);
     if (value && value->is_string())
         return value->get<std::string>();
     if (value)
         fail("\"" + key + "\" must be a string");
-    return missing.value_or(std::string());
+    return fallback.value_or(std::string());
 }
 
-std::int64_t RequestFields::number(const std::string &key, std::optional<std::int64_t> missing,
-                                   std::int64_t lowest, std::int64_t highest)
+std::int64_t RequestFields::number(const std::string &key, std::optional<std::int64_t> fallback,
+                                   std::int64_t min, std::int64_t max)
 {
-    const nlohmann::json *value = take(key, !missing);
+    const nlohmann::json *value = findField(key, !fallback);
     if (!value)
-        return missing.value_or(lowest);
-    const bool fits = value->is_number_integer() && *value >= lowest && *value <= highest;
+        return fallback.value_or(min);
+    const bool fits = value->is_number_integer() && *value >= min && *value <= max;
     if (fits)
         return value->get<std::int64_t>();
-    fail("\"" + key + "\" must be a whole number from " + std::to_string(lowest) + " to "
-         + std::to_string(highest));
-    return lowest;
+    fail("\"" + key + "\" must be a whole number from " + std::to_string(min) + " to "
+         + std::to_string(max));
+    return min;
 }
 
-double RequestFields::real(const std::string &key, double missing, double lowest, double highest)
+double RequestFields::real(const std::string &key, double fallback, double min, double max)
 {
-    const nlohmann::json *value = take(key, false);
+    const nlohmann::json *value = findField(key, false);
     if (!value)
-        return missing;
-    if (value->is_number() && value->get<double>() >= lowest && value->get<double>() <= highest)
+        return fallback;
+    if (value->is_number() && value->get<double>() >= min && value->get<double>() <= max)
         return value->get<double>();
-    fail("\"" + key + "\" must be a number from " + std::to_string(lowest) + " to "
-         + std::to_string(highest));
-    return missing;
+    fail("\"" + key + "\" must be a number from " + std::to_string(min) + " to "
+         + std::to_string(max));
+    return fallback;
 }
 
-Base::Duration RequestFields::milliseconds(const std::string &key, Base::Duration missing)
+Base::Duration RequestFields::milliseconds(const std::string &key, Base::Duration fallback)
 {
-    const std::int64_t given = number(key, Base::toMilliseconds(missing), 0, longestMilliseconds);
+    const std::int64_t given = number(key, Base::toMilliseconds(fallback), 0, maxMilliseconds);
     return std::chrono::milliseconds(given);
 }
 
-bool RequestFields::flag(const std::string &key, bool missing)
+bool RequestFields::flag(const std::string &key, bool fallback)
 {
-    const nlohmann::json *value = take(key, false);
+    const nlohmann::json *value = findField(key, false);
     if (!value)
-        return missing;
+        return fallback;
     if (value->is_boolean())
         return value->get<bool>();
     fail("\"" + key + "\" must be true or false");
-    return missing;
+    return fallback;
 }
 
 nlohmann::json RequestFields::object(const std::string &key)
 {
-    const nlohmann::json *value = take(key, true);
+    const nlohmann::json *value = findField(key, true);
     if (value && value->is_object())
         return *value;
     if (value)
@@ -126,16 +126,16 @@
     if (!m_error.empty())
         return Errors::makeError(Errors::ErrorKind::BadRequest, m_error);
     for (const auto &[key, value] : m_object.items()) {
-        if (!m_taken.contains(key))
+        if (!m_readKeys.contains(key))
             return Errors::makeError(Errors::ErrorKind::BadRequest, "unknown key \"" + key + "\"");
     }
     return boost::outcome_v2::success();
 }
 
-void RequestFields::fail(std::string what)
+void RequestFields::fail(std::string message)
 {
     if (m_error.empty())
-        m_error = std::move(what);
+        m_error = std::move(message);
 }
 
 std::optional<std::string> queryValue(std::string_view query, std::string_view key)
@@ -146,7 +146,7 @@
         query.remove_prefix(std::min(end + 1, query.size()));
         const std::size_t equals = std::min(pair.find('='), pair.size());
         if (pair.substr(0, equals) == key)
-            return unescaped(pair.substr(std::min(equals + 1, pair.size())));
+            return decoded(pair.substr(std::min(equals + 1, pair.size())));
     }
     return std::nullopt;
 }
--- a/src/standins/support/requestfields.h
+++ b/src/standins/support/requestfields.h
@@ -13,40 +13,40 @@
 
 namespace Lagoonbank::Standins {
 
-/// Reads the fields of a JSON object one by one and keeps the first thing that was wrong.
-/// Fields that nobody asked for are an error of finish().
+/// Reads the fields of a JSON object one by one and keeps the first error. finish() also fails if
+/// the object has fields that were not read.
 class RequestFields
 {
 public:
-    /// \a object is any JSON value; all but an object is an error.
+    /// \a object may be any JSON value; anything but an object is an error.
     explicit RequestFields(nlohmann::json object);
     static RequestFields parse(std::string_view body);
 
     std::string text(const std::string &key,
-                     const std::optional<std::string> &missing = std::nullopt);
-    std::int64_t number(const std::string &key, std::optional<std::int64_t> missing,
-                        std::int64_t lowest, std::int64_t highest);
-    double real(const std::string &key, double missing, double lowest, double highest);
-    Base::Duration milliseconds(const std::string &key, Base::Duration missing);
-    bool flag(const std::string &key, bool missing);
+                     const std::optional<std::string> &fallback = std::nullopt);
+    std::int64_t number(const std::string &key, std::optional<std::int64_t> fallback,
+                        std::int64_t min, std::int64_t max);
+    double real(const std::string &key, double fallback, double min, double max);
+    Base::Duration milliseconds(const std::string &key, Base::Duration fallback);
+    bool flag(const std::string &key, bool fallback);
     nlohmann::json object(const std::string &key);
     bool has(const std::string &key) const;
 
-    /// BadRequest with the first thing that was wrong.
+    /// BadRequest with the first error, if there was one.
     Errors::Result<void> finish() const;
 
 private:
-    const nlohmann::json *take(const std::string &key, bool required);
-    void fail(std::string what);
+    const nlohmann::json *findField(const std::string &key, bool required);
+    void fail(std::string message);
 
     nlohmann::json m_object;
-    std::set<std::string> m_taken;
+    std::set<std::string> m_readKeys;
     std::string m_error;
 };
 
-/// The value of \a key in a query such as "from=3&limit=5"; percent escapes are decoded.
+/// Decoded value of \a key in a query string such as "from=3&limit=5".
 std::optional<std::string> queryValue(std::string_view query, std::string_view key);
-/// The whole of \a text as a number that is not negative.
+/// Parses all of \a text as a non-negative number.
 std::optional<std::uint64_t> parseNumber(std::string_view text);
 
 } // namespace Lagoonbank::Standins
--- a/src/standins/support/standinprocess.cpp
+++ b/src/standins/support/standinprocess.cpp
@@ -11,10 +11,10 @@
 constexpr int exitRunTime = 1;
 constexpr int exitUsage = 2;
 constexpr std::size_t maxBodyBytes = 64 * 1024 * 1024;
-constexpr Base::Duration idleCheck = std::chrono::milliseconds(20);
-constexpr Base::Duration connectionGrace = std::chrono::seconds(1);
+constexpr Base::Duration idleCheckInterval = std::chrono::milliseconds(20);
+constexpr Base::Duration connectionCloseTimeout = std::chrono::seconds(1);
 
-/// Ends the loop once nothing is in flight and the connections have closed.
+/// Stops the loop once no request is in flight and the connections have closed or timed out.
 class Shutdown
 {
 public:
@@ -28,30 +28,30 @@
         if (m_begun)
             return;
         m_begun = true;
-        m_process.draining();
-        waitForWork();
+        m_process.startDraining();
+        waitForRequests();
     }
 
 private:
-    void waitForWork()
+    void waitForRequests()
     {
         if (!m_process.isIdle()) {
-            m_process.loop->timers().start(idleCheck, [this] { waitForWork(); });
+            m_process.loop->timers().start(idleCheckInterval, [this] { waitForRequests(); });
             return;
         }
         m_server.stopAccepting();
-        m_deadline = m_process.loop->clock().now() + connectionGrace;
+        m_deadline = m_process.loop->clock().now() + connectionCloseTimeout;
         waitForConnections();
     }
 
     void waitForConnections()
     {
-        const bool late = m_process.loop->clock().now() >= m_deadline;
-        if (m_server.openConnections() == 0 || late) {
+        const bool hasTimedOut = m_process.loop->clock().now() >= m_deadline;
+        if (m_server.openConnections() == 0 || hasTimedOut) {
             m_process.loop->stop();
             return;
         }
-        m_process.loop->timers().start(idleCheck, [this] { waitForConnections(); });
+        m_process.loop->timers().start(idleCheckInterval, [this] { waitForConnections(); });
     }
 
     const StandinProcess &m_process;
@@ -66,7 +66,7 @@
 {
     const auto address = Runtime::parseSocketAddress(process.listen);
     if (!address)
-        return usageError(process.program, "--listen: " + address.error().detail);
+        return reportUsageError(process.program, "--listen: " + address.error().detail);
     Http::Server server(
         {.loop = process.loop, .address = address.value(), .limits = {.bodyBytes = maxBodyBytes}});
     server.setHandler(process.handler);
@@ -83,9 +83,9 @@
     return 0;
 }
 
-int usageError(std::string_view program, std::string_view what)
+int reportUsageError(std::string_view program, std::string_view message)
 {
-    std::cerr << program << ": " << what << ".\n";
+    std::cerr << program << ": " << message << ".\n";
     return exitUsage;
 }
 
--- a/src/standins/support/standinprocess.h
+++ b/src/standins/support/standinprocess.h
@@ -9,20 +9,20 @@
 
 namespace Lagoonbank::Standins {
 
-/// What the main function of a stand-in hands to runStandin().
+/// Parameters of runStandin().
 struct StandinProcess
 {
-    std::string program; ///< Begins the lines on standard output.
-    std::string listen; ///< "ip:port"; port 0 takes a free one.
+    std::string program; ///< Program name; prefix of its output lines.
+    std::string listen; ///< Address "ip:port"; port 0 picks a free port.
     Runtime::Loop *loop = nullptr;
     Http::Server::Handler handler;
-    std::function<void()> draining; ///< The process was told to end: take no new work.
-    std::function<bool()> isIdle; ///< Nothing in flight.
+    std::function<void()> startDraining; ///< Called on SIGTERM or SIGINT to refuse new work.
+    std::function<bool()> isIdle; ///< Whether no request is in flight.
 };
 
-/// Serves until SIGTERM or SIGINT, finishes what is in flight and returns the exit status.
+/// Serves until SIGTERM or SIGINT, finishes the requests in flight and returns the exit status.
 int runStandin(const StandinProcess &process);
-/// Says what is wrong with the command line and returns the exit status for it.
-int usageError(std::string_view program, std::string_view what);
+/// Prints a command line error and returns the exit status for it.
+int reportUsageError(std::string_view program, std::string_view message);
 
 } // namespace Lagoonbank::Standins
--- a/tests/auto/standins/tst_enginemodel.cpp
+++ b/tests/auto/standins/tst_enginemodel.cpp
@@ -39,10 +39,10 @@
 struct Fixture
 {
     explicit Fixture(EngineModel::Options options = {})
-        : model(complete(options))
+        : model(withFixtureClock(options))
     { }
 
-    EngineModel::Options complete(EngineModel::Options options)
+    EngineModel::Options withFixtureClock(EngineModel::Options options)
     {
         options.clock = &clock;
         options.step = step;
@@ -50,7 +50,7 @@
         return options;
     }
 
-    void steps(int count)
+    void runSteps(int count)
     {
         for (int i = 0; i < count; ++i) {
             clock.advance(step);
@@ -60,11 +60,11 @@
 
     std::int64_t produced(const char *id) const
     {
-        return model.view(*model.find(Base::RequestId(id)))->produced.value();
+        return model.progressOf(*model.find(Base::RequestId(id)))->produced.value();
     }
     RunState state(const char *id) const
     {
-        return model.view(*model.find(Base::RequestId(id)))->state;
+        return model.progressOf(*model.find(Base::RequestId(id)))->state;
     }
 
     Runtime::ManualClock clock;
@@ -73,27 +73,27 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(batchSharesStepsAndTheRestWaits)
+BOOST_AUTO_TEST_CASE(requestsBeyondTheBatchWait)
 {
     Fixture f({.maxBatch = 2});
     for (const char *id : {"a", "b", "c"})
         f.model.submit(generation(id, 0, 3));
-    f.steps(2);
+    f.runSteps(2);
     BOOST_TEST(f.produced("a") == 2);
     BOOST_TEST(f.produced("b") == 2);
     BOOST_TEST(f.produced("c") == 0);
     BOOST_TEST(f.model.load().load.running == 2U);
     BOOST_TEST(f.model.load().load.queued == 1U);
-    f.steps(2);
+    f.runSteps(2);
     BOOST_TEST((f.state("a") == RunState::Whole));
     BOOST_TEST(f.produced("c") == 1);
-    f.steps(2);
+    f.runSteps(2);
     BOOST_TEST(f.model.isIdle());
-    BOOST_TEST(!f.model.nextStep().has_value());
+    BOOST_TEST(!f.model.nextStepTime().has_value());
     BOOST_TEST(f.model.load().load.work.value() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(urgentRequestsLeaveTheQueueFirst)
+BOOST_AUTO_TEST_CASE(urgentRequestsRunFirst)
 {
     Fixture f({.maxBatch = 1});
     f.model.submit(generation("first", 0, 1, 5));
@@ -102,58 +102,61 @@
     f.model.submit(generation("high-2", 0, 1, 0));
     std::vector<std::string> order;
     f.model.progressed = [&](RunNumber run) {
-        order.push_back(f.model.view(run)->requestId.value());
+        order.push_back(f.model.progressOf(run)->requestId.value());
     };
-    f.steps(4);
+    f.runSteps(4);
     const std::vector<std::string> expected{"high-1", "high-2", "first", "low"};
     BOOST_TEST(order == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(promptIsReadAtThePrefillSpeedAndCachedAfterwards)
+BOOST_AUTO_TEST_CASE(promptIsReadAtPrefillRateAndThenCached)
 {
-    // 100 tokens a step: 250 tokens are read in the third step, which gives the first token too.
+    // At 100 tokens per step, the third step reads the last of 250 tokens and also produces the
+    // first token.
     Fixture f;
     f.model.submit(generation("cold", 250, 2));
     BOOST_TEST(f.model.load().load.work.value() == 250 + 16);
-    f.steps(2);
+    f.runSteps(2);
     BOOST_TEST(f.produced("cold") == 0);
     BOOST_TEST(f.model.load().load.work.value() == 50 + 16);
-    f.steps(1);
+    f.runSteps(1);
     BOOST_TEST(f.produced("cold") == 1);
-    f.steps(1);
+    f.runSteps(1);
     f.model.submit(generation("warm", 250, 2));
-    f.steps(1);
+    f.runSteps(1);
     BOOST_TEST(f.produced("warm") == 1);
-    BOOST_TEST(f.model.view(*f.model.find(Base::RequestId("warm")))->cachedTokens.value() == 240);
+    BOOST_TEST(f.model.progressOf(*f.model.find(Base::RequestId("warm")))->cachedTokens.value()
+               == 240);
 }
 
-BOOST_AUTO_TEST_CASE(answerIsPartOfTheReturningPrefix)
+BOOST_AUTO_TEST_CASE(answerIsPartOfTheCachedPrefix)
 {
     Fixture f;
     f.model.submit(generation("one", 31, 32));
-    f.steps(33);
+    f.runSteps(33);
     std::string next = words(31) + "\nassistant\n";
     for (int i = 0; i < 32; ++i)
         next += tokenText(shortHash(Base::RequestId("one")), i);
     f.model.submit({.requestId = Base::RequestId("two"),
                     .prompt = next + "\nuser\nand now",
                     .maxTokens = Base::Tokens(1)});
-    f.steps(1);
-    BOOST_TEST(f.model.view(*f.model.find(Base::RequestId("two")))->cachedTokens.value() == 64);
+    f.runSteps(1);
+    BOOST_TEST(f.model.progressOf(*f.model.find(Base::RequestId("two")))->cachedTokens.value()
+               == 64);
 }
 
 BOOST_AUTO_TEST_CASE(loadReportsLag)
 {
     Fixture f({.loadLag = milliseconds(25)});
-    f.steps(10);
+    f.runSteps(10);
     f.model.submit(generation("a", 0, 100));
     BOOST_TEST(f.model.load().load.queued == 0U);
     BOOST_TEST((f.model.load().age == milliseconds(25)));
-    f.steps(2);
+    f.runSteps(2);
     BOOST_TEST(f.model.load().load.work.value() == 0);
-    f.steps(1);
+    f.runSteps(1);
     BOOST_TEST(f.model.load().load.work.value() == 800);
-    f.steps(1);
+    f.runSteps(1);
     BOOST_TEST(f.model.load().load.work.value() == 792);
 }
 
@@ -162,7 +165,7 @@
     Fixture f({.maxBatch = 1});
     f.model.submit(generation("runs", 0, 100));
     f.model.submit(generation("waits", 0, 100));
-    f.steps(3);
+    f.runSteps(3);
     BOOST_TEST(f.model.cancel(Base::RequestId("waits")));
     BOOST_TEST(f.model.cancel(Base::RequestId("runs")));
     BOOST_TEST(!f.model.cancel(Base::RequestId("runs")));
@@ -176,29 +179,29 @@
     BOOST_TEST(entries[1]["tokens"] == 0);
 }
 
-BOOST_AUTO_TEST_CASE(endedRunsAreKeptForAWhile)
+BOOST_AUTO_TEST_CASE(endedRunsAreKeptForTheRetentionTime)
 {
-    Fixture f({.keepEnded = milliseconds(100)});
+    Fixture f({.endedRunRetention = milliseconds(100)});
     f.model.submit(generation("a", 0, 1));
-    f.steps(1);
-    f.steps(10);
+    f.runSteps(1);
+    f.runSteps(10);
     BOOST_TEST(f.model.find(Base::RequestId("a")).has_value());
-    f.steps(1);
+    f.runSteps(1);
     BOOST_TEST(!f.model.find(Base::RequestId("a")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(crashedRunIsGoneButInTheLedger)
+BOOST_AUTO_TEST_CASE(crashedRunIsFoundOnlyInTheLedger)
 {
     Fixture f;
     const auto run = f.model.submit(generation("a", 0, 100));
-    f.steps(2);
+    f.runSteps(2);
     f.model.crash(*run);
     BOOST_TEST(!f.model.find(Base::RequestId("a")).has_value());
     BOOST_TEST(f.model.isIdle());
     BOOST_TEST(f.model.ledger().toJson()["entries"][0]["state"] == "crashed");
 }
 
-BOOST_AUTO_TEST_CASE(fullQueueTakesNothing)
+BOOST_AUTO_TEST_CASE(fullQueueRejectsRequests)
 {
     Fixture f({.maxBatch = 1, .maxQueue = 2});
     BOOST_TEST(f.model.submit(generation("a", 0, 1)).has_value());
@@ -207,7 +210,7 @@
     BOOST_TEST(f.model.ledger().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(lateTimerCatchesUpButAPauseDoesNot)
+BOOST_AUTO_TEST_CASE(missedStepsAreCaughtUpWithinALimit)
 {
     Fixture f;
     f.model.submit(generation("a", 0, 1000));
@@ -219,12 +222,12 @@
     BOOST_TEST(f.produced("a") == 25);
 }
 
-BOOST_AUTO_TEST_CASE(slownessStretchesSteps)
+BOOST_AUTO_TEST_CASE(slowFactorStretchesSteps)
 {
     Fixture f;
-    f.model.setSlowness(4);
+    f.model.setSlowFactor(4);
     f.model.submit(generation("a", 0, 1000));
-    f.steps(8);
+    f.runSteps(8);
     BOOST_TEST(f.produced("a") == 2);
 }
 
@@ -244,7 +247,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(onlyOtherWeightsTakeTime)
+BOOST_AUTO_TEST_CASE(onlyOtherWeightsTakeTimeToLoad)
 {
     Runtime::ManualClock clock;
     Orders orders(
--- a/tests/auto/standins/tst_prefixcache.cpp
+++ b/tests/auto/standins/tst_prefixcache.cpp
@@ -27,23 +27,23 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(chainDependsOnAllBefore)
+BOOST_AUTO_TEST_CASE(hashDependsOnAllEarlierTokens)
 {
-    const BlockChain whole(words(0, 40));
+    const BlockHashChain whole(words(0, 40));
     BOOST_TEST(whole.tokenCount() == 40U);
     BOOST_TEST(whole.hashes().size() == 2U);
-    BlockChain grown(words(0, 25));
+    BlockHashChain grown(words(0, 25));
     grown.appendText(words(25, 15));
     BOOST_TEST(grown.hashes() == whole.hashes(), boost::test_tools::per_element());
-    const BlockChain other("x " + words(1, 39));
+    const BlockHashChain other("x " + words(1, 39));
     BOOST_TEST(other.hashes()[0] != whole.hashes()[0]);
     BOOST_TEST(other.hashes()[1] != whole.hashes()[1]);
 }
 
-BOOST_AUTO_TEST_CASE(returningPrefixIsFound)
+BOOST_AUTO_TEST_CASE(cachedPrefixIsFound)
 {
     PrefixCache cache(100);
-    cache.store(chatA, BlockChain(words(0, 40)).hashes());
+    cache.store(chatA, BlockHashChain(words(0, 40)).hashes());
     struct Row
     {
         const char *what;
@@ -58,19 +58,19 @@
                         {"changed in the second block", words(0, 20) + "x " + words(21, 19), 16}};
     for (const Row &row : rows) {
         BOOST_TEST_CONTEXT(row.what)
-        BOOST_TEST(cache.cachedTokens(BlockChain(row.prompt).hashes()).value() == row.cached);
+        BOOST_TEST(cache.cachedTokens(BlockHashChain(row.prompt).hashes()).value() == row.cached);
     }
 }
 
-BOOST_AUTO_TEST_CASE(leastRecentlyUsedGoesFirstAndFromItsEnd)
+BOOST_AUTO_TEST_CASE(leastRecentlyUsedPrefixIsEvictedFromItsEnd)
 {
     PrefixCache cache(4);
     std::vector<std::pair<std::string, std::int64_t>> evictions;
-    cache.evicted = [&](const Base::ChatId &chat, Base::Tokens left) {
-        evictions.emplace_back(chat.value(), left.value());
+    cache.evicted = [&](const Base::ChatId &chat, Base::Tokens remaining) {
+        evictions.emplace_back(chat.value(), remaining.value());
     };
-    const BlockChain a(words(0, 48));
-    const BlockChain b(words(100, 32));
+    const BlockHashChain a(words(0, 48));
+    const BlockHashChain b(words(100, 32));
     cache.store(chatA, a.hashes());
     cache.store(chatB, b.hashes());
     BOOST_TEST(cache.blockCount() == 4U);
@@ -79,7 +79,7 @@
     BOOST_REQUIRE(evictions.size() == 1U);
     BOOST_TEST(evictions[0].first == "a");
     BOOST_TEST(evictions[0].second == 32);
-    cache.store(Base::ChatId("c"), BlockChain(words(200, 64)).hashes());
+    cache.store(Base::ChatId("c"), BlockHashChain(words(200, 64)).hashes());
     BOOST_TEST(cache.cachedTokens(a.hashes()).value() == 0);
     BOOST_TEST(cache.cachedTokens(b.hashes()).value() == 0);
     BOOST_TEST(!cache.chainOf(chatA).has_value());
@@ -88,17 +88,17 @@
 BOOST_AUTO_TEST_CASE(promptLargerThanTheCacheKeepsItsStart)
 {
     PrefixCache cache(2);
-    const BlockChain chain(words(0, 100));
+    const BlockHashChain chain(words(0, 100));
     cache.store(chatA, chain.hashes());
     BOOST_TEST(cache.blockCount() == 2U);
     BOOST_TEST(cache.cachedTokens(chain.hashes()).value() == 32);
 }
 
-BOOST_AUTO_TEST_CASE(exportedChatIsWarmElsewhere)
+BOOST_AUTO_TEST_CASE(exportedChatIsCachedAfterImport)
 {
     PrefixCache from(10);
     PrefixCache to(10);
-    const BlockChain chain(words(0, 64));
+    const BlockHashChain chain(words(0, 64));
     from.store(chatA, chain.hashes());
     const auto exported = from.chainOf(chatA);
     BOOST_REQUIRE(exported.has_value());
@@ -106,7 +106,7 @@
     BOOST_TEST(to.cachedTokens(chain.hashes()).value() == 64);
 }
 
-BOOST_AUTO_TEST_CASE(eventsShowLateWithGapsAndFromABoundedRing)
+BOOST_AUTO_TEST_CASE(eventsAreDelayedWithGapsAndBounded)
 {
     using std::chrono::milliseconds;
     CacheEventLog log({.maxEvents = 4, .delay = milliseconds(100), .gapEvery = 3, .maxPerRead = 2});
--- a/tests/auto/standins/tst_standinfaults.cpp
+++ b/tests/auto/standins/tst_standinfaults.cpp
@@ -11,7 +11,7 @@
 using namespace Lagoonbank::Standins;
 using std::chrono::milliseconds;
 
-BOOST_AUTO_TEST_CASE(badOrdersChangeNothing)
+BOOST_AUTO_TEST_CASE(malformedFaultsChangeNothing)
 {
     const std::string bodies[] = {"",
                                   "[]",
@@ -30,46 +30,46 @@
         FaultSet faults(clock);
         BOOST_TEST_CONTEXT(body)
         {
-            const auto ordered = faults.order(body);
-            BOOST_REQUIRE(!ordered);
-            BOOST_TEST((ordered.error().kind == Errors::ErrorKind::BadRequest));
-            BOOST_TEST(!ordered.error().detail.empty());
+            const auto injected = faults.inject(body);
+            BOOST_REQUIRE(!injected);
+            BOOST_TEST((injected.error().kind == Errors::ErrorKind::BadRequest));
+            BOOST_TEST(!injected.error().detail.empty());
             BOOST_TEST(faults.describe()["faults"].empty());
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(countHitsExactlySoManyRequests)
+BOOST_AUTO_TEST_CASE(countLimitsTheAffectedRequests)
 {
     Runtime::ManualClock clock;
     FaultSet faults(clock);
-    BOOST_REQUIRE(faults.order(R"({"fault": "refuse", "count": 2})"));
-    BOOST_REQUIRE(faults.order(R"({"fault": "late", "delay_ms": 7})"));
-    for (const bool refused : {true, true, false, false}) {
-        const RequestFaults hit = faults.take();
-        BOOST_TEST(hit.has(FaultKind::Refuse) == refused);
-        BOOST_REQUIRE(hit.has(FaultKind::Late));
-        BOOST_TEST((hit.find(FaultKind::Late)->delay == milliseconds(7)));
+    BOOST_REQUIRE(faults.inject(R"({"fault": "refuse", "count": 2})"));
+    BOOST_REQUIRE(faults.inject(R"({"fault": "late", "delay_ms": 7})"));
+    for (const bool isRefused : {true, true, false, false}) {
+        const RequestFaults requestFaults = faults.takeForRequest();
+        BOOST_TEST(requestFaults.has(FaultKind::Refuse) == isRefused);
+        BOOST_REQUIRE(requestFaults.has(FaultKind::Late));
+        BOOST_TEST((requestFaults.find(FaultKind::Late)->delay == milliseconds(7)));
     }
-    BOOST_REQUIRE(faults.order(R"({"fault": "none"})"));
-    BOOST_TEST(!faults.take().has(FaultKind::Late));
+    BOOST_REQUIRE(faults.inject(R"({"fault": "none"})"));
+    BOOST_TEST(!faults.takeForRequest().has(FaultKind::Late));
 }
 
-BOOST_AUTO_TEST_CASE(laterOrderOfAKindReplacesTheEarlier)
+BOOST_AUTO_TEST_CASE(newFaultReplacesTheOneOfItsKind)
 {
     Runtime::ManualClock clock;
     FaultSet faults(clock);
-    BOOST_REQUIRE(faults.order(R"({"fault": "slow", "factor": 3})"));
-    BOOST_REQUIRE(faults.order(R"({"fault": "slow", "factor": 2})"));
+    BOOST_REQUIRE(faults.inject(R"({"fault": "slow", "factor": 3})"));
+    BOOST_REQUIRE(faults.inject(R"({"fault": "slow", "factor": 2})"));
     BOOST_TEST(faults.slowFactor() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(flapGoesDownAndUp)
+BOOST_AUTO_TEST_CASE(flapAlternatesBetweenDownAndUp)
 {
     Runtime::ManualClock clock;
     FaultSet faults(clock);
     BOOST_TEST(!faults.isDown());
-    BOOST_REQUIRE(faults.order(R"({"fault": "flap", "period_ms": 100})"));
+    BOOST_REQUIRE(faults.inject(R"({"fault": "flap", "period_ms": 100})"));
     for (const bool down : {true, false, true, false}) {
         BOOST_TEST(faults.isDown() == down);
         clock.advance(milliseconds(99));
@@ -102,7 +102,7 @@
     BOOST_TEST(ledger.toJson()["entries"][0]["ended_ms"] == 5000);
 }
 
-BOOST_AUTO_TEST_CASE(queriesAreRead)
+BOOST_AUTO_TEST_CASE(queryValuesAreParsed)
 {
     BOOST_TEST(queryValue("from=3&chat=a%2Fb+c", "chat").value() == "a/b c");
     BOOST_TEST(queryValue("from=3&chat=a%2Fb+c", "from").value() == "3");
--- a/tests/contract/standins/fakeresponder.h
+++ b/tests/contract/standins/fakeresponder.h
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Tests {
 
-/// Keeps what an answer would have sent.
+/// Records what is sent as the answer.
 class FakeResponder final : public Http::Responder
 {
 public:
@@ -31,10 +31,10 @@
     void end() override { m_state = State::Ended; }
     void abort() override { m_state = State::Aborted; }
     std::size_t queuedBytes() const override { return 0; }
-    bool isGone() const override { return m_gone; }
-    void setGone(std::function<void()> gone) override { m_goneHook = std::move(gone); }
+    bool isGone() const override { return m_isGone; }
+    void setGone(std::function<void()> gone) override { m_goneCallback = std::move(gone); }
 
-    void leave() { m_gone = true; }
+    void disconnect() { m_isGone = true; }
     State state() const { return m_state; }
     int status() const { return m_status; }
     const std::string &body() const { return m_body; }
@@ -48,8 +48,8 @@
     int m_status = 0;
     Http::Headers m_headers;
     std::string m_body;
-    bool m_gone = false;
-    std::function<void()> m_goneHook;
+    bool m_isGone = false;
+    std::function<void()> m_goneCallback;
 };
 
 } // namespace Lagoonbank::Tests
--- a/tests/contract/standins/tst_engineapi.cpp
+++ b/tests/contract/standins/tst_engineapi.cpp
@@ -26,10 +26,10 @@
     using Answer = std::shared_ptr<FakeResponder>;
 
     explicit Fixture(EngineApi::Options options = {})
-        : api(complete(std::move(options)))
+        : api(withFixtureTimers(std::move(options)))
     { }
 
-    EngineApi::Options complete(EngineApi::Options options)
+    EngineApi::Options withFixtureTimers(EngineApi::Options options)
     {
         options.timers = &timers;
         options.model.clock = &clock;
@@ -39,31 +39,34 @@
         return options;
     }
 
-    Answer ask(const std::string &method, const std::string &target, const std::string &body = {})
+    Answer request(const std::string &method, const std::string &target,
+                   const std::string &body = {})
     {
-        const std::size_t mark = std::min(target.find('?'), target.size());
+        const std::size_t queryStart = std::min(target.find('?'), target.size());
         auto answer = std::make_shared<FakeResponder>();
         api.handle({.method = method,
-                    .path = target.substr(0, mark),
-                    .query = target.substr(std::min(mark + 1, target.size())),
+                    .path = target.substr(0, queryStart),
+                    .query = target.substr(std::min(queryStart + 1, target.size())),
                     .body = body},
                    answer);
         return answer;
     }
-    Answer generate(const std::string &id, int maxTokens = 4, const json &more = json::object())
+    Answer generate(const std::string &id, int maxTokens = 4,
+                    const json &extraFields = json::object())
     {
         json body{
             {"request_id", id}, {"chat", "c"}, {"prompt", "a b c"}, {"max_tokens", maxTokens}};
-        body.update(more);
-        return ask("POST", "/v1/generate", body.dump());
+        body.update(extraFields);
+        return request("POST", "/v1/generate", body.dump());
     }
-    Answer fault(const std::string &body) { return ask("POST", "/faults", body); }
-    json get(const std::string &target) { return json::parse(ask("GET", target)->body()); }
+    Answer injectFault(const std::string &body) { return request("POST", "/faults", body); }
+    json get(const std::string &target) { return json::parse(request("GET", target)->body()); }
     json ledgerEntries() { return get("/ledger")["entries"]; }
 
-    void pass(Base::Duration time)
+    /// Advances the clock in small steps and runs the timers that are due.
+    void pass(Base::Duration duration)
     {
-        for (Base::Duration done{}; done < time; done += milliseconds(1)) {
+        for (Base::Duration done{}; done < duration; done += milliseconds(1)) {
             clock.advance(milliseconds(1));
             timers.runDue();
         }
@@ -84,7 +87,7 @@
     return events;
 }
 
-/// The last event if it says that the stream is whole.
+/// The last event if it marks the stream as complete.
 std::optional<json> doneEvent(const std::string &body)
 {
     const std::size_t begin = body.rfind("data: ");
@@ -98,7 +101,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(streamIsWhole)
+BOOST_AUTO_TEST_CASE(streamIsComplete)
 {
     Fixture f;
     const auto answer = f.generate("r-1", 3);
@@ -158,33 +161,33 @@
     for (const Row &row : rows) {
         BOOST_TEST_CONTEXT(row.path << ' ' << row.body)
         {
-            const auto answer = f.ask("POST", row.path, row.body);
+            const auto answer = f.request("POST", row.path, row.body);
             BOOST_TEST(answer->status() == 400);
             BOOST_TEST(answer->header("x-ran") == "no");
             BOOST_TEST(json::parse(answer->body())["ran"] == "no");
         }
     }
-    BOOST_TEST(f.ask("GET", "/v1/cache/events?from=x")->status() == 400);
-    BOOST_TEST(f.ask("GET", "/v1/generate")->status() == 404);
+    BOOST_TEST(f.request("GET", "/v1/cache/events?from=x")->status() == 400);
+    BOOST_TEST(f.request("GET", "/v1/generate")->status() == 404);
     BOOST_TEST(f.ledgerEntries().empty());
     BOOST_TEST(f.generate("r")->status() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(streamIsResumedFromAnyOffsetWhileAndAfterItRuns)
+BOOST_AUTO_TEST_CASE(streamIsResumedDuringAndAfterItsRun)
 {
     Fixture f;
     const auto first = f.generate("r", 6);
     f.pass(3 * step);
-    first->leave();
-    const auto running = f.ask("POST", "/v1/resume", R"({"request_id": "r", "from": 2})");
+    first->disconnect();
+    const auto running = f.request("POST", "/v1/resume", R"({"request_id": "r", "from": 2})");
     BOOST_TEST(running->body() == tokensOf("r", 2, 3));
     f.pass(3 * step);
     BOOST_TEST(running->body().starts_with(tokensOf("r", 2, 6)));
     BOOST_TEST(doneEvent(running->body()).has_value());
-    const auto ended = f.ask("POST", "/v1/resume", R"({"request_id": "r", "from": 5})");
+    const auto ended = f.request("POST", "/v1/resume", R"({"request_id": "r", "from": 5})");
     BOOST_TEST(ended->body().starts_with(tokensOf("r", 5, 6)));
     BOOST_TEST((ended->state() == State::Ended));
-    const auto unknown = f.ask("POST", "/v1/resume", R"({"request_id": "x", "from": 0})");
+    const auto unknown = f.request("POST", "/v1/resume", R"({"request_id": "x", "from": 0})");
     BOOST_TEST(unknown->status() == 404);
     BOOST_TEST(unknown->header("x-ran") == "no");
     BOOST_TEST(f.ledgerEntries().size() == 1U);
@@ -199,26 +202,26 @@
     BOOST_TEST((*doneEvent(answer->body()))["n"] == 5);
 }
 
-BOOST_AUTO_TEST_CASE(cancelBreaksTheStreamOff)
+BOOST_AUTO_TEST_CASE(cancelAbortsTheStream)
 {
     Fixture f;
     const auto answer = f.generate("r", 50);
     f.pass(2 * step);
-    BOOST_TEST(f.ask("POST", "/v1/cancel", R"({"request_id": "r"})")->body()
+    BOOST_TEST(f.request("POST", "/v1/cancel", R"({"request_id": "r"})")->body()
                == R"({"cancelled":true})");
     BOOST_TEST((answer->state() == State::Aborted));
     BOOST_TEST(!doneEvent(answer->body()).has_value());
-    BOOST_TEST(f.ask("POST", "/v1/cancel", R"({"request_id": "r"})")->body()
+    BOOST_TEST(f.request("POST", "/v1/cancel", R"({"request_id": "r"})")->body()
                == R"({"cancelled":false})");
     BOOST_TEST(f.ledgerEntries()[0]["state"] == "cancelled");
 }
 
-BOOST_AUTO_TEST_CASE(ordersSetStateAndDrainingRefusesNewWorkOnly)
+BOOST_AUTO_TEST_CASE(ordersChangeStateAndDrainingRefusesNewRequests)
 {
     Fixture f;
     const auto before = f.generate("before", 2);
-    const auto ordered =
-        f.ask("POST", "/v1/order", R"({"fencing": 5, "order_id": "o", "set": {"draining": true}})");
+    const auto ordered = f.request("POST", "/v1/order",
+                                   R"({"fencing": 5, "order_id": "o", "set": {"draining": true}})");
     BOOST_TEST(ordered->status() == 200);
     BOOST_TEST(f.get("/v1/state")["draining"] == true);
     BOOST_TEST(f.get("/v1/state")["fencing"] == 5);
@@ -232,23 +235,23 @@
     BOOST_TEST(f.ledgerEntries().size() == 1U);
     BOOST_TEST(f.ledgerEntries()[0]["after_drain"] == false);
 
-    f.fault(R"({"fault": "accept_while_draining", "count": 1})");
+    f.injectFault(R"({"fault": "accept_while_draining", "count": 1})");
     f.generate("taken");
     BOOST_TEST(f.ledgerEntries()[1]["after_drain"] == true);
 
-    const auto old = f.ask("POST", "/v1/order",
-                           R"({"fencing": 4, "order_id": "p", "set": {"draining": false}})");
+    const auto old = f.request("POST", "/v1/order",
+                               R"({"fencing": 4, "order_id": "p", "set": {"draining": false}})");
     BOOST_TEST(old->status() == 409);
     BOOST_TEST(f.get("/v1/state")["draining"] == true);
     BOOST_TEST(f.get("/ledger")["orders"][1]["applied"] == false);
 }
 
-BOOST_AUTO_TEST_CASE(otherWeightsAreLoadedBeforeWorkIsTaken)
+BOOST_AUTO_TEST_CASE(otherWeightsAreLoadedBeforeRequestsAreAccepted)
 {
     Fixture f({.orders = {.initial = {.model = Base::ModelId("m")}}});
     BOOST_TEST(f.generate("r-1", 1, {{"model", "n"}})->status() == 503);
     BOOST_TEST(f.generate("r-2", 1, {{"model", "m"}})->status() == 200);
-    f.ask("POST", "/v1/order", R"({"fencing": 1, "order_id": "o", "set": {"model": "n"}})");
+    f.request("POST", "/v1/order", R"({"fencing": 1, "order_id": "o", "set": {"model": "n"}})");
     BOOST_TEST(f.get("/v1/state")["loading"] == true);
     BOOST_TEST(f.generate("r-3", 1, {{"model", "n"}})->status() == 503);
     f.pass(milliseconds(100));
@@ -257,7 +260,7 @@
     BOOST_TEST(f.ledgerEntries().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(cacheTravelsByExportAndShowsInEvents)
+BOOST_AUTO_TEST_CASE(cacheIsExportedAndReportedInEvents)
 {
     Fixture from;
     Fixture to;
@@ -265,29 +268,29 @@
     for (int i = 0; i < 40; ++i)
         prompt += std::to_string(i) + " ";
     from.generate("r", 1, {{"prompt", prompt}, {"chat", "a/b"}});
-    BOOST_TEST(from.ask("GET", "/v1/cache/export?chat=a%2Fb")->status() == 404);
+    BOOST_TEST(from.request("GET", "/v1/cache/export?chat=a%2Fb")->status() == 404);
     from.pass(step);
     const json events = from.get("/v1/cache/events?from=0");
     BOOST_TEST(events["next"] == 1);
     BOOST_TEST(events["events"][0]["op"] == "stored");
     BOOST_TEST(events["events"][0]["chat"] == "a/b");
     BOOST_TEST(events["events"][0]["tokens"] == 32);
-    const auto exported = from.ask("GET", "/v1/cache/export?chat=a%2Fb");
+    const auto exported = from.request("GET", "/v1/cache/export?chat=a%2Fb");
     BOOST_TEST(exported->status() == 200);
-    BOOST_TEST(to.ask("POST", "/v1/cache/import", exported->body())->status() == 200);
+    BOOST_TEST(to.request("POST", "/v1/cache/import", exported->body())->status() == 200);
     const auto answer = to.generate("s", 1, {{"prompt", prompt}, {"chat", "a/b"}});
     to.pass(step);
     BOOST_TEST((*doneEvent(answer->body()))["cached_tokens"] == 32);
 }
 
-BOOST_AUTO_TEST_CASE(faultsBreakWhatTheySay)
+BOOST_AUTO_TEST_CASE(eachFaultHasItsEffect)
 {
     struct Row
     {
         const char *fault;
         State state;
         int status;
-        std::size_t tokens; ///< That the caller got, of 4.
+        std::size_t tokens; ///< Tokens that the caller receives, of 4.
         bool done;
         std::vector<std::string> ledger;
         int resumeStatus;
@@ -334,7 +337,7 @@
         BOOST_TEST_CONTEXT(row.fault)
         {
             Fixture f;
-            BOOST_TEST(f.fault(std::string(row.fault) + R"(, "count": 1})")->status() == 200);
+            BOOST_TEST(f.injectFault(std::string(row.fault) + R"(, "count": 1})")->status() == 200);
             const auto answer = f.generate("r", 4);
             f.pass(milliseconds(100));
             BOOST_TEST((answer->state() == row.state));
@@ -349,7 +352,8 @@
             for (const json &entry : f.ledgerEntries())
                 ledger.push_back(entry["state"]);
             BOOST_TEST(ledger == row.ledger, boost::test_tools::per_element());
-            const auto resumed = f.ask("POST", "/v1/resume", R"({"request_id": "r", "from": 0})");
+            const auto resumed =
+                f.request("POST", "/v1/resume", R"({"request_id": "r", "from": 0})");
             BOOST_TEST(resumed->status() == row.resumeStatus);
             const auto next = f.generate("next", 2);
             f.pass(milliseconds(20));
@@ -358,12 +362,12 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(crossedAnswerIsAnothers)
+BOOST_AUTO_TEST_CASE(crossedAnswerHasContentOfAnotherRequest)
 {
     for (const bool keepId : {false, true}) {
         Fixture f;
         f.generate("first", 2);
-        f.fault(json{{"fault", "crossed"}, {"count", 1}, {"keep_id", keepId}}.dump());
+        f.injectFault(json{{"fault", "crossed"}, {"count", 1}, {"keep_id", keepId}}.dump());
         const auto answer = f.generate("second", 2);
         f.pass(2 * step);
         const std::string shown = keepId ? "second" : "first";
@@ -376,7 +380,7 @@
 BOOST_AUTO_TEST_CASE(lateAnswerBeginsAfterItsDelay)
 {
     Fixture f;
-    f.fault(R"({"fault": "late", "delay_ms": 50})");
+    f.injectFault(R"({"fault": "late", "delay_ms": 50})");
     const auto answer = f.generate("r", 2);
     f.pass(milliseconds(49));
     BOOST_TEST((answer->state() == State::Waiting));
@@ -386,28 +390,28 @@
     BOOST_TEST(f.api.isIdle());
 }
 
-BOOST_AUTO_TEST_CASE(flappingEngineAnswersNothingWhileDown)
+BOOST_AUTO_TEST_CASE(flappingEngineBreaksConnectionsWhileDown)
 {
     Fixture f;
-    f.fault(R"({"fault": "flap", "period_ms": 40})");
+    f.injectFault(R"({"fault": "flap", "period_ms": 40})");
     BOOST_TEST((f.generate("r")->state() == State::Aborted));
-    BOOST_TEST((f.ask("GET", "/v1/load")->state() == State::Aborted));
-    BOOST_TEST(f.ask("GET", "/ledger")->status() == 200);
+    BOOST_TEST((f.request("GET", "/v1/load")->state() == State::Aborted));
+    BOOST_TEST(f.request("GET", "/ledger")->status() == 200);
     f.pass(milliseconds(40));
     BOOST_TEST(f.generate("r")->status() == 200);
     f.pass(milliseconds(40));
     BOOST_TEST((f.generate("r")->state() == State::Aborted));
-    f.fault(R"({"fault": "none"})");
+    f.injectFault(R"({"fault": "none"})");
     BOOST_TEST(f.generate("r")->status() == 200);
 }
 
-BOOST_AUTO_TEST_CASE(leavingFinishesWorkAndGivesUpSilentExchanges)
+BOOST_AUTO_TEST_CASE(drainingFinishesRunsAndAbortsUnansweredRequests)
 {
     Fixture f;
-    f.fault(R"({"fault": "silent", "count": 1})");
+    f.injectFault(R"({"fault": "silent", "count": 1})");
     const auto silent = f.generate("silent");
     const auto running = f.generate("running", 3);
-    f.api.leave();
+    f.api.startDraining();
     BOOST_TEST((silent->state() == State::Aborted));
     BOOST_TEST(!f.api.isIdle());
     BOOST_TEST(f.generate("late")->status() == 503);
@@ -416,7 +420,7 @@
     BOOST_TEST(f.api.isIdle());
 }
 
-BOOST_AUTO_TEST_CASE(ledgerIsClearedOnDemand)
+BOOST_AUTO_TEST_CASE(ledgerIsClearedOnRequest)
 {
     Fixture f;
     f.generate("r", 1);
--- a/tests/contract/standins/tst_serviceapi.cpp
+++ b/tests/contract/standins/tst_serviceapi.cpp
@@ -22,18 +22,18 @@
     using Answer = std::shared_ptr<FakeResponder>;
 
     explicit Fixture(ServiceApi::Options options = {})
-        : api(complete(std::move(options)))
+        : api(withFixtureTimers(std::move(options)))
     { }
 
-    ServiceApi::Options complete(ServiceApi::Options options)
+    ServiceApi::Options withFixtureTimers(ServiceApi::Options options)
     {
         options.timers = &timers;
         options.workTime = milliseconds(10);
         return options;
     }
 
-    Answer ask(const std::string &method, const std::string &path, const std::string &body = {},
-               const Http::Headers &headers = {})
+    Answer request(const std::string &method, const std::string &path, const std::string &body = {},
+                   const Http::Headers &headers = {})
     {
         auto answer = std::make_shared<FakeResponder>();
         api.handle({.method = method, .path = path, .headers = headers, .body = body}, answer);
@@ -41,14 +41,15 @@
     }
     Answer book(const std::string &id, const std::string &body = "room 3")
     {
-        return ask("POST", "/bookings", body,
-                   {{"x-request-id", id}, {"idempotency-key", "key-" + id}});
+        return request("POST", "/bookings", body,
+                       {{"x-request-id", id}, {"idempotency-key", "key-" + id}});
     }
-    json get(const std::string &path) { return json::parse(ask("GET", path)->body()); }
+    json get(const std::string &path) { return json::parse(request("GET", path)->body()); }
 
-    void pass(Base::Duration time)
+    /// Advances the clock in small steps and runs the timers that are due.
+    void pass(Base::Duration duration)
     {
-        for (Base::Duration done{}; done < time; done += milliseconds(1)) {
+        for (Base::Duration done{}; done < duration; done += milliseconds(1)) {
             clock.advance(milliseconds(1));
             timers.runDue();
         }
@@ -84,7 +85,7 @@
                == 10);
 }
 
-BOOST_AUTO_TEST_CASE(requestsBeyondTheConcurrencyWait)
+BOOST_AUTO_TEST_CASE(requestsBeyondTheConcurrencyLimitWait)
 {
     Fixture f({.concurrency = 2});
     std::vector<Fixture::Answer> answers;
@@ -103,7 +104,7 @@
     BOOST_TEST(f.api.isIdle());
 }
 
-BOOST_AUTO_TEST_CASE(faultsBreakWhatTheySay)
+BOOST_AUTO_TEST_CASE(eachFaultHasItsEffect)
 {
     struct Row
     {
@@ -123,7 +124,7 @@
         BOOST_TEST_CONTEXT(row.fault)
         {
             Fixture f;
-            f.ask("POST", "/faults", std::string(row.fault) + R"(, "count": 1})");
+            f.request("POST", "/faults", std::string(row.fault) + R"(, "count": 1})");
             const auto answer = f.book("r");
             f.pass(milliseconds(30));
             BOOST_TEST((answer->state() == row.state));
@@ -141,14 +142,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(crossedAnswerIsAnothers)
+BOOST_AUTO_TEST_CASE(crossedAnswerHasContentOfAnotherRequest)
 {
     for (const bool keepId : {false, true}) {
         Fixture f;
         f.book("first", "room 1");
         f.pass(milliseconds(10));
-        f.ask("POST", "/faults",
-              json{{"fault", "crossed"}, {"count", 1}, {"keep_id", keepId}}.dump());
+        f.request("POST", "/faults",
+                  json{{"fault", "crossed"}, {"count", 1}, {"keep_id", keepId}}.dump());
         const auto answer = f.book("second", "room 2");
         f.pass(milliseconds(10));
         const json body = json::parse(answer->body());
@@ -158,22 +159,22 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(slowAndFlapHitTheWholeService)
+BOOST_AUTO_TEST_CASE(slowAndFlapAffectAllRequests)
 {
     Fixture f;
-    f.ask("POST", "/faults", R"({"fault": "slow", "factor": 3})");
+    f.request("POST", "/faults", R"({"fault": "slow", "factor": 3})");
     const auto slow = f.book("r");
     f.pass(milliseconds(29));
     BOOST_TEST((slow->state() == State::Waiting));
     f.pass(milliseconds(1));
     BOOST_TEST(slow->status() == 200);
-    f.ask("POST", "/faults", R"({"fault": "flap", "period_ms": 50})");
+    f.request("POST", "/faults", R"({"fault": "flap", "period_ms": 50})");
     BOOST_TEST((f.book("s")->state() == State::Aborted));
     f.pass(milliseconds(50));
     BOOST_TEST((f.book("t")->state() == State::Waiting));
 }
 
-BOOST_AUTO_TEST_CASE(fullQueueAndLeavingRefuseAsNotRun)
+BOOST_AUTO_TEST_CASE(fullQueueAndDrainingRefuseWithoutRunning)
 {
     Fixture f({.concurrency = 1, .maxQueue = 1});
     f.book("runs");
@@ -181,7 +182,7 @@
     const auto full = f.book("too-many");
     BOOST_TEST(full->status() == 429);
     BOOST_TEST(full->header("x-ran") == "no");
-    f.api.leave();
+    f.api.startDraining();
     const auto leaving = f.book("late");
     BOOST_TEST(leaving->status() == 503);
     BOOST_TEST(leaving->header("x-ran") == "no");
