--- a/src/standins/platform/faultlist.cpp
+++ b/src/standins/platform/faultlist.cpp
@@ -66,7 +66,7 @@
     return fault;
 }
 
-bool hits(const Fault &fault, const Caller &caller)
+bool affects(const Fault &fault, const Caller &caller)
 {
     if (!fault.stream.empty() && fault.stream != caller.stream)
         return false;
@@ -76,9 +76,9 @@
 
 } // namespace
 
-Errors::Result<void> FaultList::order(std::string_view text)
+Errors::Result<void> FaultList::inject(std::string_view body)
 {
-    const Json json = Json::parse(text, nullptr, false);
+    const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("fault") || !json["fault"].is_string())
         return badFault("The body is an object with the member \"fault\".");
     if (json["fault"] == "none") {
@@ -94,10 +94,10 @@
     return boost::outcome_v2::success();
 }
 
-std::optional<Fault> FaultList::hit(FaultKind kind, const Caller &caller)
+std::optional<Fault> FaultList::match(FaultKind kind, const Caller &caller)
 {
     for (auto fault = m_faults.begin(); fault != m_faults.end(); ++fault) {
-        if (fault->kind != kind || !hits(*fault, caller))
+        if (fault->kind != kind || !affects(*fault, caller))
             continue;
         const Fault found = *fault;
         if (fault->count && --*fault->count == 0)
--- a/src/standins/platform/faultlist.h
+++ b/src/standins/platform/faultlist.h
@@ -11,46 +11,46 @@
 
 namespace Lagoonbank::Standins::Platform {
 
-/// What a test can order to go wrong.
+/// Kinds of faults that can be injected into the platform stand-in.
 enum class FaultKind : std::uint8_t {
-    LogOutage, ///< Appends and reads answer 503; nothing is appended.
-    AppendOutage, ///< Appends answer 503; reads go on.
-    LogSlow, ///< Appends and reads are carried out and answered `ms` later.
-    LateAppendAnswers, ///< Appends are carried out at once and answered `ms` later.
-    LoseAppendAnswers, ///< Appends are carried out, then the connection breaks.
-    LoseAppends, ///< The connection breaks and nothing is appended.
-    AppendsLimited, ///< Appends answer 429.
-    Silent, ///< Any request: no answer, and the connection stays open.
-    VmsOutage, ///< The VM list answers 503.
-    WeightsOutage ///< The weight store answers 503.
+    LogOutage, ///< Answers appends and reads with 503; nothing is appended.
+    AppendOutage, ///< Answers appends with 503; reads work.
+    LogSlow, ///< Delays appends and reads by `ms` before they are carried out.
+    LateAppendAnswers, ///< Carries out appends at once, but answers `ms` later.
+    LoseAppendAnswers, ///< Carries out appends, then breaks the connection.
+    LoseAppends, ///< Breaks the connection of appends; nothing is appended.
+    AppendsLimited, ///< Answers appends with 429.
+    Silent, ///< Never answers any request; the connection stays open.
+    VmsOutage, ///< Answers requests for the VM list with 503.
+    WeightsOutage ///< Answers requests to the weight store with 503.
 };
 
 struct Fault
 {
     FaultKind kind = FaultKind::LogOutage;
-    std::optional<std::uint64_t> count; ///< How many requests it hits yet; all if not set.
+    std::optional<std::uint64_t> count; ///< Remaining requests to affect; unlimited if empty.
     Base::Duration delay{};
-    std::string stream; ///< Only this stream of the log; all if empty.
-    std::string from; ///< Only callers of this VM, data centre or address; all if empty.
+    std::string stream; ///< The only stream of the log to affect; all requests if empty.
+    std::string from; ///< The only VM, data centre or IP address to affect; all callers if empty.
 };
 
-/// Who calls and for what, as far as faults care.
+/// Properties of a request that a fault can be limited to.
 struct Caller
 {
     std::string vm;
     std::string dataCentre;
     std::string ip;
-    std::string stream; ///< Empty unless the request is for the log.
+    std::string stream; ///< Stream of the log; empty for other requests.
 };
 
-/// The faults in force.
+/// Active faults of the platform stand-in.
 class FaultList
 {
 public:
-    /// Carries out the body of `POST /faults`.
-    Errors::Result<void> order(std::string_view json);
-    /// The first fault of that kind that hits \a caller; uses up one of its count.
-    std::optional<Fault> hit(FaultKind kind, const Caller &caller);
+    /// Applies the body of `POST /faults`, which adds a fault or, with "none", clears all faults.
+    Errors::Result<void> inject(std::string_view body);
+    /// The first active fault of \a kind that affects \a caller; decrements its count.
+    std::optional<Fault> match(FaultKind kind, const Caller &caller);
 
 private:
     std::vector<Fault> m_faults;
--- a/src/standins/platform/logstore.cpp
+++ b/src/standins/platform/logstore.cpp
@@ -44,14 +44,14 @@
     return page;
 }
 
-bool LogStream::hasNews(Base::LogOffset from) const
+bool LogStream::hasResultFrom(Base::LogOffset from) const
 {
     return from != m_next;
 }
 
 void LogStream::purge(const Retention &retention, Base::MonoTime now)
 {
-    while (!m_records.empty() && now - m_records.front().appended > retention.age)
+    while (!m_records.empty() && now - m_records.front().appendedAt > retention.age)
         dropOldest();
     while (m_records.size() > retention.records || m_bytes > retention.bytes)
         dropOldest();
@@ -76,22 +76,22 @@
     return &found->second;
 }
 
-bool RateLimit::take(Base::MonoTime now)
+bool RateLimit::tryAcquire(Base::MonoTime now)
 {
-    if (!m_started) {
+    if (!m_isInitialized) {
         m_tokens = burst();
-        m_started = true;
+        m_isInitialized = true;
     } else {
-        m_tokens = std::min(burst(), m_tokens + m_perSecond * Base::toSeconds(now - m_filled));
+        m_tokens = std::min(burst(), m_tokens + m_perSecond * Base::toSeconds(now - m_refilledAt));
     }
-    m_filled = now;
+    m_refilledAt = now;
     if (m_tokens < 1)
         return false;
     m_tokens -= 1;
     return true;
 }
 
-Base::Duration RateLimit::wait() const
+Base::Duration RateLimit::timeToNextToken() const
 {
     if (m_tokens >= 1)
         return {};
--- a/src/standins/platform/logstore.h
+++ b/src/standins/platform/logstore.h
@@ -12,7 +12,7 @@
 
 namespace Lagoonbank::Standins::Platform {
 
-/// A record as a writer gives it.
+/// A record to append.
 struct NewRecord
 {
     std::string id;
@@ -24,10 +24,10 @@
     Base::LogOffset offset;
     std::string id;
     std::string data;
-    Base::MonoTime appended;
+    Base::MonoTime appendedAt;
 };
 
-/// What one read gives: records from `first` up to `next`, which is where to read on.
+/// Result of a read: the records from `first` to before `next`, where the next read continues.
 struct Page
 {
     Base::LogOffset first;
@@ -35,7 +35,7 @@
     std::vector<Record> records;
 };
 
-/// How much of each stream is kept; what is older than any of these goes.
+/// Limits of each stream. The oldest records are removed until all limits hold.
 struct Retention
 {
     Base::Duration age = std::chrono::hours(1);
@@ -43,14 +43,15 @@
     std::size_t bytes = 64 * 1024 * 1024;
 };
 
-/// One stream: records with offsets that only go up.
+/// Stream of records with ascending offsets.
 class LogStream
 {
 public:
     std::vector<Base::LogOffset> append(std::vector<NewRecord> records, Base::MonoTime now);
     Page read(Base::LogOffset from, std::size_t limit) const;
-    /// Whether a reader at \a from has something to learn: a record, a gap or an end before it.
-    bool hasNews(Base::LogOffset from) const;
+    /// Whether a read from \a from can be answered at once: with a record, after a gap, or because
+    /// the stream ends before it.
+    bool hasResultFrom(Base::LogOffset from) const;
     void purge(const Retention &retention, Base::MonoTime now);
 
     Base::LogOffset first() const { return m_first; }
@@ -65,7 +66,7 @@
     std::size_t m_bytes = 0;
 };
 
-/// All streams; the number of streams is bounded.
+/// Streams of the log; their number is bounded.
 class LogStore
 {
 public:
@@ -75,7 +76,7 @@
         : m_retention(retention)
     { }
 
-    /// The stream with what is too old removed; null if it would be one stream too many.
+    /// The stream, created on first use and purged of expired records; null if there are too many.
     LogStream *stream(const std::string &name, Base::MonoTime now);
     const absl::flat_hash_map<std::string, LogStream> &streams() const { return m_streams; }
 
@@ -84,7 +85,7 @@
     absl::flat_hash_map<std::string, LogStream> m_streams;
 };
 
-/// Allows so many calls a second, with a tenth of a second's worth at once.
+/// Token bucket for calls per second; the burst is a tenth of that, but at least one call.
 class RateLimit
 {
 public:
@@ -92,17 +93,17 @@
         : m_perSecond(perSecond)
     { }
 
-    bool take(Base::MonoTime now);
-    /// How long until take() gives true again, if nobody takes in between.
-    Base::Duration wait() const;
+    bool tryAcquire(Base::MonoTime now);
+    /// Time until tryAcquire() succeeds again if it is not called before.
+    Base::Duration timeToNextToken() const;
 
 private:
     double burst() const;
 
     double m_perSecond;
     double m_tokens = 0;
-    Base::MonoTime m_filled;
-    bool m_started = false;
+    Base::MonoTime m_refilledAt;
+    bool m_isInitialized = false;
 };
 
 } // namespace Lagoonbank::Standins::Platform
--- a/src/standins/platform/main.cpp
+++ b/src/standins/platform/main.cpp
@@ -1,4 +1,4 @@
-/// \file A stand-in for the platform: log, VM list and weight store on one address.
+// Platform stand-in: log, VM list and weight store on one address.
 
 #include "http/server.h"
 #include "runtime/loop.h"
@@ -13,14 +13,16 @@
 #include <iostream>
 #include <string_view>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:7300", "Address ip:port to listen on; port 0: any free.");
-ABSL_FLAG(double, retention_s, 3600, "Seconds for which the log keeps a record.");
-ABSL_FLAG(std::uint64_t, retention_records, 100'000, "Records that the log keeps of each stream.");
-ABSL_FLAG(std::uint64_t, retention_bytes, 64'000'000, "Bytes that the log keeps of each stream.");
-ABSL_FLAG(double, appends_per_second, 500, "Append calls taken in a second.");
-ABSL_FLAG(std::uint64_t, vm_list_lag_ms, 3000, "Milliseconds until a change of the VM list shows.");
-ABSL_FLAG(double, weights_per_second, 2, "Requests to the weight store taken in a second.");
-ABSL_FLAG(std::uint64_t, weight_bytes, 1'000'000'000, "Size that the weight store tells.");
+ABSL_FLAG(std::string, listen, "127.0.0.1:7300", "Address \"ip:port\"; port 0 picks a free port.");
+ABSL_FLAG(double, retention_s, 3600, "Seconds that the log keeps a record.");
+ABSL_FLAG(std::uint64_t, retention_records, 100'000,
+          "Maximum number of records per stream of the log.");
+ABSL_FLAG(std::uint64_t, retention_bytes, 64'000'000,
+          "Maximum size in bytes per stream of the log.");
+ABSL_FLAG(double, appends_per_second, 500, "Append calls accepted per second.");
+ABSL_FLAG(std::uint64_t, vm_list_lag_ms, 3000, "Delay in ms until a VM list change is visible.");
+ABSL_FLAG(double, weights_per_second, 2, "Requests to the weight store accepted per second.");
+ABSL_FLAG(std::uint64_t, weight_bytes, 1'000'000'000, "Size of the weights in bytes.");
 
 namespace {
 
@@ -62,7 +64,7 @@
         return exitUsage;
     }
     if (!flagsAreValid()) {
-        std::cerr << logPrefix << "Rates and --retention_s have to be above 0.\n";
+        std::cerr << logPrefix << "Rates and --retention_s must be above 0.\n";
         return exitUsage;
     }
 
--- a/src/standins/platform/platform.cpp
+++ b/src/standins/platform/platform.cpp
@@ -14,9 +14,9 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t maxWaiters = 10'000;
-constexpr std::size_t maxHeld = 10'000;
-constexpr std::size_t maxRecordsACall = 10'000;
+constexpr std::size_t maxLongPolls = 10'000;
+constexpr std::size_t maxUnanswered = 10'000;
+constexpr std::size_t maxRecordsPerAppend = 10'000;
 constexpr std::uint64_t maxReadLimit = 10'000;
 constexpr std::uint64_t maxWaitMs = 60'000;
 constexpr std::uint64_t defaultReadLimit = 1000;
@@ -47,14 +47,14 @@
     return std::string(request.headers.find(name).value_or(""));
 }
 
-/// The records of an append's body; empty if it is malformed.
+/// The records in the body of an append; empty if the body is malformed.
 std::vector<NewRecord> readRecords(const std::string &body)
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || json.size() != 1 || !json.contains("records"))
         return {};
     const Json &list = json["records"];
-    if (!list.is_array() || list.size() > maxRecordsACall)
+    if (!list.is_array() || list.size() > maxRecordsPerAppend)
         return {};
     std::vector<NewRecord> records;
     for (const Json &entry : list) {
@@ -73,7 +73,7 @@
     std::uint64_t waitMs = 0;
 };
 
-/// Reads one name=value; false if the name or the value is not known.
+/// Parses one name=value pair; false if the name is unknown or the value is not a number.
 bool readMember(ReadQuery &query, std::string_view member)
 {
     const std::size_t equals = std::min(member.find('='), member.size());
@@ -133,8 +133,8 @@
 Platform::~Platform()
 {
     *m_alive = false;
-    for (const Waiter &waiter : m_waiters)
-        m_options.timers->cancel(waiter.timer);
+    for (const LongPoll &poll : m_longPolls)
+        m_options.timers->cancel(poll.timer);
 }
 
 void Platform::handle(const Http::Request &request, const ResponderPtr &responder)
@@ -149,8 +149,8 @@
     const bool isLog = request.path.starts_with(logPath);
     if (isLog)
         caller.stream = streamOf(request.path);
-    if (m_faults.hit(FaultKind::Silent, caller))
-        return hold(responder);
+    if (m_faults.match(FaultKind::Silent, caller))
+        return holdUnanswered(responder);
     if (isLog)
         return handleLog(request, caller, responder);
     if (request.path == "/vms")
@@ -165,11 +165,11 @@
     return m_options.timers->clock().now();
 }
 
-void Platform::later(Base::Duration delay, std::function<void()> step)
+void Platform::runAfter(Base::Duration delay, std::function<void()> callback)
 {
-    m_options.timers->start(delay, [alive = m_alive, step = std::move(step)] {
+    m_options.timers->start(delay, [alive = m_alive, callback = std::move(callback)] {
         if (*alive)
-            step();
+            callback();
     });
 }
 
@@ -181,29 +181,29 @@
     const bool isRead = request.path == base && request.method == "GET";
     if (caller.stream.empty() || (!isAppend && !isRead))
         return sendError(responder, 404, "The log has append by POST and read by GET.");
-    if (m_faults.hit(FaultKind::LogOutage, caller))
+    if (m_faults.match(FaultKind::LogOutage, caller))
         return sendError(responder, 503, "The log is out.");
-    const auto step = [this, isAppend, body = request.body, query = request.query, caller,
-                       responder] {
+    const auto answer = [this, isAppend, body = request.body, query = request.query, caller,
+                         responder] {
         if (isAppend)
             handleAppend(body, caller, responder);
         else
             handleRead(query, caller, responder);
     };
-    if (const auto slow = m_faults.hit(FaultKind::LogSlow, caller))
-        return later(slow->delay, step);
-    step();
+    if (const auto slow = m_faults.match(FaultKind::LogSlow, caller))
+        return runAfter(slow->delay, answer);
+    answer();
 }
 
 void Platform::handleAppend(const std::string &body, const Caller &caller,
                             const ResponderPtr &responder)
 {
-    if (m_faults.hit(FaultKind::AppendOutage, caller))
+    if (m_faults.match(FaultKind::AppendOutage, caller))
         return sendError(responder, 503, "The log takes no records.");
-    if (m_faults.hit(FaultKind::LoseAppends, caller))
+    if (m_faults.match(FaultKind::LoseAppends, caller))
         return responder->abort();
-    const bool limited = m_faults.hit(FaultKind::AppendsLimited, caller).has_value();
-    if (limited || !m_appendRate.take(now())) {
+    const bool limited = m_faults.match(FaultKind::AppendsLimited, caller).has_value();
+    if (limited || !m_appendRate.tryAcquire(now())) {
         ++m_counters.appendsLimited;
         return sendError(responder, 429, "Too many appends a second.", {{"retry-after", "1"}});
     }
@@ -223,91 +223,91 @@
     Json offsets = Json::array();
     for (const Base::LogOffset offset : stream->append(std::move(records), now()))
         offsets.push_back(offset.value());
-    wake(caller.stream);
-    if (m_faults.hit(FaultKind::LoseAppendAnswers, caller))
+    answerLongPolls(caller.stream);
+    if (m_faults.match(FaultKind::LoseAppendAnswers, caller))
         return responder->abort();
     const Json answer{{"offsets", std::move(offsets)}};
-    if (const auto late = m_faults.hit(FaultKind::LateAppendAnswers, caller))
-        return later(late->delay, [responder, answer] { sendJson(responder, 200, answer); });
+    if (const auto late = m_faults.match(FaultKind::LateAppendAnswers, caller))
+        return runAfter(late->delay, [responder, answer] { sendJson(responder, 200, answer); });
     sendJson(responder, 200, answer);
 }
 
 void Platform::handleRead(std::string_view query, const Caller &caller,
                           const ResponderPtr &responder)
 {
-    const auto wanted = parseReadQuery(query);
-    if (!wanted)
+    const auto parsed = parseReadQuery(query);
+    if (!parsed)
         return sendError(responder, 400, "The query has from, limit and wait_ms.");
     LogStream *stream = m_log.stream(caller.stream, now());
     if (stream == nullptr)
         return sendError(responder, 400, "There are too many streams.");
     ++m_counters.reads;
-    const Base::LogOffset from{wanted->from};
-    Waiter waiter{.id = ++m_lastWaiter,
+    const Base::LogOffset from{parsed->from};
+    LongPoll poll{.id = ++m_lastLongPollId,
                   .stream = caller.stream,
                   .from = from,
-                  .limit = wanted->limit,
+                  .limit = parsed->limit,
                   .responder = responder};
-    if (stream->hasNews(from) || wanted->waitMs == 0)
-        return answerRead(waiter);
-    wait(std::move(waiter), std::chrono::milliseconds(wanted->waitMs));
+    if (stream->hasResultFrom(from) || parsed->waitMs == 0)
+        return answerRead(poll);
+    addLongPoll(std::move(poll), std::chrono::milliseconds(parsed->waitMs));
 }
 
-void Platform::wait(Waiter waiter, Base::Duration duration)
+void Platform::addLongPoll(LongPoll poll, Base::Duration timeout)
 {
-    if (m_waiters.size() >= maxWaiters)
-        return sendError(waiter.responder, 503, "Too many readers wait.");
-    const std::uint64_t id = waiter.id;
-    const ResponderPtr responder = waiter.responder;
-    waiter.timer = m_options.timers->start(duration, [this, id] {
-        const auto found = std::find_if(m_waiters.begin(), m_waiters.end(),
-                                        [id](const Waiter &waiter) { return waiter.id == id; });
-        if (found == m_waiters.end())
+    if (m_longPolls.size() >= maxLongPolls)
+        return sendError(poll.responder, 503, "Too many readers wait.");
+    const std::uint64_t id = poll.id;
+    const ResponderPtr responder = poll.responder;
+    poll.timer = m_options.timers->start(timeout, [this, id] {
+        const auto found = std::find_if(m_longPolls.begin(), m_longPolls.end(),
+                                        [id](const LongPoll &poll) { return poll.id == id; });
+        if (found == m_longPolls.end())
             return;
         answerRead(*found);
-        m_waiters.erase(found);
+        m_longPolls.erase(found);
     });
-    m_waiters.push_back(std::move(waiter));
-    // Dropped in a later turn, since the hook belongs to the responder that goes.
+    m_longPolls.push_back(std::move(poll));
+    // Dropped in the next loop iteration, since dropping destroys the responder and this callback.
     responder->setGone([this, alive = m_alive, id] {
         if (*alive)
-            later({}, [this, id] { dropWaiter(id); });
+            runAfter({}, [this, id] { dropLongPoll(id); });
     });
 }
 
-void Platform::wake(const std::string &stream)
+void Platform::answerLongPolls(const std::string &stream)
 {
-    for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();) {
-        if (waiter->stream != stream) {
-            ++waiter;
+    for (auto poll = m_longPolls.begin(); poll != m_longPolls.end();) {
+        if (poll->stream != stream) {
+            ++poll;
             continue;
         }
-        m_options.timers->cancel(waiter->timer);
-        answerRead(*waiter);
-        waiter = m_waiters.erase(waiter);
+        m_options.timers->cancel(poll->timer);
+        answerRead(*poll);
+        poll = m_longPolls.erase(poll);
     }
 }
 
-void Platform::dropWaiter(std::uint64_t id)
+void Platform::dropLongPoll(std::uint64_t id)
 {
-    std::erase_if(m_waiters, [&](const Waiter &waiter) {
-        if (waiter.id != id)
+    std::erase_if(m_longPolls, [&](const LongPoll &poll) {
+        if (poll.id != id)
             return false;
-        m_options.timers->cancel(waiter.timer);
+        m_options.timers->cancel(poll.timer);
         return true;
     });
 }
 
-void Platform::answerRead(const Waiter &waiter)
+void Platform::answerRead(const LongPoll &poll)
 {
-    LogStream *stream = m_log.stream(waiter.stream, now());
-    const Page page = stream->read(waiter.from, waiter.limit);
+    LogStream *stream = m_log.stream(poll.stream, now());
+    const Page page = stream->read(poll.from, poll.limit);
     Json records = Json::array();
     for (const Record &record : page.records) {
         records.push_back(
             {{"offset", record.offset.value()}, {"id", record.id}, {"data", record.data}});
     }
-    sendJson(waiter.responder, 200,
+    sendJson(poll.responder, 200,
              {{"first", page.first.value()},
               {"next", page.next.value()},
               {"records", std::move(records)}});
@@ -327,17 +327,18 @@
     }
     if (request.method != "GET")
         return sendError(responder, 405, "The VM list has GET and PUT.");
-    if (m_faults.hit(FaultKind::VmsOutage, caller))
+    if (m_faults.match(FaultKind::VmsOutage, caller))
         return sendError(responder, 503, "The VM list is out.");
-    responder->send(200, {{"content-type", "application/json"}}, m_vms.shown(now()));
+    responder->send(200, {{"content-type", "application/json"}}, m_vms.visibleList(now()));
 }
 
 void Platform::handleWeights(const Caller &caller, const ResponderPtr &responder)
 {
-    if (m_faults.hit(FaultKind::WeightsOutage, caller))
+    if (m_faults.match(FaultKind::WeightsOutage, caller))
         return sendError(responder, 503, "The weight store is out.");
-    if (!m_weightRate.take(now())) {
-        const auto seconds = static_cast<int>(std::ceil(Base::toSeconds(m_weightRate.wait())));
+    if (!m_weightRate.tryAcquire(now())) {
+        const auto seconds =
+            static_cast<int>(std::ceil(Base::toSeconds(m_weightRate.timeToNextToken())));
         return sendError(responder, 429, "Too many weight requests a second.",
                          {{"retry-after", std::to_string(std::max(seconds, 1))}});
     }
@@ -349,9 +350,9 @@
 {
     if (request.method != "POST")
         return sendError(responder, 405, "Faults are ordered by POST.");
-    const auto ordered = m_faults.order(request.body);
-    if (!ordered)
-        return sendError(responder, 400, ordered.error().detail);
+    const auto injected = m_faults.inject(request.body);
+    if (!injected)
+        return sendError(responder, 400, injected.error().detail);
     sendJson(responder, 200, Json::object());
 }
 
@@ -369,20 +370,20 @@
               {"reads", m_counters.reads}});
 }
 
-void Platform::hold(const ResponderPtr &responder)
+void Platform::holdUnanswered(const ResponderPtr &responder)
 {
-    if (m_held.size() >= maxHeld)
-        m_held.pop_front();
-    m_held.push_back(responder);
+    if (m_unanswered.size() >= maxUnanswered)
+        m_unanswered.pop_front();
+    m_unanswered.push_back(responder);
     responder->setGone([this, alive = m_alive] {
         if (*alive)
-            later({}, [this] { dropGone(); });
+            runAfter({}, [this] { dropDisconnected(); });
     });
 }
 
-void Platform::dropGone()
+void Platform::dropDisconnected()
 {
-    std::erase_if(m_held, [](const ResponderPtr &held) { return held->isGone(); });
+    std::erase_if(m_unanswered, [](const ResponderPtr &responder) { return responder->isGone(); });
 }
 
 } // namespace Lagoonbank::Standins::Platform
--- a/src/standins/platform/platform.h
+++ b/src/standins/platform/platform.h
@@ -15,7 +15,7 @@
 
 namespace Lagoonbank::Standins::Platform {
 
-/// The platform's log, VM list and weight store in memory, with faults on order.
+/// In-memory log, VM list and weight store of the platform, with injectable faults.
 class Platform
 {
 public:
@@ -23,7 +23,7 @@
     {
         Runtime::TimerQueue *timers = nullptr;
         Retention retention;
-        double appendsPerSecond = 500; ///< Append calls, however many records each has.
+        double appendsPerSecond = 500; ///< Append calls, regardless of their number of records.
         Base::Duration vmListLag = std::chrono::seconds(3);
         double weightsPerSecond = 2;
         Base::Bytes weightBytes{1'000'000'000};
@@ -34,13 +34,13 @@
     Platform &operator=(const Platform &) = delete;
     ~Platform();
 
-    /// Answers one request, now or later.
+    /// Answers a request, possibly after this call returns.
     void handle(const Http::Request &request, const std::shared_ptr<Http::Responder> &responder);
 
 private:
     using ResponderPtr = std::shared_ptr<Http::Responder>;
-    /// A reader that waits for news of a stream.
-    struct Waiter
+    /// A read that waits for the next append to a stream.
+    struct LongPoll
     {
         std::uint64_t id = 0;
         std::string stream;
@@ -58,7 +58,7 @@
     };
 
     Base::MonoTime now() const;
-    void later(Base::Duration delay, std::function<void()> step);
+    void runAfter(Base::Duration delay, std::function<void()> callback);
     void handleLog(const Http::Request &request, const Caller &caller,
                    const ResponderPtr &responder);
     void handleAppend(const std::string &body, const Caller &caller, const ResponderPtr &responder);
@@ -69,12 +69,12 @@
     void handleWeights(const Caller &caller, const ResponderPtr &responder);
     void handleFaults(const Http::Request &request, const ResponderPtr &responder);
     void sendLedger(const ResponderPtr &responder);
-    void wait(Waiter waiter, Base::Duration duration);
-    void wake(const std::string &stream);
-    void dropWaiter(std::uint64_t id);
-    void answerRead(const Waiter &waiter);
-    void hold(const ResponderPtr &responder);
-    void dropGone();
+    void addLongPoll(LongPoll poll, Base::Duration timeout);
+    void answerLongPolls(const std::string &stream);
+    void dropLongPoll(std::uint64_t id);
+    void answerRead(const LongPoll &poll);
+    void holdUnanswered(const ResponderPtr &responder);
+    void dropDisconnected();
 
     Options m_options;
     LogStore m_log;
@@ -83,9 +83,10 @@
     VmList m_vms;
     FaultList m_faults;
     Counters m_counters;
-    std::list<Waiter> m_waiters;
-    std::list<ResponderPtr> m_held; ///< Of requests that never get an answer.
-    std::uint64_t m_lastWaiter = 0;
+    std::list<LongPoll> m_longPolls;
+    std::list<ResponderPtr> m_unanswered; ///< Of requests that are never answered.
+    std::uint64_t m_lastLongPollId = 0;
+    /// Shared with callbacks; false once this object is destroyed.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/standins/platform/vmlist.h
+++ b/src/standins/platform/vmlist.h
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::Standins::Platform {
 
-/// The VM list as readers see it: each change shows only after a lag, the first list at once.
+/// VM list as readers see it: the first list is visible at once, each later one after a lag.
 class VmList
 {
 public:
@@ -16,14 +16,15 @@
         : m_lag(lag)
     { }
 
-    /// Sets the list, a JSON document that is given back as it is.
+    /// Sets the list to a JSON document that is returned unchanged.
     void set(std::string json, Base::MonoTime now);
-    const std::string &shown(Base::MonoTime now);
+    const std::string &visibleList(Base::MonoTime now);
 
 private:
     Base::Duration m_lag;
-    std::string m_shown = R"({"vms":[]})";
-    std::deque<std::pair<Base::MonoTime, std::string>> m_waiting; ///< By the time of showing.
+    std::string m_visibleList = R"({"vms":[]})";
+    /// Lists that are not visible yet, each with the time from which it is.
+    std::deque<std::pair<Base::MonoTime, std::string>> m_pending;
     bool m_hasList = false;
 };
 
--- a/tests/contract/platform/platformfixture.h
+++ b/tests/contract/platform/platformfixture.h
@@ -5,11 +5,11 @@
 
 #include <string>
 
-/// The platform's stand-in and a client of it on one loop whose clock stands still.
+/// The platform stand-in and an HTTP client on one loop with a manual clock.
 struct PlatformFixture : Lagoonbank::Test::PausedLoop
 {
     explicit PlatformFixture(Lagoonbank::Standins::Platform::Platform::Options options = {})
-        : platform(onLoop(options))
+        : platform(withFixtureTimers(options))
     {
         server.setHandler([this](const auto &request, const auto &responder) {
             platform.handle(request, responder);
@@ -18,25 +18,26 @@
     }
 
     Lagoonbank::Standins::Platform::Platform::Options
-    onLoop(Lagoonbank::Standins::Platform::Platform::Options options)
+    withFixtureTimers(Lagoonbank::Standins::Platform::Platform::Options options)
     {
         options.timers = &loop.timers();
         return options;
     }
-    /// Lets the clock run in small steps until \a condition holds.
-    bool runOnUntil(const std::function<bool()> &condition,
-                    Lagoonbank::Base::Duration limit = std::chrono::seconds(30))
+    /// Advances the clock in small steps until \a condition holds, for \a limit at most.
+    bool advanceUntil(const std::function<bool()> &condition,
+                      Lagoonbank::Base::Duration limit = std::chrono::seconds(30))
     {
         constexpr Lagoonbank::Base::Duration step = std::chrono::milliseconds(20);
-        for (auto left = limit; left > left.zero() && !condition(); left -= step) {
+        for (auto remaining = limit; remaining > remaining.zero() && !condition();
+             remaining -= step) {
             clock.advance(step);
             loop.runOnce(std::chrono::milliseconds(1));
         }
         return condition();
     }
-    void runOn(Lagoonbank::Base::Duration duration)
+    void advanceInSteps(Lagoonbank::Base::Duration duration)
     {
-        runOnUntil([] { return false; }, duration);
+        advanceUntil([] { return false; }, duration);
     }
     Lagoonbank::Http::CallResult call(const std::string &method, const std::string &target,
                                       const std::string &body = {})
@@ -47,7 +48,7 @@
         BOOST_REQUIRE(runUntil([&] { return result.has_value(); }));
         return *result;
     }
-    void order(const std::string &fault)
+    void injectFault(const std::string &fault)
     {
         BOOST_REQUIRE_EQUAL(call("POST", "/faults", fault).status, 200);
     }
--- a/tests/contract/platform/tst_platformfaults.cpp
+++ b/tests/contract/platform/tst_platformfaults.cpp
@@ -20,8 +20,9 @@
     explicit Fixture(const Standins::Platform::Platform::Options &options = {})
         : PlatformFixture(options)
     {
-        tailer.setRecordReceived([this](const auto &record) { seen += record.id; });
-        tailer.setGapFound([this](auto from, auto first) { gap += (first - from).value(); });
+        tailer.setRecordReceived([this](const auto &record) { readIds += record.id; });
+        tailer.setGapFound(
+            [this](auto from, auto first) { skippedRecords += (first - from).value(); });
     }
 
     void add(const std::string &id)
@@ -30,32 +31,32 @@
     }
     AppendOutcome outcomeOf(const std::string &id)
     {
-        BOOST_REQUIRE(runOnUntil([&] { return outcomes.contains(id); }));
+        BOOST_REQUIRE(advanceUntil([&] { return outcomes.contains(id); }));
         return outcomes[id];
     }
-    bool sees(const std::string &ids)
+    bool readsExactly(const std::string &ids)
     {
-        return runOnUntil([&] { return seen.size() >= ids.size(); }) && seen == ids;
+        return advanceUntil([&] { return readIds.size() >= ids.size(); }) && readIds == ids;
     }
 
-    std::uint64_t sent = 0;
-    std::uint64_t received = 0;
+    std::uint64_t sentBytes = 0;
+    std::uint64_t receivedBytes = 0;
     PlatformClient::Transport transport =
         PlatformClient::httpTransport({.client = &client,
                                        .server = server.address(),
                                        .vm = Base::VmId("vm1"),
                                        .dataCentre = Base::DataCentreId("dha"),
                                        .metered = [this](auto out, auto in) {
-                                           sent += out.value();
-                                           received += in.value();
+                                           sentBytes += out.value();
+                                           receivedBytes += in.value();
                                        }});
     PlatformClient::LogClient log{{.transport = transport, .timers = &loop.timers()}};
     PlatformClient::BatchAppender appender{
         {.log = &log, .timers = &loop.timers(), .stream = "claims"}};
     PlatformClient::Tailer tailer{{.log = &log, .timers = &loop.timers(), .stream = "claims"}};
     std::map<std::string, AppendOutcome> outcomes;
-    std::string seen;
-    std::uint64_t gap = 0;
+    std::string readIds; ///< Ids of all records that the tailer has read, joined.
+    std::uint64_t skippedRecords = 0;
 };
 
 struct FaultCase
@@ -63,7 +64,7 @@
     const char *name;
     const char *fault;
     AppendState state;
-    bool isSeen; ///< Whether a reader finds the record while the fault lasts or afterwards.
+    bool isReadable; ///< Whether a reader finds the record after the fault is cleared.
 };
 
 const FaultCase faultCases[] = {
@@ -80,13 +81,13 @@
      AppendState::Appended, true},
     {"own VM's outage of appends", R"({"fault":"append_outage","from":"vm1"})",
      AppendState::NotAppended, false},
-    {"rate spent for a while", R"({"fault":"appends_limited","count":3})", AppendState::Appended,
-     true},
-    {"append lost on its way", R"({"fault":"lose_appends","count":1})", AppendState::Unknown,
+    {"append rate limited for a while", R"({"fault":"appends_limited","count":3})",
+     AppendState::Appended, true},
+    {"append lost in transit", R"({"fault":"lose_appends","count":1})", AppendState::Unknown,
      false},
     {"one silent connection", R"({"fault":"silent","stream":"claims","count":1})",
      AppendState::Unknown, false},
-    {"cut off", R"({"fault":"silent","from":"dha"})", AppendState::Unknown, false},
+    {"data centre cut off", R"({"fault":"silent","from":"dha"})", AppendState::Unknown, false},
 };
 
 } // namespace
@@ -97,15 +98,15 @@
         BOOST_TEST_CONTEXT(row.name)
         {
             Fixture fixture;
-            fixture.order(row.fault);
+            fixture.injectFault(row.fault);
             fixture.add("a");
             const AppendOutcome outcome = fixture.outcomeOf("a");
             BOOST_TEST((outcome.state == row.state));
-            fixture.order(R"({"fault":"none"})");
+            fixture.injectFault(R"({"fault":"none"})");
             fixture.add("b");
             BOOST_TEST((fixture.outcomeOf("b").state == AppendState::Appended));
             fixture.tailer.start();
-            BOOST_TEST(fixture.sees(row.isSeen ? "ab" : "b"));
+            BOOST_TEST(fixture.readsExactly(row.isReadable ? "ab" : "b"));
         }
     }
 }
@@ -114,27 +115,27 @@
 {
     tailer.start();
     add("a");
-    BOOST_TEST(sees("a"));
-    // The poll that is open now is answered before the fault is in force.
-    order(R"({"fault":"silent","stream":"claims","count":1})");
-    BOOST_TEST(runOnUntil([&] { return !tailer.health().isUp; }, 6s));
-    order(R"({"fault":"log_outage"})");
-    runOn(5s);
+    BOOST_TEST(readsExactly("a"));
+    // The fault affects the next long poll; the one that is open is still answered.
+    injectFault(R"({"fault":"silent","stream":"claims","count":1})");
+    BOOST_TEST(advanceUntil([&] { return !tailer.health().isUp; }, 6s));
+    injectFault(R"({"fault":"log_outage"})");
+    advanceInSteps(5s);
     BOOST_TEST(!tailer.health().isUp);
-    order(R"({"fault":"none"})");
+    injectFault(R"({"fault":"none"})");
     add("b");
-    BOOST_TEST(sees("ab"));
+    BOOST_TEST(readsExactly("ab"));
     BOOST_TEST(tailer.health().isUp);
-    BOOST_TEST(sent > 0);
-    BOOST_TEST(received > 0);
+    BOOST_TEST(sentBytes > 0);
+    BOOST_TEST(receivedBytes > 0);
 }
 
-BOOST_AUTO_TEST_CASE(aTailerTellsWhatRetentionTook)
+BOOST_AUTO_TEST_CASE(tailerReportsRecordsRemovedByRetention)
 {
     Fixture fixture({.retention = {.age = 10s}});
     fixture.tailer.start();
     fixture.add("a");
-    BOOST_TEST(fixture.sees("a"));
+    BOOST_TEST(fixture.readsExactly("a"));
     fixture.tailer.stop();
     fixture.add("b");
     fixture.outcomeOf("b");
@@ -142,13 +143,13 @@
     fixture.add("c");
     fixture.outcomeOf("c");
     fixture.tailer.start();
-    BOOST_TEST(fixture.sees("ac"));
-    BOOST_TEST(fixture.gap == 1);
+    BOOST_TEST(fixture.readsExactly("ac"));
+    BOOST_TEST(fixture.skippedRecords == 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(aRecordThatWasAppendedTwiceIsReadOnce, Fixture)
 {
-    order(R"({"fault":"lose_append_answers","count":1})");
+    injectFault(R"({"fault":"lose_append_answers","count":1})");
     add("a");
     BOOST_TEST((outcomeOf("a").state == AppendState::Appended));
     outcomes.clear();
@@ -156,7 +157,7 @@
     BOOST_TEST((outcomeOf("a").state == AppendState::Appended));
     add("b");
     tailer.start();
-    BOOST_TEST(sees("ab"));
+    BOOST_TEST(readsExactly("ab"));
     BOOST_TEST(tailer.position() == Base::LogOffset(3));
 }
 
@@ -165,9 +166,9 @@
     Fixture fixture({.appendsPerSecond = 20});
     for (int i = 0; i < 200; ++i) {
         fixture.add(std::to_string(i));
-        fixture.runOn(10ms);
+        fixture.advanceInSteps(10ms);
     }
-    BOOST_TEST(fixture.runOnUntil([&] { return fixture.outcomes.size() == 200; }));
+    BOOST_TEST(fixture.advanceUntil([&] { return fixture.outcomes.size() == 200; }));
     for (const auto &[id, outcome] : fixture.outcomes)
         BOOST_TEST((outcome.state == AppendState::Appended));
 }
@@ -177,23 +178,23 @@
     PlatformClient::VmListClient vms({.transport = transport, .timers = &loop.timers()});
     call("PUT", "/vms", R"({"vms":[{"address":"1:1","data_centre":"d","id":"a","state":"live"}]})");
     vms.start();
-    BOOST_TEST(runOnUntil([&] { return vms.vms().size() == 1; }));
-    order(R"({"fault":"vms_outage"})");
-    BOOST_TEST(runOnUntil([&] { return !vms.isUp(); }));
+    BOOST_TEST(advanceUntil([&] { return vms.vms().size() == 1; }));
+    injectFault(R"({"fault":"vms_outage"})");
+    BOOST_TEST(advanceUntil([&] { return !vms.isUp(); }));
     BOOST_TEST(vms.vms().size() == 1);
-    order(R"({"fault":"none"})");
+    injectFault(R"({"fault":"none"})");
     call("PUT", "/vms", R"({"vms":[]})");
-    BOOST_TEST(runOnUntil([&] { return vms.vms().empty(); }));
+    BOOST_TEST(advanceUntil([&] { return vms.vms().empty(); }));
 }
 
-BOOST_FIXTURE_TEST_CASE(fetchesOfWeightsKeepToTheStoresRate, Fixture)
+BOOST_FIXTURE_TEST_CASE(weightFetchesRespectTheRateLimit, Fixture)
 {
     PlatformClient::WeightStoreClient weights({.transport = transport, .timers = &loop.timers()});
-    order(R"({"fault":"weights_outage","count":1})");
+    injectFault(R"({"fault":"weights_outage","count":1})");
     int fetched = 0;
     for (int i = 0; i < 4; ++i) {
         weights.fetch(Base::ModelId("hints"), "7",
                       [&](const auto &result) { fetched += result.has_value() ? 1 : 0; });
     }
-    BOOST_TEST(runOnUntil([&] { return fetched == 4; }));
+    BOOST_TEST(advanceUntil([&] { return fetched == 4; }));
 }
--- a/tests/contract/platform/tst_platforminterface.cpp
+++ b/tests/contract/platform/tst_platforminterface.cpp
@@ -12,10 +12,10 @@
     const char *target;
     const char *body;
     int status;
-    const char *answer; ///< The whole body, where it is not null.
+    const char *answer; ///< Expected body; not checked if null.
 };
 
-/// In order, on one stand-in.
+/// Run in this order against one stand-in.
 const InterfaceCase cases[] = {
     {"GET", "/log/claims", "", 200, R"({"first":0,"next":0,"records":[]})"},
     {"POST", "/log/claims/append", R"({"records":[{"id":"a","data":"1"},{"id":"b","data":"2"}]})",
@@ -57,7 +57,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(answersEachRequest, PlatformFixture)
+BOOST_FIXTURE_TEST_CASE(requestsAreAnswered, PlatformFixture)
 {
     for (const InterfaceCase &row : cases) {
         BOOST_TEST_CONTEXT(row.method << ' ' << row.target << ' ' << row.body)
@@ -70,7 +70,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(aLongPollAnswersAtTheRecordOrAtItsEnd, PlatformFixture)
+BOOST_FIXTURE_TEST_CASE(longPollIsAnsweredAtNextAppendOrTimeout, PlatformFixture)
 {
     std::vector<std::string> answers;
     const auto poll = [&] {
@@ -78,19 +78,19 @@
                      {.finished = [&](const auto &result) { answers.push_back(result.body); }});
     };
     poll();
-    runOn(900ms);
+    advanceInSteps(900ms);
     BOOST_TEST(answers.empty());
-    BOOST_TEST(runOnUntil([&] { return !answers.empty(); }, 200ms));
+    BOOST_TEST(advanceUntil([&] { return !answers.empty(); }, 200ms));
     BOOST_TEST(answers[0] == R"({"first":0,"next":0,"records":[]})");
     poll();
-    runOn(100ms);
+    advanceInSteps(100ms);
     call("POST", "/log/claims/append", R"({"records":[{"id":"a","data":"1"}]})");
     BOOST_TEST(runUntil([&] { return answers.size() == 2; }));
     BOOST_TEST(answers[1]
                == R"({"first":0,"next":1,"records":[{"data":"1","id":"a","offset":0}]})");
 }
 
-BOOST_AUTO_TEST_CASE(countsAnAppendOnceHoweverManyRecordsItHas)
+BOOST_AUTO_TEST_CASE(rateLimitCountsAppendsNotRecords)
 {
     PlatformFixture fixture({.appendsPerSecond = 20});
     const char *const body = R"({"records":[{"id":"a","data":""},{"id":"b","data":""}]})";
@@ -105,7 +105,7 @@
                == R"({"first":6,"next":6,"records":[]})");
 }
 
-BOOST_AUTO_TEST_CASE(keepsRecordsForALimitedTimeAndNumber)
+BOOST_AUTO_TEST_CASE(retentionLimitsAgeAndNumberOfRecords)
 {
     PlatformFixture fixture({.retention = {.age = 10s, .records = 2}});
     for (const char *id : {"a", "b", "c"}) {
@@ -119,7 +119,7 @@
                == R"({"first":3,"next":3,"records":[]})");
 }
 
-BOOST_FIXTURE_TEST_CASE(aChangeOfTheVmListShowsAfterItsLag, PlatformFixture)
+BOOST_FIXTURE_TEST_CASE(vmListChangeIsVisibleAfterItsLag, PlatformFixture)
 {
     const std::string first =
         R"({"vms":[{"address":"1:1","data_centre":"d","id":"a","state":"live"}]})";
@@ -132,7 +132,7 @@
     BOOST_TEST(call("GET", "/vms").body == R"({"vms":[]})");
 }
 
-BOOST_FIXTURE_TEST_CASE(theWeightStoreLimitsItsRate, PlatformFixture)
+BOOST_FIXTURE_TEST_CASE(weightStoreLimitsItsRequestRate, PlatformFixture)
 {
     const auto first = call("GET", "/weights/hints/7");
     BOOST_TEST(first.status == 200);
