--- a/tests/contract/router/fleetfixture.h
+++ b/tests/contract/router/fleetfixture.h
@@ -20,13 +20,13 @@
 
 using Json = nlohmann::json;
 
-/// What a caller got for one call, while it runs and afterwards.
+/// Response to one call, as far as it has been received.
 struct Answer
 {
     Http::CallId id;
     bool hasEnded = false;
     Http::CallResult result;
-    std::string body; ///< All that has come so far.
+    std::string body; ///< Body received so far.
 
     std::string header(std::string_view name) const
     {
@@ -36,28 +36,29 @@
 };
 using AnswerPtr = std::shared_ptr<Answer>;
 
-/// An answer as its caller understands it.
-struct Seen
+/// An answer as its caller interprets it.
+struct ParsedAnswer
 {
-    std::string kind; ///< "whole", the name of an error kind, or "cut" without any explanation.
-    std::string ran; ///< Of an error.
-    std::string text; ///< Of a model's answer, also of a part.
+    /// "whole", an error kind, "cut" if the answer ended without either, or "unreadable".
+    std::string kind;
+    std::string ran; ///< Field "ran" of the error.
+    std::string text; ///< Text of the model, even if incomplete.
     Json error;
 };
 
-inline void readEvent(const std::string &data, Seen &seen)
+inline void parseEvent(const std::string &data, ParsedAnswer &parsed)
 {
     const Json event = Json::parse(data);
     if (event.contains("error"))
-        seen.error = event["error"];
+        parsed.error = event["error"];
     else if (event["choices"][0]["delta"].contains("content"))
-        seen.text += event["choices"][0]["delta"]["content"].get<std::string>();
+        parsed.text += event["choices"][0]["delta"]["content"].get<std::string>();
 }
 
-/// Reads a streamed answer; only the closing mark in a connection that ended in order is whole.
-inline Seen readStream(const Answer &answer)
+/// Parses a streamed answer. It is whole only if it has `[DONE]` and its connection ended cleanly.
+inline ParsedAnswer parseStream(const Answer &answer)
 {
-    Seen seen{.kind = "cut"};
+    ParsedAnswer parsed{.kind = "cut"};
     bool isDone = false;
     std::size_t start = 0;
     for (std::size_t end = 0; (end = answer.body.find("\n\n", start)) != std::string::npos;
@@ -67,37 +68,37 @@
         if (data == "[DONE]")
             isDone = true;
         else
-            readEvent(data, seen);
+            parseEvent(data, parsed);
     }
     if (isDone && answer.result.end == Http::CallEnd::Whole)
-        seen.kind = "whole";
-    return seen;
+        parsed.kind = "whole";
+    return parsed;
 }
 
-inline Seen read(const Answer &answer)
+inline ParsedAnswer parseAnswer(const Answer &answer)
 {
-    Seen seen{.kind = "cut"};
+    ParsedAnswer parsed{.kind = "cut"};
     if (answer.header("content-type") == "text/event-stream") {
-        seen = readStream(answer);
+        parsed = parseStream(answer);
     } else if (answer.result.end == Http::CallEnd::Whole) {
         const Json body = Json::parse(answer.body, nullptr, false);
-        seen.kind = answer.result.status == 200 ? "whole" : "unreadable";
+        parsed.kind = answer.result.status == 200 ? "whole" : "unreadable";
         if (body.is_object() && body.contains("error"))
-            seen.error = body["error"];
+            parsed.error = body["error"];
         if (body.is_object() && body.contains("choices"))
-            seen.text = body["choices"][0]["message"]["content"].get<std::string>();
+            parsed.text = body["choices"][0]["message"]["content"].get<std::string>();
     }
-    if (seen.error.is_object()) {
-        BOOST_TEST(seen.kind != "whole");
-        seen.kind = seen.error["kind"].get<std::string>();
-        seen.ran = seen.error["ran"].get<std::string>();
-        BOOST_TEST(seen.error["request_id"] == answer.requestId());
+    if (parsed.error.is_object()) {
+        BOOST_TEST(parsed.kind != "whole");
+        parsed.kind = parsed.error["kind"].get<std::string>();
+        parsed.ran = parsed.error["ran"].get<std::string>();
+        BOOST_TEST(parsed.error["request_id"] == answer.requestId());
     }
-    return seen;
+    return parsed;
 }
 
-/// What the engine has to answer to that request, by the rule of the stand-ins.
-inline std::string wholeText(const std::string &requestId, int tokens)
+/// Complete text that an engine stand-in generates for the request.
+inline std::string expectedText(const std::string &requestId, int tokens)
 {
     const std::string hash = Standins::shortHash(Base::RequestId(requestId));
     std::string text;
@@ -117,7 +118,7 @@
     return call;
 }
 
-/// One stand-in behind a server on a free port.
+/// A stand-in behind an HTTP server on a free port.
 template<typename Api>
 struct StandIn
 {
@@ -141,7 +142,7 @@
 using Service = StandIn<Standins::ServiceApi>;
 using LogPlatform = StandIn<Standins::Platform::Platform>;
 
-/// A router on a loop of its own, so that it can go at any moment as in a crash.
+/// A router on its own loop, so that a test can destroy it at any time as in a crash.
 struct RouterUnit
 {
     RouterUnit(const Runtime::Clock &clock, const Schema::RouterSettings &settings)
@@ -163,7 +164,7 @@
     Schema::LimitSettings limits;
 };
 
-/// Stand-ins and routers as a fleet on one thread; time passes only in turns.
+/// Stand-ins and routers on one thread, with a clock that advances only in runOnce().
 struct Fleet
 {
     static constexpr Base::Duration step = std::chrono::milliseconds(5);
@@ -208,15 +209,15 @@
     std::string endpoint(const std::string &name, const std::string &type,
                          const std::string &address) const
     {
-        const std::string what = type == "engine" ? "model: assistant\ncapacity: 4096"
-                                                  : "service: booking\ncapacity: 16";
+        const std::string fields = type == "engine" ? "model: assistant\ncapacity: 4096"
+                                                    : "service: booking\ncapacity: 16";
         const std::string state = draining == name ? "draining" : "active";
         return "---\nkind: endpoint\nname: " + name + "\ntype: " + type + "\naddress: " + address
-            + "\ndata_centre: dha\nregion: lahore\n" + what + "\nstate: " + state + "\n";
+            + "\ndata_centre: dha\nregion: lahore\n" + fields + "\nstate: " + state + "\n";
     }
     std::string configuration() const
     {
-        const std::string wide =
+        const std::string highLimits =
             "requests_per_second: 1000\nrequest_burst: 1000\ntokens_per_second:"
             " 10000000\ntoken_burst: 10000000\nconcurrency: ";
         std::string text = "kind: data_centre\nname: dha\nregion: lahore\n"
@@ -225,14 +226,14 @@
                            "---\n{kind: policy, name: default, first_byte_timeout_ms: 2000, "
                            "progress_timeout_ms: 1000, drain_timeout_ms: 30000, "
             + options.policy + "}\n";
-        text += contract("front-desk", wide + "1000");
+        text += contract("front-desk", highLimits + "1000");
         text += contract("kiosk",
                          "requests_per_second: 1\nrequest_burst: 2\ntokens_per_second: 100000\n"
                          "token_burst: 100000\nconcurrency: 100");
         text += contract("meter",
                          "requests_per_second: 100\nrequest_burst: 100\ntokens_per_second: 10\n"
                          "token_burst: 100\nconcurrency: 100");
-        text += contract("single", wide + "1");
+        text += contract("single", highLimits + "1");
         for (const auto &engine : engines)
             text += endpoint(engine->name, "engine", engine->address());
         for (const auto &service : services)
@@ -249,7 +250,7 @@
             objects.push_back(document.object);
         router.process.setFixedConfiguration(std::move(objects));
     }
-    /// An own address for each test program, since peers need one number for UDP and TCP.
+    /// Address that is unique to the test process, since a peer uses the same port for UDP and TCP.
     static std::string peerAddress(std::uint32_t number)
     {
         const std::uint32_t host = 256 + (static_cast<std::uint32_t>(getpid()) & 0x3fffffU) * 3;
@@ -260,7 +261,7 @@
     {
         static std::uint32_t started = 0;
         ++started;
-        clock.advance(step); // No two incarnations are the same.
+        clock.advance(step); // So that no two routers have the same incarnation.
         Schema::RouterSettings settings{.vm = Base::VmId("dha-vm-" + std::to_string(started)),
                                         .dataCentre = Base::DataCentreId("dha"),
                                         .region = Base::RegionId("lahore"),
@@ -276,37 +277,39 @@
         RouterUnit &router = *routers.back();
         BOOST_REQUIRE(router.process.start());
         configure(router);
-        BOOST_REQUIRE(runOnUntil([&] { return router.process.callerApi().isReady(); }));
+        BOOST_REQUIRE(runUntil([&] { return router.process.callerApi().isReady(); }));
         if (platform)
-            runOn(std::chrono::milliseconds(200)); // Until the log's streams are read.
+            runFor(std::chrono::milliseconds(200)); // Time to read the streams of the log.
         return router;
     }
 
-    void turn(Base::Duration passing = step)
+    /// Advances the clock and runs one iteration of each loop.
+    void runOnce(Base::Duration duration = step)
     {
-        clock.advance(passing);
+        clock.advance(duration);
         for (const auto &router : routers)
             router->loop.runOnce({});
-        // A short wait now and then, for what the kernel has not handed over yet.
-        loop.runOnce(std::chrono::milliseconds(++turns % 4 == 0 ? 1 : 0));
+        // Wait briefly every fourth time for data that the kernel has not delivered yet.
+        loop.runOnce(std::chrono::milliseconds(++iterations % 4 == 0 ? 1 : 0));
     }
-    bool runOnUntil(const std::function<bool()> &condition,
-                    Base::Duration limit = std::chrono::seconds(60))
+    bool runUntil(const std::function<bool()> &condition,
+                  Base::Duration limit = std::chrono::seconds(60))
     {
-        for (auto left = limit; left > left.zero() && !condition(); left -= step)
-            turn();
+        for (auto remaining = limit; remaining > remaining.zero() && !condition();
+             remaining -= step)
+            runOnce();
         return condition();
     }
-    void runOn(Base::Duration duration)
+    void runFor(Base::Duration duration)
     {
-        runOnUntil([] { return false; }, duration);
+        runUntil([] { return false; }, duration);
     }
-    /// Like runOn() in larger steps, while nothing is under way.
-    void passTime(Base::Duration duration)
+    /// Like runFor(), but in larger steps; for use while no request is in flight.
+    void runIdle(Base::Duration duration)
     {
         constexpr Base::Duration largeStep = std::chrono::milliseconds(100);
-        for (auto left = duration; left > left.zero(); left -= largeStep)
-            turn(largeStep);
+        for (auto remaining = duration; remaining > remaining.zero(); remaining -= largeStep)
+            runOnce(largeStep);
     }
 
     AnswerPtr start(const Runtime::SocketAddress &server, Http::Call call)
@@ -336,43 +339,43 @@
     }
     const Answer &finish(const AnswerPtr &answer)
     {
-        BOOST_REQUIRE(runOnUntil([&] { return answer->hasEnded; }));
+        BOOST_REQUIRE(runUntil([&] { return answer->hasEnded; }));
         return *answer;
     }
-    Json ask(const Runtime::SocketAddress &server, const std::string &target,
-             const std::string &body = {})
+    Json requestJson(const Runtime::SocketAddress &server, const std::string &target,
+                     const std::string &body = {})
     {
         const char *method = body.empty() ? "GET" : "POST";
-        const AnswerPtr asked = start(server, makeCall(method, target, {}, body));
-        const Answer &answer = finish(asked);
+        const AnswerPtr started = start(server, makeCall(method, target, {}, body));
+        const Answer &answer = finish(started);
         BOOST_REQUIRE_MESSAGE(answer.result.status == 200, target + ": " + answer.body);
         return Json::parse(answer.body);
     }
 
     template<typename Api>
-    void order(const StandIn<Api> &standIn, const std::string &fault)
+    void injectFault(const StandIn<Api> &standIn, const std::string &fault)
     {
-        ask(standIn.server.address(), "/faults", fault);
+        requestJson(standIn.server.address(), "/faults", fault);
     }
     template<typename Api>
-    Json ledger(const StandIn<Api> &standIn)
+    Json ledgerEntries(const StandIn<Api> &standIn)
     {
-        return ask(standIn.server.address(), "/ledger")["entries"];
+        return requestJson(standIn.server.address(), "/ledger")["entries"];
     }
-    /// States of the runs of a request, or of a key, in all ledgers.
-    std::vector<std::string> runs(const std::string &member, const std::string &value)
+    /// States of all runs whose ledger entry has \a value in the field \a field.
+    std::vector<std::string> runStates(const std::string &field, const std::string &value)
     {
         std::vector<std::string> states;
         const auto add = [&](const Json &entries) {
             for (const Json &entry : entries) {
-                if (entry.value(member, "") == value)
+                if (entry.value(field, "") == value)
                     states.push_back(entry["state"].get<std::string>());
             }
         };
         for (const auto &engine : engines)
-            add(ledger(*engine));
+            add(ledgerEntries(*engine));
         for (const auto &service : services)
-            add(ledger(*service));
+            add(ledgerEntries(*service));
         return states;
     }
     Engine &engine(const std::string &name)
@@ -381,27 +384,28 @@
     }
     Json outcome(const std::string &requestId, std::size_t router = 0)
     {
-        return ask(routers.at(router)->process.adminAddress(), "/admin/outcome?id=" + requestId);
+        return requestJson(routers.at(router)->process.adminAddress(),
+                           "/admin/outcome?id=" + requestId);
     }
 
-    /// What the router says became of the request has to be what its caller saw.
+    /// Checks that the outcome recorded by the router matches the answer that the caller received.
     void checkOutcome(const Answer &answer, std::size_t router = 0)
     {
-        const Seen seen = read(answer);
-        const Json told = outcome(answer.requestId(), router);
-        if (seen.kind == "whole") {
-            BOOST_TEST(told["outcome"] == "whole");
-            BOOST_TEST(told["ran"] == "yes");
+        const ParsedAnswer parsed = parseAnswer(answer);
+        const Json recorded = outcome(answer.requestId(), router);
+        if (parsed.kind == "whole") {
+            BOOST_TEST(recorded["outcome"] == "whole");
+            BOOST_TEST(recorded["ran"] == "yes");
         } else {
-            BOOST_TEST(told["cause"] == seen.kind);
-            BOOST_TEST(told["ran"] == seen.ran);
-            const bool didNotRun = seen.ran == "no";
-            BOOST_TEST((told["outcome"] == "refused") == didNotRun);
+            BOOST_TEST(recorded["cause"] == parsed.kind);
+            BOOST_TEST(recorded["ran"] == parsed.ran);
+            const bool didNotRun = parsed.ran == "no";
+            BOOST_TEST((recorded["outcome"] == "refused") == didNotRun);
         }
-        BOOST_TEST(told["status"] == answer.result.status);
+        BOOST_TEST(recorded["status"] == answer.result.status);
     }
-    /// Nothing of what has ended may be left in a router.
-    void checkNothingLeft()
+    /// Checks that requests that have ended leave no state in any router.
+    void checkNoStateLeft()
     {
         for (const auto &router : routers) {
             const Router::RouterProcess &process = router->process;
@@ -418,7 +422,7 @@
     FleetOptions options;
     Runtime::ManualClock clock;
     Runtime::Loop loop{Runtime::Loop::Options{.clock = &clock}};
-    std::uint64_t turns = 0;
+    std::uint64_t iterations = 0;
     std::string draining; ///< Name of the endpoint that the next configuration drains.
     std::unique_ptr<LogPlatform> platform;
     std::vector<std::unique_ptr<Engine>> engines;
@@ -427,12 +431,12 @@
     std::vector<std::unique_ptr<RouterUnit>> routers;
 };
 
-inline Http::Headers headersOf(const std::string &key, const Http::Headers &further = {})
+inline Http::Headers headersOf(const std::string &key, const Http::Headers &additional = {})
 {
     Http::Headers headers{{"content-type", "application/json"}};
     if (!key.empty())
         headers.add("authorization", "Bearer " + key);
-    for (const Http::Header &header : further.fields())
+    for (const Http::Header &header : additional.fields())
         headers.add(header.name, header.value);
     return headers;
 }
--- a/tests/contract/router/tst_atmostonce.cpp
+++ b/tests/contract/router/tst_atmostonce.cpp
@@ -9,29 +9,30 @@
 namespace {
 
 constexpr const char *noFault = R"({"fault": "none"})";
-constexpr const char *slowly = R"({"fault": "slow", "factor": 100})"; ///< Half a second for a call.
+constexpr const char *slowFault = R"({"fault": "slow", "factor": 100})"; ///< A call takes 0.5 s.
 
-void orderAtServices(Fleet &fleet, const std::string &fault)
+void injectAtServices(Fleet &fleet, const std::string &fault)
 {
     for (const auto &service : fleet.services)
-        fleet.order(*service, fault);
+        fleet.injectFault(*service, fault);
 }
 
-/// Never twice; and nothing has run where the caller was told so.
-void checkOnce(Fleet &fleet, const Answer &answer, std::size_t runs, std::size_t router = 0)
+/// Checks the number of runs, at most one, and that the answer and its outcome agree with it.
+void checkAtMostOnce(Fleet &fleet, const Answer &answer, std::size_t expectedRuns,
+                     std::size_t router = 0)
 {
-    const Seen seen = read(answer);
-    BOOST_TEST(fleet.runs("request_id", answer.requestId()).size() == runs);
-    if (seen.ran == "no")
-        BOOST_TEST(runs == 0U);
-    if (seen.kind == "whole")
-        BOOST_TEST(runs == 1U);
+    const ParsedAnswer parsed = parseAnswer(answer);
+    BOOST_TEST(fleet.runStates("request_id", answer.requestId()).size() == expectedRuns);
+    if (parsed.ran == "no")
+        BOOST_TEST(expectedRuns == 0U);
+    if (parsed.kind == "whole")
+        BOOST_TEST(expectedRuns == 1U);
     fleet.checkOutcome(answer, router);
 }
 
-std::size_t runsOfKey(Fleet &fleet, const std::string &key)
+std::size_t countRunsOfKey(Fleet &fleet, const std::string &key)
 {
-    return fleet.runs("key", key).size();
+    return fleet.runStates("key", key).size();
 }
 
 FleetOptions withLog(int routers, const std::string &whenLogIsOut = "refuse")
@@ -41,16 +42,17 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(faultsOfTheService)
+BOOST_AUTO_TEST_CASE(serviceFaults)
 {
     struct Row
     {
-        const char *fault; ///< At all processes of the service.
-        const char *kind = "whole";
-        const char *ran = "";
-        std::size_t runs = 1;
-        const char *retryKind = "whole"; ///< Of a call with the same key when the fault is over.
-        std::size_t runsOfKey = 1;
+        const char *fault; ///< Injected at all processes of the service.
+        const char *expectedKind = "whole";
+        const char *expectedRan = "";
+        std::size_t expectedRuns = 1;
+        /// Result of a call with the same key after the fault is cleared.
+        const char *expectedRetryKind = "whole";
+        std::size_t expectedRunsOfKey = 1;
     };
     const std::vector<Row> rows{
         {noFault},
@@ -63,52 +65,52 @@
         {R"({"fault": "late", "delay_ms": 4000})", "endpoint_timeout", "unknown", 1,
          "duplicate_unknown"},
         {R"({"fault": "crossed"})", "answer_mismatch", "unknown", 1, "duplicate_unknown"},
-        {slowly},
+        {slowFault},
     };
     for (const bool hasKey : {false, true}) {
         for (const Row &row : rows) {
             BOOST_TEST_CONTEXT(row.fault << (hasKey ? " with a key" : ""))
             {
                 Fleet fleet(withLog(1));
-                orderAtServices(fleet, row.fault);
+                injectAtServices(fleet, row.fault);
                 const Http::Call call = bookingCall(hasKey ? "key-1" : "");
                 const Answer answer = fleet.finish(fleet.start(call));
-                BOOST_TEST(read(answer).kind == row.kind);
-                BOOST_TEST(read(answer).ran == row.ran);
-                fleet.runOn(std::chrono::milliseconds(500));
-                checkOnce(fleet, answer, row.runs);
-                fleet.checkNothingLeft();
-                orderAtServices(fleet, noFault);
+                BOOST_TEST(parseAnswer(answer).kind == row.expectedKind);
+                BOOST_TEST(parseAnswer(answer).ran == row.expectedRan);
+                fleet.runFor(std::chrono::milliseconds(500));
+                checkAtMostOnce(fleet, answer, row.expectedRuns);
+                fleet.checkNoStateLeft();
+                injectAtServices(fleet, noFault);
                 const Answer retry = fleet.finish(fleet.start(call));
-                BOOST_TEST(read(retry).kind == (hasKey ? row.retryKind : "whole"));
+                BOOST_TEST(parseAnswer(retry).kind == (hasKey ? row.expectedRetryKind : "whole"));
                 if (hasKey)
-                    BOOST_TEST(runsOfKey(fleet, "key-1") == row.runsOfKey);
-                fleet.checkNothingLeft();
+                    BOOST_TEST(countRunsOfKey(fleet, "key-1") == row.expectedRunsOfKey);
+                fleet.checkNoStateLeft();
             }
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(aRefusingProcessIsPassedOver)
+BOOST_AUTO_TEST_CASE(refusedCallIsRetriedAtAnotherProcess)
 {
     Fleet fleet;
-    fleet.order(*fleet.services.front(), R"({"fault": "refuse"})");
+    fleet.injectFault(*fleet.services.front(), R"({"fault": "refuse"})");
     for (int i = 0; i < 6; ++i) {
         const Answer answer = fleet.finish(fleet.start(bookingCall()));
-        BOOST_TEST(read(answer).kind == "whole");
-        checkOnce(fleet, answer, 1);
+        BOOST_TEST(parseAnswer(answer).kind == "whole");
+        checkAtMostOnce(fleet, answer, 1);
     }
-    fleet.checkNothingLeft();
+    fleet.checkNoStateLeft();
 }
 
-BOOST_AUTO_TEST_CASE(faultsOfTheLog)
+BOOST_AUTO_TEST_CASE(logFaults)
 {
     struct Row
     {
         const char *fault;
         const char *whenLogIsOut;
-        const char *kind;
-        std::size_t runs;
+        const char *expectedKind;
+        std::size_t expectedRuns;
     };
     const std::vector<Row> rows{
         {noFault, "refuse", "whole", 1},
@@ -126,54 +128,54 @@
         BOOST_TEST_CONTEXT(row.fault << ", " << row.whenLogIsOut)
         {
             Fleet fleet(withLog(1, row.whenLogIsOut));
-            fleet.order(*fleet.platform, row.fault);
+            fleet.injectFault(*fleet.platform, row.fault);
             const Answer answer = fleet.finish(fleet.start(bookingCall("key-1")));
-            BOOST_TEST(read(answer).kind == row.kind);
-            checkOnce(fleet, answer, row.runs);
-            if (row.runs == 0)
+            BOOST_TEST(parseAnswer(answer).kind == row.expectedKind);
+            checkAtMostOnce(fleet, answer, row.expectedRuns);
+            if (row.expectedRuns == 0)
                 BOOST_TEST(!answer.header("retry-after").empty());
 
-            fleet.order(*fleet.platform, noFault);
-            fleet.runOn(std::chrono::seconds(5));
+            fleet.injectFault(*fleet.platform, noFault);
+            fleet.runFor(std::chrono::seconds(5));
             const Answer retry = fleet.finish(fleet.start(bookingCall("key-1")));
-            BOOST_TEST(read(retry).kind == "whole");
-            BOOST_TEST(runsOfKey(fleet, "key-1") == 1U);
-            if (row.runs == 1) {
+            BOOST_TEST(parseAnswer(retry).kind == "whole");
+            BOOST_TEST(countRunsOfKey(fleet, "key-1") == 1U);
+            if (row.expectedRuns == 1) {
                 BOOST_TEST(retry.body == answer.body);
                 BOOST_TEST(retry.header("x-recorded") == "yes");
             }
-            fleet.checkNothingLeft();
+            fleet.checkNoStateLeft();
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(theSameKeyAtTwoRoutersAtOnce)
+BOOST_AUTO_TEST_CASE(sameKeyAtTwoRoutersConcurrently)
 {
-    for (const char *fault : {noFault, slowly}) {
+    for (const char *fault : {noFault, slowFault}) {
         BOOST_TEST_CONTEXT(fault)
         {
             Fleet fleet(withLog(2));
-            orderAtServices(fleet, fault);
+            injectAtServices(fleet, fault);
             const AnswerPtr first = fleet.start(bookingCall("key-1"), 0);
             const AnswerPtr second = fleet.start(bookingCall("key-1"), 1);
-            BOOST_TEST(read(fleet.finish(first)).kind == "whole");
-            BOOST_TEST(read(fleet.finish(second)).kind == "whole");
+            BOOST_TEST(parseAnswer(fleet.finish(first)).kind == "whole");
+            BOOST_TEST(parseAnswer(fleet.finish(second)).kind == "whole");
             BOOST_TEST(first->body == second->body);
             BOOST_TEST(first->requestId() != second->requestId());
-            BOOST_TEST(runsOfKey(fleet, "key-1") == 1U);
+            BOOST_TEST(countRunsOfKey(fleet, "key-1") == 1U);
             fleet.checkOutcome(*first, 0);
             fleet.checkOutcome(*second, 1);
-            fleet.checkNothingLeft();
+            fleet.checkNoStateLeft();
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(theSameKeyAgain)
+BOOST_AUTO_TEST_CASE(repeatedKeyReturnsRecordedAnswer)
 {
     Fleet fleet(withLog(2));
     const Answer first = fleet.finish(fleet.start(bookingCall("key-1"), 0));
-    BOOST_TEST(read(first).kind == "whole");
-    fleet.runOn(std::chrono::milliseconds(200));
+    BOOST_TEST(parseAnswer(first).kind == "whole");
+    fleet.runFor(std::chrono::milliseconds(200));
     for (const std::size_t router : {0U, 1U}) {
         const Answer again = fleet.finish(fleet.start(bookingCall("key-1"), router));
         BOOST_TEST(again.body == first.body);
@@ -184,44 +186,44 @@
 
         const Answer other =
             fleet.finish(fleet.start(bookingCall("key-1", R"({"seat": 8})"), router));
-        BOOST_TEST(read(other).kind == "bad_request");
-        checkOnce(fleet, other, 0, router);
+        BOOST_TEST(parseAnswer(other).kind == "bad_request");
+        checkAtMostOnce(fleet, other, 0, router);
     }
-    BOOST_TEST(runsOfKey(fleet, "key-1") == 1U);
-    fleet.checkNothingLeft();
+    BOOST_TEST(countRunsOfKey(fleet, "key-1") == 1U);
+    fleet.checkNoStateLeft();
 }
 
-BOOST_AUTO_TEST_CASE(theRouterGoesBeforeTheOutcome)
+BOOST_AUTO_TEST_CASE(routerCrashesBeforeRecordingOutcome)
 {
     Fleet fleet(withLog(2));
-    orderAtServices(fleet, slowly);
+    injectAtServices(fleet, slowFault);
     const AnswerPtr lost = fleet.start(bookingCall("key-1"), 0);
-    BOOST_REQUIRE(fleet.runOnUntil([&] { return runsOfKey(fleet, "key-1") == 1; }));
+    BOOST_REQUIRE(fleet.runUntil([&] { return countRunsOfKey(fleet, "key-1") == 1; }));
     fleet.routers.erase(fleet.routers.begin());
     BOOST_TEST((fleet.finish(lost).result.end == Http::CallEnd::Broken));
 
     for (int i = 0; i < 2; ++i) {
         const Answer retry = fleet.finish(fleet.start(bookingCall("key-1")));
-        BOOST_TEST(read(retry).kind.starts_with("duplicate_"));
-        BOOST_TEST(read(retry).ran == "unknown");
+        BOOST_TEST(parseAnswer(retry).kind.starts_with("duplicate_"));
+        BOOST_TEST(parseAnswer(retry).ran == "unknown");
         fleet.checkOutcome(retry);
-        BOOST_TEST(runsOfKey(fleet, "key-1") == 1U);
+        BOOST_TEST(countRunsOfKey(fleet, "key-1") == 1U);
     }
-    BOOST_TEST(read(fleet.finish(fleet.start(bookingCall("key-2")))).kind == "whole");
-    fleet.checkNothingLeft();
+    BOOST_TEST(parseAnswer(fleet.finish(fleet.start(bookingCall("key-2")))).kind == "whole");
+    fleet.checkNoStateLeft();
 }
 
-BOOST_AUTO_TEST_CASE(theCallerLeavesWithItsClaim)
+BOOST_AUTO_TEST_CASE(callerDisconnectsDuringClaimedCall)
 {
     Fleet fleet(withLog(1));
-    orderAtServices(fleet, slowly);
-    const AnswerPtr left = fleet.start(bookingCall("key-1"));
-    BOOST_REQUIRE(fleet.runOnUntil([&] { return runsOfKey(fleet, "key-1") == 1; }));
-    fleet.client.cancel(left->id);
-    fleet.runOn(std::chrono::seconds(2));
+    injectAtServices(fleet, slowFault);
+    const AnswerPtr disconnected = fleet.start(bookingCall("key-1"));
+    BOOST_REQUIRE(fleet.runUntil([&] { return countRunsOfKey(fleet, "key-1") == 1; }));
+    fleet.client.cancel(disconnected->id);
+    fleet.runFor(std::chrono::seconds(2));
     const Answer retry = fleet.finish(fleet.start(bookingCall("key-1")));
-    BOOST_TEST(read(retry).ran != "no");
-    BOOST_TEST(runsOfKey(fleet, "key-1") == 1U);
+    BOOST_TEST(parseAnswer(retry).ran != "no");
+    BOOST_TEST(countRunsOfKey(fleet, "key-1") == 1U);
     fleet.checkOutcome(retry);
-    fleet.checkNothingLeft();
+    fleet.checkNoStateLeft();
 }
--- a/tests/contract/router/tst_callerinterface.cpp
+++ b/tests/contract/router/tst_callerinterface.cpp
@@ -38,20 +38,20 @@
     {"not an object", 400, "bad_request", "[1, 2]"},
     {"empty body", 400, "bad_request", ""},
     {"no model", 400, "bad_request", R"({"messages": [{"role": "user", "content": "a"}]})"},
-    {"model is no text", 400, "bad_request", bodyWith("model", 7)},
+    {"model is not a string", 400, "bad_request", bodyWith("model", 7)},
     {"no messages", 400, "bad_request", R"({"model": "assistant"})"},
-    {"a message is no object", 400, "bad_request", bodyWith("messages", {"hello"})},
+    {"message is not an object", 400, "bad_request", bodyWith("messages", {"hello"})},
     {"unknown model", 404, "unknown_model", bodyWith("model", "nobody")},
     {"model with a line break", 404, "unknown_model", bodyWith("model", "a\r\nX-Evil: 1")},
     {"model outside of the contract", 403, "service_not_allowed", bodyWith("model", "unused")},
     {"max_tokens of zero", 400, "bad_request", bodyWith("max_tokens", 0)},
-    {"max_tokens is a text", 400, "bad_request", bodyWith("max_tokens", "9")},
+    {"max_tokens is a string", 400, "bad_request", bodyWith("max_tokens", "9")},
     {"max_tokens too large", 400, "bad_request", bodyWith("max_tokens", 1'000'001)},
-    {"stream is no flag", 400, "bad_request", bodyWith("stream", "yes")},
+    {"stream is not a Boolean", 400, "bad_request", bodyWith("stream", "yes")},
     {"unknown priority", 403, "priority_not_allowed", bodyWith("priority", "royal")},
     {"missing key", 401, "missing_key", goodBody, modelPath, "POST", ""},
     {"wrong key", 401, "unknown_key", goodBody, modelPath, "POST", "front-desk-kez"},
-    {"deadline is no number",
+    {"deadline is not a number",
      400,
      "bad_request",
      goodBody,
@@ -106,20 +106,20 @@
     return {.limits = {.maxBodyBytes = 4096}};
 }
 
-/// The next request of a caller must work whatever came before.
-void checkNextWorks(Fleet &fleet)
+/// Checks that the next request succeeds, whatever the previous one was.
+void checkNextRequestSucceeds(Fleet &fleet)
 {
     const Answer next = fleet.finish(fleet.start(chatCall()));
-    BOOST_TEST(read(next).kind == "whole");
-    BOOST_TEST(read(next).text == wholeText(next.requestId(), 8));
+    BOOST_TEST(parseAnswer(next).kind == "whole");
+    BOOST_TEST(parseAnswer(next).text == expectedText(next.requestId(), 8));
 }
 
-/// Where a line of the configuration stands, as refusals name it.
-std::string placeOf(const Fleet &fleet, const std::string &contract, const std::string &field)
+/// File and line of a contract field in the configuration, as error responses state it.
+std::string positionOf(const Fleet &fleet, const std::string &contract, const std::string &field)
 {
     const std::string text = fleet.configuration();
-    const std::size_t at = text.find(field, text.find("name: " + contract));
-    const auto end = text.begin() + static_cast<std::ptrdiff_t>(at);
+    const std::size_t offset = text.find(field, text.find("name: " + contract));
+    const auto end = text.begin() + static_cast<std::ptrdiff_t>(offset);
     return "fleet.yaml:" + std::to_string(std::count(text.begin(), end, '\n') + 1);
 }
 
@@ -135,22 +135,22 @@
                 makeCall(row.method, row.target, headersOf(row.bearer, row.headers), row.body)));
             BOOST_TEST(answer.result.status == row.status);
             BOOST_TEST(!answer.requestId().empty());
-            BOOST_TEST(read(answer).kind == row.kind);
-            BOOST_TEST(read(answer).ran == "no");
-            BOOST_TEST(fleet.runs("request_id", answer.requestId()).empty());
+            BOOST_TEST(parseAnswer(answer).kind == row.kind);
+            BOOST_TEST(parseAnswer(answer).ran == "no");
+            BOOST_TEST(fleet.runStates("request_id", answer.requestId()).empty());
             fleet.checkOutcome(answer);
-            checkNextWorks(fleet);
-            fleet.checkNothingLeft();
+            checkNextRequestSucceeds(fleet);
+            fleet.checkNoStateLeft();
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(limitsOfTheContract)
+BOOST_AUTO_TEST_CASE(contractRateLimits)
 {
     struct Row
     {
         const char *workspace;
-        std::size_t taken; ///< Requests that go through first.
+        std::size_t accepted; ///< Number of requests before one is refused.
         int tokens;
         const char *kind;
         const char *limit;
@@ -162,47 +162,49 @@
             Fleet fleet;
             const Http::Call call =
                 chatCall({.tokens = row.tokens, .key = row.workspace + std::string("-key")});
-            std::vector<AnswerPtr> first(row.taken);
+            std::vector<AnswerPtr> first(row.accepted);
             for (AnswerPtr &answer : first)
                 answer = fleet.start(call);
-            fleet.runOn(std::chrono::milliseconds(50));
+            fleet.runFor(std::chrono::milliseconds(50));
             const Answer refused = fleet.finish(fleet.start(call));
             BOOST_TEST(refused.result.status == 429);
-            BOOST_TEST(read(refused).kind == row.kind);
-            BOOST_TEST(read(refused).ran == "no");
-            BOOST_TEST(read(refused).error["limit"] == row.limit);
-            BOOST_TEST(read(refused).error["contract"] == placeOf(fleet, row.workspace, row.limit));
+            BOOST_TEST(parseAnswer(refused).kind == row.kind);
+            BOOST_TEST(parseAnswer(refused).ran == "no");
+            BOOST_TEST(parseAnswer(refused).error["limit"] == row.limit);
+            BOOST_TEST(parseAnswer(refused).error["contract"]
+                       == positionOf(fleet, row.workspace, row.limit));
             const int wait = std::stoi("0" + refused.header("retry-after"));
             BOOST_TEST(wait > 0);
             for (const AnswerPtr &answer : first)
-                BOOST_TEST(read(fleet.finish(answer)).kind == "whole");
-            BOOST_TEST(fleet.runs("request_id", refused.requestId()).empty());
+                BOOST_TEST(parseAnswer(fleet.finish(answer)).kind == "whole");
+            BOOST_TEST(fleet.runStates("request_id", refused.requestId()).empty());
             fleet.checkOutcome(refused);
 
-            fleet.runOn(std::chrono::seconds(wait)); // Retry-After holds what it says.
-            BOOST_TEST(read(fleet.finish(fleet.start(call))).kind == "whole");
-            fleet.checkNothingLeft();
+            fleet.runFor(std::chrono::seconds(wait)); // The request succeeds after Retry-After.
+            BOOST_TEST(parseAnswer(fleet.finish(fleet.start(call))).kind == "whole");
+            fleet.checkNoStateLeft();
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(concurrencyOfTheContract)
+BOOST_AUTO_TEST_CASE(contractConcurrencyLimit)
 {
     Fleet fleet;
     const Http::Call call = chatCall({.tokens = 40, .key = "single-key"});
     const AnswerPtr first = fleet.start(call);
-    fleet.runOn(std::chrono::milliseconds(50));
+    fleet.runFor(std::chrono::milliseconds(50));
     const Answer refused = fleet.finish(fleet.start(call));
-    BOOST_TEST(read(refused).kind == "concurrency_limited");
-    BOOST_TEST(read(refused).error["limit"] == "concurrency");
-    BOOST_TEST(read(refused).error["contract"] == placeOf(fleet, "single", "concurrency"));
+    BOOST_TEST(parseAnswer(refused).kind == "concurrency_limited");
+    BOOST_TEST(parseAnswer(refused).error["limit"] == "concurrency");
+    BOOST_TEST(parseAnswer(refused).error["contract"]
+               == positionOf(fleet, "single", "concurrency"));
     fleet.checkOutcome(refused);
-    BOOST_TEST(read(fleet.finish(first)).text == wholeText(first->requestId(), 40));
-    BOOST_TEST(read(fleet.finish(fleet.start(call))).kind == "whole");
-    fleet.checkNothingLeft();
+    BOOST_TEST(parseAnswer(fleet.finish(first)).text == expectedText(first->requestId(), 40));
+    BOOST_TEST(parseAnswer(fleet.finish(fleet.start(call))).kind == "whole");
+    fleet.checkNoStateLeft();
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsInjected)
+BOOST_AUTO_TEST_CASE(requestCannotInjectHeaders)
 {
     const std::string head = "Host: a\r\nAuthorization: Bearer front-desk-key\r\n"
                              "Content-Length: 2\r\n";
@@ -221,21 +223,20 @@
         {
             RawSocket socket(fleet.routers.front()->process.callerAddress());
             socket.send(request);
-            BOOST_TEST(
-                fleet.runOnUntil([&] { return socket.has("\r\n\r\n") || socket.isEnded(); }));
-            fleet.runOn(std::chrono::milliseconds(100));
+            BOOST_TEST(fleet.runUntil([&] { return socket.has("\r\n\r\n") || socket.isEnded(); }));
+            fleet.runFor(std::chrono::milliseconds(100));
             BOOST_TEST(!socket.has("x-evil"));
-            checkNextWorks(fleet);
+            checkNextRequestSucceeds(fleet);
         }
     }
     for (const auto &service : fleet.services) {
-        for (const Json &run : fleet.ledger(*service)) {
-            // Every run has the id that the router gave, and can be asked for.
+        for (const Json &run : fleet.ledgerEntries(*service)) {
+            // Every run has the router's request id, under which its outcome is available.
             BOOST_TEST(run["request_id"] != "mine");
             BOOST_TEST(fleet.outcome(run["request_id"].get<std::string>())["outcome"] == "whole");
         }
     }
-    fleet.checkNothingLeft();
+    fleet.checkNoStateLeft();
 }
 
 BOOST_AUTO_TEST_CASE(incompleteRequests)
@@ -249,30 +250,30 @@
     {
         RawSocket slow(address);
         slow.send(head + goodBody.substr(0, 20));
-        BOOST_TEST(fleet.runOnUntil([&] { return slow.isEnded(); }, std::chrono::seconds(15)));
+        BOOST_TEST(fleet.runUntil([&] { return slow.isEnded(); }, std::chrono::seconds(15)));
         BOOST_TEST(slow.has(" 408 "));
         BOOST_TEST(slow.has("slow_sender"));
         BOOST_TEST(slow.has("x-request-id"));
     }
-    BOOST_TEST_CONTEXT("leaves within its body")
+    BOOST_TEST_CONTEXT("disconnects within the body")
     {
-        RawSocket leaving(address);
-        leaving.send(head + goodBody.substr(0, 20));
-        fleet.runOn(std::chrono::milliseconds(50));
-        leaving.reset();
-        fleet.runOn(std::chrono::milliseconds(50));
+        RawSocket disconnecting(address);
+        disconnecting.send(head + goodBody.substr(0, 20));
+        fleet.runFor(std::chrono::milliseconds(50));
+        disconnecting.reset();
+        fleet.runFor(std::chrono::milliseconds(50));
     }
     BOOST_TEST_CONTEXT("half-closed after the request")
     {
         RawSocket halfClosed(address);
         halfClosed.send(head + goodBody);
         halfClosed.finishSending();
-        BOOST_TEST(fleet.runOnUntil([&] { return halfClosed.isEnded(); }));
+        BOOST_TEST(fleet.runUntil([&] { return halfClosed.isEnded(); }));
         BOOST_TEST(halfClosed.has(" 200 "));
         BOOST_TEST(halfClosed.has("data: [DONE]"));
     }
-    checkNextWorks(fleet);
-    fleet.checkNothingLeft();
+    checkNextRequestSucceeds(fleet);
+    fleet.checkNoStateLeft();
 }
 
 BOOST_AUTO_TEST_CASE(healthAndReadiness)
--- a/tests/contract/router/tst_enginefaults.cpp
+++ b/tests/contract/router/tst_enginefaults.cpp
@@ -12,27 +12,29 @@
 
 struct Case
 {
-    const char *fault; ///< At the engine that holds the chat, or at both.
-    bool atBoth = false;
-    const char *kind = "whole";
-    const char *ran = ""; ///< What an error says.
-    std::vector<std::string> runs = {"whole"}; ///< States in all ledgers, engine-by-engine.
-    bool staysHome = true; ///< The answer's last part comes from the engine that holds the chat.
+    const char *fault; ///< Injected at the engine that has cached the chat, or at both.
+    bool atBothEngines = false;
+    const char *expectedKind = "whole";
+    const char *expectedRan = ""; ///< Field "ran" of the error.
+    /// States of all runs, in any order.
+    std::vector<std::string> expectedRuns = {"whole"};
+    /// Whether the last attempt is at the engine that has cached the chat.
+    bool expectsCachingEngine = true;
 };
 
 using States = std::vector<std::string>;
-const States none;
-const States again{"whole", "whole"}; ///< The first run's answer is lost with it.
-const States lost{"crashed", "whole"}; ///< One run is lost, another one answers.
+const States noRun;
+const States secondRun{"whole", "whole"}; ///< The first run's answer is lost.
+const States runAfterCrash{"crashed", "whole"};
 
 const std::vector<Case> cases{
     {R"({"fault": "none"})"},
     {R"({"fault": "crash_before", "count": 1})", false, "whole", "", {"whole"}, false},
-    {R"({"fault": "crash_after_request", "count": 1})", false, "whole", "", again, false},
+    {R"({"fault": "crash_after_request", "count": 1})", false, "whole", "", secondRun, false},
     {R"({"fault": "crash_after_request", "count": 1, "keep": true})"},
     {R"({"fault": "crash_mid_stream", "count": 1, "after_tokens": 3, "keep": true})"},
-    {R"({"fault": "crash_mid_stream", "count": 1, "after_tokens": 3})", false, "whole", "", lost,
-     false},
+    {R"({"fault": "crash_mid_stream", "count": 1, "after_tokens": 3})", false, "whole", "",
+     runAfterCrash, false},
     {R"({"fault": "crash_after_answer", "count": 1})", false, "whole", "", {"whole"}},
     {R"({"fault": "crash_after_answer", "count": 1, "keep": true})"},
     {R"({"fault": "cut", "count": 1, "after_tokens": 3})"},
@@ -43,9 +45,9 @@
     {R"({"fault": "refuse", "count": 1})", false, "whole", "", {"whole"}, false},
     {R"({"fault": "ran_but_refused", "count": 1})", false, "whole", "", {"any", "whole"}, false},
     {R"({"fault": "slow", "factor": 20})"},
-    {R"({"fault": "refuse"})", true, "endpoint_refused", "no", none},
-    {R"({"fault": "crash_before"})", true, "endpoint_broke", "unknown", none},
-    {R"({"fault": "silent"})", true, "endpoint_timeout", "unknown", none},
+    {R"({"fault": "refuse"})", true, "endpoint_refused", "no", noRun},
+    {R"({"fault": "crash_before"})", true, "endpoint_broke", "unknown", noRun},
+    {R"({"fault": "silent"})", true, "endpoint_timeout", "unknown", noRun},
     {R"({"fault": "crossed"})", true, "answer_mismatch", "unknown", {"cancelled", "cancelled"}},
     {R"({"fault": "crash_after_request"})", true, "endpoint_broke", "unknown", {"whole", "whole"}},
     {R"({"fault": "crash_mid_stream", "after_tokens": 2})",
@@ -55,58 +57,59 @@
      {"crashed", "crashed"}},
 };
 
-/// Sends one chat ahead and says which engine now holds it.
-std::string homeOf(Fleet &fleet)
+/// Sends a chat and returns the engine that has cached it.
+std::string cacheChat(Fleet &fleet)
 {
-    const Answer warm = fleet.finish(fleet.start(chatCall()));
-    BOOST_TEST(read(warm).kind == "whole");
-    return warm.header("x-endpoint");
+    const Answer answer = fleet.finish(fleet.start(chatCall()));
+    BOOST_TEST(parseAnswer(answer).kind == "whole");
+    return answer.header("x-endpoint");
 }
 
-void checkRuns(const States &seen, const States &expected)
+void checkRuns(const States &actual, const States &expected)
 {
-    BOOST_REQUIRE_EQUAL(seen.size(), expected.size());
-    States left = seen;
+    BOOST_REQUIRE_EQUAL(actual.size(), expected.size());
+    States unmatched = actual;
     for (const std::string &state : expected) {
-        const auto found = std::find(left.begin(), left.end(), state);
+        const auto found = std::find(unmatched.begin(), unmatched.end(), state);
         if (state != "any")
-            BOOST_TEST((found != left.end()), "no run is " << state);
-        if (found != left.end())
-            left.erase(found);
+            BOOST_TEST((found != unmatched.end()), "no run is " << state);
+        if (found != unmatched.end())
+            unmatched.erase(found);
     }
 }
 
 void check(const Case &row, bool stream)
 {
     Fleet fleet;
-    const std::string home = homeOf(fleet);
+    const std::string cachingEngine = cacheChat(fleet);
     for (const auto &engine : fleet.engines) {
-        if (row.atBoth || engine->name == home)
-            fleet.order(*engine, row.fault);
+        if (row.atBothEngines || engine->name == cachingEngine)
+            fleet.injectFault(*engine, row.fault);
     }
     const Answer answer = fleet.finish(fleet.start(chatCall({.tokens = tokens, .stream = stream})));
-    const Seen seen = read(answer);
-    const std::string own = wholeText(answer.requestId(), tokens);
-    BOOST_TEST(seen.kind == row.kind);
-    BOOST_TEST(seen.ran == row.ran);
-    if (seen.kind == "whole") {
-        BOOST_TEST(seen.text == own);
+    const ParsedAnswer parsed = parseAnswer(answer);
+    const std::string completeText = expectedText(answer.requestId(), tokens);
+    BOOST_TEST(parsed.kind == row.expectedKind);
+    BOOST_TEST(parsed.ran == row.expectedRan);
+    if (parsed.kind == "whole") {
+        BOOST_TEST(parsed.text == completeText);
         const std::string &last = fleet.outcome(answer.requestId())["attempts"].back()["endpoint"];
-        BOOST_TEST((last == home) == row.staysHome);
+        BOOST_TEST((last == cachingEngine) == row.expectsCachingEngine);
     } else {
-        BOOST_TEST(own.starts_with(seen.text)); // A part, never another's.
+        // The text may be incomplete, but not of another request.
+        BOOST_TEST(completeText.starts_with(parsed.text));
     }
     fleet.checkOutcome(answer);
-    fleet.runOn(std::chrono::milliseconds(500)); // For cancels to come through.
-    checkRuns(fleet.runs("request_id", answer.requestId()), row.runs);
-    fleet.checkNothingLeft();
+    fleet.runFor(std::chrono::milliseconds(500)); // Time for cancellations to arrive.
+    checkRuns(fleet.runStates("request_id", answer.requestId()), row.expectedRuns);
+    fleet.checkNoStateLeft();
 
     for (const auto &engine : fleet.engines)
-        fleet.order(*engine, R"({"fault": "none"})");
-    fleet.passTime(std::chrono::seconds(5)); // Beyond every suspicion.
+        fleet.injectFault(*engine, R"({"fault": "none"})");
+    fleet.runIdle(std::chrono::seconds(5)); // Longer than an engine stays suspected.
     const Answer next = fleet.finish(fleet.start(chatCall({.stream = stream})));
-    BOOST_TEST(read(next).text == wholeText(next.requestId(), 8));
-    fleet.checkNothingLeft();
+    BOOST_TEST(parseAnswer(next).text == expectedText(next.requestId(), 8));
+    fleet.checkNoStateLeft();
 }
 
 } // namespace
@@ -114,55 +117,56 @@
 BOOST_AUTO_TEST_CASE(streamedAnswers)
 {
     for (const Case &row : cases)
-        BOOST_TEST_CONTEXT(row.fault << (row.atBoth ? " at both" : ""))
+        BOOST_TEST_CONTEXT(row.fault << (row.atBothEngines ? " at both" : ""))
     check(row, true);
 }
 
 BOOST_AUTO_TEST_CASE(unstreamedAnswers)
 {
     for (const Case &row : cases)
-        BOOST_TEST_CONTEXT(row.fault << (row.atBoth ? " at both" : ""))
+        BOOST_TEST_CONTEXT(row.fault << (row.atBothEngines ? " at both" : ""))
     check(row, false);
 }
 
-BOOST_AUTO_TEST_CASE(aLongPromptIsNotTakenForSilence)
+BOOST_AUTO_TEST_CASE(longPromptDoesNotCauseATimeout)
 {
     Fleet fleet;
     std::string prompt;
-    for (int i = 0; i < 60'000; ++i) // Three seconds to read; two are the limit for a first byte.
+    // The prompt takes 3 s to read; the first-byte timeout is 2 s.
+    for (int i = 0; i < 60'000; ++i)
         prompt += "w" + std::to_string(i) + ' ';
     const Answer answer =
         fleet.finish(fleet.start(chatCall({.prompt = prompt, .tokens = tokens, .stream = true})));
-    BOOST_TEST(read(answer).text == wholeText(answer.requestId(), tokens));
+    BOOST_TEST(parseAnswer(answer).text == expectedText(answer.requestId(), tokens));
     BOOST_TEST(fleet.outcome(answer.requestId())["attempts"].size() == 1U);
-    checkRuns(fleet.runs("request_id", answer.requestId()), {"whole"});
-    fleet.checkNothingLeft();
+    checkRuns(fleet.runStates("request_id", answer.requestId()), {"whole"});
+    fleet.checkNoStateLeft();
 }
 
-BOOST_AUTO_TEST_CASE(whatHasEndedLeavesNoTimers)
+BOOST_AUTO_TEST_CASE(endedRequestsLeaveNoTimers)
 {
     Fleet fleet;
     const Runtime::TimerQueue &timers = fleet.routers.front()->loop.timers();
-    const std::string home = homeOf(fleet);
-    fleet.passTime(std::chrono::seconds(12)); // Longer than idle connections are kept.
+    const std::string cachingEngine = cacheChat(fleet);
+    fleet.runIdle(std::chrono::seconds(12)); // Longer than the idle connection timeout.
     const std::size_t before = timers.pending();
     for (const char *fault : {R"({"fault": "none"})", R"({"fault": "silent", "count": 1})",
                               R"({"fault": "crash_mid_stream", "count": 1, "keep": true})"}) {
-        fleet.order(fleet.engine(home), fault);
+        fleet.injectFault(fleet.engine(cachingEngine), fault);
         fleet.finish(fleet.start(chatCall()));
-        fleet.passTime(std::chrono::seconds(12));
+        fleet.runIdle(std::chrono::seconds(12));
         BOOST_TEST(timers.pending() == before, fault);
     }
-    fleet.checkNothingLeft();
+    fleet.checkNoStateLeft();
 }
 
-BOOST_AUTO_TEST_CASE(whatIsGivenUpIsCancelled)
+BOOST_AUTO_TEST_CASE(abandonedRunsAreCancelled)
 {
     struct Row
     {
-        const char *fault; ///< At both engines, with one attempt for each call.
+        const char *fault; ///< Injected at both engines; each call has one attempt.
         const char *deadline;
-        const char *kind;
+        const char *expectedKind;
     };
     for (const Row &row : {Row{R"({"fault": "crossed"})", "20000", "answer_mismatch"},
                            Row{R"({"fault": "slow", "factor": 40})", "700", "deadline_passed"}}) {
@@ -170,16 +174,16 @@
         {
             Fleet fleet({.policy = "max_attempts: 1"});
             for (const auto &engine : fleet.engines)
-                fleet.order(*engine, row.fault);
+                fleet.injectFault(*engine, row.fault);
             Http::Call call = chatCall({.tokens = 100, .stream = false});
             call.headers.add("x-deadline-ms", row.deadline);
             const Answer answer = fleet.finish(fleet.start(call));
-            BOOST_TEST(read(answer).kind == row.kind);
-            BOOST_TEST(read(answer).ran == "unknown");
+            BOOST_TEST(parseAnswer(answer).kind == row.expectedKind);
+            BOOST_TEST(parseAnswer(answer).ran == "unknown");
             fleet.checkOutcome(answer);
-            fleet.runOn(std::chrono::milliseconds(200));
-            checkRuns(fleet.runs("request_id", answer.requestId()), {"cancelled"});
-            fleet.checkNothingLeft();
+            fleet.runFor(std::chrono::milliseconds(200));
+            checkRuns(fleet.runStates("request_id", answer.requestId()), {"cancelled"});
+            fleet.checkNoStateLeft();
         }
     }
 }
