--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -18,7 +18,7 @@
 
 Error errorOfCallEnd(const Http::CallResult &result)
 {
-    const Ran ran = result.mayHaveLeft ? Ran::Unknown : Ran::No;
+    const Ran ran = result.mayHaveBeenSent ? Ran::Unknown : Ran::No;
     switch (result.end) {
     case Http::CallEnd::NotConnected:
     case Http::CallEnd::TurnedAway:
@@ -233,7 +233,7 @@
 Retry::AttemptFailure Exchange::failureOf(const Error &error) const
 {
     return {.kind = error.kind,
-            .mayHaveLeft = error.ran != Ran::No || error.kind == ErrorKind::EndpointRefused,
+            .mayHaveBeenSent = error.ran != Ran::No || error.kind == ErrorKind::EndpointRefused,
             .provenNotRun = error.kind == ErrorKind::EndpointRefused,
             .headForwarded = hasBegun(),
             .tokensForwarded = keptTokens(),
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -36,7 +36,7 @@
     /// NotConnected for want of descriptors, ports or memory of this process or machine: tells
     /// nothing of the server.
     bool isOwnLack = false;
-    bool mayHaveLeft = false; ///< Whether a byte of the request may have left this process.
+    bool mayHaveBeenSent = false; ///< Whether a byte of the request may have left this process.
     int status = 0; ///< 0 if no head came.
     Headers headers;
     std::string body; ///< Empty where Hooks::bodyReceived took the pieces.
--- a/src/libs/http/clientcall.cpp
+++ b/src/libs/http/clientcall.cpp
@@ -186,7 +186,7 @@
 {
     const std::shared_ptr<ClientCall> self = shared_from_this();
     setStage(m_call.headTimeout);
-    m_result.mayHaveLeft = true;
+    m_result.mayHaveBeenSent = true;
     if (m_hooks.leaving)
         m_hooks.leaving();
     if (m_isEnded)
@@ -325,7 +325,7 @@
         arm();
         return;
     }
-    const bool isConnecting = !m_result.mayHaveLeft;
+    const bool isConnecting = !m_result.mayHaveBeenSent;
     if (isConnecting && now < m_totalDeadline) {
         finish(CallEnd::NotConnected, "no connection to " + toString(m_call.server) + " in time");
         return;
--- a/src/libs/operations/changepublisher.cpp
+++ b/src/libs/operations/changepublisher.cpp
@@ -156,8 +156,8 @@
     bool mayBeInLog = false;
     for (std::size_t i = 0; i < sent.size(); ++i) {
         if (result.outcomes[i].state != PlatformClient::AppendState::NotAppended)
-            sent[i]->mayHaveLeft = true;
-        mayBeInLog = mayBeInLog || sent[i]->mayHaveLeft;
+            sent[i]->mayHaveBeenSent = true;
+        mayBeInLog = mayBeInLog || sent[i]->mayHaveBeenSent;
     }
     if (mayBeInLog)
         return readBack();
@@ -177,7 +177,7 @@
 {
     bool hasProgress = false;
     for (Change &change : m_changes) {
-        if (!change.isSettled && change.mayHaveLeft && settle(change))
+        if (!change.isSettled && change.mayHaveBeenSent && settle(change))
             hasProgress = true;
     }
     if (!hasProgress)
@@ -227,7 +227,7 @@
     std::vector<ChangeOutcome> outcomes;
     for (const Change &change : m_changes) {
         outcomes.push_back(change.outcome);
-        if (!change.isSettled && change.mayHaveLeft)
+        if (!change.isSettled && change.mayHaveBeenSent)
             outcomes.back().state = ChangeState::Unknown;
     }
     return outcomes;
--- a/src/libs/operations/changepublisher.h
+++ b/src/libs/operations/changepublisher.h
@@ -63,7 +63,7 @@
         std::optional<Schema::ConfigurationObject> object;
         ChangeOutcome outcome;
         bool isSettled = false;
-        bool mayHaveLeft = false;
+        bool mayHaveBeenSent = false;
     };
 
     void add(Change change, std::optional<Base::Revision> base);
--- a/src/libs/platformclient/appendattempt.cpp
+++ b/src/libs/platformclient/appendattempt.cpp
@@ -31,7 +31,7 @@
 
 AppendAttempt::Next AppendAttempt::appendEnded(const Http::CallResult &result)
 {
-    if (!result.mayHaveLeft && result.status == 0)
+    if (!result.mayHaveBeenSent && result.status == 0)
         return refuse();
     if (result.end != Http::CallEnd::Whole)
         return Next::ReadBack;
--- a/src/libs/platformclient/transport.cpp
+++ b/src/libs/platformclient/transport.cpp
@@ -50,7 +50,7 @@
         hooks.finished = [metered = options.metered, sent,
                           finished = std::move(finished)](const Http::CallResult &result) {
             if (metered)
-                metered(result.mayHaveLeft ? sent : Base::Bytes(0), wireSize(result));
+                metered(result.mayHaveBeenSent ? sent : Base::Bytes(0), wireSize(result));
             finished(result);
         };
         return options.client->start(std::move(call), std::move(hooks));
--- a/src/libs/retry/retrydecision.cpp
+++ b/src/libs/retry/retrydecision.cpp
@@ -30,7 +30,7 @@
 
 bool failedAttemptMayHaveRun(const AttemptFailure &failure)
 {
-    return failure.mayHaveLeft && !failure.provenNotRun && !failure.wasResume;
+    return failure.mayHaveBeenSent && !failure.provenNotRun && !failure.wasResume;
 }
 
 // A refused or unsent resume only proves that the resume had no effect; the run that it was to
--- a/src/libs/retry/retrydecision.h
+++ b/src/libs/retry/retrydecision.h
@@ -12,7 +12,7 @@
 struct AttemptFailure
 {
     Errors::ErrorKind kind = Errors::ErrorKind::Internal;
-    bool mayHaveLeft = true; ///< Part of the request may have been sent.
+    bool mayHaveBeenSent = true; ///< Part of the request may have been sent.
     bool provenNotRun = false; ///< The endpoint reported that the request was not run.
     bool headForwarded = false; ///< The caller has the answer's head; the status is final.
     Base::Tokens tokensForwarded; ///< Tokens of a stream that have been sent to the caller.
--- a/tests/auto/controller/fakeengines.h
+++ b/tests/auto/controller/fakeengines.h
@@ -77,7 +77,7 @@
     static Result ok(const nlohmann::json &body) { return {.status = 200, .body = body.dump()}; }
     static Result broken()
     {
-        return {.end = Lagoonbank::Http::CallEnd::Broken, .mayHaveLeft = true};
+        return {.end = Lagoonbank::Http::CallEnd::Broken, .mayHaveBeenSent = true};
     }
 
     Result answer(const Lagoonbank::Http::Call &call)
--- a/tests/auto/controller/fakelog.h
+++ b/tests/auto/controller/fakelog.h
@@ -64,7 +64,7 @@
     {
         using nlohmann::json;
         if (isUnavailable)
-            return {.mayHaveLeft = true, .status = 503, .body = R"({"error": "out"})"};
+            return {.mayHaveBeenSent = true, .status = 503, .body = R"({"error": "out"})"};
         if (call.method == "POST") {
             json offsets = json::array();
             const json body = json::parse(call.body);
@@ -74,9 +74,10 @@
             }
             if (responsesToDrop > 0) {
                 --responsesToDrop;
-                return {.end = Lagoonbank::Http::CallEnd::Broken, .mayHaveLeft = true};
+                return {.end = Lagoonbank::Http::CallEnd::Broken, .mayHaveBeenSent = true};
             }
-            return {.mayHaveLeft = true, .status = 200, .body = json{{"offsets", offsets}}.dump()};
+            return {
+                .mayHaveBeenSent = true, .status = 200, .body = json{{"offsets", offsets}}.dump()};
         }
         const std::size_t from = std::stoul(call.target.substr(call.target.find("from=") + 5));
         json records = json::array();
@@ -85,7 +86,7 @@
                 {{"offset", i}, {"id", m_records[i]["id"]}, {"data", m_records[i]["data"]}});
         }
         const json page{{"first", 0}, {"next", m_records.size()}, {"records", records}};
-        return {.mayHaveLeft = true, .status = 200, .body = page.dump()};
+        return {.mayHaveBeenSent = true, .status = 200, .body = page.dump()};
     }
 
     std::vector<nlohmann::json> m_records;
--- a/tests/auto/http/tst_client.cpp
+++ b/tests/auto/http/tst_client.cpp
@@ -135,7 +135,7 @@
             const CallResult &result = f.finished();
             BOOST_TEST(result.end == row.end);
             BOOST_TEST(result.body == row.body);
-            BOOST_TEST(result.mayHaveLeft);
+            BOOST_TEST(result.mayHaveBeenSent);
             BOOST_TEST(f.leavings == 1);
             BOOST_TEST(f.client.activeCalls() == 0U);
         }
@@ -240,7 +240,7 @@
         BOOST_TEST(f.results.empty()); // Never from within start().
         const CallResult &result = f.finished();
         BOOST_TEST(result.end == CallEnd::NotConnected);
-        BOOST_TEST(!result.mayHaveLeft);
+        BOOST_TEST(!result.mayHaveBeenSent);
         BOOST_TEST(f.leavings == 0);
         BOOST_TEST(f.listener.accept() == -1);
     }
@@ -314,7 +314,7 @@
     f.start(f.call());
     first.reset();
     BOOST_TEST(f.finished(2).end == CallEnd::Broken);
-    BOOST_TEST(f.results.back().mayHaveLeft);
+    BOOST_TEST(f.results.back().mayHaveBeenSent);
     BOOST_TEST(f.results.back().status == 0);
 }
 
@@ -331,7 +331,7 @@
     f.runUntil([&] { return ++turns > 10; }); // The client learns that it is connected.
     first.reset();
     BOOST_TEST(f.finished(1).end == CallEnd::TurnedAway);
-    BOOST_TEST(!f.results.back().mayHaveLeft);
+    BOOST_TEST(!f.results.back().mayHaveBeenSent);
     BOOST_TEST(f.leavings == 0);
     f.start(call);
     RawSocket second = f.accept();
@@ -396,7 +396,7 @@
     BOOST_TEST(f.results.empty());
     const CallResult &result = f.finished();
     BOOST_TEST(result.end == CallEnd::NotConnected);
-    BOOST_TEST(!result.mayHaveLeft);
+    BOOST_TEST(!result.mayHaveBeenSent);
     BOOST_TEST(f.leavings == 0);
 }
 
@@ -435,7 +435,7 @@
             f.advance(row.late);
             const CallResult &result = f.finished();
             BOOST_TEST(result.end == CallEnd::TimedOut);
-            BOOST_TEST(result.mayHaveLeft);
+            BOOST_TEST(result.mayHaveBeenSent);
             BOOST_TEST(result.status == row.status);
             f.start(f.call());
             RawSocket second = f.accept();
--- a/tests/auto/http/tst_protocols.cpp
+++ b/tests/auto/http/tst_protocols.cpp
@@ -288,7 +288,7 @@
         {
             const CallResult refused = callOverTls(f, caFile, name);
             BOOST_TEST((refused.end == CallEnd::NotConnected));
-            BOOST_TEST(!refused.mayHaveLeft);
+            BOOST_TEST(!refused.mayHaveBeenSent);
         }
     }
     BOOST_TEST(f.requests.size() == 1U);
--- a/tests/auto/platformclient/fakeplatform.h
+++ b/tests/auto/platformclient/fakeplatform.h
@@ -57,13 +57,14 @@
     Lagoonbank::Http::Call answer(int status, const std::string &body,
                                   const Lagoonbank::Http::Headers &headers = {})
     {
-        return finish({.mayHaveLeft = true, .status = status, .headers = headers, .body = body});
+        return finish(
+            {.mayHaveBeenSent = true, .status = status, .headers = headers, .body = body});
     }
     /// Loses the answer: the connection breaks, or stays silent until the timeout.
     Lagoonbank::Http::Call
     loseAnswer(Lagoonbank::Http::CallEnd end = Lagoonbank::Http::CallEnd::TimedOut)
     {
-        return finish({.end = end, .mayHaveLeft = true});
+        return finish({.end = end, .mayHaveBeenSent = true});
     }
     Lagoonbank::Http::Call refuseConnection()
     {
--- a/tests/auto/retry/tst_retrydecision.cpp
+++ b/tests/auto/retry/tst_retrydecision.cpp
@@ -47,7 +47,7 @@
             const auto bit = [bits](unsigned i) { return ((bits >> i) & 1U) != 0; };
             Inputs in;
             in.failure.kind = row.kind;
-            in.failure.mayHaveLeft = bit(0);
+            in.failure.mayHaveBeenSent = bit(0);
             in.failure.provenNotRun = bit(1);
             in.failure.headForwarded = bit(2);
             in.failure.tokensForwarded = Tokens(bit(3) ? 7 : 0);
@@ -84,7 +84,7 @@
     int newRuns = 0;
     int violations = 0;
     forEveryInput([&](const Inputs &in) {
-        const bool didNotRun = !in.failure.mayHaveLeft || in.failure.provenNotRun;
+        const bool didNotRun = !in.failure.mayHaveBeenSent || in.failure.provenNotRun;
         const bool noEarlierRun = !in.traits.earlierMayHaveRun && !in.failure.wasResume;
         if (!isNewRun(decideFor(in).action))
             return;
@@ -103,7 +103,7 @@
         const RetryDecision decision = decideFor(in);
         if (decision.action != RetryAction::Fail || decision.ran != Ran::No)
             return;
-        const bool didNotRun = !in.failure.mayHaveLeft || in.failure.provenNotRun;
+        const bool didNotRun = !in.failure.mayHaveBeenSent || in.failure.provenNotRun;
         if (!didNotRun || in.failure.wasResume || in.traits.earlierMayHaveRun
             || in.failure.tokensForwarded.value() > 0)
             ++violations;
@@ -172,7 +172,7 @@
 
     const Row rows[] = {
         {"connection refused",
-         {.kind = EndpointUnreachable, .mayHaveLeft = false},
+         {.kind = EndpointUnreachable, .mayHaveBeenSent = false},
          once,
          RetryAction::RetryElsewhere,
          EndpointUnreachable,
