--- a/src/libs/controller/endpointcalls.cpp
+++ b/src/libs/controller/endpointcalls.cpp
@@ -28,7 +28,7 @@
         // above. Establishing a new connection takes time, so the check is repeated before sending.
         const auto id = std::make_shared<std::optional<Http::CallId>>();
         Http::Hooks hooks;
-        hooks.leaving = [&loop, &client, id, maySend = std::move(maySend), finished] {
+        hooks.sending = [&loop, &client, id, maySend = std::move(maySend), finished] {
             if (!*id || maySend())
                 return;
             client.cancel(**id);
--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -105,7 +105,7 @@
     const auto self = shared_from_this();
     m_call = m_options.client->start(
         std::move(call),
-        {.leaving = [self] { self->m_mayHaveSent = true; },
+        {.sending = [self] { self->m_mayHaveSent = true; },
          .headReceived =
              [self](int status, const Http::Headers &headers) {
                  self->m_status = status;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -17,7 +17,7 @@
 Http::Hooks RequestRun::hooks()
 {
     const std::weak_ptr<RequestRun> weak = weak_from_this();
-    return {.leaving =
+    return {.sending =
                 [weak] {
                     const auto self = weak.lock();
                     if (!self || !self->m_attempt)
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -72,7 +72,7 @@
 {
     /// The first byte may leave from now on: the line between "did not run" and "unknown". On a
     /// pooled connection this is called from within start().
-    std::function<void()> leaving;
+    std::function<void()> sending;
     std::function<void(int status, const Headers &headers)> headReceived;
     /// If set, gets each piece of the body and CallResult::body stays empty.
     std::function<void(std::string_view piece)> bodyReceived;
--- a/src/libs/http/clientcall.cpp
+++ b/src/libs/http/clientcall.cpp
@@ -187,8 +187,8 @@
     const std::shared_ptr<ClientCall> self = shared_from_this();
     setStage(m_call.headTimeout);
     m_result.mayHaveBeenSent = true;
-    if (m_hooks.leaving)
-        m_hooks.leaving();
+    if (m_hooks.sending)
+        m_hooks.sending();
     if (m_isEnded)
         return;
     writeHead();
--- a/tests/auto/http/tst_client.cpp
+++ b/tests/auto/http/tst_client.cpp
@@ -36,7 +36,7 @@
     }
     Hooks hooks()
     {
-        return {.leaving = [this] { ++leavings; },
+        return {.sending = [this] { ++sendings; },
                 .finished = [this](CallResult given) { results.push_back(std::move(given)); }};
     }
     CallId start(Call given) { return client.start(std::move(given), hooks()); }
@@ -55,7 +55,7 @@
     RawListener listener;
     Client client;
     std::vector<CallResult> results;
-    int leavings = 0;
+    int sendings = 0;
 };
 
 constexpr std::string_view wholeAnswer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -136,7 +136,7 @@
             BOOST_TEST(result.end == row.end);
             BOOST_TEST(result.body == row.body);
             BOOST_TEST(result.mayHaveBeenSent);
-            BOOST_TEST(f.leavings == 1);
+            BOOST_TEST(f.sendings == 1);
             BOOST_TEST(f.client.activeCalls() == 0U);
         }
     }
@@ -241,7 +241,7 @@
         const CallResult &result = f.finished();
         BOOST_TEST(result.end == CallEnd::NotConnected);
         BOOST_TEST(!result.mayHaveBeenSent);
-        BOOST_TEST(f.leavings == 0);
+        BOOST_TEST(f.sendings == 0);
         BOOST_TEST(f.listener.accept() == -1);
     }
 }
@@ -332,7 +332,7 @@
     first.reset();
     BOOST_TEST(f.finished(1).end == CallEnd::TurnedAway);
     BOOST_TEST(!f.results.back().mayHaveBeenSent);
-    BOOST_TEST(f.leavings == 0);
+    BOOST_TEST(f.sendings == 0);
     f.start(call);
     RawSocket second = f.accept();
     BOOST_TEST(!second.has("POST"));
@@ -342,7 +342,7 @@
     }));
     second.send(wholeAnswer);
     BOOST_TEST(f.finished(2).end == CallEnd::Whole);
-    BOOST_TEST(f.leavings == 1);
+    BOOST_TEST(f.sendings == 1);
 }
 
 BOOST_AUTO_TEST_CASE(noMoreIdleConnectionsAreKeptThanACallAllows)
@@ -397,7 +397,7 @@
     const CallResult &result = f.finished();
     BOOST_TEST(result.end == CallEnd::NotConnected);
     BOOST_TEST(!result.mayHaveBeenSent);
-    BOOST_TEST(f.leavings == 0);
+    BOOST_TEST(f.sendings == 0);
 }
 
 BOOST_AUTO_TEST_CASE(silentServersTimeOutAndTheirConnectionsAreNotUsedAgain)
@@ -509,7 +509,7 @@
                 f.client.cancel(id);
             };
             Hooks hooks = f.hooks();
-            hooks.leaving = [&] { cancel("leaving"); };
+            hooks.sending = [&] { cancel("leaving"); };
             hooks.headReceived = [&](int, const Headers &) { cancel("head"); };
             hooks.bodyReceived = [&](std::string_view) { cancel("piece"); };
             id = f.client.start(f.call(), std::move(hooks));
