--- a/bench/gateway/bm_refusal.cpp
+++ b/bench/gateway/bm_refusal.cpp
@@ -224,7 +224,8 @@
     Gateway::GatewayMetrics m_metrics;
     Http::Client m_client{{.loop = &m_loop, .maxIdlePerServer = 2 * inFlight}};
     Gateway::Gateway m_gateway;
-    Http::Server m_server{{.loop = &m_loop, .address = {"127.0.0.1", 0}, .closeMeansLeft = true}};
+    Http::Server m_server{
+        {.loop = &m_loop, .address = {"127.0.0.1", 0}, .halfCloseMeansDisconnect = true}};
 };
 
 void measure(benchmark::State &state, std::size_t held, Base::Duration ownDelay)
--- a/src/libs/http/h2oserver.cpp
+++ b/src/libs/http/h2oserver.cpp
@@ -106,7 +106,7 @@
 {
     m_http1.loop = &m_loop;
     m_http1.limits = m_options.limits;
-    m_http1.closeMeansLeft = m_options.closeMeansLeft;
+    m_http1.halfCloseMeansDisconnect = m_options.halfCloseMeansDisconnect;
     m_http1.requestCame = [this](Request request, std::shared_ptr<Responder> responder) {
         if (handler)
             handler(std::move(request), std::move(responder));
@@ -311,7 +311,8 @@
     if (m_loop.clock().now() - waiting.arrival.earliest < lookAfter)
         return false;
     const PeerClose found = lookForClose(h2o_socket_get_fd(waiting.socket));
-    return found == PeerClose::Both || (found == PeerClose::Sending && m_options.closeMeansLeft);
+    return found == PeerClose::Both
+        || (found == PeerClose::Sending && m_options.halfCloseMeansDisconnect);
 }
 
 void H2oServer::start(const Waiting &waiting)
--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -154,7 +154,7 @@
     const bool isInOrder = error == h2o_socket_error_closed;
     switch (m_state) {
     case State::Answering:
-        if (!isInOrder || m_context.closeMeansLeft)
+        if (!isInOrder || m_context.halfCloseMeansDisconnect)
             callerLeft();
         return;
     case State::Aborting:
@@ -227,7 +227,8 @@
     if (!m_socket || m_state != State::Answering || m_isInputEnded)
         return;
     const PeerClose found = Internal::lookForClose(h2o_socket_get_fd(m_socket));
-    if (found == PeerClose::Both || (found == PeerClose::Sending && m_context.closeMeansLeft))
+    if (found == PeerClose::Both
+        || (found == PeerClose::Sending && m_context.halfCloseMeansDisconnect))
         callerLeft();
 }
 
--- a/src/libs/http/http1connection.h
+++ b/src/libs/http/http1connection.h
@@ -29,7 +29,7 @@
 {
     Runtime::Loop *loop = nullptr;
     Server::Limits limits;
-    bool closeMeansLeft = false; ///< See Server::Options.
+    bool halfCloseMeansDisconnect = false; ///< See Server::Options.
     bool isDraining = false; ///< Every answer ends its connection.
     bool isCrowded = false; ///< The same while too many connections are open.
     std::function<void(Request request, std::shared_ptr<Responder> responder)> requestCame;
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -87,7 +87,7 @@
         /// HTTP/1.1: a caller that closes its side while it waits for an answer has left. Without
         /// it such a caller still gets its answer, and one that has really left is noticed at the
         /// next write.
-        bool closeMeansLeft = false;
+        bool halfCloseMeansDisconnect = false;
         /// TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged, by a caller that vanished
         /// or does not read.
         Base::Duration userTimeout = std::chrono::seconds(30);
--- a/tests/auto/gateway/gatewayfixture.h
+++ b/tests/auto/gateway/gatewayfixture.h
@@ -145,7 +145,7 @@
                                           .log = &log,
                                           .metrics = &metrics}};
     Lagoonbank::Http::Server server{
-        {.loop = &loop, .address = {"127.0.0.1", 0}, .closeMeansLeft = true}};
+        {.loop = &loop, .address = {"127.0.0.1", 0}, .halfCloseMeansDisconnect = true}};
 
 private:
     static void refuse(Lagoonbank::Http::Responder &responder,
--- a/tests/auto/http/serverfixture.h
+++ b/tests/auto/http/serverfixture.h
@@ -17,7 +17,7 @@
 /// A server on a clock that stands still, which keeps what comes.
 struct ServerFixture : PausedLoop
 {
-    explicit ServerFixture(bool closeMeansLeft = false,
+    explicit ServerFixture(bool halfCloseMeansDisconnect = false,
                            std::size_t maxConnections = std::numeric_limits<std::size_t>::max())
     {
         const Http::Server::Limits limits{
@@ -26,7 +26,7 @@
             Http::Server::Options{.loop = &loop,
                                   .address = {"127.0.0.1", 0},
                                   .limits = limits,
-                                  .closeMeansLeft = closeMeansLeft,
+                                  .halfCloseMeansDisconnect = halfCloseMeansDisconnect,
                                   .maxConnections = maxConnections,
                                   .leftUnread = [this] { ++leftUnread; }});
         server->setHandler(
--- a/tests/auto/http/tst_unreadrequests.cpp
+++ b/tests/auto/http/tst_unreadrequests.cpp
@@ -24,7 +24,7 @@
     {
         std::string_view name;
         std::string_view bytes;
-        bool closeMeansLeft;
+        bool halfCloseMeansDisconnect;
         bool resets;
         bool closesOnlyItsSide;
         bool isLeft;
@@ -40,7 +40,7 @@
         for (const bool isKept : {false, true}) {
             BOOST_TEST_CONTEXT(row.name << (isKept ? ", kept" : ", new"))
             {
-                Fixture f(row.closeMeansLeft);
+                Fixture f(row.halfCloseMeansDisconnect);
                 RawSocket caller = f.connect();
                 if (isKept) {
                     caller.send("GET /first HTTP/1.1\r\nhost: a\r\n\r\n");
