--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -28,7 +28,7 @@
     Metrics::Counter loopDemand; ///< Time with work to do, with or without a processor.
     Metrics::Counter processor; ///< Processor time of the event loop in seconds.
     Metrics::Histogram requestReadDelay; ///< From arrival of a request's bytes to its reading.
-    Metrics::Counter leftUnread; ///< Requests not sent, as an unread close was found.
+    Metrics::Counter disconnectedUnread; ///< Requests not sent, as an unread close was found.
     Metrics::Gauge callerConnections;
     Metrics::Gauge quarantined;
     Metrics::Counter overloadedAnswers;
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -84,7 +84,7 @@
     const std::shared_ptr<RequestRun> self = shared_from_this();
     m_responder->lookForClose();
     if (m_isEnded)
-        m_gateway.m_options.metrics->leftUnread.increment();
+        m_gateway.m_options.metrics->disconnectedUnread.increment();
     return m_isEnded;
 }
 
--- a/src/libs/http/h2oserver.cpp
+++ b/src/libs/http/h2oserver.cpp
@@ -283,8 +283,8 @@
         m_loop.lag().noteDeferredWork(now - next.arrival.latest);
         if (hasLeft(next)) {
             h2o_socket_close(next.socket);
-            if (m_options.leftUnread)
-                m_options.leftUnread();
+            if (m_options.disconnectedUnread)
+                m_options.disconnectedUnread();
             continue;
         }
         start(next);
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -95,7 +95,7 @@
         /// longest are closed, so that the process keeps descriptors for its calls.
         std::size_t maxConnections = std::numeric_limits<std::size_t>::max();
         /// Called for each new connection that is closed unread, as its caller has left.
-        std::function<void()> leftUnread;
+        std::function<void()> disconnectedUnread;
         std::optional<Tls> tls;
         /// Set by programs with hundreds of servers on a loop, so that the idle ones cost nothing.
         /// stopAccepting() then closes HTTP/2 connections when they are idle, without telling
--- a/tests/auto/http/serverfixture.h
+++ b/tests/auto/http/serverfixture.h
@@ -28,7 +28,7 @@
                                   .limits = limits,
                                   .halfCloseMeansDisconnect = halfCloseMeansDisconnect,
                                   .maxConnections = maxConnections,
-                                  .leftUnread = [this] { ++leftUnread; }});
+                                  .disconnectedUnread = [this] { ++disconnectedUnread; }});
         server->setHandler(
             [this](Http::Request request, const std::shared_ptr<Http::Responder> &responder) {
                 requests.push_back(std::move(request));
@@ -61,7 +61,7 @@
     std::vector<Http::Request> requests;
     std::vector<std::shared_ptr<Http::Responder>> responders;
     int gone = 0;
-    int leftUnread = 0;
+    int disconnectedUnread = 0;
     std::function<void(Http::Responder &responder)> looked; ///< As each request is handed over.
     bool answersAtOnce = true;
 };
--- a/tests/auto/http/tst_unreadrequests.cpp
+++ b/tests/auto/http/tst_unreadrequests.cpp
@@ -236,7 +236,7 @@
     f.advance(std::chrono::seconds(1));
     BOOST_TEST(f.server->openConnections() == 1U);
     BOOST_TEST(!idle.isEnded());
-    BOOST_TEST(f.leftUnread == 60);
+    BOOST_TEST(f.disconnectedUnread == 60);
 }
 
 /// Callers that come on new connections each time leave the old ones idle.
