--- a/src/libs/http/server.cpp
+++ b/src/libs/http/server.cpp
@@ -19,7 +19,7 @@
     std::shared_ptr<Internal::H2oServer> server;
 };
 
-std::size_t Server::connectionShare()
+std::size_t Server::callerConnectionLimit()
 {
     constexpr std::size_t parts = 3;
     rlimit limit{};
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -108,7 +108,7 @@
     /// the descriptors that this process may have. A second third is for the calls under way, the
     /// rest for idle connections to endpoints, for peers and files. Without it a router with 4,200
     /// descriptors had 3,800 idle connections of callers and could call nobody.
-    static std::size_t connectionShare();
+    static std::size_t callerConnectionLimit();
 
     explicit Server(Options options);
     ~Server();
