--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -239,7 +239,7 @@
          {"kind", Errors::toString(failure.kind)},
          {"reached", failure.mayHaveReached},
          {"may_have_run", failure.mayHaveRun},
-         {"own_lack", failure.isOwnLack},
+         {"own_lack", failure.isLocalResourceShortage},
          {"events", m_events},
          {"goes_on", isRetried},
          {"quiet_ms", m_timers.clock().now() - m_lastActivityAt},
@@ -296,7 +296,7 @@
 
 void RequestRun::noteFailure(const Failure &failure)
 {
-    if (failure.isOwnLack)
+    if (failure.isLocalResourceShortage)
         return;
     if (failure.isConnectionBroken)
         noteBrokenConnection();
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -50,7 +50,7 @@
         Errors::ErrorKind kind = Errors::ErrorKind::Internal;
         bool mayHaveReached = true; ///< The endpoint may have received the request.
         bool mayHaveRun = true; ///< The request may have run.
-        bool isOwnLack = false; ///< The router, not the endpoint, lacked resources.
+        bool isLocalResourceShortage = false; ///< The router, not the endpoint, lacked resources.
         /// The endpoint closed the connection before the end of the answer; it may have crashed.
         bool isConnectionBroken = false;
         /// Time after which the caller may retry. If unset, the router's default is used.
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -141,7 +141,7 @@
         {.kind = isNotConnected ? ErrorKind::EndpointUnreachable : ErrorKind::EndpointBroke,
          .mayHaveReached = !isNotConnected,
          .mayHaveRun = !isNotConnected,
-         .isOwnLack = result.isOwnLack,
+         .isLocalResourceShortage = result.isLocalResourceShortage,
          .isConnectionBroken = !isNotConnected});
 }
 
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -35,7 +35,7 @@
     CallEnd end = CallEnd::Whole;
     /// NotConnected for want of descriptors, ports or memory of this process or machine: tells
     /// nothing of the server.
-    bool isOwnLack = false;
+    bool isLocalResourceShortage = false;
     bool mayHaveBeenSent = false; ///< Whether a byte of the request may have left this process.
     int status = 0; ///< 0 if no head came.
     Headers headers;
--- a/src/libs/http/clientcall.cpp
+++ b/src/libs/http/clientcall.cpp
@@ -41,7 +41,7 @@
 }
 
 /// Whether a socket could not be opened for a reason that lies with this process or machine.
-bool isOwnLack(int error)
+bool isLocalResourceShortage(int error)
 {
     return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM
         || error == EADDRNOTAVAIL;
@@ -115,7 +115,7 @@
     errno = 0;
     m_socket = connectSocket(m_context.loop, m_call.server, connected);
     if (!m_socket) {
-        m_result.isOwnLack = isOwnLack(errno);
+        m_result.isLocalResourceShortage = isLocalResourceShortage(errno);
         finishSoon(CallEnd::NotConnected, "cannot connect to " + toString(m_call.server));
         return;
     }
