--- a/src/libs/gateway/callerrequest.h
+++ b/src/libs/gateway/callerrequest.h
@@ -41,7 +41,7 @@
     std::string body;
     std::optional<std::string> key; ///< Identifies the caller's workspace.
     /// When the bytes of the request arrived. If unset, the time at which it was read is used.
-    std::optional<Base::MonoTime> cameAt;
+    std::optional<Base::MonoTime> arrivedAt;
     std::optional<Base::Duration> remainingTimeout; ///< Caller's timeout, counted from arrival.
     std::optional<std::uint64_t> resumeAfter; ///< Id of the last stream event that the caller has.
     std::optional<Prompt> prompt;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -334,7 +334,7 @@
 {
     const Base::MonoTime now = m_options.loop->clock().now();
     m_options.metrics->requestReadDelay.observe(
-        Base::toSeconds(now - request.cameAt.value_or(now)));
+        Base::toSeconds(now - request.arrivedAt.value_or(now)));
     const auto run = std::make_shared<RequestRun>(*this, std::move(request), std::move(responder));
     m_runs.insert(run);
     m_options.metrics->requests.increment();
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -38,7 +38,7 @@
     , m_request(std::move(request))
     , m_responder(std::move(responder))
     , m_configuration(gateway.m_configuration)
-    , m_arrivedAt(m_request.cameAt.value_or(m_timers.clock().now()))
+    , m_arrivedAt(m_request.arrivedAt.value_or(m_timers.clock().now()))
     , m_deadline(m_arrivedAt + defaultTimeout)
 { }
 
--- a/src/libs/http/h2oserver.cpp
+++ b/src/libs/http/h2oserver.cpp
@@ -83,7 +83,7 @@
     }
     request.body = view(source->entity);
     request.peer = connection.peer;
-    request.cameAt = connection.server->clock().now();
+    request.arrivedAt = connection.server->clock().now();
     return request;
 }
 
--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -187,10 +187,10 @@
     request.headers = std::move(parser.headers());
     request.body = std::move(parser.body());
     request.peer = m_peer;
-    request.cameAt = requestCameAt(isFirst);
+    request.arrivedAt = requestCameAt(isFirst);
     m_aheadSince.reset();
     if (m_socket->input->size > 0)
-        m_aheadSince = request.cameAt;
+        m_aheadSince = request.arrivedAt;
     const auto responder = std::make_shared<Http1Responder>(
         Http1Responder::Options{.connection = weak_from_this(),
                                 .isHead = request.method == "HEAD",
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -31,7 +31,7 @@
     Runtime::SocketAddress peer;
     /// When its last bytes came, as far as it can be told; long before it was read if the loop was
     /// behind.
-    Base::MonoTime cameAt;
+    Base::MonoTime arrivedAt;
 };
 
 /// The answer to one request; can outlive the connection. After end(), abort() or gone, calls do
--- a/tests/auto/gateway/gatewayfixture.h
+++ b/tests/auto/gateway/gatewayfixture.h
@@ -70,7 +70,7 @@
                 decoded.path = request.path;
                 decoded.target = request.path;
                 decoded.body = request.body;
-                decoded.cameAt = request.cameAt - unread;
+                decoded.arrivedAt = request.arrivedAt - unread;
                 decoded.remainingTimeout = remainingTimeout;
                 decoded.prompt = prompt;
                 gateway.run(std::move(decoded), std::move(responder));
--- a/tests/auto/http/tst_unreadrequests.cpp
+++ b/tests/auto/http/tst_unreadrequests.cpp
@@ -105,7 +105,7 @@
     Server server({.loop = &loop, .address = {"127.0.0.1", 0}});
     std::vector<Base::Duration> ages;
     server.setHandler([&](const Request &request, const std::shared_ptr<Responder> &responder) {
-        ages.push_back(loop.clock().now() - request.cameAt);
+        ages.push_back(loop.clock().now() - request.arrivedAt);
         responder->send(200, {}, "answer");
     });
     BOOST_REQUIRE(server.listen());
@@ -147,7 +147,7 @@
     f.advance(std::chrono::milliseconds(600));
     first.send(200, {}, "answer");
     f.awaitRequest(2);
-    BOOST_TEST((f.clock.now() - f.requests.back().cameAt == std::chrono::milliseconds(600)));
+    BOOST_TEST((f.clock.now() - f.requests.back().arrivedAt == std::chrono::milliseconds(600)));
 }
 
 BOOST_AUTO_TEST_CASE(ageOfPipelinedRequestsCountsUntilTheLastOfThem)
@@ -161,7 +161,7 @@
     caller.send(std::string(get) + std::string(get) + std::string(get));
     for (std::size_t count = 2; count <= 4; ++count) {
         Responder &responder = f.awaitRequest(count);
-        const Base::Duration age = f.clock.now() - f.requests.back().cameAt;
+        const Base::Duration age = f.clock.now() - f.requests.back().arrivedAt;
         BOOST_TEST(Base::toMilliseconds(age) == 200 * static_cast<std::int64_t>(count - 2));
         f.advance(std::chrono::milliseconds(200));
         responder.send(200, {}, "answer");
@@ -179,7 +179,7 @@
     f.advance(std::chrono::seconds(2));
     caller.send(get);
     f.awaitRequest();
-    BOOST_TEST((f.clock.now() == f.requests.back().cameAt));
+    BOOST_TEST((f.clock.now() == f.requests.back().arrivedAt));
     caller.send(get.substr(0, 10));
     f.runTurns(5);
     f.advance(std::chrono::seconds(2));
@@ -188,7 +188,7 @@
     f.advance(std::chrono::seconds(1));
     caller.send(get.substr(10));
     f.awaitRequest(2);
-    BOOST_TEST((f.clock.now() == f.requests.back().cameAt));
+    BOOST_TEST((f.clock.now() == f.requests.back().arrivedAt));
 }
 
 /// More callers than are looked at in a turn: all are accepted and wait here, where their age is
@@ -207,7 +207,7 @@
     f.looked = [&](Responder &) {
         f.clock.advance(std::chrono::milliseconds(4));
         behind = std::max(behind, f.loop.lag().current());
-        oldest = std::max(oldest, f.clock.now() - f.requests.back().cameAt);
+        oldest = std::max(oldest, f.clock.now() - f.requests.back().arrivedAt);
     };
     BOOST_TEST(f.runUntil([&] { return f.requests.size() == 100; }));
     BOOST_TEST((behind >= std::chrono::milliseconds(250)));
