--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -49,7 +49,7 @@
 void Exchange::start()
 {
     const auto self = shared_from_this();
-    m_options.responder->setGone([self] { self->callerLeft(); });
+    m_options.responder->setDisconnectHandler([self] { self->callerLeft(); });
     m_deadlineTimer = m_options.loop->timers().start(m_options.route.deadline - now(),
                                                      [self] { self->deadlinePassed(); });
     place();
@@ -336,7 +336,7 @@
         end.cutOff = true;
         end.status = statusOk;
         endBroken(refusal);
-    } else if (!m_options.responder->isGone()) {
+    } else if (!m_options.responder->isDisconnected()) {
         Http::Headers headers = refusalHeaders(refusal);
         headers.add("x-request-id", m_options.request.value());
         m_options.responder->send(end.status, headers, refusalBody(refusal, m_options.request));
@@ -386,7 +386,7 @@
         timers.cancel(*m_deadlineTimer);
     if (m_retryTimer)
         timers.cancel(*m_retryTimer);
-    m_options.responder->setGone(nullptr);
+    m_options.responder->setDisconnectHandler(nullptr);
     const auto finished = std::exchange(m_options.hooks.finished, nullptr);
     end.promptTokens = m_options.route.promptTokens;
     finished(std::move(end));
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -55,7 +55,7 @@
 
 void RequestRun::start()
 {
-    m_responder->setGone([weak = weak_from_this()] {
+    m_responder->setDisconnectHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->callerLeft();
     });
@@ -82,7 +82,7 @@
     if (age < closeCheckAge && m_gateway.m_options.loop->lag().current() < closeCheckAge)
         return false;
     const std::shared_ptr<RequestRun> self = shared_from_this();
-    m_responder->lookForClose();
+    m_responder->checkForDisconnect();
     if (m_isEnded)
         m_gateway.m_options.metrics->disconnectedUnread.increment();
     return m_isEnded;
@@ -92,7 +92,7 @@
 {
     m_isEnded = true;
     cancelAttempt();
-    m_responder->setGone(nullptr);
+    m_responder->setDisconnectHandler(nullptr);
     m_responder->abort();
 }
 
--- a/src/libs/http/h2oresponder.cpp
+++ b/src/libs/http/h2oresponder.cpp
@@ -69,7 +69,7 @@
     if (!m_request || m_state == State::Ended || m_isAborted)
         return;
     m_isAborted = true;
-    m_gone = nullptr;
+    m_disconnectHandler = nullptr;
     m_queued.clear();
     if (m_isSending)
         return; // proceed() or detach() comes, as the connection is broken.
@@ -79,11 +79,11 @@
     h2o_send(m_request, nullptr, 0, H2O_SEND_STATE_ERROR);
 }
 
-void H2oResponder::setGone(std::function<void()> gone)
+void H2oResponder::setDisconnectHandler(std::function<void()> handler)
 {
-    m_gone = std::move(gone);
-    if (m_isGone)
-        reportGone();
+    m_disconnectHandler = std::move(handler);
+    if (m_isDisconnected)
+        reportDisconnect();
 }
 
 void H2oResponder::detach()
@@ -91,8 +91,8 @@
     m_request = nullptr;
     if (m_state == State::Ended || m_isAborted)
         return;
-    m_isGone = true;
-    reportGone();
+    m_isDisconnected = true;
+    reportDisconnect();
 }
 
 void H2oResponder::proceed(h2o_generator_t *generator, h2o_req_t * /*request*/)
@@ -148,11 +148,11 @@
              m_isEndQueued ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
 }
 
-void H2oResponder::reportGone()
+void H2oResponder::reportDisconnect()
 {
-    const auto gone = std::exchange(m_gone, nullptr);
-    if (gone)
-        gone();
+    const auto handler = std::exchange(m_disconnectHandler, nullptr);
+    if (handler)
+        handler();
 }
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/h2oresponder.h
+++ b/src/libs/http/h2oresponder.h
@@ -23,8 +23,8 @@
     void end() override;
     void abort() override;
     std::size_t queuedBytes() const override { return m_queued.size() + m_inFlight.size(); }
-    bool isGone() const override { return m_isGone; }
-    void setGone(std::function<void()> gone) override;
+    bool isDisconnected() const override { return m_isDisconnected; }
+    void setDisconnectHandler(std::function<void()> handler) override;
 
     /// h2o's request ends now, whether or not the answer has ended.
     void detach();
@@ -42,7 +42,7 @@
     static void stop(h2o_generator_t *generator, h2o_req_t *request);
     void startResponse(int status, const Headers &headers, std::size_t contentLength);
     void sendQueued();
-    void reportGone();
+    void reportDisconnect();
 
     h2o_req_t *m_request; ///< Null once h2o's request has ended.
     Generator m_generator{};
@@ -50,10 +50,10 @@
     bool m_isSending = false; ///< h2o has not yet asked for more.
     bool m_isEndQueued = false;
     bool m_isAborted = false;
-    bool m_isGone = false;
+    bool m_isDisconnected = false;
     std::string m_queued;
     std::string m_inFlight;
-    std::function<void()> m_gone;
+    std::function<void()> m_disconnectHandler;
 };
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/h2oserver.cpp
+++ b/src/libs/http/h2oserver.cpp
@@ -252,7 +252,7 @@
         const std::vector<H2oResponder *> open(connection->open.begin(), connection->open.end());
         shutdown(h2o_socket_get_fd(connection->socket), SHUT_RDWR);
         for (H2oResponder *responder : open) {
-            responder->setGone(nullptr);
+            responder->setDisconnectHandler(nullptr);
             responder->abort();
         }
     }
--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -222,7 +222,7 @@
     return now - std::clamp(told.value_or(most), least, most);
 }
 
-void Http1Connection::lookForClose()
+void Http1Connection::checkForDisconnect()
 {
     if (!m_socket || m_state != State::Answering || m_isInputEnded)
         return;
--- a/src/libs/http/http1connection.h
+++ b/src/libs/http/http1connection.h
@@ -87,7 +87,7 @@
     /// When the bytes of the request that has just been read came.
     Base::MonoTime requestCameAt(bool isFirst) const;
     /// The caller may have closed although that has not been read.
-    void lookForClose();
+    void checkForDisconnect();
     /// The current answer has been queued to its end.
     void answerQueued(bool keepsConnection);
     void answerSent();
--- a/src/libs/http/http1responder.cpp
+++ b/src/libs/http/http1responder.cpp
@@ -130,7 +130,7 @@
     if (m_state == State::Ended || !connection)
         return;
     m_state = State::Ended;
-    m_gone = nullptr;
+    m_disconnectHandler = nullptr;
     connection->abortAnswer();
 }
 
@@ -140,18 +140,18 @@
     return connection ? connection->queuedBytes() : 0;
 }
 
-void Http1Responder::lookForClose()
+void Http1Responder::checkForDisconnect()
 {
     const std::shared_ptr<Http1Connection> connection = m_options.connection.lock();
     if (m_state != State::Ended && connection)
-        connection->lookForClose();
+        connection->checkForDisconnect();
 }
 
-void Http1Responder::setGone(std::function<void()> gone)
+void Http1Responder::setDisconnectHandler(std::function<void()> handler)
 {
-    m_gone = std::move(gone);
-    if (m_isGone) {
-        if (const auto call = std::exchange(m_gone, nullptr))
+    m_disconnectHandler = std::move(handler);
+    if (m_isDisconnected) {
+        if (const auto call = std::exchange(m_disconnectHandler, nullptr))
             call();
     }
 }
@@ -161,10 +161,10 @@
     if (m_state == State::Ended)
         return;
     m_state = State::Ended;
-    m_isGone = true;
-    const auto gone = std::exchange(m_gone, nullptr);
-    if (gone && tells)
-        gone();
+    m_isDisconnected = true;
+    const auto handler = std::exchange(m_disconnectHandler, nullptr);
+    if (handler && tells)
+        handler();
 }
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/http1responder.h
+++ b/src/libs/http/http1responder.h
@@ -30,9 +30,9 @@
     void end() override;
     void abort() override;
     std::size_t queuedBytes() const override;
-    bool isGone() const override { return m_isGone; }
-    void lookForClose() override;
-    void setGone(std::function<void()> gone) override;
+    bool isDisconnected() const override { return m_isDisconnected; }
+    void checkForDisconnect() override;
+    void setDisconnectHandler(std::function<void()> handler) override;
 
     /// The caller has left, or the connection is broken off.
     void connectionLost(bool tells);
@@ -46,9 +46,9 @@
 
     Options m_options;
     State m_state = State::Waiting;
-    bool m_isGone = false;
+    bool m_isDisconnected = false;
     std::string m_head; ///< Waits for the first piece.
-    std::function<void()> m_gone;
+    std::function<void()> m_disconnectHandler;
 };
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -53,12 +53,12 @@
     virtual void abort() = 0;
     /// Bytes written but not yet taken by the connection.
     virtual std::size_t queuedBytes() const = 0;
-    virtual bool isGone() const = 0;
+    virtual bool isDisconnected() const = 0;
     /// Looks at the connection: a caller may have left although that has not been read yet. If it
     /// has, it is gone as if it had been. HTTP/1.1 without TLS alone; costs a system call.
-    virtual void lookForClose() { }
+    virtual void checkForDisconnect() { }
     /// Called once if the caller leaves before the answer has ended.
-    virtual void setGone(std::function<void()> gone) = 0;
+    virtual void setDisconnectHandler(std::function<void()> handler) = 0;
 };
 
 /// An HTTP/1.1 and HTTP/2 server on the loop, with TLS if certificates are given.
--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -263,7 +263,7 @@
 
 void CallerApi::claimed(const ContextPtr &context, Exchange::ServiceCall call, ClaimResult result)
 {
-    if (context->responder->isGone()) {
+    if (context->responder->isDisconnected()) {
         if (result.kind == ClaimResult::Kind::Run)
             claimFailed(context->info, Ran::No);
         finished(context,
--- a/src/standins/engine/enginestreams.cpp
+++ b/src/standins/engine/enginestreams.cpp
@@ -74,7 +74,7 @@
 
 bool EngineStreams::pump(OpenStream &stream)
 {
-    if (stream.responder->isGone())
+    if (stream.responder->isDisconnected())
         return false;
     const std::optional<RunProgress> run = m_options.model->progressOf(stream.run);
     if (!run) {
--- a/src/standins/platform/platform.cpp
+++ b/src/standins/platform/platform.cpp
@@ -269,7 +269,7 @@
     });
     m_longPolls.push_back(std::move(poll));
     // Dropped in the next loop iteration, since dropping destroys the responder and this callback.
-    responder->setGone([this, alive = m_alive, id] {
+    responder->setDisconnectHandler([this, alive = m_alive, id] {
         if (*alive)
             runAfter({}, [this, id] { dropLongPoll(id); });
     });
@@ -375,7 +375,7 @@
     if (m_unanswered.size() >= maxUnanswered)
         m_unanswered.pop_front();
     m_unanswered.push_back(responder);
-    responder->setGone([this, alive = m_alive] {
+    responder->setDisconnectHandler([this, alive = m_alive] {
         if (*alive)
             runAfter({}, [this] { dropDisconnected(); });
     });
@@ -383,7 +383,8 @@
 
 void Platform::dropDisconnected()
 {
-    std::erase_if(m_unanswered, [](const ResponderPtr &responder) { return responder->isGone(); });
+    std::erase_if(m_unanswered,
+                  [](const ResponderPtr &responder) { return responder->isDisconnected(); });
 }
 
 } // namespace Lagoonbank::Standins::Platform
--- a/src/standins/support/answers.cpp
+++ b/src/standins/support/answers.cpp
@@ -31,7 +31,7 @@
 
 void UnansweredRequests::add(ResponderPtr responder)
 {
-    std::erase_if(m_responders, [](const ResponderPtr &held) { return held->isGone(); });
+    std::erase_if(m_responders, [](const ResponderPtr &held) { return held->isDisconnected(); });
     m_responders.push_back(std::move(responder));
 }
 
--- a/tests/auto/adapter/tst_ingress.cpp
+++ b/tests/auto/adapter/tst_ingress.cpp
@@ -25,8 +25,8 @@
     void end() override { }
     void abort() override { }
     std::size_t queuedBytes() const override { return 0; }
-    bool isGone() const override { return false; }
-    void setGone(std::function<void()>) override { }
+    bool isDisconnected() const override { return false; }
+    void setDisconnectHandler(std::function<void()>) override { }
 
     int status = 0;
     Http::Headers headers;
--- a/tests/auto/http/serverfixture.h
+++ b/tests/auto/http/serverfixture.h
@@ -33,7 +33,7 @@
             [this](Http::Request request, const std::shared_ptr<Http::Responder> &responder) {
                 requests.push_back(std::move(request));
                 responders.push_back(responder);
-                responder->setGone([this] { ++gone; });
+                responder->setDisconnectHandler([this] { ++gone; });
                 if (looked)
                     looked(*responder);
                 if (answersAtOnce)
--- a/tests/auto/http/tst_protocols.cpp
+++ b/tests/auto/http/tst_protocols.cpp
@@ -88,7 +88,7 @@
         server.setHandler([this](Request request, const std::shared_ptr<Responder> &responder) {
             requests.push_back(std::move(request));
             responders.push_back(responder);
-            responder->setGone([this] { ++gone; });
+            responder->setDisconnectHandler([this] { ++gone; });
         });
         BOOST_REQUIRE(server.listen());
     }
--- a/tests/auto/http/tst_server.cpp
+++ b/tests/auto/http/tst_server.cpp
@@ -281,7 +281,7 @@
                 return f.gone > 0;
             }));
             BOOST_TEST(f.gone == 1);
-            BOOST_TEST(responder.isGone());
+            BOOST_TEST(responder.isDisconnected());
             responder.write("into the void");
             responder.end();
             BOOST_TEST(f.runUntil([&] { return f.server->openConnections() == 0; }));
@@ -307,7 +307,7 @@
                 caller.close();
             // The clock stands still: no timer is needed for it.
             BOOST_TEST(f.runUntil([&] { return f.gone == 1; }));
-            BOOST_TEST(responder.isGone());
+            BOOST_TEST(responder.isDisconnected());
             BOOST_TEST(f.server->openConnections() == 0U);
             f.expectStillServes();
         }
--- a/tests/auto/http/tst_unreadrequests.cpp
+++ b/tests/auto/http/tst_unreadrequests.cpp
@@ -50,8 +50,8 @@
                 f.answersAtOnce = false;
                 bool isFound = false;
                 f.looked = [&](Responder &responder) {
-                    responder.lookForClose();
-                    isFound = responder.isGone();
+                    responder.checkForDisconnect();
+                    isFound = responder.isDisconnected();
                 };
                 caller.send(row.bytes);
                 if (row.resets)
--- a/tests/contract/standins/fakeresponder.h
+++ b/tests/contract/standins/fakeresponder.h
@@ -31,10 +31,13 @@
     void end() override { m_state = State::Ended; }
     void abort() override { m_state = State::Aborted; }
     std::size_t queuedBytes() const override { return 0; }
-    bool isGone() const override { return m_isGone; }
-    void setGone(std::function<void()> gone) override { m_goneCallback = std::move(gone); }
+    bool isDisconnected() const override { return m_isDisconnected; }
+    void setDisconnectHandler(std::function<void()> handler) override
+    {
+        m_disconnectHandler = std::move(handler);
+    }
 
-    void disconnect() { m_isGone = true; }
+    void disconnect() { m_isDisconnected = true; }
     State state() const { return m_state; }
     int status() const { return m_status; }
     const std::string &body() const { return m_body; }
@@ -48,8 +51,8 @@
     int m_status = 0;
     Http::Headers m_headers;
     std::string m_body;
-    bool m_isGone = false;
-    std::function<void()> m_goneCallback;
+    bool m_isDisconnected = false;
+    std::function<void()> m_disconnectHandler;
 };
 
 } // namespace Lagoonbank::Tests
