--- a/src/libs/http/errorfilter.cpp
+++ b/src/libs/http/errorfilter.cpp
@@ -46,7 +46,7 @@
         h2o_req_getenv(request, handledMark.data(), handledMark.size(), 0) != nullptr;
     if (!isHandled && request->res.status >= 400) {
         const Errors::ErrorKind kind = kindOf(request->res.status);
-        const std::string id = H2oServer::refusedId(request, kind);
+        const std::string id = H2oServer::refusedRequestId(request, kind);
         const std::string body = Errors::errorBody(kind, Errors::errorRow(kind).ran, id);
         auto *stream =
             reinterpret_cast<ErrorStream *>(h2o_add_ostream(request, sizeof(ErrorStream), slot));
--- a/src/libs/http/h2oserver.cpp
+++ b/src/libs/http/h2oserver.cpp
@@ -113,7 +113,7 @@
         else
             responder->abort();
     };
-    m_http1.refusedId = [this](Errors::ErrorKind kind) { return refusedId(kind); };
+    m_http1.refusedRequestId = [this](Errors::ErrorKind kind) { return refusedRequestId(kind); };
     m_http1.foundHttp2 = [this](Http1Connection &connection) {
         if (ServerConnection *record = recordOf(connection))
             startHttp2(*record);
@@ -397,9 +397,9 @@
     return connectionOf(request)->server->dispatch(request);
 }
 
-std::string H2oServer::refusedId(h2o_req_t *request, Errors::ErrorKind kind)
+std::string H2oServer::refusedRequestId(h2o_req_t *request, Errors::ErrorKind kind)
 {
-    return connectionOf(request)->server->refusedId(kind);
+    return connectionOf(request)->server->refusedRequestId(kind);
 }
 
 int H2oServer::dispatch(h2o_req_t *source)
@@ -414,7 +414,7 @@
     markAsHandled(source);
     Request request = readRequest(source, *connection);
     if (hasUnsafeField(request)) {
-        const std::string id = refusedId(Errors::ErrorKind::BadRequest);
+        const std::string id = refusedRequestId(Errors::ErrorKind::BadRequest);
         Headers headers{{"content-type", "application/json"}};
         if (!id.empty())
             headers.add("x-request-id", id);
--- a/src/libs/http/h2oserver.h
+++ b/src/libs/http/h2oserver.h
@@ -52,11 +52,14 @@
     const Runtime::Clock &clock() const { return m_loop.clock(); }
     std::size_t openConnections() const { return m_connections.size() + m_waiting.size(); }
     Server::Handler handler;
-    Server::Refused refused;
+    Server::RefusalHandler refusalHandler;
 
     /// The id for a request that is answered without the handler; empty if none is given.
-    std::string refusedId(Errors::ErrorKind kind) const { return refused ? refused(kind) : ""; }
-    static std::string refusedId(h2o_req_t *request, Errors::ErrorKind kind);
+    std::string refusedRequestId(Errors::ErrorKind kind) const
+    {
+        return refusalHandler ? refusalHandler(kind) : "";
+    }
+    static std::string refusedRequestId(h2o_req_t *request, Errors::ErrorKind kind);
 
 private:
     struct RequestSlot
--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -236,7 +236,7 @@
 {
     m_parser.reset();
     m_state = State::Answering;
-    write(rawErrorAnswer(kind, m_context.refusedId(kind)));
+    write(rawErrorAnswer(kind, m_context.refusedRequestId(kind)));
     answerQueued(false);
 }
 
--- a/src/libs/http/http1connection.h
+++ b/src/libs/http/http1connection.h
@@ -34,7 +34,7 @@
     bool isCrowded = false; ///< The same while too many connections are open.
     std::function<void(Request request, std::shared_ptr<Responder> responder)> requestCame;
     /// The id for a request that is refused here.
-    std::function<std::string(Errors::ErrorKind kind)> refusedId;
+    std::function<std::string(Errors::ErrorKind kind)> refusedRequestId;
     /// The bytes are HTTP/2; takes the socket over with release().
     std::function<void(Http1Connection &connection)> foundHttp2;
 };
--- a/src/libs/http/server.cpp
+++ b/src/libs/http/server.cpp
@@ -42,9 +42,9 @@
     d->server->handler = std::move(handler);
 }
 
-void Server::setRefused(Refused refused)
+void Server::setRefusalHandler(RefusalHandler handler)
 {
-    d->server->refused = std::move(refused);
+    d->server->refusalHandler = std::move(handler);
 }
 
 Errors::Result<void> Server::listen()
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -118,8 +118,8 @@
     void setHandler(Handler handler);
     /// Called when the server refuses a request itself: malformed, too large or too slow. Returns
     /// the id that the answer names.
-    using Refused = std::function<std::string(Errors::ErrorKind kind)>;
-    void setRefused(Refused refused);
+    using RefusalHandler = std::function<std::string(Errors::ErrorKind kind)>;
+    void setRefusalHandler(RefusalHandler handler);
     Errors::Result<void> listen();
     const Runtime::SocketAddress &address() const;
     /// Reads the certificate files again; on an error the old ones stay in use.
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -218,7 +218,7 @@
         [this](Http::Request request, std::shared_ptr<Http::Responder> responder) {
             m_callerApi->handle(std::move(request), std::move(responder));
         });
-    m_callerServer->setRefused(
+    m_callerServer->setRefusalHandler(
         [this](Errors::ErrorKind kind) { return m_callerApi->recordServerRefusal(kind); });
     BOOST_OUTCOME_TRYV(m_callerServer->listen());
 
