--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -58,7 +58,7 @@
 {
     return [&client](const Runtime::SocketAddress &server, Base::Duration timeout,
                      std::function<void(bool isReachable)> checked) {
-        client.check(server, timeout, std::move(checked));
+        client.checkReachable(server, timeout, std::move(checked));
     };
 }
 
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -109,7 +109,7 @@
     // All streams of an endpoint fall silent at the same time. Reserving a slot for each of them
     // spreads them over other endpoints.
     auto reserved = std::make_shared<SlotReservation>(other.endpoint);
-    m_gateway.m_options.client->check(
+    m_gateway.m_options.client->checkReachable(
         other.endpoint->info.address, m_gateway.m_options.timeouts.connect,
         [weak = weak_from_this(), other, reserved = std::move(reserved),
          lastActivityAt = m_lastActivityAt](bool isReachable) mutable {
--- a/src/libs/http/client.cpp
+++ b/src/libs/http/client.cpp
@@ -71,8 +71,8 @@
     return id;
 }
 
-void Client::check(const Runtime::SocketAddress &server, Base::Duration timeout,
-                   std::function<void(bool isReachable)> checked)
+void Client::checkReachable(const Runtime::SocketAddress &server, Base::Duration timeout,
+                            std::function<void(bool isReachable)> checked)
 {
     const std::uint64_t id = ++d->lastId;
     const auto check = std::make_shared<Internal::ConnectionCheck>(
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -105,8 +105,8 @@
     CallId start(Call call, Hooks hooks);
     /// Only opens a connection and closes it; \a checked is called once, later, unless the client
     /// goes before.
-    void check(const Runtime::SocketAddress &server, Base::Duration timeout,
-               std::function<void(bool isReachable)> checked);
+    void checkReachable(const Runtime::SocketAddress &server, Base::Duration timeout,
+                        std::function<void(bool isReachable)> checked);
     /// Drops the call and its connection; no hook is called any more.
     void cancel(CallId call);
     std::size_t activeCalls() const;
