--- a/bench/socketlook/socket_look.cpp
+++ b/bench/socketlook/socket_look.cpp
@@ -1,5 +1,5 @@
-/// What it costs to look at a caller's connection before a request is sent on: whether it is closed
-/// behind what is unread, and how long ago its last bytes came.
+/// Measures the cost of checking a caller's connection before a request is forwarded: whether it is
+/// closed behind unread bytes, and the time since its last bytes arrived.
 #include "http/socketlook.h"
 
 #include <benchmark/benchmark.h>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Two ends of a TCP connection over loopback.
+/// Both ends of a TCP connection over loopback.
 class Connection
 {
 public:
@@ -59,7 +59,7 @@
 {
     const Connection connection;
     for ([[maybe_unused]] auto _ : state)
-        benchmark::DoNotOptimize(lookForClose(connection.server()));
+        benchmark::DoNotOptimize(detectPeerClose(connection.server()));
 }
 
 void BM_LookPastUnreadBytes(benchmark::State &state)
@@ -67,7 +67,7 @@
     const Connection connection;
     connection.send();
     for ([[maybe_unused]] auto _ : state)
-        benchmark::DoNotOptimize(lookForClose(connection.server()));
+        benchmark::DoNotOptimize(detectPeerClose(connection.server()));
 }
 
 void BM_SinceLastBytes(benchmark::State &state)
@@ -75,7 +75,7 @@
     const Connection connection;
     connection.send();
     for ([[maybe_unused]] auto _ : state)
-        benchmark::DoNotOptimize(sinceLastBytes(connection.server()));
+        benchmark::DoNotOptimize(timeSinceLastReceive(connection.server()));
 }
 
 BENCHMARK(BM_LookAtQuietConnection);
--- a/src/libs/http/answerparser.cpp
+++ b/src/libs/http/answerparser.cpp
@@ -11,30 +11,30 @@
 constexpr std::size_t maxHeadBytes = 64 * 1024;
 } // namespace
 
-std::size_t AnswerParser::take(std::string_view input)
+std::size_t AnswerParser::consume(std::string_view input)
 {
     m_piece = {};
     switch (m_state) {
     case State::Head:
-        return takeHead(input);
+        return consumeHead(input);
     case State::Body:
-        return takeBody(input);
-    case State::Whole:
+        return consumeBody(input);
+    case State::Complete:
     case State::Failed:
         break;
     }
     return 0;
 }
 
-void AnswerParser::takeEnd()
+void AnswerParser::handleClose()
 {
     if (m_state == State::Body && endsWithConnection())
-        m_state = State::Whole;
-    else if (m_state != State::Whole && m_state != State::Failed)
+        m_state = State::Complete;
+    else if (m_state != State::Complete && m_state != State::Failed)
         fail("the connection was closed before the answer was whole");
 }
 
-std::size_t AnswerParser::takeHead(std::string_view input)
+std::size_t AnswerParser::consumeHead(std::string_view input)
 {
     const std::size_t end = input.find(headEnd);
     if (end == std::string_view::npos) {
@@ -48,16 +48,16 @@
         [this](std::string_view line) { return readStatusLine(line); }, m_headers);
     if (!isRead)
         return fail("the answer's head is malformed");
-    const std::size_t taken = end + headEnd.size();
+    const std::size_t consumed = end + headEnd.size();
     const bool isInterim = m_status >= 100 && m_status < 200;
     if (isInterim && m_status != 101) {
         m_status = 0;
-        return taken; // Interim answers are passed over; the final one follows.
+        return consumed; // Skips interim answers; the final one follows.
     }
     if (isInterim || !readFraming())
         return fail("the answer's framing is malformed");
-    m_state = m_body.isWhole() ? State::Whole : State::Body;
-    return taken;
+    m_state = m_body.isComplete() ? State::Complete : State::Body;
+    return consumed;
 }
 
 bool AnswerParser::readStatusLine(std::string_view line)
@@ -111,15 +111,15 @@
     return true;
 }
 
-std::size_t AnswerParser::takeBody(std::string_view input)
+std::size_t AnswerParser::consumeBody(std::string_view input)
 {
-    const std::size_t taken = m_body.take(input);
+    const std::size_t consumed = m_body.consume(input);
     m_piece = m_body.piece();
     if (m_body.error())
         return fail(m_body.error());
-    if (m_body.isWhole())
-        m_state = State::Whole;
-    return taken;
+    if (m_body.isComplete())
+        m_state = State::Complete;
+    return consumed;
 }
 
 std::size_t AnswerParser::fail(const char *error)
--- a/src/libs/http/bodyreader.h
+++ b/src/libs/http/bodyreader.h
@@ -6,47 +6,47 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// Reads the body of one HTTP/1.1 message from the bytes of a connection.
+/// Decodes the body of one HTTP/1.1 message from the bytes of a connection.
 class BodyReader
 {
 public:
     enum class Framing : std::uint8_t {
-        Length, ///< A known number of bytes; none for an empty body.
+        Length, ///< A known number of bytes, 0 for an empty body.
         Chunked,
-        Connection ///< Until the connection is closed in order.
+        Connection ///< Ends with an orderly close of the connection.
     };
 
     BodyReader() = default;
     explicit BodyReader(Framing framing, std::uint64_t length = 0)
         : m_framing(framing)
-        , m_left(length)
-        , m_isWhole(framing == Framing::Length && length == 0)
+        , m_remaining(length)
+        , m_isComplete(framing == Framing::Length && length == 0)
     { }
 
-    /// Takes bytes from the front of \a input and returns how many. Stops after each piece, so call
-    /// it again while it takes any; piece() is valid until \a input changes.
-    std::size_t take(std::string_view input);
-    /// The connection was closed in order.
-    void takeEnd();
+    /// Consumes bytes from the front of \a input and returns their number. Stops after each piece,
+    /// so call it again until it returns 0. piece() is valid until \a input changes.
+    std::size_t consume(std::string_view input);
+    /// Handles an orderly close of the connection.
+    void handleClose();
 
     Framing framing() const { return m_framing; }
     std::string_view piece() const { return m_piece; }
-    bool isWhole() const { return m_isWhole; }
-    /// What is wrong with the bytes; null if nothing.
+    bool isComplete() const { return m_isComplete; }
+    /// Reason why the body is malformed, or null.
     const char *error() const { return m_error; }
 
 private:
     enum class Chunk : std::uint8_t { Size, Data, DataEnd, Trailer };
 
-    std::size_t takeSized(std::string_view input);
-    std::size_t takeChunked(std::string_view input);
+    std::size_t consumeSized(std::string_view input);
+    std::size_t consumeChunked(std::string_view input);
     bool readChunkSize(std::string_view line);
     std::size_t fail(const char *error);
 
     Framing m_framing = Framing::Length;
     Chunk m_chunk = Chunk::Size;
-    std::uint64_t m_left = 0; ///< Bytes of the body, or of the chunk, still to come.
-    bool m_isWhole = true;
+    std::uint64_t m_remaining = 0; ///< Bytes of the body or chunk that are still to be read.
+    bool m_isComplete = true;
     std::size_t m_trailerBytes = 0;
     std::string_view m_piece;
     const char *m_error = nullptr;
--- a/src/libs/http/client.h
+++ b/src/libs/http/client.h
@@ -22,25 +22,25 @@
 
 /// How a call ended.
 enum class CallEnd : std::uint8_t {
-    Whole, ///< The whole answer came.
-    NotConnected, ///< No connection; no byte of the request left.
-    TurnedAway, ///< The server ended a new connection before a byte of the request left.
-    TimedOut, ///< A deadline of the call passed; its connection is never used again.
-    Broken, ///< The connection broke before the answer was whole.
+    Whole, ///< The complete answer was received.
+    NotConnected, ///< No connection was established; no byte of the request was sent.
+    TurnedAway, ///< The server closed a new connection before a byte of the request was sent.
+    TimedOut, ///< A deadline of the call passed; its connection is not reused.
+    Broken, ///< The connection broke before the answer was complete.
     TooLarge ///< The answer exceeded Call::maxBodyBytes.
 };
 
 struct CallResult
 {
     CallEnd end = CallEnd::Whole;
-    /// NotConnected for want of descriptors, ports or memory of this process or machine: tells
-    /// nothing of the server.
+    /// Whether the end is NotConnected because this process or machine lacks descriptors, ports or
+    /// memory, which says nothing about the server.
     bool isLocalResourceShortage = false;
-    bool mayHaveBeenSent = false; ///< Whether a byte of the request may have left this process.
-    int status = 0; ///< 0 if no head came.
+    bool mayHaveBeenSent = false; ///< Bytes of the request may have been sent.
+    int status = 0; ///< 0 if no head was received.
     Headers headers;
-    std::string body; ///< Empty where Hooks::bodyReceived took the pieces.
-    std::string detail; ///< The library's words for what went wrong.
+    std::string body; ///< Empty if Hooks::bodyReceived is set.
+    std::string detail; ///< Description of the failure.
 };
 
 /// One exchange with a server.
@@ -51,16 +51,17 @@
     std::string target = "/"; ///< Path and query.
     Headers headers; ///< Without host, content-length and connection.
     std::string body;
-    std::string host; ///< The host field; the server's address if empty.
-    bool freshConnection = false; ///< Never a pooled one: for calls that must run at most once.
+    std::string host; ///< Host header; the server's address if empty.
+    /// Whether to use a new connection only, for calls that must run at most once.
+    bool freshConnection = false;
     bool tls = false;
-    std::string serverName; ///< For TLS: the name that the certificate must hold; the ip if empty.
-    Base::Duration connectTimeout = std::chrono::seconds(1); ///< With the TLS handshake.
-    /// How long a new connection has to stay open before the request leaves on it. A server that
-    /// accepts connections beyond its limit only to reset them is found out so while it is sure
-    /// that it has not run the request. Not for TLS, whose handshake shows it.
+    std::string serverName; ///< For TLS: name that the certificate must match; the IP if empty.
+    Base::Duration connectTimeout = std::chrono::seconds(1); ///< Includes the TLS handshake.
+    /// Time for which a new connection must stay open before the request is sent. Detects a server
+    /// that accepts connections beyond its limit and resets them at once, while it is certain that
+    /// the request was not run. Not used for TLS, whose handshake detects this.
     Base::Duration settleTime{};
-    /// Idle connections to the server that may be kept afterwards, if other than the client's.
+    /// Idle connections to keep to the server after this call, instead of maxIdlePerServer.
     std::optional<std::size_t> maxIdle;
     Base::Duration headTimeout = std::chrono::seconds(10); ///< From sending to the answer's head.
     Base::Duration progressTimeout = std::chrono::seconds(10); ///< Between pieces of the body.
@@ -70,19 +71,20 @@
 
 struct Hooks
 {
-    /// The first byte may leave from now on: the line between "did not run" and "unknown". On a
-    /// pooled connection this is called from within start().
+    /// Called right before the first byte of the request may be sent. A failure before this call
+    /// means that the request did not run; after it, that is unknown. On a pooled connection this
+    /// is called from within start().
     std::function<void()> sending;
     std::function<void(int status, const Headers &headers)> headReceived;
-    /// If set, gets each piece of the body and CallResult::body stays empty.
+    /// If set, receives each piece of the body, and CallResult::body stays empty.
     std::function<void(std::string_view piece)> bodyReceived;
-    /// Called once, last, and never from within start() or cancel().
+    /// Called once, as the last hook, and never from within start() or cancel().
     std::function<void(CallResult result)> finished;
 };
 
 using CallId = Base::StrongNumber<struct CallIdTag, std::uint64_t>;
 
-/// An HTTP/1.1 client on the loop that keeps idle connections for a while.
+/// An HTTP/1.1 client that keeps idle connections open for reuse.
 class Client
 {
 public:
@@ -90,11 +92,10 @@
     {
         Runtime::Loop *loop = nullptr;
         std::size_t maxIdlePerServer = 32;
-        Base::Duration idleTimeout =
-            std::chrono::seconds(5); ///< Idle connections are closed after it.
-        /// TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged.
+        Base::Duration idleTimeout = std::chrono::seconds(5); ///< For idle connections.
+        /// TCP_USER_TIMEOUT: time for which sent bytes may stay unacknowledged.
         Base::Duration userTimeout = std::chrono::seconds(10);
-        std::string caFile; ///< PEM; the system's authorities if empty.
+        std::string caFile; ///< In PEM format; the system's certificate authorities if empty.
     };
 
     explicit Client(Options options);
@@ -103,11 +104,11 @@
     Client &operator=(const Client &) = delete;
 
     CallId start(Call call, Hooks hooks);
-    /// Only opens a connection and closes it; \a checked is called once, later, unless the client
-    /// goes before.
+    /// Opens a connection and closes it again. Calls \a checked once, after this function has
+    /// returned, unless the client is destroyed first.
     void checkReachable(const Runtime::SocketAddress &server, Base::Duration timeout,
                         std::function<void(bool isReachable)> checked);
-    /// Drops the call and its connection; no hook is called any more.
+    /// Cancels the call and closes its connection. No hook is called afterwards.
     void cancel(CallId call);
     std::size_t activeCalls() const;
 
--- a/src/libs/http/clientcall.cpp
+++ b/src/libs/http/clientcall.cpp
@@ -40,7 +40,7 @@
     return method == "POST" || method == "PUT" || method == "PATCH";
 }
 
-/// Whether a socket could not be opened for a reason that lies with this process or machine.
+/// Whether a socket could not be opened for lack of resources of this process or machine.
 bool isLocalResourceShortage(int error)
 {
     return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM
@@ -120,7 +120,7 @@
         return;
     }
     m_socket->data = this;
-    setStage(m_call.connectTimeout);
+    startStage(m_call.connectTimeout);
 }
 
 void ClientCall::connected(h2o_socket_t *socket, const char *error)
@@ -142,23 +142,23 @@
     }
     const std::string name =
         self.m_call.serverName.empty() ? self.m_call.server.ip : self.m_call.serverName;
-    // The connection takes its checks over from the context when it is made, just below.
+    // A TLS connection copies these settings from the context when it is created, just below.
     X509_VERIFY_PARAM *checks = SSL_CTX_get0_param(self.m_context.tls);
     X509_VERIFY_PARAM_set1_host(checks, nullptr, 0);
     X509_VERIFY_PARAM_set1_ip(checks, nullptr, 0);
     if (X509_VERIFY_PARAM_set1_ip_asc(checks, name.c_str()) != 1)
         X509_VERIFY_PARAM_set1_host(checks, name.c_str(), name.size());
-    h2o_socket_ssl_handshake(socket, self.m_context.tls, name.c_str(), secured);
+    h2o_socket_ssl_handshake(socket, self.m_context.tls, name.c_str(), tlsEstablished);
 }
 
-/// Watches a new connection for a moment before anything is sent on it.
+/// Waits for settleTime, in which the server may close the connection, before sending the request.
 void ClientCall::settle()
 {
     if (m_call.settleTime <= Base::Duration::zero()) {
         sendRequest();
         return;
     }
-    h2o_socket_read_start(m_socket, settling);
+    h2o_socket_read_start(m_socket, receivedWhileSettling);
     m_settleTimer = m_context.loop.timers().start(m_call.settleTime, [this] {
         m_settleTimer.reset();
         h2o_socket_read_stop(m_socket);
@@ -166,14 +166,14 @@
     });
 }
 
-/// Whatever comes before the request is sent, be it an end or bytes, speaks against the connection.
-void ClientCall::settling(h2o_socket_t *socket, const char * /*error*/)
+/// Rejects the connection, as neither a close nor data may arrive before the request is sent.
+void ClientCall::receivedWhileSettling(h2o_socket_t *socket, const char * /*error*/)
 {
     ClientCall &self = callOf(socket);
     self.finish(CallEnd::TurnedAway, "the server ended a new connection");
 }
 
-void ClientCall::secured(h2o_socket_t *socket, const char *error)
+void ClientCall::tlsEstablished(h2o_socket_t *socket, const char *error)
 {
     ClientCall &self = callOf(socket);
     if (error)
@@ -185,7 +185,7 @@
 void ClientCall::sendRequest()
 {
     const std::shared_ptr<ClientCall> self = shared_from_this();
-    setStage(m_call.headTimeout);
+    startStage(m_call.headTimeout);
     m_result.mayHaveBeenSent = true;
     if (m_hooks.sending)
         m_hooks.sending();
@@ -217,7 +217,7 @@
 
 void ClientCall::written(h2o_socket_t *socket, const char *error)
 {
-    // After a failure the answer may still be there to read, and if it is not, reading tells why.
+    // After a failed write an answer may still be readable; if not, the read reports the error.
     if (!error)
         callOf(socket).m_isWritten = true;
 }
@@ -232,11 +232,11 @@
 {
     while (m_socket) {
         const h2o_buffer_t *input = m_socket->input;
-        const std::size_t taken = m_parser.take({input->bytes, input->size});
-        if (!deliver())
+        const std::size_t consumed = m_parser.consume({input->bytes, input->size});
+        if (!deliverParsed())
             return;
-        h2o_buffer_consume(&m_socket->input, taken);
-        if (m_parser.state() == AnswerParser::State::Whole) {
+        h2o_buffer_consume(&m_socket->input, consumed);
+        if (m_parser.state() == AnswerParser::State::Complete) {
             finish(CallEnd::Whole, {});
             return;
         }
@@ -244,23 +244,24 @@
             finish(CallEnd::Broken, m_parser.error());
             return;
         }
-        if (taken == 0)
+        if (consumed == 0)
             break;
     }
     if (m_socket && error)
-        reachedEnd(error);
+        inputEnded(error);
 }
 
-/// Hands on what the parser has read; false if the call has ended through it.
-bool ClientCall::deliver()
+/// Passes the parsed head or piece to the hooks. Returns false if the call has ended as a result.
+bool ClientCall::deliverParsed()
 {
     const auto state = m_parser.state();
-    const bool hasHead = state == AnswerParser::State::Body || state == AnswerParser::State::Whole;
+    const bool hasHead =
+        state == AnswerParser::State::Body || state == AnswerParser::State::Complete;
     if (hasHead && !m_isHeadDelivered) {
         m_isHeadDelivered = true;
         m_result.status = m_parser.status();
         m_result.headers = std::move(m_parser.headers());
-        setStage(m_call.progressTimeout);
+        startStage(m_call.progressTimeout);
         if (m_hooks.headReceived)
             m_hooks.headReceived(m_result.status, m_result.headers);
         if (m_isEnded)
@@ -283,14 +284,14 @@
     return !m_isEnded;
 }
 
-void ClientCall::reachedEnd(const char *error)
+void ClientCall::inputEnded(const char *error)
 {
-    // Over TLS an end cannot be told from a cut, so an answer without a length is never whole
-    // there.
+    // With TLS an orderly close cannot be distinguished from a cut connection, so an answer without
+    // a length is never complete.
     const bool isClosedInOrder = error == h2o_socket_error_closed && !m_call.tls;
     if (isClosedInOrder) {
-        m_parser.takeEnd();
-        if (m_parser.state() == AnswerParser::State::Whole) {
+        m_parser.handleClose();
+        if (m_parser.state() == AnswerParser::State::Complete) {
             finish(CallEnd::Whole, {});
             return;
         }
@@ -298,22 +299,23 @@
     finish(CallEnd::Broken, "the connection broke before the answer was whole");
 }
 
-void ClientCall::setStage(Base::Duration timeout)
+void ClientCall::startStage(Base::Duration timeout)
 {
     m_stageDeadline = m_context.loop.clock().now() + timeout;
-    arm();
+    armTimer();
 }
 
-/// A timer that is due too early arms itself again, so moving a deadline back costs nothing.
-void ClientCall::arm()
+/// Keeps a timer that is due earlier; when it fires, it is armed again for the current deadline.
+/// This makes it cheap to postpone a deadline.
+void ClientCall::armTimer()
 {
     const Base::MonoTime due = std::min(m_stageDeadline, m_totalDeadline);
-    if (m_timer && m_armedFor <= due)
+    if (m_timer && m_timerDue <= due)
         return;
     Runtime::TimerQueue &timers = m_context.loop.timers();
     if (m_timer)
         timers.cancel(*m_timer);
-    m_armedFor = due;
+    m_timerDue = due;
     m_timer = timers.start(due - m_context.loop.clock().now(), [this] { deadlinePassed(); });
 }
 
@@ -322,7 +324,7 @@
     m_timer.reset();
     const Base::MonoTime now = m_context.loop.clock().now();
     if (now < m_stageDeadline && now < m_totalDeadline) {
-        arm();
+        armTimer();
         return;
     }
     const bool isConnecting = !m_result.mayHaveBeenSent;
@@ -333,7 +335,7 @@
     finish(CallEnd::TimedOut, m_isHeadDelivered ? "the answer stopped" : "no answer came");
 }
 
-/// Ends the call in a later turn, so never from within start().
+/// Ends the call in a later iteration of the event loop, so never from within start().
 void ClientCall::finishSoon(CallEnd end, std::string detail)
 {
     m_context.loop.post([weak = weak_from_this(), end, detail = std::move(detail)] {
@@ -349,18 +351,18 @@
     m_isEnded = true;
     m_result.end = end;
     m_result.detail = std::move(detail);
-    release(end == CallEnd::Whole);
+    returnToPool(end == CallEnd::Whole);
     drop();
-    m_context.ended(m_id);
+    m_context.callEnded(m_id);
     const auto finished = std::move(m_hooks.finished);
     if (finished)
         finished(std::move(m_result));
 }
 
-void ClientCall::release(bool isWhole)
+void ClientCall::returnToPool(bool isComplete)
 {
-    const bool isReusable =
-        isWhole && m_socket && m_isWritten && m_parser.isReusable() && m_socket->input->size == 0;
+    const bool isReusable = isComplete && m_socket && m_isWritten && m_parser.isReusable()
+        && m_socket->input->size == 0;
     if (!isReusable)
         return;
     m_context.pool.put(poolKey(), std::exchange(m_socket, nullptr),
--- a/src/libs/http/clientcall.h
+++ b/src/libs/http/clientcall.h
@@ -17,7 +17,7 @@
 
 class ClientCall;
 
-/// What all calls of a client share.
+/// State shared by all calls of a client.
 struct ClientContext
 {
     Runtime::Loop &loop;
@@ -25,11 +25,11 @@
     std::size_t maxIdlePerServer;
     Base::Duration userTimeout;
     ssl_ctx_st *tls = nullptr;
-    /// Forgets a call that has ended.
-    std::function<void(CallId)> ended;
+    /// Called when a call has ended; removes it from the client.
+    std::function<void(CallId)> callEnded;
 };
 
-/// One exchange of the client with a connection of its own while it runs.
+/// A call in progress, which uses a connection exclusively.
 class ClientCall : public std::enable_shared_from_this<ClientCall>
 {
 public:
@@ -39,13 +39,13 @@
     ClientCall &operator=(const ClientCall &) = delete;
 
     void start();
-    /// Closes the connection; no hook is called any more.
+    /// Closes the connection. No hook is called afterwards.
     void drop();
 
 private:
     static void connected(st_h2o_socket_t *socket, const char *error);
-    static void settling(st_h2o_socket_t *socket, const char *error);
-    static void secured(st_h2o_socket_t *socket, const char *error);
+    static void receivedWhileSettling(st_h2o_socket_t *socket, const char *error);
+    static void tlsEstablished(st_h2o_socket_t *socket, const char *error);
     static void written(st_h2o_socket_t *socket, const char *error);
     static void readable(st_h2o_socket_t *socket, const char *error);
 
@@ -55,14 +55,14 @@
     void sendRequest();
     void writeHead();
     void readAnswer(const char *error);
-    bool deliver();
-    void reachedEnd(const char *error);
-    void setStage(Base::Duration timeout);
-    void arm();
+    bool deliverParsed();
+    void inputEnded(const char *error);
+    void startStage(Base::Duration timeout);
+    void armTimer();
     void deadlinePassed();
     void finishSoon(CallEnd end, std::string detail);
     void finish(CallEnd end, std::string detail);
-    void release(bool isWhole);
+    void returnToPool(bool isComplete);
     PoolKey poolKey() const;
 
     ClientContext &m_context;
@@ -79,7 +79,7 @@
     std::size_t m_bodyBytes = 0;
     Base::MonoTime m_totalDeadline;
     Base::MonoTime m_stageDeadline;
-    Base::MonoTime m_armedFor;
+    Base::MonoTime m_timerDue;
     std::optional<Runtime::TimerId> m_timer;
     std::optional<Runtime::TimerId> m_settleTimer;
 };
--- a/src/libs/http/connectioncheck.h
+++ b/src/libs/http/connectioncheck.h
@@ -11,7 +11,7 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// Opens a connection and closes it, to see whether a server is within reach.
+/// Opens a connection and closes it again to check whether a server is reachable.
 class ConnectionCheck : public std::enable_shared_from_this<ConnectionCheck>
 {
 public:
--- a/src/libs/http/connectionpool.cpp
+++ b/src/libs/http/connectionpool.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Alive means that there is nothing to read, no end and no error.
+/// Whether an idle connection is usable: it has no data to read, no end of stream and no error.
 bool isAlive(h2o_socket_t *socket)
 {
     if (socket->input->size > 0)
@@ -43,15 +43,15 @@
 
 void ConnectionPool::put(const PoolKey &key, h2o_socket_t *socket, std::size_t maxIdle)
 {
-    const auto known = m_idle.find(key);
-    const std::size_t count = known == m_idle.end() ? 0 : known->second.size();
+    const auto found = m_idle.find(key);
+    const std::size_t count = found == m_idle.end() ? 0 : found->second.size();
     if (count >= maxIdle) {
         h2o_socket_close(socket);
         return;
     }
     auto *idle = new Idle{socket, m_loop.clock().now(), this, key};
     socket->data = idle;
-    // Reading on tells of a server that closes or sends out of turn.
+    // Reading detects a server that closes the connection or sends data without a request.
     h2o_socket_read_start(socket, becameReadable);
     m_idle[key].push_back(idle);
     startExpiry();
@@ -63,12 +63,12 @@
     if (found == m_idle.end())
         return nullptr;
     auto &connections = found->second;
-    const Base::MonoTime oldest = m_loop.clock().now() - m_idleTimeout;
+    const Base::MonoTime expiredBefore = m_loop.clock().now() - m_idleTimeout;
     while (!connections.empty()) {
         Idle *idle = connections.back();
         connections.pop_back();
         h2o_socket_t *socket = idle->socket;
-        const bool isUsable = idle->since > oldest && isAlive(socket);
+        const bool isUsable = idle->idleSince > expiredBefore && isAlive(socket);
         delete idle;
         if (isUsable)
             return socket;
@@ -81,7 +81,7 @@
 {
     const bool isTlsOnly = !error && socket->ssl && socket->input->size == 0;
     if (isTlsOnly)
-        return; // A session ticket, say.
+        return; // For example, a session ticket.
     auto *idle = static_cast<Idle *>(socket->data);
     idle->pool->drop(idle);
 }
@@ -105,10 +105,10 @@
 void ConnectionPool::expire()
 {
     m_expiry.reset();
-    const Base::MonoTime oldest = m_loop.clock().now() - m_idleTimeout;
+    const Base::MonoTime expiredBefore = m_loop.clock().now() - m_idleTimeout;
     for (auto it = m_idle.begin(); it != m_idle.end();) {
         auto &connections = it->second;
-        while (!connections.empty() && connections.front()->since <= oldest) {
+        while (!connections.empty() && connections.front()->idleSince <= expiredBefore) {
             h2o_socket_close(connections.front()->socket);
             delete connections.front();
             connections.pop_front();
--- a/src/libs/http/connectionpool.h
+++ b/src/libs/http/connectionpool.h
@@ -15,7 +15,7 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// What must agree for a connection to serve another call.
+/// Properties that a connection must share with a call to be reused for it.
 struct PoolKey
 {
     Runtime::SocketAddress server;
@@ -30,7 +30,7 @@
     }
 };
 
-/// Idle connections of a client, the latest used first.
+/// Idle connections of a client. The most recently used one is reused first.
 class ConnectionPool
 {
 public:
@@ -39,16 +39,16 @@
     ConnectionPool(const ConnectionPool &) = delete;
     ConnectionPool &operator=(const ConnectionPool &) = delete;
 
-    /// Takes over an idle connection; closes it if there are \a maxIdle already.
+    /// Takes ownership of an idle connection; closes it if the pool has \a maxIdle for \a key.
     void put(const PoolKey &key, st_h2o_socket_t *socket, std::size_t maxIdle);
-    /// A connection that the server has not closed, or null.
+    /// Removes and returns a connection that the server has not closed, or null.
     st_h2o_socket_t *take(const PoolKey &key);
 
 private:
     struct Idle
     {
         st_h2o_socket_t *socket = nullptr;
-        Base::MonoTime since;
+        Base::MonoTime idleSince;
         ConnectionPool *pool = nullptr;
         PoolKey key;
     };
--- a/src/libs/http/errorfilter.cpp
+++ b/src/libs/http/errorfilter.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Names an environment variable of the request, which h2o keeps for us.
-constexpr std::string_view handledMark = "lagoonbank-handled";
+/// Per-request variable of h2o that marks requests answered by the handler.
+constexpr std::string_view handledVariable = "lagoonbank-handled";
 
 struct ErrorStream
 {
@@ -43,7 +43,7 @@
 void setUpStream(h2o_filter_t * /*filter*/, h2o_req_t *request, h2o_ostream_t **slot)
 {
     const bool isHandled =
-        h2o_req_getenv(request, handledMark.data(), handledMark.size(), 0) != nullptr;
+        h2o_req_getenv(request, handledVariable.data(), handledVariable.size(), 0) != nullptr;
     if (!isHandled && request->res.status >= 400) {
         const Errors::ErrorKind kind = kindOf(request->res.status);
         const std::string id = H2oServer::refusedRequestId(request, kind);
@@ -75,7 +75,7 @@
 
 void markAsHandled(h2o_req_t *request)
 {
-    h2o_req_getenv(request, handledMark.data(), handledMark.size(), 1);
+    h2o_req_getenv(request, handledVariable.data(), handledVariable.size(), 1);
 }
 
 std::string rawErrorAnswer(Errors::ErrorKind kind, const std::string &requestId)
--- a/src/libs/http/errorfilter.h
+++ b/src/libs/http/errorfilter.h
@@ -8,12 +8,12 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// Gives the answers that h2o makes itself (a body too large, say) the JSON body of the closed
-/// error list.
+/// Gives answers that h2o generates itself, such as for a body that is too large, the JSON body of
+/// the matching error kind.
 void installErrorFilter(h2o_pathconf_t *path);
-/// Tells the filter that our handler answers this request.
+/// Marks \a request as answered by the handler, so that the filter leaves its answer unchanged.
 void markAsHandled(h2o_req_t *request);
-/// A whole HTTP/1.1 answer for \a kind that closes the connection.
+/// Complete HTTP/1.1 answer for \a kind, including the head, that closes the connection.
 std::string rawErrorAnswer(Errors::ErrorKind kind, const std::string &requestId);
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/h2ocontext.cpp
+++ b/src/libs/http/h2ocontext.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// h2o's own timeouts run on the wall clock, so they are set where they never fire: a year. They
-/// must stay below the wall clock's time since 1970, from which h2o subtracts them.
+/// Effectively disables h2o's own timeouts, which depend on the wall clock. They must be less than
+/// the wall clock's time since 1970, from which h2o subtracts them.
 constexpr std::uint64_t neverMilliseconds = 365ULL * 24 * 3600 * 1000;
 
 } // namespace
@@ -34,12 +34,12 @@
 
 H2oContext::~H2oContext()
 {
-    // h2o leaves this one linked after a request to shut down.
+    // h2o leaves this timeout linked after a requested shutdown.
     if (h2o_timeout_is_linked(&m_context.http2._graceful_shutdown_timeout))
         h2o_timeout_unlink(&m_context.http2._graceful_shutdown_timeout);
-    // h2o closes its queue and does not free it.
+    // h2o closes its queue but does not free it.
     static_assert(H2O_LIBRARY_VERSION_MAJOR == 0 && H2O_LIBRARY_VERSION_MINOR == 13,
-                  "look again whether h2o frees its queue");
+                  "check whether this version of h2o frees its queue");
     h2o_multithread_queue_t *queue = m_context.queue;
     h2o_context_dispose(&m_context);
     std::free(queue); // NOLINT(cppcoreguidelines-no-malloc)
@@ -50,11 +50,11 @@
                                                OnRequest onRequest)
 {
     static std::map<std::pair<Runtime::Loop *, std::size_t>, std::weak_ptr<H2oContext>> contexts;
-    auto &place = contexts[{&loop, maxBodyBytes}];
-    auto context = place.lock();
+    auto &entry = contexts[{&loop, maxBodyBytes}];
+    auto context = entry.lock();
     if (!context) {
         context = std::make_shared<H2oContext>(loop, maxBodyBytes, onRequest);
-        place = context;
+        entry = context;
     }
     return context;
 }
--- a/src/libs/http/h2ocontext.h
+++ b/src/libs/http/h2ocontext.h
@@ -9,8 +9,8 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// h2o's configuration and context. Every turn of the loop costs some time for each, so servers may
-/// share one.
+/// Configuration and context of h2o. Servers can share one, as each context costs time in every
+/// iteration of the event loop.
 class H2oContext
 {
 public:
@@ -21,7 +21,7 @@
     H2oContext(const H2oContext &) = delete;
     H2oContext &operator=(const H2oContext &) = delete;
 
-    /// The one for all sharing servers of \a loop with that limit.
+    /// Context shared by all servers of \a loop that share one and have the same body limit.
     static std::shared_ptr<H2oContext> shared(Runtime::Loop &loop, std::size_t maxBodyBytes,
                                               OnRequest onRequest);
 
--- a/src/libs/http/h2oresponder.cpp
+++ b/src/libs/http/h2oresponder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Fields that the connection layer writes itself.
+/// Whether the field is written by the connection layer.
 bool belongsToConnection(std::string_view name)
 {
     return name == "content-length" || name == "connection" || name == "transfer-encoding"
@@ -72,7 +72,7 @@
     m_disconnectHandler = nullptr;
     m_queued.clear();
     if (m_isSending)
-        return; // proceed() or detach() comes, as the connection is broken.
+        return; // proceed() or detach() follows and ends the answer.
     if (m_state == State::Waiting)
         startResponse(500, {}, SIZE_MAX);
     m_state = State::Ended;
--- a/src/libs/http/h2oresponder.h
+++ b/src/libs/http/h2oresponder.h
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// The answer to one HTTP/2 request of h2o. h2o's request may go at any time; detach() tells so.
+/// Answer to one HTTP/2 request. h2o may end its request at any time; detach() is called then.
 class H2oResponder final
     : public Responder
     , public std::enable_shared_from_this<H2oResponder>
@@ -26,11 +26,11 @@
     bool isDisconnected() const override { return m_isDisconnected; }
     void setDisconnectHandler(std::function<void()> handler) override;
 
-    /// h2o's request ends now, whether or not the answer has ended.
+    /// Called when h2o's request is destroyed, whether or not the answer has ended.
     void detach();
 
 private:
-    /// h2o holds a pointer to this, so it stays where it is until detach().
+    /// h2o keeps a pointer to this object, so its address must not change until detach().
     struct Generator
     {
         h2o_generator_t super;
@@ -47,7 +47,7 @@
     h2o_req_t *m_request; ///< Null once h2o's request has ended.
     Generator m_generator{};
     State m_state = State::Waiting;
-    bool m_isSending = false; ///< h2o has not yet asked for more.
+    bool m_isSending = false; ///< h2o has not called proceed() yet.
     bool m_isEndQueued = false;
     bool m_isAborted = false;
     bool m_isDisconnected = false;
--- a/src/libs/http/h2oserver.cpp
+++ b/src/libs/http/h2oserver.cpp
@@ -25,14 +25,17 @@
 
 namespace {
 
-/// New connections that are looked at in a turn, so that answers under way go before them.
-constexpr std::size_t maxStartsPerTurn = 32;
-/// That wait here for it. They are accepted at once: what waits in the kernel has no age and hides
-/// that its caller has left, and when the kernel's queue is full callers wait for seconds. A router
-/// at its limit sees 1,000 in a second, and has 4,200 descriptors.
-constexpr std::size_t maxWaiting = 1024;
-/// Callers give up after 150 ms or more; one that has waited for less is not looked at for it.
-constexpr Base::Duration lookAfter = std::chrono::milliseconds(50);
+/// New connections that are started in one iteration of the event loop. Limited so that answers in
+/// progress take precedence.
+constexpr std::size_t maxStartsPerIteration = 32;
+/// Accepted connections that wait to be started. Connections are accepted immediately because the
+/// age of one in the kernel's queue is unknown and a disconnect of its caller is not visible, and
+/// when that queue is full callers wait for seconds. A router under full load receives 1,000
+/// connections per second and has 4,200 descriptors.
+constexpr std::size_t maxPendingConnections = 1024;
+/// Age from which a pending connection is checked for a disconnect. Callers give up after 150 ms or
+/// more, so a check of younger connections would be wasted.
+constexpr Base::Duration minCloseCheckAge = std::chrono::milliseconds(50);
 constexpr int listenBacklog = 4096;
 
 std::string_view view(h2o_iovec_t text)
@@ -107,14 +110,14 @@
     m_http1.loop = &m_loop;
     m_http1.limits = m_options.limits;
     m_http1.halfCloseMeansDisconnect = m_options.halfCloseMeansDisconnect;
-    m_http1.requestCame = [this](Request request, std::shared_ptr<Responder> responder) {
+    m_http1.requestReceived = [this](Request request, std::shared_ptr<Responder> responder) {
         if (handler)
             handler(std::move(request), std::move(responder));
         else
             responder->abort();
     };
     m_http1.refusedRequestId = [this](Errors::ErrorKind kind) { return refusedRequestId(kind); };
-    m_http1.foundHttp2 = [this](Http1Connection &connection) {
+    m_http1.http2Detected = [this](Http1Connection &connection) {
         if (ServerConnection *record = recordOf(connection))
             startHttp2(*record);
     };
@@ -128,7 +131,7 @@
         m_loop.timers().cancel(*m_sweepTimer);
     if (m_listener)
         h2o_socket_close(m_listener);
-    closeWaiting();
+    closePending();
     if (m_accept.ssl_ctx)
         SSL_CTX_free(m_accept.ssl_ctx);
 }
@@ -191,7 +194,7 @@
         return bad("key", m_options.tls->keyFile);
     }
     h2o_ssl_register_alpn_protocols(context.get(), h2o_alpn_protocols);
-    // Connections that are open hold their own reference.
+    // Open connections hold their own reference to the old context.
     SSL_CTX_up_ref(context.get());
     if (m_accept.ssl_ctx)
         SSL_CTX_free(m_accept.ssl_ctx);
@@ -211,7 +214,7 @@
     startDraining();
     if (m_listener)
         h2o_socket_close(std::exchange(m_listener, nullptr));
-    takeUp(m_waiting.size());
+    startPending(m_pending.size());
     if (!m_options.sharesContext)
         h2o_context_request_shutdown(m_context->native());
     const std::vector<ServerConnection *> connections(m_connections.begin(), m_connections.end());
@@ -225,20 +228,20 @@
 {
     if (const auto http1 = connection.http1)
         http1->closeIfIdle();
-    else if (connection.open.empty() && connection.socket->input->size == 0)
+    else if (connection.openResponders.empty() && connection.socket->input->size == 0)
         shutdown(h2o_socket_get_fd(connection.socket), SHUT_RDWR);
 }
 
-void H2oServer::closeWaiting()
+void H2oServer::closePending()
 {
-    for (const Waiting &waiting : std::exchange(m_waiting, {}))
-        h2o_socket_close(waiting.socket);
+    for (const PendingConnection &pending : std::exchange(m_pending, {}))
+        h2o_socket_close(pending.socket);
 }
 
 void H2oServer::shutDown()
 {
     handler = nullptr;
-    closeWaiting();
+    closePending();
     if (m_listener)
         h2o_socket_close(std::exchange(m_listener, nullptr));
     if (m_sweepTimer)
@@ -246,10 +249,11 @@
     const std::vector<ServerConnection *> connections(m_connections.begin(), m_connections.end());
     for (ServerConnection *connection : connections) {
         if (const auto http1 = connection->http1) {
-            http1->breakOff();
+            http1->closeSilently();
             continue;
         }
-        const std::vector<H2oResponder *> open(connection->open.begin(), connection->open.end());
+        const std::vector<H2oResponder *> open(connection->openResponders.begin(),
+                                               connection->openResponders.end());
         shutdown(h2o_socket_get_fd(connection->socket), SHUT_RDWR);
         for (H2oResponder *responder : open) {
             responder->setDisconnectHandler(nullptr);
@@ -261,63 +265,63 @@
 void H2oServer::acceptAll()
 {
     const Base::MonoTime now = m_loop.clock().now();
-    const Arrival arrival{.earliest = now - m_loop.lag().maxPolledEventAge(), .latest = now};
-    while (m_listener && m_waiting.size() < maxWaiting) {
+    const ArrivalWindow arrival{.earliest = now - m_loop.lag().maxPolledEventAge(), .latest = now};
+    while (m_listener && m_pending.size() < maxPendingConnections) {
         h2o_socket_t *socket = h2o_evloop_socket_accept(m_listener);
         if (!socket)
             break;
-        m_waiting.push_back({socket, arrival});
+        m_pending.push_back({socket, arrival});
     }
-    if (!m_isTakingUpLater)
-        takeUp(maxStartsPerTurn);
+    if (!m_isStartScheduled)
+        startPending(maxStartsPerIteration);
 }
 
-/// Begins with those that wait longest. Callers that have left meanwhile are dropped unread; they
-/// cost three system calls each, of which there may be as many as wait.
-void H2oServer::takeUp(std::size_t most)
+/// Starts pending connections, the oldest first. Closes those whose callers have disconnected
+/// without reading them; each costs three system calls, and they do not count against \a maxStarts.
+void H2oServer::startPending(std::size_t maxStarts)
 {
     const Base::MonoTime now = m_loop.clock().now();
-    while (most > 0 && !m_waiting.empty()) {
-        const Waiting next = m_waiting.front();
-        m_waiting.pop_front();
+    while (maxStarts > 0 && !m_pending.empty()) {
+        const PendingConnection next = m_pending.front();
+        m_pending.pop_front();
         m_loop.lag().noteDeferredWork(now - next.arrival.latest);
-        if (hasLeft(next)) {
+        if (hasDisconnected(next)) {
             h2o_socket_close(next.socket);
             if (m_options.disconnectedUnread)
                 m_options.disconnectedUnread();
             continue;
         }
         start(next);
-        --most;
+        --maxStarts;
     }
-    if (!m_waiting.empty())
-        takeUpLater();
+    if (!m_pending.empty())
+        scheduleStartPending();
 }
 
-void H2oServer::takeUpLater()
+void H2oServer::scheduleStartPending()
 {
-    m_isTakingUpLater = true;
+    m_isStartScheduled = true;
     m_loop.post([weak = weak_from_this()] {
         const std::shared_ptr<H2oServer> self = weak.lock();
         if (!self)
             return;
-        self->m_isTakingUpLater = false;
-        self->takeUp(maxStartsPerTurn);
+        self->m_isStartScheduled = false;
+        self->startPending(maxStartsPerIteration);
     });
 }
 
-bool H2oServer::hasLeft(const Waiting &waiting) const
+bool H2oServer::hasDisconnected(const PendingConnection &pending) const
 {
-    if (m_loop.clock().now() - waiting.arrival.earliest < lookAfter)
+    if (m_loop.clock().now() - pending.arrival.earliest < minCloseCheckAge)
         return false;
-    const PeerClose found = lookForClose(h2o_socket_get_fd(waiting.socket));
-    return found == PeerClose::Both
-        || (found == PeerClose::Sending && m_options.halfCloseMeansDisconnect);
+    const PeerClose peerClose = detectPeerClose(h2o_socket_get_fd(pending.socket));
+    return peerClose == PeerClose::Both
+        || (peerClose == PeerClose::Sending && m_options.halfCloseMeansDisconnect);
 }
 
-void H2oServer::start(const Waiting &waiting)
+void H2oServer::start(const PendingConnection &pending)
 {
-    h2o_socket_t *socket = waiting.socket;
+    h2o_socket_t *socket = pending.socket;
     const int fd = h2o_socket_get_fd(socket);
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -326,12 +330,12 @@
     auto *connection = new ServerConnection{.server = this,
                                             .socket = socket,
                                             .peer = peerOf(socket),
-                                            .arrival = waiting.arrival,
-                                            .quietSince = m_loop.clock().now()};
+                                            .arrival = pending.arrival,
+                                            .idleSince = m_loop.clock().now()};
     socket->on_close.cb = connectionClosed;
     socket->on_close.data = connection;
     m_connections.insert(connection);
-    noteCrowd();
+    updateConnectionLimit();
     m_self = shared_from_this();
     startSweep();
     if (!m_accept.ssl_ctx) {
@@ -339,10 +343,10 @@
         return;
     }
     socket->data = connection;
-    h2o_socket_ssl_handshake(socket, m_accept.ssl_ctx, nullptr, secured);
+    h2o_socket_ssl_handshake(socket, m_accept.ssl_ctx, nullptr, tlsEstablished);
 }
 
-void H2oServer::secured(h2o_socket_t *socket, const char *error)
+void H2oServer::tlsEstablished(h2o_socket_t *socket, const char *error)
 {
     auto *connection = static_cast<ServerConnection *>(socket->data);
     if (error) {
@@ -386,8 +390,8 @@
     const std::unique_ptr<ServerConnection> connection(static_cast<ServerConnection *>(data));
     H2oServer *server = connection->server;
     server->m_connections.erase(connection.get());
-    server->noteCrowd();
-    // h2o still runs on the context, so this may go in a later turn only.
+    server->updateConnectionLimit();
+    // h2o is still using the context, so this object must not be destroyed before h2o returns.
     if (server->m_connections.empty())
         server->m_loop.post([last = std::exchange(server->m_self, nullptr)] {});
 }
@@ -407,10 +411,10 @@
     ServerConnection *connection = connectionOf(source);
     connection->hadRequest = true;
     const auto responder = std::make_shared<H2oResponder>(source);
-    // h2o disposes of what lives in its request's pool when the request ends, however it ends.
+    // h2o disposes the objects in the request's pool when the request ends for any reason.
     auto *slot = new (h2o_mem_alloc_shared(&source->pool, sizeof(RequestSlot), requestEnded))
         RequestSlot{responder, connection};
-    connection->open.insert(slot->responder.get());
+    connection->openResponders.insert(slot->responder.get());
     markAsHandled(source);
     Request request = readRequest(source, *connection);
     if (hasUnsafeField(request)) {
@@ -435,8 +439,8 @@
     const std::shared_ptr<H2oResponder> responder = std::move(slot->responder);
     ServerConnection *connection = slot->connection;
     slot->~RequestSlot();
-    connection->open.erase(responder.get());
-    connection->quietSince = connection->server->m_loop.clock().now();
+    connection->openResponders.erase(responder.get());
+    connection->idleSince = connection->server->m_loop.clock().now();
     responder->detach();
 }
 
--- a/src/libs/http/h2oserver.h
+++ b/src/libs/http/h2oserver.h
@@ -16,22 +16,22 @@
 
 class H2oServer;
 
-/// One accepted connection, from accept to close. HTTP/1.1 is read by Http1Connection and HTTP/2 by
-/// h2o; before either is known the TLS handshake runs.
+/// An accepted connection. HTTP/1.1 is handled by Http1Connection and HTTP/2 by h2o; with TLS, the
+/// protocol is known after the handshake.
 struct ServerConnection
 {
     H2oServer *server = nullptr;
     h2o_socket_t *socket = nullptr;
     Runtime::SocketAddress peer;
-    std::shared_ptr<Http1Connection> http1; ///< Null while the protocol is not HTTP/1.1.
+    std::shared_ptr<Http1Connection> http1; ///< Null unless the protocol is HTTP/1.1.
     bool hadRequest = false;
-    Arrival arrival;
-    Base::MonoTime quietSince; ///< Accepted, or the last answer ended.
-    absl::flat_hash_set<H2oResponder *> open; ///< Requests that h2o has handed out.
+    ArrivalWindow arrival;
+    Base::MonoTime idleSince; ///< When it was accepted or its last answer ended.
+    absl::flat_hash_set<H2oResponder *> openResponders; ///< Of the HTTP/2 requests in progress.
 };
 
-/// What of a server must outlive it until its last connection is closed: h2o's context and
-/// configuration.
+/// Implementation of Server. Outlives it until the last connection is closed, as h2o needs its
+/// context and configuration until then.
 class H2oServer : public std::enable_shared_from_this<H2oServer>
 {
 public:
@@ -45,16 +45,16 @@
     void setLimits(const Server::Limits &limits);
     void startDraining() { m_http1.isDraining = true; }
     void stopAccepting();
-    /// Breaks every connection off; the object goes with the last one.
+    /// Closes every connection; the object is destroyed with the last one.
     void shutDown();
 
     const Runtime::SocketAddress &address() const { return m_options.address; }
     const Runtime::Clock &clock() const { return m_loop.clock(); }
-    std::size_t openConnections() const { return m_connections.size() + m_waiting.size(); }
+    std::size_t openConnections() const { return m_connections.size() + m_pending.size(); }
     Server::Handler handler;
     Server::RefusalHandler refusalHandler;
 
-    /// The id for a request that is answered without the handler; empty if none is given.
+    /// Id for a request that is refused without calling the handler; empty without refusalHandler.
     std::string refusedRequestId(Errors::ErrorKind kind) const
     {
         return refusalHandler ? refusalHandler(kind) : "";
@@ -71,28 +71,31 @@
     static int handleRequest(h2o_handler_t *handler, h2o_req_t *request);
     static void requestEnded(void *slot);
     static void connectionClosed(void *connection);
-    /// Accepted, and not looked at yet.
-    struct Waiting
+    /// An accepted connection that has not been started yet.
+    struct PendingConnection
     {
         h2o_socket_t *socket;
-        Arrival arrival;
+        ArrivalWindow arrival;
     };
     void acceptAll();
-    void takeUp(std::size_t most);
-    void takeUpLater();
-    void closeWaiting();
-    bool hasLeft(const Waiting &waiting) const;
-    void start(const Waiting &waiting);
-    static void secured(h2o_socket_t *socket, const char *error);
+    void startPending(std::size_t maxStarts);
+    void scheduleStartPending();
+    void closePending();
+    bool hasDisconnected(const PendingConnection &pending) const;
+    void start(const PendingConnection &pending);
+    static void tlsEstablished(h2o_socket_t *socket, const char *error);
     void startHttp1(ServerConnection &connection);
     void startHttp2(ServerConnection &connection);
     ServerConnection *recordOf(const Http1Connection &connection) const;
     int dispatch(h2o_req_t *request);
     void startSweep();
     void sweep();
-    void noteCrowd() { m_http1.isCrowded = openConnections() > m_options.maxConnections; }
+    void updateConnectionLimit()
+    {
+        m_http1.isOverConnectionLimit = openConnections() > m_options.maxConnections;
+    }
     void closeLongestIdle();
-    void cutIfSlow(ServerConnection &connection, Base::MonoTime now);
+    void closeIfTimedOut(ServerConnection &connection, Base::MonoTime now);
     static void closeIfIdle(ServerConnection &connection);
 
     Server::Options m_options;
@@ -101,12 +104,12 @@
     std::shared_ptr<H2oContext> m_context;
     h2o_accept_ctx_t m_accept{};
     h2o_socket_t *m_listener = nullptr;
-    std::deque<Waiting> m_waiting;
-    bool m_isTakingUpLater = false;
+    std::deque<PendingConnection> m_pending;
+    bool m_isStartScheduled = false;
     std::optional<Runtime::TimerId> m_sweepTimer;
     bool m_isStopping = false;
     absl::flat_hash_set<ServerConnection *> m_connections;
-    /// Holds this while it has connections.
+    /// Keeps this object alive while it has connections.
     std::shared_ptr<H2oServer> m_self;
 };
 
--- a/src/libs/http/h2oserversweep.cpp
+++ b/src/libs/http/h2oserversweep.cpp
@@ -6,13 +6,13 @@
 #include <utility>
 #include <vector>
 
-// Connections that are slow, idle or too many.
+// Closes connections that are slow or idle, or that exceed the limit.
 
 namespace Lagoonbank::Http::Internal {
 
 namespace {
 
-/// How often connections are looked at for slow senders.
+/// Interval between checks for slow and idle connections.
 constexpr Base::Duration sweepInterval = std::chrono::milliseconds(250);
 
 } // namespace
@@ -37,11 +37,11 @@
     for (ServerConnection *connection : connections) {
         if (const auto http1 = connection->http1)
             http1->sweep(now);
-        else if (connection->open.empty())
-            cutIfSlow(*connection, now);
+        else if (connection->openResponders.empty())
+            closeIfTimedOut(*connection, now);
     }
-    noteCrowd();
-    if (m_http1.isCrowded)
+    updateConnectionLimit();
+    if (m_http1.isOverConnectionLimit)
         closeLongestIdle();
     if (!m_isStopping || !m_options.sharesContext)
         return;
@@ -50,8 +50,8 @@
         closeIfIdle(*connection);
 }
 
-/// Callers that come back on new connections each time leave the old ones idle, hundreds in a
-/// second. When all descriptors are taken nobody gets in, and no endpoint can be called.
+/// Callers that open a new connection for each request leave their old ones idle, hundreds per
+/// second. Once all descriptors are in use, no caller can connect and no endpoint can be called.
 void H2oServer::closeLongestIdle()
 {
     std::vector<std::pair<Base::MonoTime, Http1Connection *>> idle;
@@ -67,13 +67,13 @@
         idle[i].second->closeIfIdle();
 }
 
-/// Cuts a TLS handshake or an HTTP/2 connection whose first request does not come, or that is idle.
-void H2oServer::cutIfSlow(ServerConnection &connection, Base::MonoTime now)
+/// Closes a connection whose TLS handshake or first HTTP/2 request takes too long, or an idle one.
+void H2oServer::closeIfTimedOut(ServerConnection &connection, Base::MonoTime now)
 {
     const bool isPartial = !connection.hadRequest || connection.socket->input->size > 0;
     const Base::Duration limit =
         isPartial ? m_options.limits.requestTimeout : m_options.limits.idleTimeout;
-    if (now - connection.quietSince >= limit)
+    if (now - connection.idleSince >= limit)
         shutdown(h2o_socket_get_fd(connection.socket), SHUT_RDWR);
 }
 
--- a/src/libs/http/headers.h
+++ b/src/libs/http/headers.h
@@ -14,7 +14,7 @@
     std::string value;
 };
 
-/// Header fields in the order in which they came; names compare without case.
+/// Header fields in the order in which they were added. Names are case-insensitive.
 class Headers
 {
 public:
@@ -22,7 +22,7 @@
     Headers(std::initializer_list<Header> fields);
 
     void add(std::string_view name, std::string_view value);
-    /// The first field of that name.
+    /// Value of the first field with that name.
     std::optional<std::string_view> find(std::string_view name) const;
     const std::vector<Header> &fields() const { return m_fields; }
 
@@ -30,10 +30,9 @@
     std::vector<Header> m_fields;
 };
 
-/// Whether \a value may stand in a header: no control characters but tab, so that no header can be
-/// injected.
+/// Whether \a value has no control characters but tab, which prevents header injection.
 bool isSafeHeaderValue(std::string_view value);
-/// Whether \a name is a token of RFC 9110.
+/// Whether \a name is a token as defined by RFC 9110.
 bool isSafeHeaderName(std::string_view name);
 
 } // namespace Lagoonbank::Http
--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -19,13 +19,12 @@
 namespace {
 
 constexpr std::string_view http2Preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Bytes behind a request that is being answered which are kept; then the caller has to wait.
+/// Bytes to buffer after a request that is being processed; reading pauses beyond that.
 constexpr std::size_t maxReadAhead = 64 * 1024;
-/// For a caller to close after the last answer. Callers close when they have read it.
-constexpr Base::Duration lingerTime = std::chrono::seconds(2);
-/// A loop that is less than this behind has read what came, near enough; the kernel is asked only
-/// beyond it.
-constexpr Base::Duration leastUnread = std::chrono::milliseconds(20);
+/// Time for the caller to read the last answer and then close the connection.
+constexpr Base::Duration lingerTimeout = std::chrono::seconds(2);
+/// Uncertainty up to which an arrival time is accepted; beyond it, the kernel is asked.
+constexpr Base::Duration arrivalTolerance = std::chrono::milliseconds(20);
 
 Http1Connection &connectionOf(h2o_socket_t *socket)
 {
@@ -37,14 +36,14 @@
     return {socket->input->bytes, socket->input->size};
 }
 
-/// Whether bytes have come that the event loop has not read yet.
+/// Whether the kernel holds bytes that the event loop has not read yet.
 bool hasUnreadBytes(h2o_socket_t *socket)
 {
     char byte = 0;
     return recv(h2o_socket_get_fd(socket), &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-/// Whether a caller that closed its side before turns out to have reset the connection.
+/// Whether a caller that had closed its sending side has since reset the connection.
 bool isBroken(h2o_socket_t *socket)
 {
     pollfd polled{h2o_socket_get_fd(socket), 0, 0};
@@ -54,13 +53,13 @@
 } // namespace
 
 Http1Connection::Http1Connection(Http1Context &context, h2o_socket_t *socket,
-                                 Runtime::SocketAddress peer, Arrival arrival)
+                                 Runtime::SocketAddress peer, ArrivalWindow arrival)
     : m_context(context)
     , m_socket(socket)
     , m_peer(std::move(peer))
     , m_arrival(arrival)
     , m_startedAt(context.loop->clock().now())
-    , m_since(m_startedAt)
+    , m_lastProgressAt(m_startedAt)
 { }
 
 Http1Connection::~Http1Connection()
@@ -88,9 +87,9 @@
 {
     const std::shared_ptr<Http1Connection> self = connectionOf(socket).shared_from_this();
     if (self->m_state != State::Answering)
-        self->m_aheadSince.reset(); // What lay ahead was not whole.
-    else if (socket->input->size > 0 && !self->m_aheadSince)
-        self->m_aheadSince = self->m_context.loop->clock().now();
+        self->m_pipelinedSince.reset(); // The earlier bytes were an incomplete request.
+    else if (socket->input->size > 0 && !self->m_pipelinedSince)
+        self->m_pipelinedSince = self->m_context.loop->clock().now();
     if (self->m_state == State::Lingering)
         h2o_buffer_consume(&socket->input, socket->input->size);
     if (!error)
@@ -104,7 +103,7 @@
     while (m_state == State::Reading && m_socket && m_socket->input->size > 0) {
         if (!m_hadRequest && !m_parser && isHttp2Preface()) {
             if (m_socket->input->size >= http2Preface.size())
-                m_context.foundHttp2(*this);
+                m_context.http2Detected(*this);
             return;
         }
         const bool isFirst = !m_parser;
@@ -114,17 +113,17 @@
             m_isContinueSent = false;
         }
         const auto before = m_parser->state();
-        const std::size_t taken = m_parser->take(inputOf(m_socket));
-        h2o_buffer_consume(&m_socket->input, taken);
+        const std::size_t consumed = m_parser->consume(inputOf(m_socket));
+        h2o_buffer_consume(&m_socket->input, consumed);
         if (isFirst || before == RequestParser::State::Body)
-            m_since = m_context.loop->clock().now();
+            m_lastProgressAt = m_context.loop->clock().now();
         if (m_parser->state() == RequestParser::State::Failed) {
             refuse(m_parser->error());
             return;
         }
-        if (m_parser->state() == RequestParser::State::Whole)
+        if (m_parser->state() == RequestParser::State::Complete)
             dispatch();
-        else if (taken == 0)
+        else if (consumed == 0)
             break;
     }
     const bool awaitsContinue = m_state == State::Reading && m_parser && !m_isContinueSent
@@ -139,7 +138,7 @@
     }
 }
 
-/// Whether the first bytes are, or may become, the preface of HTTP/2.
+/// Whether the first bytes are the HTTP/2 preface or a prefix of it.
 bool Http1Connection::isHttp2Preface() const
 {
     const std::string_view input = inputOf(m_socket);
@@ -155,7 +154,7 @@
     switch (m_state) {
     case State::Answering:
         if (!isInOrder || m_context.halfCloseMeansDisconnect)
-            callerLeft();
+            callerDisconnected();
         return;
     case State::Aborting:
         if (!isInOrder)
@@ -187,10 +186,10 @@
     request.headers = std::move(parser.headers());
     request.body = std::move(parser.body());
     request.peer = m_peer;
-    request.arrivedAt = requestCameAt(isFirst);
-    m_aheadSince.reset();
+    request.arrivedAt = requestArrivalTime(isFirst);
+    m_pipelinedSince.reset();
     if (m_socket->input->size > 0)
-        m_aheadSince = request.arrivedAt;
+        m_pipelinedSince = request.arrivedAt;
     const auto responder = std::make_shared<Http1Responder>(
         Http1Responder::Options{.connection = weak_from_this(),
                                 .isHead = request.method == "HEAD",
@@ -198,38 +197,38 @@
                                 .keepsConnection = parser.keepsConnection()});
     m_responder = responder;
     m_parser.reset();
-    if (m_context.requestCame)
-        m_context.requestCame(std::move(request), responder);
+    if (m_context.requestReceived)
+        m_context.requestReceived(std::move(request), responder);
     else
         responder->abort();
 }
 
-/// What the first look at a new connection finds is about as old as the connection, which may have
-/// waited for long; the rest came after the loop's look before. Where that leaves much open the
-/// kernel is asked, and where it does not tell, a request counts as old as it can be.
-Base::MonoTime Http1Connection::requestCameAt(bool isFirst) const
+/// Bytes found by the first read of a new connection are about as old as the connection, which may
+/// have been pending for long; other bytes arrived after the previous poll of the event loop. If
+/// these bounds are far apart, the kernel is asked; if it does not know, the maximum age is used.
+Base::MonoTime Http1Connection::requestArrivalTime(bool isFirst) const
 {
     const Base::MonoTime now = m_context.loop->clock().now();
-    if (m_aheadSince)
-        return *m_aheadSince;
-    const Base::Duration sinceLook = m_context.loop->lag().maxPolledEventAge();
-    const bool isFirstLook = isFirst && now - m_startedAt <= sinceLook + leastUnread;
-    const Base::Duration least = isFirstLook ? now - m_arrival.latest : Base::Duration::zero();
-    const Base::Duration most = isFirstLook ? now - m_arrival.earliest : sinceLook;
-    if (most - least < leastUnread)
-        return now - least;
-    const auto told = sinceLastBytes(h2o_socket_get_fd(m_socket));
-    return now - std::clamp(told.value_or(most), least, most);
+    if (m_pipelinedSince)
+        return *m_pipelinedSince;
+    const Base::Duration maxEventAge = m_context.loop->lag().maxPolledEventAge();
+    const bool isFirstRead = isFirst && now - m_startedAt <= maxEventAge + arrivalTolerance;
+    const Base::Duration minAge = isFirstRead ? now - m_arrival.latest : Base::Duration::zero();
+    const Base::Duration maxAge = isFirstRead ? now - m_arrival.earliest : maxEventAge;
+    if (maxAge - minAge < arrivalTolerance)
+        return now - minAge;
+    const auto kernelAge = timeSinceLastReceive(h2o_socket_get_fd(m_socket));
+    return now - std::clamp(kernelAge.value_or(maxAge), minAge, maxAge);
 }
 
 void Http1Connection::checkForDisconnect()
 {
     if (!m_socket || m_state != State::Answering || m_isInputEnded)
         return;
-    const PeerClose found = Internal::lookForClose(h2o_socket_get_fd(m_socket));
-    if (found == PeerClose::Both
-        || (found == PeerClose::Sending && m_context.halfCloseMeansDisconnect))
-        callerLeft();
+    const PeerClose peerClose = Internal::detectPeerClose(h2o_socket_get_fd(m_socket));
+    if (peerClose == PeerClose::Both
+        || (peerClose == PeerClose::Sending && m_context.halfCloseMeansDisconnect))
+        callerDisconnected();
 }
 
 void Http1Connection::refuse(Errors::ErrorKind kind)
@@ -270,7 +269,7 @@
 {
     m_writing.clear();
     if (error) {
-        callerLeft();
+        callerDisconnected();
         return;
     }
     if (!m_queued.empty()) {
@@ -303,7 +302,7 @@
         return;
     }
     m_state = State::Reading;
-    m_since = m_context.loop->clock().now();
+    m_lastProgressAt = m_context.loop->clock().now();
     if (std::exchange(m_isReadStopped, false) && !m_isInputEnded)
         h2o_socket_read_start(m_socket, readable);
     readInput();
@@ -316,7 +315,7 @@
     m_state = State::Aborting;
     if (!m_socket)
         return;
-    // In HTTP/1.0 only a reset shows that a streamed answer is cut.
+    // With HTTP/1.0 only a reset shows the caller that a streamed answer is incomplete.
     if (m_isHttp10) {
         const linger now{1, 0};
         setsockopt(h2o_socket_get_fd(m_socket), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -325,25 +324,26 @@
         close();
 }
 
-void Http1Connection::callerLeft()
+void Http1Connection::callerDisconnected()
 {
     const std::shared_ptr<Http1Connection> self = shared_from_this();
     const std::shared_ptr<Http1Responder> responder = m_responder.lock();
     close();
     if (responder)
-        responder->connectionLost(true);
+        responder->connectionClosed(true);
 }
 
-/// A close with unread bytes would reset the connection and could destroy the answer on its way.
+/// Closing a socket with unread bytes would reset the connection, and the caller could lose the
+/// answer in transit.
 void Http1Connection::lingerThenClose()
 {
-    const bool mayHoldMore = m_socket->input->size > 0 || hasUnreadBytes(m_socket);
-    if (m_isInputEnded || m_socket->ssl || !mayHoldMore) {
+    const bool hasUnreadInput = m_socket->input->size > 0 || hasUnreadBytes(m_socket);
+    if (m_isInputEnded || m_socket->ssl || !hasUnreadInput) {
         close();
         return;
     }
     m_state = State::Lingering;
-    m_since = m_context.loop->clock().now();
+    m_lastProgressAt = m_context.loop->clock().now();
     h2o_buffer_consume(&m_socket->input, m_socket->input->size);
     if (std::exchange(m_isReadStopped, false))
         h2o_socket_read_start(m_socket, readable);
@@ -357,45 +357,45 @@
         h2o_socket_close(std::exchange(m_socket, nullptr));
 }
 
-bool Http1Connection::isInputBlank() const
+bool Http1Connection::isInputEmpty() const
 {
     return !m_parser && m_socket->input->size == 0;
 }
 
 void Http1Connection::sweep(Base::MonoTime now)
 {
-    const Base::Duration quiet = now - m_since;
-    if (m_state == State::Lingering && quiet >= lingerTime)
+    const Base::Duration elapsed = now - m_lastProgressAt;
+    if (m_state == State::Lingering && elapsed >= lingerTimeout)
         close();
     if (m_state == State::Answering && m_isInputEnded && isBroken(m_socket))
-        callerLeft();
+        callerDisconnected();
     if (m_state != State::Reading)
         return;
-    if (!isInputBlank() && quiet >= m_context.limits.requestTimeout)
+    if (!isInputEmpty() && elapsed >= m_context.limits.requestTimeout)
         refuse(Errors::ErrorKind::SlowSender);
-    else if (isInputBlank() && quiet >= m_context.limits.idleTimeout)
+    else if (isInputEmpty() && elapsed >= m_context.limits.idleTimeout)
         closeIfIdle();
 }
 
 void Http1Connection::closeIfIdle()
 {
-    if (m_state == State::Reading && isInputBlank() && !hasUnreadBytes(m_socket))
+    if (m_state == State::Reading && isInputEmpty() && !hasUnreadBytes(m_socket))
         close();
 }
 
 std::optional<Base::MonoTime> Http1Connection::idleSince() const
 {
-    // One that has just been accepted is about to send its request.
-    const bool isIdle = m_state == State::Reading && m_hadRequest && isInputBlank();
-    return isIdle ? std::optional(m_since) : std::nullopt;
+    // A connection that has just been accepted is about to receive its first request.
+    const bool isIdle = m_state == State::Reading && m_hadRequest && isInputEmpty();
+    return isIdle ? std::optional(m_lastProgressAt) : std::nullopt;
 }
 
-void Http1Connection::breakOff()
+void Http1Connection::closeSilently()
 {
     const std::shared_ptr<Http1Responder> responder = m_responder.lock();
     close();
     if (responder)
-        responder->connectionLost(false);
+        responder->connectionClosed(false);
 }
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/http1connection.h
+++ b/src/libs/http/http1connection.h
@@ -17,59 +17,59 @@
 class Http1Connection;
 class Http1Responder;
 
-/// When something came that was found after a while: between two looks of the loop.
-struct Arrival
+/// Bounds for the time of an arrival that was noticed later, between two polls of the event loop.
+struct ArrivalWindow
 {
     Base::MonoTime earliest;
     Base::MonoTime latest;
 };
 
-/// What the HTTP/1.1 connections of one server share. Outlives them.
+/// State shared by the HTTP/1.1 connections of a server. Outlives them.
 struct Http1Context
 {
     Runtime::Loop *loop = nullptr;
     Server::Limits limits;
     bool halfCloseMeansDisconnect = false; ///< See Server::Options.
-    bool isDraining = false; ///< Every answer ends its connection.
-    bool isCrowded = false; ///< The same while too many connections are open.
-    std::function<void(Request request, std::shared_ptr<Responder> responder)> requestCame;
-    /// The id for a request that is refused here.
+    bool isDraining = false; ///< Close connections after their current answer.
+    bool isOverConnectionLimit = false; ///< The same, while too many connections are open.
+    std::function<void(Request request, std::shared_ptr<Responder> responder)> requestReceived;
+    /// Returns the id for a request that the connection refuses itself.
     std::function<std::string(Errors::ErrorKind kind)> refusedRequestId;
-    /// The bytes are HTTP/2; takes the socket over with release().
-    std::function<void(Http1Connection &connection)> foundHttp2;
+    /// Called if the caller speaks HTTP/2; takes over the socket with release().
+    std::function<void(Http1Connection &connection)> http2Detected;
 };
 
-/// One connection of a caller that speaks HTTP/1.1. It goes on reading while an answer is made, so
-/// that a caller who leaves is noticed at once.
+/// A caller's connection that uses HTTP/1.1. It continues to read while a request is processed, so
+/// that a disconnect of the caller is detected immediately.
 class Http1Connection : public std::enable_shared_from_this<Http1Connection>
 {
 public:
     Http1Connection(Http1Context &context, st_h2o_socket_t *socket, Runtime::SocketAddress peer,
-                    Arrival arrival);
+                    ArrivalWindow arrival);
     ~Http1Connection();
     Http1Connection(const Http1Connection &) = delete;
     Http1Connection &operator=(const Http1Connection &) = delete;
 
     void start();
-    /// Gives the socket, with the bytes that were read, to another reader.
+    /// Hands over the socket with the bytes that were read but not consumed.
     st_h2o_socket_t *release();
-    /// Cuts what is too slow or idle for too long.
+    /// Closes the connection if its caller is too slow, idle for too long or disconnected.
     void sweep(Base::MonoTime now);
-    /// Closes the connection if no request is in it or on its way in.
+    /// Closes the connection unless a request is being received or processed.
     void closeIfIdle();
-    /// Since when no request is in it; nothing if one is.
+    /// Time since which the connection is idle; unset if it is not, or has had no request yet.
     std::optional<Base::MonoTime> idleSince() const;
-    /// Closes the connection whatever it does; nobody is told.
-    void breakOff();
+    /// Closes the connection in any state, without calling the disconnect handler.
+    void closeSilently();
 
 private:
     friend class Http1Responder;
 
     enum class State : std::uint8_t {
-        Reading, ///< A request, or nothing yet.
+        Reading, ///< Receives or waits for a request.
         Answering,
-        Aborting, ///< The connection ends after what is queued.
-        Lingering, ///< All is sent; waits for the caller to close, so that nothing is lost.
+        Aborting, ///< Sends the queued bytes, then closes.
+        Lingering, ///< Everything is sent; waits for the caller to close so that nothing is lost.
         Closed
     };
 
@@ -84,26 +84,26 @@
     void write(std::string bytes);
     void startWriting();
     void writeEnded(const char *error);
-    /// When the bytes of the request that has just been read came.
-    Base::MonoTime requestCameAt(bool isFirst) const;
-    /// The caller may have closed although that has not been read.
+    /// Time at which the last bytes of the current request arrived.
+    Base::MonoTime requestArrivalTime(bool isFirst) const;
+    /// Detects a close by the caller that has not been read yet.
     void checkForDisconnect();
-    /// The current answer has been queued to its end.
+    /// Called when the current answer has been queued completely.
     void answerQueued(bool keepsConnection);
     void answerSent();
-    /// The answer is broken off; what is queued still leaves.
+    /// Aborts the answer; bytes already queued are still sent.
     void abortAnswer();
-    void callerLeft();
+    void callerDisconnected();
     void lingerThenClose();
     void close();
-    bool isInputBlank() const;
+    bool isInputEmpty() const;
     std::size_t queuedBytes() const { return m_queued.size() + m_writing.size(); }
 
     Http1Context &m_context;
     st_h2o_socket_t *m_socket;
     Runtime::SocketAddress m_peer;
-    Arrival m_arrival; ///< Of the connection.
-    Base::MonoTime m_startedAt; ///< When it began to be read.
+    ArrivalWindow m_arrival; ///< Arrival of the connection.
+    Base::MonoTime m_startedAt; ///< When reading began.
     State m_state = State::Reading;
     std::optional<RequestParser> m_parser;
     std::weak_ptr<Http1Responder> m_responder;
@@ -114,11 +114,12 @@
     bool m_isAnswerQueued = false;
     bool m_keepsConnection = true;
     bool m_isHttp10 = false;
-    /// Since when bytes lie behind the request that is being answered.
-    std::optional<Base::MonoTime> m_aheadSince;
+    /// Arrival of the bytes after the request that is being processed.
+    std::optional<Base::MonoTime> m_pipelinedSince;
     std::string m_writing;
     std::string m_queued;
-    Base::MonoTime m_since; ///< Of idleness, of the last progress of a request, or of lingering.
+    /// When the connection became idle, the current request progressed, or lingering began.
+    Base::MonoTime m_lastProgressAt;
 };
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/http1responder.cpp
+++ b/src/libs/http/http1responder.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Fields that the connection writes itself.
+/// Whether the field is written by the connection.
 bool belongsToConnection(std::string_view name)
 {
     return name == "content-length" || name == "connection" || name == "transfer-encoding"
@@ -40,7 +40,7 @@
 bool Http1Responder::keepsConnection(const Http1Connection &connection) const
 {
     const Http1Context &context = connection.m_context;
-    return m_options.keepsConnection && !context.isDraining && !context.isCrowded;
+    return m_options.keepsConnection && !context.isDraining && !context.isOverConnectionLimit;
 }
 
 std::string Http1Responder::head(int status, const Headers &headers,
@@ -89,7 +89,7 @@
     if (!connection)
         return;
     m_state = State::Streaming;
-    // Without chunks only the end of the connection shows the end of the answer.
+    // Without chunked encoding only the end of the connection marks the end of the answer.
     if (m_options.isHttp10)
         m_options.keepsConnection = false;
     m_head = head(status, headers, *connection);
@@ -151,19 +151,19 @@
 {
     m_disconnectHandler = std::move(handler);
     if (m_isDisconnected) {
-        if (const auto call = std::exchange(m_disconnectHandler, nullptr))
-            call();
+        if (const auto handler = std::exchange(m_disconnectHandler, nullptr))
+            handler();
     }
 }
 
-void Http1Responder::connectionLost(bool tells)
+void Http1Responder::connectionClosed(bool notifies)
 {
     if (m_state == State::Ended)
         return;
     m_state = State::Ended;
     m_isDisconnected = true;
     const auto handler = std::exchange(m_disconnectHandler, nullptr);
-    if (handler && tells)
+    if (handler && notifies)
         handler();
 }
 
--- a/src/libs/http/http1responder.h
+++ b/src/libs/http/http1responder.h
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// The answer to one request on an HTTP/1.1 connection, which may go at any time.
+/// Answer to one request on an HTTP/1.1 connection, which may be closed at any time.
 class Http1Responder final : public Responder
 {
 public:
@@ -16,7 +16,7 @@
     {
         std::weak_ptr<Http1Connection> connection;
         bool isHead = false; ///< The answer has no body.
-        bool isHttp10 = false; ///< A streamed answer ends with the connection.
+        bool isHttp10 = false; ///< The end of the connection marks the end of a streamed answer.
         bool keepsConnection = true;
     };
 
@@ -34,8 +34,8 @@
     void checkForDisconnect() override;
     void setDisconnectHandler(std::function<void()> handler) override;
 
-    /// The caller has left, or the connection is broken off.
-    void connectionLost(bool tells);
+    /// Called when the connection is closed. Calls the disconnect handler if \a notifies is set.
+    void connectionClosed(bool notifies);
 
 private:
     enum class State : std::uint8_t { Waiting, Streaming, Ended };
@@ -47,7 +47,7 @@
     Options m_options;
     State m_state = State::Waiting;
     bool m_isDisconnected = false;
-    std::string m_head; ///< Waits for the first piece.
+    std::string m_head; ///< Sent with the first piece.
     std::function<void()> m_disconnectHandler;
 };
 
--- a/src/libs/http/messagesyntax.cpp
+++ b/src/libs/http/messagesyntax.cpp
@@ -46,7 +46,7 @@
     return status == 204 || status == 304;
 }
 
-bool holdsToken(std::string_view value, std::string_view token)
+bool containsToken(std::string_view value, std::string_view token)
 {
     const std::vector<std::string_view> pieces = Base::split(value, ',');
     return std::any_of(pieces.begin(), pieces.end(),
--- a/src/libs/http/reasonphrase.h
+++ b/src/libs/http/reasonphrase.h
@@ -2,7 +2,7 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// The standard reason phrase of \a status; static storage.
+/// Standard reason phrase of \a status, in static storage.
 const char *reasonPhrase(int status);
 
 } // namespace Lagoonbank::Http::Internal
--- a/src/libs/http/requestparser.cpp
+++ b/src/libs/http/requestparser.cpp
@@ -10,12 +10,12 @@
 
 using Errors::ErrorKind;
 
-/// Whether a line ends in LF alone; some readers end it there and some do not.
+/// Whether a line ends in LF without CR. Parsers disagree on whether that ends the line.
 bool hasBareLineFeed(std::string_view text, std::size_t from)
 {
-    for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
-         at = text.find('\n', at + 1)) {
-        if (at == 0 || text[at - 1] != '\r')
+    for (std::size_t position = text.find('\n', from); position != std::string_view::npos;
+         position = text.find('\n', position + 1)) {
+        if (position == 0 || text[position - 1] != '\r')
             return true;
     }
     return false;
@@ -29,32 +29,33 @@
 
 } // namespace
 
-std::size_t RequestParser::take(std::string_view input)
+std::size_t RequestParser::consume(std::string_view input)
 {
     switch (m_state) {
     case State::Head:
-        return takeHead(input);
+        return consumeHead(input);
     case State::Body:
-        return takeBody(input);
-    case State::Whole:
+        return consumeBody(input);
+    case State::Complete:
     case State::Failed:
         break;
     }
     return 0;
 }
 
-std::size_t RequestParser::takeHead(std::string_view input)
+std::size_t RequestParser::consumeHead(std::string_view input)
 {
     if (input.starts_with(lineEnd))
-        return lineEnd.size(); // Some senders put an empty line behind a body.
-    const std::size_t from = m_searched >= headEnd.size() ? m_searched - headEnd.size() : 0;
+        return lineEnd.size(); // Some senders add an empty line after a body.
+    const std::size_t from =
+        m_searchedBytes >= headEnd.size() ? m_searchedBytes - headEnd.size() : 0;
     const std::size_t end = input.find(headEnd, from);
     if (hasBareLineFeed(input.substr(0, end), from))
         return fail(ErrorKind::BadRequest);
     if (std::min(end, input.size()) > m_limits.headBytes)
         return fail(ErrorKind::HeadTooLarge);
     if (end == std::string_view::npos) {
-        m_searched = input.size();
+        m_searchedBytes = input.size();
         return 0;
     }
     const bool isRead = readHeadLines(
@@ -64,7 +65,7 @@
         return fail(ErrorKind::BadRequest);
     if (!readFraming())
         return fail(m_error);
-    m_state = m_reader.isWhole() ? State::Whole : State::Body;
+    m_state = m_reader.isComplete() ? State::Complete : State::Body;
     return end + headEnd.size();
 }
 
@@ -102,9 +103,9 @@
                 return false;
             isChunked = true;
         } else if (field.name == "connection") {
-            if (holdsToken(field.value, "close"))
+            if (containsToken(field.value, "close"))
                 m_keepsConnection = false;
-            else if (m_isHttp10 && holdsToken(field.value, "keep-alive"))
+            else if (m_isHttp10 && containsToken(field.value, "keep-alive"))
                 m_keepsConnection = true;
         } else if (field.name == "expect") {
             m_awaitsContinue = lowered(field.value) == "100-continue";
@@ -118,22 +119,22 @@
     }
     using Framing = BodyReader::Framing;
     m_reader = isChunked ? BodyReader(Framing::Chunked) : BodyReader(Framing::Length, length);
-    // The announced length is a claim of the sender; memory is taken as the bytes come.
+    // The announced length cannot be trusted, so more memory is allocated only as bytes arrive.
     m_body.reserve(std::min<std::uint64_t>(length, 64 * 1024));
     return true;
 }
 
-std::size_t RequestParser::takeBody(std::string_view input)
+std::size_t RequestParser::consumeBody(std::string_view input)
 {
-    const std::size_t taken = m_reader.take(input);
+    const std::size_t consumed = m_reader.consume(input);
     if (m_reader.error())
         return fail(ErrorKind::BadRequest);
     if (m_body.size() + m_reader.piece().size() > m_limits.bodyBytes)
         return fail(ErrorKind::BodyTooLarge);
     m_body += m_reader.piece();
-    if (m_reader.isWhole())
-        m_state = State::Whole;
-    return taken;
+    if (m_reader.isComplete())
+        m_state = State::Complete;
+    return consumed;
 }
 
 std::size_t RequestParser::fail(ErrorKind error)
--- a/src/libs/http/requestparser.h
+++ b/src/libs/http/requestparser.h
@@ -11,12 +11,12 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// Reads one HTTP/1.1 request from the bytes of a connection. What two readers could frame
-/// differently is refused, so that no request can hide in another one.
+/// Parses one HTTP/1.1 request from the bytes of a connection. Rejects whatever two parsers could
+/// frame differently, which prevents request smuggling.
 class RequestParser
 {
 public:
-    enum class State : std::uint8_t { Head, Body, Whole, Failed };
+    enum class State : std::uint8_t { Head, Body, Complete, Failed };
 
     struct Limits
     {
@@ -28,12 +28,12 @@
         : m_limits(limits)
     { }
 
-    /// Takes bytes from the front of \a input and returns how many. Call it again while it takes
-    /// any and the request is not whole.
-    std::size_t take(std::string_view input);
+    /// Consumes bytes from the front of \a input and returns their number. Call it again until it
+    /// returns 0 or the request is complete.
+    std::size_t consume(std::string_view input);
 
     State state() const { return m_state; }
-    /// Why it failed.
+    /// Reason for State::Failed.
     Errors::ErrorKind error() const { return m_error; }
 
     const std::string &method() const { return m_method; }
@@ -41,14 +41,14 @@
     Headers &headers() { return m_headers; }
     std::string &body() { return m_body; }
     bool isHttp10() const { return m_isHttp10; }
-    /// Whether the sender wants to use the connection again.
+    /// Whether the sender wants to reuse the connection.
     bool keepsConnection() const { return m_keepsConnection; }
     /// Whether the sender waits for an interim answer before it sends the body.
     bool awaitsContinue() const { return m_awaitsContinue; }
 
 private:
-    std::size_t takeHead(std::string_view input);
-    std::size_t takeBody(std::string_view input);
+    std::size_t consumeHead(std::string_view input);
+    std::size_t consumeBody(std::string_view input);
     bool readRequestLine(std::string_view line);
     bool readFraming();
     std::size_t fail(Errors::ErrorKind error);
@@ -56,7 +56,7 @@
     Limits m_limits;
     State m_state = State::Head;
     Errors::ErrorKind m_error = Errors::ErrorKind::BadRequest;
-    std::size_t m_searched = 0; ///< Bytes of the head in which no end was found.
+    std::size_t m_searchedBytes = 0; ///< Bytes already searched for the end of the head.
     std::string m_method;
     std::string m_target;
     Headers m_headers;
--- a/src/libs/http/server.h
+++ b/src/libs/http/server.h
@@ -20,7 +20,7 @@
 
 namespace Lagoonbank::Http {
 
-/// One whole request of a caller.
+/// A complete request of a caller.
 struct Request
 {
     std::string method;
@@ -29,85 +29,86 @@
     Headers headers;
     std::string body;
     Runtime::SocketAddress peer;
-    /// When its last bytes came, as far as it can be told; long before it was read if the loop was
+    /// Estimated arrival of its last bytes. Can be long before they were read if the event loop was
     /// behind.
     Base::MonoTime arrivedAt;
 };
 
-/// The answer to one request; can outlive the connection. After end(), abort() or gone, calls do
-/// nothing.
+/// Sends the answer to one request; can outlive the connection. Calls have no effect after send(),
+/// end(), abort() or a disconnect of the caller.
 class Responder
 {
 public:
     virtual ~Responder() = default;
 
-    /// A whole answer with Content-Length.
+    /// Sends a complete answer with a Content-Length.
     virtual void send(int status, const Headers &headers, std::string body) = 0;
-    /// The head of a streamed answer; it leaves with the first piece.
+    /// Starts a streamed answer. The head is sent with the first piece.
     virtual void begin(int status, const Headers &headers) = 0;
     /// Queues a piece of a streamed answer.
     virtual void write(std::string_view piece) = 0;
-    /// Ends a streamed answer as whole.
+    /// Completes a streamed answer.
     virtual void end() = 0;
-    /// Breaks the answer off so that the caller can see that it is not whole.
+    /// Aborts the answer so that the caller can detect that it is incomplete.
     virtual void abort() = 0;
-    /// Bytes written but not yet taken by the connection.
+    /// Bytes that were written but not sent yet.
     virtual std::size_t queuedBytes() const = 0;
     virtual bool isDisconnected() const = 0;
-    /// Looks at the connection: a caller may have left although that has not been read yet. If it
-    /// has, it is gone as if it had been. HTTP/1.1 without TLS alone; costs a system call.
+    /// Checks for a disconnect of the caller that has not been read yet and handles it as if it had
+    /// been read. HTTP/1.1 without TLS only; costs a system call.
     virtual void checkForDisconnect() { }
-    /// Called once if the caller leaves before the answer has ended.
+    /// Sets a handler that is called once if the caller disconnects before the answer has ended.
     virtual void setDisconnectHandler(std::function<void()> handler) = 0;
 };
 
-/// An HTTP/1.1 and HTTP/2 server on the loop, with TLS if certificates are given.
+/// An HTTP/1.1 and HTTP/2 server, with TLS if certificates are configured.
 class Server
 {
 public:
     struct Tls
     {
-        std::string certificateFile; ///< PEM
-        std::string keyFile; ///< PEM
+        std::string certificateFile; ///< In PEM format.
+        std::string keyFile; ///< In PEM format.
     };
-    /// What callers may send and how long they may take.
+    /// Limits for requests.
     struct Limits
     {
         std::size_t headBytes = 64 * 1024; ///< HTTP/1.1 only.
         std::size_t bodyBytes = 8 * 1024 * 1024;
-        /// For a request's head to come in, and between two pieces of its body.
+        /// Time to receive a request's head, and between two pieces of its body.
         Base::Duration requestTimeout = std::chrono::seconds(10);
-        Base::Duration idleTimeout = std::chrono::seconds(60); ///< Between two requests.
+        Base::Duration idleTimeout = std::chrono::seconds(60); ///< Time between two requests.
     };
     struct Options
     {
         Runtime::Loop *loop = nullptr;
-        Runtime::SocketAddress address; ///< Port 0 takes a free one.
+        Runtime::SocketAddress address; ///< Port 0 selects a free port.
         Limits limits;
-        /// HTTP/1.1: a caller that closes its side while it waits for an answer has left. Without
-        /// it such a caller still gets its answer, and one that has really left is noticed at the
-        /// next write.
+        /// HTTP/1.1: treat a caller that closes its sending side while it waits for an answer as
+        /// disconnected. Otherwise it still receives its answer, and a real disconnect is detected
+        /// at the next write.
         bool halfCloseMeansDisconnect = false;
-        /// TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged, by a caller that vanished
-        /// or does not read.
+        /// TCP_USER_TIMEOUT: time for which sent bytes may stay unacknowledged because a caller is
+        /// unreachable or does not read.
         Base::Duration userTimeout = std::chrono::seconds(30);
-        /// HTTP/1.1: with more open connections than this, answers end theirs and those that idle
-        /// longest are closed, so that the process keeps descriptors for its calls.
+        /// HTTP/1.1: while more connections than this are open, each is closed after its next
+        /// answer and the longest idle ones are closed, which keeps descriptors free for calls.
         std::size_t maxConnections = std::numeric_limits<std::size_t>::max();
-        /// Called for each new connection that is closed unread, as its caller has left.
+        /// Called for each new connection closed without being read because its caller has
+        /// disconnected.
         std::function<void()> disconnectedUnread;
         std::optional<Tls> tls;
-        /// Set by programs with hundreds of servers on a loop, so that the idle ones cost nothing.
-        /// stopAccepting() then closes HTTP/2 connections when they are idle, without telling
-        /// before.
+        /// Share an h2o context with other servers of the loop, so that an idle one costs nothing.
+        /// For programs with hundreds of servers. stopAccepting() then closes idle HTTP/2
+        /// connections without sending GOAWAY first.
         bool sharesContext = false;
     };
     using Handler = std::function<void(Request request, std::shared_ptr<Responder> responder)>;
 
-    /// Connections for maxConnections where a request needs another one to an endpoint: a third of
-    /// the descriptors that this process may have. A second third is for the calls under way, the
-    /// rest for idle connections to endpoints, for peers and files. Without it a router with 4,200
-    /// descriptors had 3,800 idle connections of callers and could call nobody.
+    /// Value for maxConnections if each request needs another connection to an endpoint: a third of
+    /// the process's limit of descriptors. Another third is for calls in progress, the rest for
+    /// idle connections to endpoints, for peers and files. Without this limit, a router with 4,200
+    /// descriptors had 3,800 idle connections of callers and could not call any endpoint.
     static std::size_t callerConnectionLimit();
 
     explicit Server(Options options);
@@ -116,20 +117,21 @@
     Server &operator=(const Server &) = delete;
 
     void setHandler(Handler handler);
-    /// Called when the server refuses a request itself: malformed, too large or too slow. Returns
-    /// the id that the answer names.
+    /// Called when the server itself refuses a request that is malformed, too large or too slow.
+    /// Returns the request id for the answer.
     using RefusalHandler = std::function<std::string(Errors::ErrorKind kind)>;
     void setRefusalHandler(RefusalHandler handler);
     Errors::Result<void> listen();
     const Runtime::SocketAddress &address() const;
-    /// Reads the certificate files again; on an error the old ones stay in use.
+    /// Reloads the certificate files. After an error the old ones stay in use.
     Errors::Result<void> reloadTls();
-    /// For requests from now on.
+    /// Sets the limits for subsequent requests.
     void setLimits(const Limits &limits);
-    /// Goes on serving new and open connections, but each ends with its next answer, so that
-    /// callers move away without losing a request.
+    /// Continues to serve new and open connections but closes each after its next answer, so that
+    /// callers reconnect elsewhere without losing a request.
     void startDraining();
-    /// Takes no new connections and closes idle ones; others end with their current answer.
+    /// Accepts no new connections and closes idle ones; others are closed after their current
+    /// answer.
     void stopAccepting();
     std::size_t openConnections() const;
 
--- a/src/libs/http/socketconnect.h
+++ b/src/libs/http/socketconnect.h
@@ -7,8 +7,8 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// Begins a connection; null if that is not possible at all, as with an address that is no IPv4
-/// number.
+/// Starts to connect to \a server. Returns null if that fails at once, for example because the
+/// address is not an IPv4 address.
 st_h2o_socket_t *connectSocket(Runtime::Loop &loop, const Runtime::SocketAddress &server,
                                void (*connected)(st_h2o_socket_t *socket, const char *error));
 
--- a/src/libs/http/socketlook.cpp
+++ b/src/libs/http/socketlook.cpp
@@ -9,7 +9,7 @@
 
 namespace Lagoonbank::Http::Internal {
 
-PeerClose lookForClose(int fd)
+PeerClose detectPeerClose(int fd)
 {
     pollfd polled{fd, POLLIN | POLLRDHUP, 0};
     if (poll(&polled, 1, 0) <= 0)
@@ -18,13 +18,13 @@
         return PeerClose::Both;
     if ((polled.revents & POLLRDHUP) != 0)
         return PeerClose::Sending;
-    // For systems that do not know POLLRDHUP; there unread bytes hide the close.
+    // For systems without POLLRDHUP, on which unread bytes hide the close.
     char byte = 0;
     const bool isEnd = recv(fd, &byte, sizeof byte, MSG_PEEK | MSG_DONTWAIT) == 0;
     return isEnd ? PeerClose::Sending : PeerClose::None;
 }
 
-std::optional<Base::Duration> sinceLastBytes(int fd)
+std::optional<Base::Duration> timeSinceLastReceive(int fd)
 {
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -32,8 +32,8 @@
         offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
     if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0 || size < needed)
         return std::nullopt;
-    // A system that does not count these times says 0 for all of them; that everything happened
-    // within this millisecond is rare.
+    // A system that does not track these times reports 0 for all of them. It is rare that all
+    // three events happened within the current millisecond.
     if (info.tcpi_last_data_recv + info.tcpi_last_ack_recv + info.tcpi_last_data_sent == 0)
         return std::nullopt;
     return std::chrono::milliseconds(info.tcpi_last_data_recv);
--- a/src/libs/http/socketlook.h
+++ b/src/libs/http/socketlook.h
@@ -7,17 +7,17 @@
 
 namespace Lagoonbank::Http::Internal {
 
-/// What the peer of a connection has closed, whether or not that has been read.
+/// Directions of a connection that the peer has closed, even if the close has not been read yet.
 enum class PeerClose : std::uint8_t {
     None,
-    Sending, ///< It sends no more; it may still read.
-    Both ///< The connection is over.
+    Sending, ///< The peer sends no more but may still read.
+    Both ///< The connection has ended.
 };
 
-/// Looks at a socket, past bytes that are unread. One system call, two where something is unread.
-PeerClose lookForClose(int fd);
-/// How long ago the last bytes came, read or not; nothing where the system does not tell. To a
-/// millisecond; a system call.
-std::optional<Base::Duration> sinceLastBytes(int fd);
+/// Detects a close even behind unread bytes. Takes one system call, or two if bytes are unread.
+PeerClose detectPeerClose(int fd);
+/// Time since the kernel received the last bytes, read or not, in whole milliseconds; unset if the
+/// system does not report it. Takes one system call.
+std::optional<Base::Duration> timeSinceLastReceive(int fd);
 
 } // namespace Lagoonbank::Http::Internal
