--- a/bench/http/http_proxy.cpp
+++ b/bench/http/http_proxy.cpp
@@ -1,5 +1,6 @@
-/// Requests a second and latency of the HTTP server alone and of a proxy made of server and client,
-/// all on one loop and one core over loopback. What the proxy itself costs is the difference.
+/// Measures requests per second and latency of the HTTP server alone and of a proxy built from the
+/// server and the client, all on one event loop and one core over loopback. The difference is the
+/// cost of the proxy.
 #include "http/client.h"
 #include "http/server.h"
 #include "runtime/loop.h"
@@ -21,11 +22,11 @@
 constexpr std::size_t answerBytes = 512;
 constexpr std::size_t maxIdle = 1024;
 
-/// The server that makes the answers, and a proxy before it.
-class Pair
+/// An origin server and a proxy in front of it.
+class OriginAndProxy
 {
 public:
-    explicit Pair(Runtime::Loop &loop)
+    explicit OriginAndProxy(Runtime::Loop &loop)
         : m_origin({.loop = &loop, .address = {"127.0.0.1", 0}})
         , m_proxy({.loop = &loop, .address = {"127.0.0.1", 0}})
         , m_upstream({.loop = &loop, .maxIdlePerServer = maxIdle})
@@ -92,12 +93,12 @@
     std::size_t failed() const { return m_failed; }
     double quantileMicroseconds(double quantile)
     {
-        const auto place =
+        const auto index =
             static_cast<std::size_t>(quantile * static_cast<double>(m_latencies.size() - 1));
         std::nth_element(m_latencies.begin(),
-                         m_latencies.begin() + static_cast<std::ptrdiff_t>(place),
+                         m_latencies.begin() + static_cast<std::ptrdiff_t>(index),
                          m_latencies.end());
-        return Base::toSeconds(m_latencies[place]) * 1e6;
+        return Base::toSeconds(m_latencies[index]) * 1e6;
     }
 
 private:
@@ -110,8 +111,8 @@
 
 void measure(benchmark::State &state, Runtime::Loop &loop, bool throughProxy, std::size_t inFlight)
 {
-    Pair pair(loop);
-    Load load(loop, throughProxy ? pair.proxy() : pair.origin());
+    OriginAndProxy servers(loop);
+    Load load(loop, throughProxy ? servers.proxy() : servers.origin());
     std::size_t sent = 0;
     std::size_t done = 0;
     for (auto _ : state) {
@@ -143,7 +144,7 @@
     measure(state, loop, true, static_cast<std::size_t>(state.range(0)));
 }
 
-/// Idle servers in the same process: what each costs the others.
+/// Measures the cost of idle servers in the same process.
 void besideIdleServers(benchmark::State &state, bool shareContext)
 {
     Runtime::Loop loop;
