--- a/src/libs/schema/compression.cpp
+++ b/src/libs/schema/compression.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Of the text that is made at first; it grows as needed.
-constexpr std::size_t firstBytes = 64 * 1024;
+/// Initial size of the output buffer, which grows as needed.
+constexpr std::size_t initialBytes = 64 * 1024;
 
 const Bytef *bytesOf(std::string_view text)
 {
@@ -22,20 +22,21 @@
     return reinterpret_cast<Bytef *>(text.data());
 }
 
-/// Whether zlib has got to the end of \a packed; \a text is as long as it makes it.
-Errors::Result<void> inflateAll(z_stream &stream, std::size_t mostBytes, std::string &text)
+/// Decompresses all input of the stream into \a text. Fails with BadMessage if the input is
+/// malformed or truncated, or the text would be longer than \a maxBytes.
+Errors::Result<void> inflateAll(z_stream &stream, std::size_t maxBytes, std::string &text)
 {
     while (true) {
-        if (stream.total_out >= mostBytes)
+        if (stream.total_out >= maxBytes)
             return Errors::makeError(Errors::ErrorKind::BadMessage, "more bytes than are allowed");
-        text.resize(std::min(mostBytes, std::max(firstBytes, 2 * text.size())));
+        text.resize(std::min(maxBytes, std::max(initialBytes, 2 * text.size())));
         stream.next_out = bytesOf(text) + stream.total_out;
         stream.avail_out = static_cast<uInt>(text.size() - stream.total_out);
         const int status = inflate(&stream, Z_NO_FLUSH);
         if (status == Z_STREAM_END)
             break;
-        const bool wantsRoom = status == Z_OK && stream.avail_out == 0;
-        if (!wantsRoom) {
+        const bool isBufferFull = status == Z_OK && stream.avail_out == 0;
+        if (!isBufferFull) {
             return Errors::makeError(Errors::ErrorKind::BadMessage,
                                      stream.msg ? stream.msg : "compressed bytes end early");
         }
@@ -49,28 +50,28 @@
 std::string compress(std::string_view text)
 {
     uLongf size = compressBound(text.size());
-    std::string packed(size, '\0');
-    // With a buffer of the size that zlib asks for, only a lack of memory can stop it.
-    if (compress2(bytesOf(packed), &size, bytesOf(text), text.size(), Z_BEST_SPEED) != Z_OK)
+    std::string compressed(size, '\0');
+    // With a buffer of the size that zlib demands, compression fails only for lack of memory.
+    if (compress2(bytesOf(compressed), &size, bytesOf(text), text.size(), Z_BEST_SPEED) != Z_OK)
         throw std::bad_alloc();
-    packed.resize(size);
-    return packed;
+    compressed.resize(size);
+    return compressed;
 }
 
-Errors::Result<std::string> decompress(std::string_view packed, std::size_t mostBytes)
+Errors::Result<std::string> decompress(std::string_view compressed, std::size_t maxBytes)
 {
     z_stream stream{};
     if (inflateInit(&stream) != Z_OK)
         return Errors::makeError(Errors::ErrorKind::Internal, "zlib has no memory");
-    stream.next_in = const_cast<Bytef *>(bytesOf(packed));
-    stream.avail_in = static_cast<uInt>(packed.size());
+    stream.next_in = const_cast<Bytef *>(bytesOf(compressed));
+    stream.avail_in = static_cast<uInt>(compressed.size());
     std::string text;
-    const Errors::Result<void> done = inflateAll(stream, mostBytes, text);
-    const bool hasMore = stream.avail_in > 0;
+    const Errors::Result<void> inflated = inflateAll(stream, maxBytes, text);
+    const bool hasTrailingBytes = stream.avail_in > 0;
     inflateEnd(&stream);
-    if (!done)
-        return done.error();
-    if (hasMore)
+    if (!inflated)
+        return inflated.error();
+    if (hasTrailingBytes)
         return Errors::makeError(Errors::ErrorKind::BadMessage, "bytes after the end");
     return text;
 }
--- a/src/libs/schema/compression.h
+++ b/src/libs/schema/compression.h
@@ -8,11 +8,12 @@
 
 namespace Lagoonbank::Schema {
 
-/// In zlib's format. At its quickest level a text of 4,200 routes becomes a thirteenth as
-/// long.
+/// Compresses the text in zlib's format, at the fastest level. At that level, a configuration of
+/// 4,200 routes shrinks to 1/13 of its size.
 std::string compress(std::string_view text);
 
-/// The reverse; BadMessage for what is not whole or is longer than \a mostBytes.
-Errors::Result<std::string> decompress(std::string_view packed, std::size_t mostBytes);
+/// Decompresses the result of compress(). Fails with BadMessage if the input is truncated or
+/// malformed, or the text is longer than \a maxBytes.
+Errors::Result<std::string> decompress(std::string_view compressed, std::size_t maxBytes);
 
 } // namespace Lagoonbank::Schema
--- a/src/libs/schema/enumname.h
+++ b/src/libs/schema/enumname.h
@@ -5,7 +5,7 @@
 
 namespace Lagoonbank::Schema {
 
-/// One value of a generated enum and its text in YAML and JSON.
+/// Value of a generated enum with its text in YAML and JSON.
 template<typename E>
 struct EnumName
 {
@@ -13,13 +13,13 @@
     std::string_view name;
 };
 
-/// The value that has this text.
+/// Returns the value with this text.
 template<typename E>
 std::optional<E> enumFromName(std::string_view name)
 {
-    for (const EnumName<E> &row : enumNames(E{})) {
-        if (row.name == name)
-            return row.value;
+    for (const EnumName<E> &entry : enumNames(E{})) {
+        if (entry.name == name)
+            return entry.value;
     }
     return std::nullopt;
 }
--- a/src/libs/schema/jsonwriter.cpp
+++ b/src/libs/schema/jsonwriter.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Whether the text is read back as the same text without quotes.
-bool isPlainWord(const std::string &text)
+/// Whether the text can be written without quotes and is still read as the same text.
+bool needsNoQuotes(const std::string &text)
 {
     static constexpr std::array<std::string_view, 10> reserved{
         "true", "false", "null", "yes", "no", "on", "off", "y", "n", "nan"};
@@ -29,7 +29,7 @@
 
 void emitText(YAML::Emitter &emitter, const std::string &text)
 {
-    if (isPlainWord(text))
+    if (needsNoQuotes(text))
         emitter << text;
     else
         emitter << YAML::DoubleQuoted << text;
--- a/src/libs/schema/jsonwriter.h
+++ b/src/libs/schema/jsonwriter.h
@@ -8,15 +8,15 @@
 
 namespace Lagoonbank::Schema {
 
-/// The JSON value as a YAML document; strings are quoted wherever they could be read as something
-/// else.
+/// Returns the JSON value as a YAML document. Strings that a YAML parser could take for another
+/// type are quoted.
 std::string toYamlText(const nlohmann::ordered_json &json);
 
 namespace Internal {
 
-/// JSON form of one value as the YAML reader takes it.
+/// Returns the JSON form of a value, as the YAML reader accepts it.
 template<typename T>
-nlohmann::ordered_json jsonOf(const T &value)
+nlohmann::ordered_json toJsonValue(const T &value)
 {
     if constexpr (std::is_arithmetic_v<T> || std::same_as<T, std::string>) {
         return value;
@@ -29,12 +29,12 @@
     } else if constexpr (ListTrait<T>::value) {
         nlohmann::ordered_json list = nlohmann::ordered_json::array();
         for (const auto &item : value)
-            list.push_back(jsonOf(item));
+            list.push_back(toJsonValue(item));
         return list;
     } else if constexpr (MapTrait<T>::value) {
         nlohmann::ordered_json map = nlohmann::ordered_json::object();
         for (const auto &[key, item] : value)
-            map[key] = jsonOf(item);
+            map[key] = toJsonValue(item);
         return map;
     } else {
         return toJson(value);
@@ -44,14 +44,14 @@
 template<typename T>
 void writeField(nlohmann::ordered_json &json, const char *key, const T &value)
 {
-    json[key] = jsonOf(value);
+    json[key] = toJsonValue(value);
 }
 
 template<typename T>
 void writeField(nlohmann::ordered_json &json, const char *key, const std::optional<T> &value)
 {
     if (value)
-        json[key] = jsonOf(*value);
+        json[key] = toJsonValue(*value);
 }
 
 } // namespace Internal
--- a/src/libs/schema/messagecodec.h
+++ b/src/libs/schema/messagecodec.h
@@ -12,7 +12,8 @@
 
 namespace Lagoonbank::Schema {
 
-/// A generated message in cereal's portable binary form; BadMessage if a bound is exceeded.
+/// Encodes a generated message in cereal's portable binary form. Fails with BadMessage if a bound
+/// is exceeded.
 template<typename T>
 Errors::Result<std::string> encodeMessage(const T &message)
 {
@@ -26,7 +27,8 @@
     }
 }
 
-/// The reverse; BadMessage for what cannot be read or has bytes left over.
+/// Decodes the result of encodeMessage(). Fails with BadMessage if the body is malformed or has
+/// trailing bytes.
 template<typename T>
 Errors::Result<T> decodeMessage(std::string_view body)
 {
@@ -43,14 +45,15 @@
     }
 }
 
-/// The version that a message names, before it is decoded; nothing if it is cut before that.
+/// Returns the version of a message that is not decoded yet; empty if the message is too short to
+/// contain it.
 inline std::optional<std::uint8_t> messageVersion(std::string_view body)
 {
-    // The archive begins with the byte order.
-    constexpr std::size_t versionAt = 1;
-    if (body.size() <= versionAt)
+    // The archive begins with one byte for the byte order.
+    constexpr std::size_t versionOffset = 1;
+    if (body.size() <= versionOffset)
         return std::nullopt;
-    return static_cast<std::uint8_t>(body[versionAt]);
+    return static_cast<std::uint8_t>(body[versionOffset]);
 }
 
 } // namespace Lagoonbank::Schema
--- a/src/libs/schema/objectreader.cpp
+++ b/src/libs/schema/objectreader.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A part of a text between two `---` lines.
+/// Part of a text between two document separators.
 struct Part
 {
     std::string text;
@@ -24,7 +24,7 @@
     return line == "---" || line.starts_with("--- ") || line == "---\r";
 }
 
-/// Cuts the text at its document separators, so that each object keeps its own text.
+/// Splits the text at its document separators, so that each object gets its own text.
 std::vector<Part> splitDocuments(const std::string &text, int firstLine)
 {
     std::vector<Part> parts{{{}, firstLine}};
@@ -44,19 +44,19 @@
 std::vector<std::string_view> kindNames()
 {
     std::vector<std::string_view> names;
-    for (const EnumName<ObjectKind> &row : enumNames(ObjectKind{}))
-        names.push_back(row.name);
+    for (const EnumName<ObjectKind> &entry : enumNames(ObjectKind{}))
+        names.push_back(entry.name);
     return names;
 }
 
 std::optional<ObjectKind> readKind(YamlReader &reader, MapReader &map)
 {
-    std::string wanted = "give one of:";
+    std::string choices = "give one of:";
     for (const std::string_view name : kindNames())
-        wanted += " " + std::string(name);
+        choices += " " + std::string(name);
     const std::optional<std::string> text = map.scalar("kind");
     if (!text) {
-        reader.addError(map.line(), "kind: missing; " + wanted);
+        reader.addError(map.line(), "kind: missing; " + choices);
         return std::nullopt;
     }
     const std::optional<ObjectKind> kind = enumFromName<ObjectKind>(*text);
@@ -64,7 +64,7 @@
         const std::optional<std::string_view> nearest = nearestName(*text, kindNames());
         reader.addError(map.lines().at("kind"),
                         "kind: " + text->substr(0, 60) + " is unknown; "
-                            + (nearest ? "did you mean " + std::string(*nearest) + "?" : wanted));
+                            + (nearest ? "did you mean " + std::string(*nearest) + "?" : choices));
     }
     return kind;
 }
@@ -93,13 +93,13 @@
     }
 }
 
-constexpr int deepestJson = 16;
+constexpr int maxJsonDepth = 16;
 
-/// The JSON value as the node that the YAML parser would have made of it.
+/// Converts the JSON value to the node that the YAML parser would create for it.
 YAML::Node toNode(const nlohmann::json &json, int depth = 0)
 {
     YAML::Node node;
-    if (depth > deepestJson)
+    if (depth > maxJsonDepth)
         return node;
     if (json.is_object()) {
         node = YAML::Node(YAML::NodeType::Map);
@@ -126,9 +126,9 @@
         return {path};
     std::vector<std::string> files;
     for (const auto &entry : std::filesystem::recursive_directory_iterator(path, error)) {
-        const bool isYaml =
+        const bool hasYamlExtension =
             entry.path().extension() == ".yaml" || entry.path().extension() == ".yml";
-        if (entry.is_regular_file(error) && isYaml)
+        if (entry.is_regular_file(error) && hasYamlExtension)
             files.push_back(entry.path().string());
     }
     std::ranges::sort(files);
--- a/src/libs/schema/settingserror.h
+++ b/src/libs/schema/settingserror.h
@@ -9,43 +9,43 @@
 
 namespace Lagoonbank::Schema {
 
-/// One mistake in a settings or configuration file.
+/// Error in a settings or configuration file.
 struct SettingsError
 {
     std::string file;
-    int line = 0; ///< Counted from 1.
-    std::string text; ///< What is wrong and what would be right.
+    int line = 0; ///< Line number, counted from 1.
+    std::string text; ///< Description of the error and of how to correct it.
 
     bool operator==(const SettingsError &) const = default;
 };
 
 using SettingsErrors = std::vector<SettingsError>;
 
-/// `file:line: text`
+/// Writes `file:line: text`.
 std::ostream &operator<<(std::ostream &stream, const SettingsError &error);
 
-/// All errors, one a line.
+/// Returns all errors, one per line.
 std::string toText(const SettingsErrors &errors);
 
-/// What was read, or every mistake that was found.
+/// Result of reading, or all errors that were found.
 template<typename T>
 using ReadResult =
     boost::outcome_v2::basic_result<T, SettingsErrors, boost::outcome_v2::policy::terminate>;
 
-/// The whole file as text.
+/// Returns the content of a file.
 ReadResult<std::string> readTextFile(const std::string &path);
 
-/// Where an object and each of its top-level fields were written.
+/// Location of an object and of each of its top-level fields.
 struct Source
 {
     std::string file;
     int line = 0; ///< First line of the object.
-    std::map<std::string, int> lines; ///< By YAML key.
+    std::map<std::string, int> lines; ///< Line of each field by YAML key.
 
-    /// `file:line` of the field, or of the object where the field has its default.
+    /// Returns `file:line` of the field, or of the object if the field is not set there.
     std::string at(const std::string &key) const;
 
-    /// Where an object stands does not change what it says.
+    /// Always true, so that the location of an object does not affect comparisons of objects.
     bool operator==(const Source &) const { return true; }
 };
 
--- a/src/libs/schema/textformat.cpp
+++ b/src/libs/schema/textformat.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::size_t longestName = 128;
-constexpr std::size_t sha256Digits = 64;
-constexpr int highestPort = 65535;
+constexpr std::size_t maxNameLength = 128;
+constexpr std::size_t sha256Length = 64;
+constexpr int maxPort = 65535;
 
 bool isNameCharacter(char c)
 {
@@ -23,13 +23,13 @@
 
 bool isName(std::string_view text)
 {
-    return !text.empty() && text.size() <= longestName
+    return !text.empty() && text.size() <= maxNameLength
         && std::ranges::all_of(text, isNameCharacter);
 }
 
 bool isSha256(std::string_view text)
 {
-    return text.size() == sha256Digits && std::ranges::all_of(text, [](char c) {
+    return text.size() == sha256Length && std::ranges::all_of(text, [](char c) {
                return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f');
            });
 }
@@ -39,7 +39,7 @@
     int port = -1;
     const char *end = text.data() + text.size();
     const std::from_chars_result result = std::from_chars(text.data(), end, port);
-    return result.ec == std::errc() && result.ptr == end && port >= 0 && port <= highestPort;
+    return result.ec == std::errc() && result.ptr == end && port >= 0 && port <= maxPort;
 }
 
 bool isIp(int family, std::string_view text)
@@ -61,18 +61,18 @@
 
 std::size_t editDistance(std::string_view a, std::string_view b)
 {
-    std::vector<std::size_t> row(b.size() + 1);
-    std::iota(row.begin(), row.end(), 0);
+    std::vector<std::size_t> distances(b.size() + 1);
+    std::iota(distances.begin(), distances.end(), 0);
     for (std::size_t i = 0; i < a.size(); ++i) {
-        std::size_t diagonal = row[0];
-        row[0] = i + 1;
+        std::size_t diagonal = distances[0];
+        distances[0] = i + 1;
         for (std::size_t j = 0; j < b.size(); ++j) {
             const std::size_t substituted = diagonal + (a[i] == b[j] ? 0 : 1);
-            diagonal = row[j + 1];
-            row[j + 1] = std::min({substituted, row[j] + 1, row[j + 1] + 1});
+            diagonal = distances[j + 1];
+            distances[j + 1] = std::min({substituted, distances[j] + 1, distances[j + 1] + 1});
         }
     }
-    return row.back();
+    return distances.back();
 }
 
 } // namespace
@@ -114,15 +114,15 @@
 std::optional<std::string_view> nearestName(std::string_view wrong,
                                             const std::vector<std::string_view> &names)
 {
-    constexpr std::size_t longestCompared = 64;
-    if (wrong.size() > longestCompared)
+    constexpr std::size_t maxComparedLength = 64;
+    if (wrong.size() > maxComparedLength)
         return std::nullopt;
-    std::size_t best = std::max<std::size_t>(1, wrong.size() / 3) + 1;
+    std::size_t smallestDistance = std::max<std::size_t>(1, wrong.size() / 3) + 1;
     std::optional<std::string_view> nearest;
     for (const std::string_view name : names) {
         const std::size_t distance = editDistance(wrong, name);
-        if (distance < best) {
-            best = distance;
+        if (distance < smallestDistance) {
+            smallestDistance = distance;
             nearest = name;
         }
     }
--- a/src/libs/schema/textformat.h
+++ b/src/libs/schema/textformat.h
@@ -10,10 +10,10 @@
 
 bool hasFormat(std::string_view text, TextFormat format);
 
-/// "a name; give ..." for an error text.
+/// Returns the description of a format for error texts, with a correction: "a name; give ...".
 std::string_view describe(TextFormat format);
 
-/// The name that `wrong` was most likely meant to be, if one is near enough.
+/// Returns the name with the smallest edit distance to `wrong`; empty if none is similar enough.
 std::optional<std::string_view> nearestName(std::string_view wrong,
                                             const std::vector<std::string_view> &names);
 
--- a/src/libs/schema/typetraits.h
+++ b/src/libs/schema/typetraits.h
@@ -8,7 +8,7 @@
 #include <type_traits>
 #include <vector>
 
-/// Tells the kinds of field types apart, for the readers and writers.
+/// Type traits with which readers and writers distinguish the kinds of field types.
 namespace Lagoonbank::Schema::Internal {
 
 template<typename T>
--- a/src/libs/schema/wire.h
+++ b/src/libs/schema/wire.h
@@ -16,12 +16,12 @@
 #include <utility>
 #include <vector>
 
-/// Compact binary form of messages over a cereal archive: counts are variable-length integers, and
-/// every list and text has a bound that is checked before memory is taken. Malformed input makes
-/// the archive throw cereal::Exception.
+/// Compact binary format of messages in a cereal archive. Counts and integers are variable-length
+/// integers. Each list and text has a bound, which is checked before memory is allocated. The
+/// functions throw cereal::Exception on malformed input.
 namespace Lagoonbank::Schema {
 
-/// Bound on lists and texts for which the schema gives none.
+/// Bound of lists and texts for which the schema specifies none.
 inline constexpr std::size_t defaultMaxItems = 65536;
 
 template<typename Archive, typename T>
@@ -32,9 +32,9 @@
 template<typename Archive>
 void saveCount(Archive &archive, std::uint64_t value)
 {
-    constexpr std::uint64_t more = 0x80;
-    while (value >= more) {
-        archive(static_cast<std::uint8_t>(value | more));
+    constexpr std::uint64_t continuationBit = 0x80;
+    while (value >= continuationBit) {
+        archive(static_cast<std::uint8_t>(value | continuationBit));
         value >>= 7;
     }
     archive(static_cast<std::uint8_t>(value));
@@ -43,9 +43,9 @@
 template<typename Archive>
 std::uint64_t loadCount(Archive &archive)
 {
-    constexpr unsigned highestShift = 63;
+    constexpr unsigned maxShift = 63;
     std::uint64_t value = 0;
-    for (unsigned shift = 0; shift <= highestShift; shift += 7) {
+    for (unsigned shift = 0; shift <= maxShift; shift += 7) {
         std::uint8_t byte = 0;
         archive(byte);
         value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Signed numbers go in zigzag form, so that small negative ones stay short.
+/// Signed integers use zigzag encoding, so that small negative ones are short.
 template<typename Archive, typename T>
 void wireInteger(Archive &archive, T &value)
 {
@@ -118,16 +118,17 @@
 template<typename Archive>
 void wireText(Archive &archive, std::string &value, std::size_t limit)
 {
-    constexpr std::size_t step = 4096;
+    constexpr std::size_t chunkSize = 4096;
     const std::size_t size = wireSize(archive, value.size(), limit);
     if constexpr (Archive::is_saving::value) {
         archive(cereal::binary_data(value.data(), size));
     } else {
-        // In steps, so that a truncated message cannot claim more memory than it has bytes.
+        // The text is read in chunks, so that a truncated message that announces a long text does
+        // not cause the allocation of that much memory.
         value.clear();
         while (value.size() < size) {
             const std::size_t begin = value.size();
-            value.resize(std::min(size, begin + step));
+            value.resize(std::min(size, begin + chunkSize));
             archive(cereal::binary_data(value.data() + begin, value.size() - begin));
         }
     }
@@ -136,9 +137,9 @@
 template<typename Archive, typename T>
 void wireOptional(Archive &archive, std::optional<T> &value, std::size_t limit)
 {
-    bool isThere = value.has_value();
-    wireBool(archive, isThere);
-    if (!isThere) {
+    bool hasValue = value.has_value();
+    wireBool(archive, hasValue);
+    if (!hasValue) {
         value.reset();
         return;
     }
@@ -183,7 +184,8 @@
 
 } // namespace Internal
 
-/// Reads or writes one field. `limit` bounds the items of a list or map and the bytes of a text.
+/// Reads or writes one field. `limit` is the maximum number of items of a list or map, or of bytes
+/// of a text.
 template<typename Archive, typename T>
 void wire(Archive &archive, T &value, std::size_t limit)
 {
@@ -221,7 +223,7 @@
     }
 }
 
-/// Writes the version, or reads it and refuses another one than `version`.
+/// Writes the version, or reads it and throws if it is not `version`.
 template<typename Archive>
 void wireVersion(Archive &archive, std::uint8_t version)
 {
--- a/src/libs/schema/yamlreader.cpp
+++ b/src/libs/schema/yamlreader.cpp
@@ -46,15 +46,15 @@
     return text;
 }
 
-/// The value as it stands in an error text.
-std::string shown(const Internal::ValueContext &context)
+/// Returns the value as it appears in an error text.
+std::string displayText(const Internal::ValueContext &context)
 {
-    constexpr std::size_t longest = 60;
+    constexpr std::size_t maxLength = 60;
     if (context.rule.secret)
         return "the value";
     if (!context.node.IsScalar())
         return context.node.IsSequence() ? "a list" : context.node.IsMap() ? "a map" : "nothing";
-    return context.node.Scalar().substr(0, longest);
+    return context.node.Scalar().substr(0, maxLength);
 }
 
 void addError(const Internal::ValueContext &context, const std::string &text)
@@ -67,10 +67,10 @@
     return node.IsScalar() && node.Tag() == plainTag;
 }
 
-void addNotA(const Internal::ValueContext &context, std::string_view what)
+void addTypeError(const Internal::ValueContext &context, std::string_view what)
 {
     addError(context,
-             shown(context) + " is not " + std::string(what) + "; "
+             displayText(context) + " is not " + std::string(what) + "; "
                  + rangeText(what, context.rule));
 }
 
@@ -80,15 +80,15 @@
     const auto number = static_cast<double>(value);
     if (number >= context.rule.min && number <= context.rule.max)
         return true;
-    const bool below = number < context.rule.min;
-    const double bound = below ? context.rule.min : context.rule.max;
+    const bool isBelow = number < context.rule.min;
+    const double bound = isBelow ? context.rule.min : context.rule.max;
     addError(context,
-             shown(context) + " is " + (below ? "below " : "above ") + numberText(bound) + "; "
-                 + rangeText(what, context.rule));
+             displayText(context) + " is " + (isBelow ? "below " : "above ") + numberText(bound)
+                 + "; " + rangeText(what, context.rule));
     return false;
 }
 
-std::string joined(const std::vector<std::string_view> &names)
+std::string joinNames(const std::vector<std::string_view> &names)
 {
     std::string text;
     for (const std::string_view name : names)
@@ -96,13 +96,14 @@
     return text;
 }
 
-/// "did you mean x?" or the list of all names.
+/// Returns "did you mean x?" with the most similar name, or the list of all names if none is
+/// similar.
 std::string suggestion(std::string_view wrong, const std::vector<std::string_view> &names)
 {
     const std::optional<std::string_view> nearest = nearestName(wrong, names);
     if (nearest)
         return "did you mean " + std::string(*nearest) + "?";
-    return "give one of: " + joined(names);
+    return "give one of: " + joinNames(names);
 }
 
 } // namespace
@@ -155,8 +156,8 @@
             continue;
         }
         const std::string &key = entry.first.Scalar();
-        const auto [first, isNew] = m_lines.emplace(key, m_reader.line(entry.first));
-        if (!isNew) {
+        const auto [first, isInserted] = m_lines.emplace(key, m_reader.line(entry.first));
+        if (!isInserted) {
             m_reader.addError(entry.first,
                               pathOf(key) + ": given twice, first on line "
                                   + std::to_string(first->second) + "; keep one");
@@ -168,7 +169,7 @@
 
 const MapReader::Entry *MapReader::find(std::string_view key)
 {
-    m_known.emplace_back(key);
+    m_knownKeys.emplace_back(key);
     const auto it = std::ranges::find(m_entries, key, &Entry::key);
     return it == m_entries.end() ? nullptr : &*it;
 }
@@ -194,9 +195,9 @@
 
 void MapReader::finish()
 {
-    const std::vector<std::string_view> names(m_known.begin(), m_known.end());
+    const std::vector<std::string_view> names(m_knownKeys.begin(), m_knownKeys.end());
     for (const Entry &entry : m_entries) {
-        if (std::ranges::find(m_known, entry.key) == m_known.end())
+        if (std::ranges::find(m_knownKeys, entry.key) == m_knownKeys.end())
             m_reader.addError(entry.keyNode,
                               pathOf(entry.key) + ": unknown key; " + suggestion(entry.key, names));
     }
@@ -209,7 +210,7 @@
     const bool isTrue = isPlainScalar(context.node) && context.node.Scalar() == "true";
     const bool isFalse = isPlainScalar(context.node) && context.node.Scalar() == "false";
     if (!isTrue && !isFalse)
-        addError(context, shown(context) + " is not a truth value; give true or false");
+        addError(context, displayText(context) + " is not a truth value; give true or false");
     else
         out = isTrue;
 }
@@ -217,13 +218,13 @@
 void readText(const ValueContext &context, std::string &out)
 {
     if (!context.node.IsScalar()) {
-        addError(context, shown(context) + " is not a text; give a text");
+        addError(context, displayText(context) + " is not a text; give a text");
         return;
     }
     const std::string &text = context.node.Scalar();
     if (!hasFormat(text, context.rule.format)) {
         addError(context,
-                 (text.empty() ? "the empty text" : shown(context)) + " is not "
+                 (text.empty() ? "the empty text" : displayText(context)) + " is not "
                      + std::string(describe(context.rule.format)));
         return;
     }
@@ -239,28 +240,28 @@
     const std::optional<double> value =
         isPlainScalar(context.node) ? parseNumber<double>(context.node.Scalar()) : std::nullopt;
     if (!value || !std::isfinite(*value))
-        addNotA(context, "a number");
+        addTypeError(context, "a number");
     else if (isInRange(context, *value, "a number"))
         out = *value;
 }
 
-void readSigned(const ValueContext &context, std::int64_t lowest, std::int64_t highest,
+void readSigned(const ValueContext &context, std::int64_t minValue, std::int64_t maxValue,
                 std::int64_t &out)
 {
     const std::optional<std::int64_t> value = isPlainScalar(context.node)
         ? parseNumber<std::int64_t>(context.node.Scalar())
         : std::nullopt;
     if (!value)
-        addNotA(context, "a whole number");
+        addTypeError(context, "a whole number");
     else if (!isInRange(context, *value, "a whole number"))
         return;
-    else if (*value < lowest || *value > highest)
-        addNotA(context, "a whole number in the range of this field");
+    else if (*value < minValue || *value > maxValue)
+        addTypeError(context, "a whole number in the range of this field");
     else
         out = *value;
 }
 
-void readUnsigned(const ValueContext &context, std::uint64_t highest, std::uint64_t &out)
+void readUnsigned(const ValueContext &context, std::uint64_t maxValue, std::uint64_t &out)
 {
     const bool isPlain = isPlainScalar(context.node);
     const std::optional<std::uint64_t> value =
@@ -273,11 +274,11 @@
         isInRange(ValueContext{context.reader, context.node, context.path, rule}, *negative,
                   "a whole number");
     } else if (!value) {
-        addNotA(context, "a whole number");
+        addTypeError(context, "a whole number");
     } else if (!isInRange(context, *value, "a whole number")) {
         return;
-    } else if (*value > highest) {
-        addNotA(context, "a whole number in the range of this field");
+    } else if (*value > maxValue) {
+        addTypeError(context, "a whole number in the range of this field");
     } else {
         out = *value;
     }
@@ -287,20 +288,23 @@
                                       const std::vector<std::string_view> &names)
 {
     if (!context.node.IsScalar()) {
-        addError(context, shown(context) + " is not a text; give one of: " + joined(names));
+        addError(context,
+                 displayText(context) + " is not a text; give one of: " + joinNames(names));
         return std::nullopt;
     }
     const auto it = std::ranges::find(names, context.node.Scalar());
     if (it != names.end())
         return static_cast<std::size_t>(it - names.begin());
-    addError(context, shown(context) + " is unknown; " + suggestion(context.node.Scalar(), names));
+    addError(context,
+             displayText(context) + " is unknown; " + suggestion(context.node.Scalar(), names));
     return std::nullopt;
 }
 
 bool checkSequence(const ValueContext &context)
 {
     if (!context.node.IsSequence()) {
-        addError(context, shown(context) + " is not a list; give a list ([a, b] or lines of - a)");
+        addError(context,
+                 displayText(context) + " is not a list; give a list ([a, b] or lines of - a)");
         return false;
     }
     const std::size_t size = context.node.size();
@@ -321,7 +325,7 @@
 {
     if (context.node.IsMap())
         return true;
-    addError(context, shown(context) + " is not a map; give names with values");
+    addError(context, displayText(context) + " is not a map; give names with values");
     return false;
 }
 
--- a/src/libs/schema/yamlreader.h
+++ b/src/libs/schema/yamlreader.h
@@ -22,20 +22,20 @@
 
 namespace Lagoonbank::Schema {
 
-/// What a text has to look like.
+/// Required format of a text.
 enum class TextFormat : std::uint8_t {
     Any,
-    Name, ///< Letters, digits, '-', '_' and '.', at most 128.
+    Name, ///< 1 to 128 letters, digits, '-', '_' and '.'.
     Address, ///< `ip:port`, IPv6 in brackets.
     Sha256, ///< 64 lower-case hexadecimal digits.
     PathPrefix ///< Begins with '/'.
 };
 
-/// What one field accepts; the schema gives it.
+/// Constraints on the value of a field, from the schema.
 struct FieldRule
 {
     bool required = false;
-    bool secret = false; ///< Keep the value out of error texts.
+    bool secret = false; ///< The value does not appear in error texts.
     double min = std::numeric_limits<double>::lowest();
     double max = std::numeric_limits<double>::max();
     std::size_t minItems = 0;
@@ -43,21 +43,22 @@
     TextFormat format = TextFormat::Any;
 };
 
-/// Collects every error of one file.
+/// Parses the text of one file and collects all errors in it.
 class YamlReader
 {
 public:
-    /// `firstLine` is the line of the file on which the text begins.
+    /// `firstLine` is the line of the file at which the text begins.
     explicit YamlReader(std::string file, int firstLine = 1)
         : m_file(std::move(file))
         , m_firstLine(firstLine)
     { }
 
-    /// The text's documents; a syntax error is added and ends the list.
+    /// Returns the non-empty documents of the text. After a syntax error, which is added to the
+    /// errors, the list is empty.
     std::vector<YAML::Node> parse(const std::string &text);
 
     const std::string &file() const { return m_file; }
-    /// Line of the node in the file, counted from 1.
+    /// Returns the line of the node in the file, counted from 1.
     int line(const YAML::Node &node) const;
     void addError(int line, std::string text);
     void addError(const YAML::Node &node, std::string text)
@@ -73,26 +74,28 @@
     SettingsErrors m_errors;
 };
 
-/// Reads the keys of one YAML map and reports the keys that nobody asked for.
+/// Reads the keys of one YAML map and reports unknown keys.
 class MapReader
 {
 public:
-    /// `path` names the map in error texts; empty for a whole document.
+    /// `path` is the name of the map in error texts; empty for an entire document.
     MapReader(YamlReader &reader, const YAML::Node &node, std::string path);
 
-    /// Reads the key into `out`, which keeps its default if an optional key is not there.
+    /// Reads the value of the key into `out`. If the key is missing, `out` keeps its default, and
+    /// an error is added if the key is required.
     template<typename T>
     void field(std::string_view key, T &out, const FieldRule &rule = {});
 
-    /// The scalar at the key, which then counts as known; empty if it is not there.
+    /// Returns the scalar value of the key; empty if the key is missing or its value is not a
+    /// scalar. The key counts as known afterwards.
     std::optional<std::string> scalar(std::string_view key);
-    /// Reports unknown keys.
+    /// Reports the keys of the map that neither field() nor scalar() has read.
     void finish();
 
-    /// Line of each key that is there.
+    /// Line of each key in the map.
     const std::map<std::string, int> &lines() const { return m_lines; }
     int line() const { return m_line; }
-    /// File and lines of this map.
+    /// Location of this map and its keys.
     Source source() const { return {m_reader.file(), m_line, m_lines}; }
 
 private:
@@ -113,13 +116,13 @@
     int m_line;
     bool m_isMap = false;
     std::vector<Entry> m_entries;
-    std::vector<std::string> m_known;
+    std::vector<std::string> m_knownKeys;
     std::map<std::string, int> m_lines;
 };
 
 namespace Internal {
 
-/// One value with its place, its name and what it has to keep to.
+/// Value to read, with its path in error texts and its constraints.
 struct ValueContext
 {
     YamlReader &reader;
@@ -131,10 +134,11 @@
 void readBool(const ValueContext &context, bool &out);
 void readText(const ValueContext &context, std::string &out);
 void readDouble(const ValueContext &context, double &out);
-void readSigned(const ValueContext &context, std::int64_t lowest, std::int64_t highest,
+void readSigned(const ValueContext &context, std::int64_t minValue, std::int64_t maxValue,
                 std::int64_t &out);
-void readUnsigned(const ValueContext &context, std::uint64_t highest, std::uint64_t &out);
-/// Index in `names`, or nothing after adding an error.
+void readUnsigned(const ValueContext &context, std::uint64_t maxValue, std::uint64_t &out);
+/// Returns the index in `names` of the value; adds an error and returns empty if it is not in
+/// `names`.
 std::optional<std::size_t> readChoice(const ValueContext &context,
                                       const std::vector<std::string_view> &names);
 bool checkSequence(const ValueContext &context);
@@ -194,8 +198,8 @@
 void readEnum(const ValueContext &context, T &out)
 {
     std::vector<std::string_view> names;
-    for (const EnumName<T> &row : enumNames(T{}))
-        names.push_back(row.name);
+    for (const EnumName<T> &entry : enumNames(T{}))
+        names.push_back(entry.name);
     if (const std::optional<std::size_t> index = readChoice(context, names))
         out = enumNames(T{})[*index].value;
 }
@@ -250,7 +254,7 @@
     Internal::readValue(Internal::ValueContext{m_reader, entry->value, pathOf(key), rule}, out);
 }
 
-/// Reads settings from text; `file` is only named in errors.
+/// Reads settings from text; `file` is used only in error texts.
 template<typename T>
 ReadResult<T> readSettingsText(const std::string &file, const std::string &text)
 {
--- a/tests/auto/schema/tst_compression.cpp
+++ b/tests/auto/schema/tst_compression.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-constexpr std::size_t enough = 16 * 1024 * 1024;
+constexpr std::size_t sizeLimit = 16 * 1024 * 1024;
 
-/// A configuration as operators write it: routes whose hosts, paths and names no pattern tells.
+/// Returns a configuration with the given number of routes, whose hosts, paths and names are random
+/// words, as in a configuration written by operators.
 std::string configurationOf(int routes)
 {
     std::string text = "{\"version\":18,\"routes\":[";
@@ -39,32 +40,33 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(whatIsCompressedComesBack)
+BOOST_AUTO_TEST_CASE(decompressRestoresText)
 {
     for (const std::string &text :
          {std::string(), std::string("a"), std::string(3'000'000, 'x'), configurationOf(10)}) {
-        const auto back = decompress(compress(text), enough);
-        BOOST_REQUIRE(back);
-        BOOST_TEST((back.value() == text));
+        const auto restored = decompress(compress(text), sizeLimit);
+        BOOST_REQUIRE(restored);
+        BOOST_TEST((restored.value() == text));
     }
 }
 
-/// Pattern: a configuration grows by 1,400 routes, and 16 small routers of a data centre, each with
-/// 10 Mbit/s, fetch it from one reader. At a sixth of the size a transfer takes 0.06 s of a link.
-BOOST_AUTO_TEST_CASE(aLargeConfigurationBecomesASixthAsLong)
+/// Guards against slow transfers of large configurations: when a configuration grows by 1,400
+/// routes, the 16 routers of a data centre, each with a link of 10 Mbit/s, fetch it from one store
+/// reader. At a sixth of the size each transfer occupies the link for 0.06 s.
+BOOST_AUTO_TEST_CASE(compressesLargeConfigurationToASixth)
 {
     const std::string text = configurationOf(1400);
     BOOST_TEST(text.size() > 300'000U);
     BOOST_TEST(compress(text).size() * 6 < text.size());
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNotWholeOrTooLongIsTold)
+BOOST_AUTO_TEST_CASE(rejectsMalformedAndTooLongInput)
 {
     const std::string packed = compress(configurationOf(100));
-    BOOST_TEST(!decompress(packed.substr(0, packed.size() / 2), enough));
-    BOOST_TEST(!decompress(packed + "x", enough));
-    BOOST_TEST(!decompress("", enough));
-    BOOST_TEST(!decompress("{\"version\":1}", enough));
+    BOOST_TEST(!decompress(packed.substr(0, packed.size() / 2), sizeLimit));
+    BOOST_TEST(!decompress(packed + "x", sizeLimit));
+    BOOST_TEST(!decompress("", sizeLimit));
+    BOOST_TEST(!decompress("{\"version\":1}", sizeLimit));
     BOOST_TEST(!decompress(compress(std::string(100'000, 'x')), 50'000));
     BOOST_TEST(!decompress(compress(std::string(2'000'000, 'x')), 1'000'000));
 }
--- a/tests/auto/schema/tst_objectreader.cpp
+++ b/tests/auto/schema/tst_objectreader.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(keepsTheLineOfEachField)
+BOOST_AUTO_TEST_CASE(recordsLineOfEachField)
 {
     const auto read = readObjects(
         "contracts/hall.yaml", contractText + "---\nkind: data_centre\nname: north\nregion: r\n");
@@ -45,13 +45,13 @@
     BOOST_TEST(contract.source.at("retry_budget") == "contracts/hall.yaml:2");
     const ObjectDocument &second = read.value()[1];
     BOOST_TEST(sourceOf(second.object).at("region") == "contracts/hall.yaml:17");
-    const auto alone = readObject("contracts/hall.yaml", second.text, second.line);
-    BOOST_REQUIRE(alone);
-    BOOST_TEST((sourceOf(alone.value()).lines == sourceOf(second.object).lines));
-    BOOST_TEST((alone.value() == second.object));
+    const auto single = readObject("contracts/hall.yaml", second.text, second.line);
+    BOOST_REQUIRE(single);
+    BOOST_TEST((sourceOf(single.value()).lines == sourceOf(second.object).lines));
+    BOOST_TEST((single.value() == second.object));
 }
 
-BOOST_AUTO_TEST_CASE(namesMistakesOfObjects)
+BOOST_AUTO_TEST_CASE(reportsErrorsInObjects)
 {
     const std::vector<std::pair<std::string, std::string>> cases{
         {"kind: contrct\nname: a\n",
@@ -69,21 +69,21 @@
          "f.yaml:3: load_bound: .nan is not a number; give a number from 1 to 100\n"},
         {"kind: [1\n", "f.yaml:2: not valid YAML: end of sequence flow not found\n"},
     };
-    for (const auto &[text, wanted] : cases) {
+    for (const auto &[text, expected] : cases) {
         const auto read = readObjects("f.yaml", text);
         BOOST_REQUIRE_MESSAGE(!read, text);
-        BOOST_TEST(toText(read.error()) == wanted);
+        BOOST_TEST(toText(read.error()) == expected);
     }
 }
 
-BOOST_AUTO_TEST_CASE(readsBackWhatItWrites)
+BOOST_AUTO_TEST_CASE(readsWrittenObjects)
 {
     const ConfigurationObject object = readObject("a", contractText).value();
     for (const std::string &text : {toYamlText(toJson(object)), toJson(object).dump()}) {
-        const auto again = readObject("b", text);
-        BOOST_REQUIRE_MESSAGE(again, (again ? "" : toText(again.error())));
-        BOOST_TEST((again.value() == object));
+        const auto restored = readObject("b", text);
+        BOOST_REQUIRE_MESSAGE(restored, (restored ? "" : toText(restored.error())));
+        BOOST_TEST((restored.value() == object));
     }
-    for (const EnumName<ObjectKind> &row : enumNames(ObjectKind{}))
-        BOOST_TEST((kindOf(makeObject(row.value)) == row.value));
+    for (const EnumName<ObjectKind> &entry : enumNames(ObjectKind{}))
+        BOOST_TEST((kindOf(makeObject(entry.value)) == entry.value));
 }
--- a/tests/auto/schema/tst_wire.cpp
+++ b/tests/auto/schema/tst_wire.cpp
@@ -38,9 +38,9 @@
 template<typename T>
 T roundTrip(T value)
 {
-    T again{};
-    BOOST_REQUIRE(load(save(value), again));
-    return again;
+    T restored{};
+    BOOST_REQUIRE(load(save(value), restored));
+    return restored;
 }
 
 ConfigurationState makeState()
@@ -57,7 +57,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(everyTypeComesBack)
+BOOST_AUTO_TEST_CASE(roundTripPreservesEveryType)
 {
     for (const std::int64_t number : {INT64_MIN, std::int64_t{-1}, std::int64_t{0}, INT64_MAX})
         BOOST_TEST(roundTrip(number) == number);
@@ -73,26 +73,26 @@
     BOOST_TEST((roundTrip(makeState()) == makeState()));
 }
 
-BOOST_AUTO_TEST_CASE(smallNumbersAreShort)
+BOOST_AUTO_TEST_CASE(encodesSmallNumbersInOneByte)
 {
     std::uint64_t small = 100;
     std::int64_t negative = -3;
-    // The archive itself begins with one byte for its byte order.
+    // The archive begins with one byte for its byte order.
     BOOST_TEST(save(small).size() == 2U);
     BOOST_TEST(save(negative).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(refusesNumbersOutOfRange)
+BOOST_AUTO_TEST_CASE(rejectsNumbersOutOfRange)
 {
-    std::uint64_t big = std::uint64_t{UINT32_MAX} + 1;
+    std::uint64_t tooLarge = std::uint64_t{UINT32_MAX} + 1;
     std::uint32_t number = 0;
-    BOOST_TEST(!load(save(big), number));
-    std::int64_t low = std::int64_t{INT32_MIN} - 1;
+    BOOST_TEST(!load(save(tooLarge), number));
+    std::int64_t tooSmall = std::int64_t{INT32_MIN} - 1;
     std::int32_t signedNumber = 0;
-    BOOST_TEST(!load(save(low), signedNumber));
+    BOOST_TEST(!load(save(tooSmall), signedNumber));
 }
 
-BOOST_AUTO_TEST_CASE(refusesWhatIsMalformed)
+BOOST_AUTO_TEST_CASE(rejectsMalformedMessages)
 {
     ConfigurationState state = makeState();
     const std::string bytes = save(state);
--- a/tests/auto/schema/tst_yamlreader.cpp
+++ b/tests/auto/schema/tst_yamlreader.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-const std::string wholeRouter = "vm: a\n"
-                                "data_centre: d\n"
-                                "region: r\n"
-                                "listen_address: 127.0.0.1:1\n"
-                                "admin_address: 127.0.0.1:2\n"
-                                "peer_address: '[::1]:3'\n"
-                                "peer_keys: [secret]\n"
-                                "placement_key: hidden\n";
+const std::string completeSettings = "vm: a\n"
+                                     "data_centre: d\n"
+                                     "region: r\n"
+                                     "listen_address: 127.0.0.1:1\n"
+                                     "admin_address: 127.0.0.1:2\n"
+                                     "peer_address: '[::1]:3'\n"
+                                     "peer_keys: [secret]\n"
+                                     "placement_key: hidden\n";
 
-/// Lines appended to settings that are whole, and the errors that they cause.
-struct MistakeCase
+/// Lines that are appended to complete settings, and the errors that they cause.
+struct ErrorCase
 {
     std::string lines;
     std::vector<std::string> errors;
@@ -28,11 +28,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(keepsDefaultsAndReadsWhatIsGiven)
+BOOST_AUTO_TEST_CASE(readsSettingsAndKeepsDefaults)
 {
     const auto read = readSettingsText<RouterSettings>(
         "router.yaml",
-        wholeRouter
+        completeSettings
             + "limits: {request_timeout_ms: 250}\nlog: {level: error}\n"
               "seeds: ['127.0.0.1:9', '127.0.0.2:9']\n");
     BOOST_REQUIRE_MESSAGE(read, (read ? "" : toText(read.error())));
@@ -46,9 +46,9 @@
     BOOST_TEST(!settings.tlsKey.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(namesFileLineAndRemedyOfEachMistake)
+BOOST_AUTO_TEST_CASE(reportsLocationAndCorrectionOfEachError)
 {
-    const std::vector<MistakeCase> cases{
+    const std::vector<ErrorCase> cases{
         {"limits:\n  event_ring_size: -5\n",
          {"router.yaml:10: limits.event_ring_size: -5 is below 16; "
           "give a whole number from 16 to 16777216"}},
@@ -84,13 +84,14 @@
         {"log: [\n", {"router.yaml:10: not valid YAML: end of sequence flow not found"}},
         {"---\nvm: b\n", {"router.yaml:10: a second document; settings are one YAML document"}},
     };
-    for (const MistakeCase &row : cases) {
-        const auto read = readSettingsText<RouterSettings>("router.yaml", wholeRouter + row.lines);
-        BOOST_REQUIRE_MESSAGE(!read, row.lines);
-        std::string wanted;
-        for (const std::string &error : row.errors)
-            wanted += error + "\n";
-        BOOST_TEST(toText(read.error()) == wanted);
+    for (const ErrorCase &errorCase : cases) {
+        const auto read =
+            readSettingsText<RouterSettings>("router.yaml", completeSettings + errorCase.lines);
+        BOOST_REQUIRE_MESSAGE(!read, errorCase.lines);
+        std::string expected;
+        for (const std::string &error : errorCase.errors)
+            expected += error + "\n";
+        BOOST_TEST(toText(read.error()) == expected);
     }
 }
 
@@ -114,9 +115,9 @@
     BOOST_TEST(toText(read.error()).find("hush") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(readsBackWhatItWrites)
+BOOST_AUTO_TEST_CASE(readsWrittenSettings)
 {
-    const RouterSettings settings = readSettingsText<RouterSettings>("a", wholeRouter).value();
+    const RouterSettings settings = readSettingsText<RouterSettings>("a", completeSettings).value();
     const auto yaml = readSettingsText<RouterSettings>("b", toYamlText(toJson(settings)));
     BOOST_REQUIRE_MESSAGE(yaml, (yaml ? "" : toText(yaml.error())));
     BOOST_TEST((yaml.value() == settings));
