--- a/src/libs/configuration/rules.cpp
+++ b/src/libs/configuration/rules.cpp
@@ -199,7 +199,7 @@
         if (const Schema::ConfigurationObject *first = all.find(key)) {
             errors.push_back({source.file, source.line,
                               toString(key) + " is given twice, first at "
-                                  + Schema::sourceOf(*first).at("name") + "; keep one"});
+                                  + Schema::sourceOf(*first).locationOf("name") + "; keep one"});
             continue;
         }
         all.set(document.object);
--- a/src/libs/operations/endpointcommands.cpp
+++ b/src/libs/operations/endpointcommands.cpp
@@ -22,7 +22,7 @@
         const Configuration::ObjectKey key = Configuration::keyOf(document.object);
         if (key.kind != Schema::ObjectKind::Endpoint) {
             return failure(ExitStatus::Usage,
-                           Schema::sourceOf(document.object).at("kind")
+                           Schema::sourceOf(document.object).locationOf("kind")
                                + ": is not an endpoint; use `lagoonbank-ctl publish` instead.");
         }
         const Schema::ConfigurationObject *current = log().objects().find(key);
--- a/src/libs/router/callerapi.cpp
+++ b/src/libs/router/callerapi.cpp
@@ -182,7 +182,7 @@
         refuse(context,
                Exchange::Refusal{.error = Errors::makeError(ErrorKind::ServiceNotAllowed),
                                  .limit = "models",
-                                 .contractLine = context->contract->source.at("models")});
+                                 .contractLine = context->contract->source.locationOf("models")});
         return;
     }
     if (!admit(context,
--- a/src/libs/router/contractrules.cpp
+++ b/src/libs/router/contractrules.cpp
@@ -23,20 +23,22 @@
 {
     const Schema::Source &source = contract.source;
     Admission::WorkspaceLimits limits;
-    limits.requestsPerSecond = {contract.requestsPerSecond, source.at("requests_per_second")};
-    limits.requestBurst = {contract.requestBurst, source.at("request_burst")};
-    limits.tokensPerSecond = {contract.tokensPerSecond, source.at("tokens_per_second")};
-    limits.tokenBurst = {contract.tokenBurst, source.at("token_burst")};
-    limits.concurrency = {static_cast<int>(contract.concurrency), source.at("concurrency")};
+    limits.requestsPerSecond = {contract.requestsPerSecond,
+                                source.locationOf("requests_per_second")};
+    limits.requestBurst = {contract.requestBurst, source.locationOf("request_burst")};
+    limits.tokensPerSecond = {contract.tokensPerSecond, source.locationOf("tokens_per_second")};
+    limits.tokenBurst = {contract.tokenBurst, source.locationOf("token_burst")};
+    limits.concurrency = {static_cast<int>(contract.concurrency), source.locationOf("concurrency")};
     for (const auto &[name, level] : contract.priorities)
-        limits.priorities.push_back({name, static_cast<int>(level), source.at("priorities")});
+        limits.priorities.push_back(
+            {name, static_cast<int>(level), source.locationOf("priorities")});
     limits.defaultPriority = contract.defaultPriority;
-    limits.defaultDeadline = {contract.defaultDeadline, source.at("default_deadline_ms")};
-    limits.maxDeadline = {contract.maxDeadline, source.at("max_deadline_ms")};
+    limits.defaultDeadline = {contract.defaultDeadline, source.locationOf("default_deadline_ms")};
+    limits.maxDeadline = {contract.maxDeadline, source.locationOf("max_deadline_ms")};
     std::vector<std::string> services;
     for (const Base::ServiceId &service : contract.services)
         services.push_back(service.value());
-    limits.services = {std::move(services), source.at("services")};
+    limits.services = {std::move(services), source.locationOf("services")};
     return limits;
 }
 
--- a/src/libs/schema/settingserror.cpp
+++ b/src/libs/schema/settingserror.cpp
@@ -34,7 +34,7 @@
     return text.str();
 }
 
-std::string Source::at(const std::string &key) const
+std::string Source::locationOf(const std::string &key) const
 {
     const auto it = lines.find(key);
     return file + ":" + std::to_string(it == lines.end() ? line : it->second);
--- a/src/libs/schema/settingserror.h
+++ b/src/libs/schema/settingserror.h
@@ -43,7 +43,7 @@
     std::map<std::string, int> lines; ///< Line of each field by YAML key.
 
     /// Returns `file:line` of the field, or of the object if the field is not set there.
-    std::string at(const std::string &key) const;
+    std::string locationOf(const std::string &key) const;
 
     /// Always true, so that the location of an object does not affect comparisons of objects.
     bool operator==(const Source &) const { return true; }
--- a/tests/auto/schema/tst_objectreader.cpp
+++ b/tests/auto/schema/tst_objectreader.cpp
@@ -41,10 +41,10 @@
     BOOST_TEST(contract.priorities.at("urgent") == 0U);
     BOOST_TEST(contract.nonIdempotent.at(0).methods.at(0) == "POST");
     BOOST_TEST(contract.whenLogIsOut == LogOutPolicy::Local);
-    BOOST_TEST(contract.source.at("concurrency") == "contracts/hall.yaml:9");
-    BOOST_TEST(contract.source.at("retry_budget") == "contracts/hall.yaml:2");
+    BOOST_TEST(contract.source.locationOf("concurrency") == "contracts/hall.yaml:9");
+    BOOST_TEST(contract.source.locationOf("retry_budget") == "contracts/hall.yaml:2");
     const ObjectDocument &second = read.value()[1];
-    BOOST_TEST(sourceOf(second.object).at("region") == "contracts/hall.yaml:17");
+    BOOST_TEST(sourceOf(second.object).locationOf("region") == "contracts/hall.yaml:17");
     const auto single = readObject("contracts/hall.yaml", second.text, second.line);
     BOOST_REQUIRE(single);
     BOOST_TEST((sourceOf(single.value()).lines == sourceOf(second.object).lines));
