--- a/src/libs/runtime/loop.cpp
+++ b/src/libs/runtime/loop.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr Base::Duration longestWait = std::chrono::minutes(1);
+constexpr Base::Duration maxPollWait = std::chrono::minutes(1);
 /// Smaller than any jump with an effect, larger than the error of reading two clocks in a row.
 constexpr Base::Duration wallJumpTolerance = std::chrono::milliseconds(20);
 /// Iterations of the destructor that let sockets finish closing.
@@ -35,7 +35,8 @@
     return static_cast<std::int32_t>(std::max<std::int64_t>(rounded, 0));
 }
 
-Base::Duration wallOffset()
+/// Difference between the wall clock and the monotonic clock.
+Base::Duration wallClockOffset()
 {
     timeval wall{};
     gettimeofday(&wall, nullptr);
@@ -54,7 +55,7 @@
         , timers(clock)
         , lag({.clock = &clock, .pollWait = [this] { return currentPollWait(); }})
         , native(h2o_evloop_create())
-        , lastWallOffset(wallOffset())
+        , lastWallClockOffset(wallClockOffset())
     {
         h2o_timeout_init(native, &callbackTimeouts, 0);
         callbackTimeout.entry.cb = [](h2o_timeout_entry_t *entry) {
@@ -85,7 +86,7 @@
     h2o_evloop_t *native;
     h2o_timeout_t callbackTimeouts{};
     CallbackTimeout callbackTimeout;
-    Base::Duration lastWallOffset;
+    Base::Duration lastWallClockOffset;
     Base::MonoTime lastPollTime; ///< Start of the last poll of an iteration.
     std::chrono::steady_clock::time_point pollStart; ///< System time even with a ManualClock.
     bool stopped = false;
@@ -100,9 +101,9 @@
 /// shifted by as much, so that none fires early or late.
 void Loop::Private::compensateWallClockJump()
 {
-    const Base::Duration offset = wallOffset();
-    const Base::Duration jump = offset - lastWallOffset;
-    lastWallOffset = offset;
+    const Base::Duration offset = wallClockOffset();
+    const Base::Duration jump = offset - lastWallClockOffset;
+    lastWallClockOffset = offset;
     if (std::chrono::abs(jump) < wallJumpTolerance)
         return;
     const auto shift = static_cast<std::uint64_t>(Base::toMilliseconds(jump));
@@ -248,7 +249,7 @@
 {
     d->stopped = false;
     while (!d->stopped)
-        runOnce(longestWait);
+        runOnce(maxPollWait);
 }
 
 void Loop::stop()
@@ -258,7 +259,7 @@
 
 void Loop::runOnce(Base::Duration maxWait)
 {
-    Base::Duration wait = std::min(maxWait, longestWait);
+    Base::Duration wait = std::min(maxWait, maxPollWait);
     if (!d->posted.empty())
         wait = Base::Duration::zero();
     if (const auto due = d->timers.nextDue())
--- a/src/libs/runtime/looplag.cpp
+++ b/src/libs/runtime/looplag.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Base::Duration sampleInterval = std::chrono::seconds(1);
-/// The wait of a poll is known to the millisecond only; shorter ones cannot be told from none.
+/// Waits are only known to the millisecond; shorter ones are treated as no wait.
 constexpr Base::Duration minMeasurableWait = std::chrono::milliseconds(2);
 
 Base::Duration threadProcessorTime()
