--- a/src/libs/platformclient/batchappender.h
+++ b/src/libs/platformclient/batchappender.h
@@ -24,10 +24,8 @@
         Runtime::TimerQueue *timers = nullptr;
         std::string stream;
         Base::Duration interval = std::chrono::milliseconds(20); ///< Shortest time between batches.
-        Base::Duration maxInterval =
-            std::chrono::seconds(2); ///< Longest time between batches when rate limited.
-        Base::Duration deadline =
-            std::chrono::seconds(3); ///< Longest time that a record waits to be appended.
+        Base::Duration maxInterval = std::chrono::seconds(2); ///< Maximum when rate limited.
+        Base::Duration deadline = std::chrono::seconds(3); ///< For sending a record.
         std::size_t maxBatchRecords = 500;
         std::size_t maxBatchBytes = 256 * 1024;
         std::size_t maxQueuedRecords = 20'000;
@@ -42,7 +40,7 @@
     BatchAppender &operator=(const BatchAppender &) = delete;
 
     /// Queues \a record. Returns false, without calling \a appended, if the queue is full.
-    /// Otherwise \a appended is called once, later; with NotAppended if no attempt succeeded by the
+    /// Otherwise \a appended is called once, later, with NotAppended if no attempt succeeded by the
     /// deadline.
     bool add(Record record, Appended appended);
 
@@ -78,8 +76,7 @@
     Base::MonoTime m_nextBatchTime;
     Runtime::TimerId m_batchTimer;
     Runtime::TimerId m_deadlineTimer;
-    std::shared_ptr<bool> m_alive =
-        std::make_shared<bool>(true); ///< For callbacks that may outlive the object.
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For pending callbacks.
 };
 
 } // namespace Lagoonbank::PlatformClient
--- a/src/libs/platformclient/weightstoreclient.h
+++ b/src/libs/platformclient/weightstoreclient.h
@@ -26,8 +26,7 @@
         Transport transport;
         Runtime::TimerQueue *timers = nullptr;
         Base::Duration timeout = std::chrono::seconds(5); ///< Limit for one call.
-        Base::Duration deadline =
-            std::chrono::seconds(60); ///< Limit for one fetch including retries.
+        Base::Duration deadline = std::chrono::seconds(60); ///< For one fetch with retries.
         std::size_t maxQueued = 1000;
         Backoff::Options backoff; ///< Between retries.
     };
