--- a/src/libs/logging/decisionlog.cpp
+++ b/src/libs/logging/decisionlog.cpp
@@ -23,8 +23,7 @@
             line += '\\';
             line += c;
         } else if (byte < 0x20 || byte >= 0x7f) {
-            // Bytes outside ASCII are escaped one by one, so that a line is valid UTF-8 for any
-            // input.
+            // Escapes bytes outside ASCII one by one, so that the line is UTF-8 for any input.
             line += "\\u00";
             line += digits[byte >> 4U];
             line += digits[byte & 15U];
--- a/tests/auto/logging/tst_decisionlog.cpp
+++ b/tests/auto/logging/tst_decisionlog.cpp
@@ -86,9 +86,9 @@
     BOOST_TEST(f.lines().size() == 5U);
     f.now += std::chrono::seconds(2);
     f.log.request("gateway", "Sending.", {});
-    const std::vector<json> later = f.lines();
-    BOOST_REQUIRE(later.size() == 2U);
-    BOOST_TEST(later[1]["too_many"] == 15);
+    const std::vector<json> nextLines = f.lines();
+    BOOST_REQUIRE(nextLines.size() == 2U);
+    BOOST_TEST(nextLines[1]["too_many"] == 15);
 }
 
 BOOST_AUTO_TEST_CASE(shouldLogRequestCountsSuppressedLines)
@@ -105,11 +105,11 @@
     f.log.request("gateway", "Sending.", {});
     f.now += std::chrono::seconds(1);
     f.log.request("gateway", "Ended.", {});
-    const std::vector<json> later = f.lines();
-    BOOST_REQUIRE(later.size() == 3U);
-    BOOST_TEST(later[0]["left_out_before"] == 3);
-    BOOST_TEST(!later[1].contains("left_out_before"));
-    BOOST_TEST(later[2]["too_many"] == 3);
+    const std::vector<json> nextLines = f.lines();
+    BOOST_REQUIRE(nextLines.size() == 3U);
+    BOOST_TEST(nextLines[0]["left_out_before"] == 3);
+    BOOST_TEST(!nextLines[1].contains("left_out_before"));
+    BOOST_TEST(nextLines[2]["too_many"] == 3);
 }
 
 BOOST_AUTO_TEST_CASE(doesNotLimitEvents)
