--- a/tests/auto/platformclient/tst_weightstoreclient.cpp
+++ b/tests/auto/platformclient/tst_weightstoreclient.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(honoursRetryAfter, Fixture)
+BOOST_FIXTURE_TEST_CASE(waitsAsLongAsTheStoreAsks, Fixture)
 {
     fetch("hints");
     fetch("tags");
