--- a/src/libs/node/configurationfollower.cpp
+++ b/src/libs/node/configurationfollower.cpp
@@ -82,7 +82,7 @@
     m_tailer->start();
 }
 
-void ConfigurationFollower::setFixed(std::vector<Schema::ConfigurationObject> objects)
+void ConfigurationFollower::setFixedObjects(std::vector<Schema::ConfigurationObject> objects)
 {
     m_fixed = Configuration::ObjectTable();
     for (Schema::ConfigurationObject &object : objects)
--- a/src/libs/node/configurationfollower.h
+++ b/src/libs/node/configurationfollower.h
@@ -37,7 +37,7 @@
     /// Whether this process reads the log itself.
     void setReadsLog(bool readsLog);
     /// Objects from files, for running without the platform.
-    void setFixed(std::vector<Schema::ConfigurationObject> objects);
+    void setFixedObjects(std::vector<Schema::ConfigurationObject> objects);
 
     bool isReady() const { return m_isFixed || m_reducer.isReady(); }
     /// All objects that are in force.
--- a/src/libs/router/routerprocess.cpp
+++ b/src/libs/router/routerprocess.cpp
@@ -243,7 +243,7 @@
 
 void RouterProcess::setFixedConfiguration(std::vector<Schema::ConfigurationObject> objects)
 {
-    m_configuration->setFixed(std::move(objects));
+    m_configuration->setFixedObjects(std::move(objects));
 }
 
 void RouterProcess::configurationChanged()
