--- a/src/libs/node/configurationfollower.cpp
+++ b/src/libs/node/configurationfollower.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Base::Duration longPoll = std::chrono::seconds(5);
+constexpr Base::Duration longPollTimeout = std::chrono::seconds(5);
 
 } // namespace
 
@@ -41,7 +41,7 @@
 
 void ConfigurationFollower::setReadsLog(bool readsLog)
 {
-    if (!m_log || m_isFixed || readsLog == (m_tailer != nullptr))
+    if (!m_log || m_hasFixedObjects || readsLog == (m_tailer != nullptr))
         return;
     if (readsLog) {
         makeTailer();
@@ -60,7 +60,7 @@
                                         .timers = &m_loop.timers(),
                                         .stream = std::string(Configuration::streamName),
                                         .from = m_reducer.next(),
-                                        .wait = longPoll,
+                                        .wait = longPollTimeout,
                                         .recentIdCapacity = 0,
                                         .backoff = m_backoff});
     m_tailer->setRecordReceived([this](const PlatformClient::StoredRecord &stored) {
@@ -84,16 +84,16 @@
 
 void ConfigurationFollower::setFixedObjects(std::vector<Schema::ConfigurationObject> objects)
 {
-    m_fixed = Configuration::ObjectTable();
+    m_fixedObjects = Configuration::ObjectTable();
     for (Schema::ConfigurationObject &object : objects)
-        m_fixed.set(std::move(object));
-    m_isFixed = true;
+        m_fixedObjects.set(std::move(object));
+    m_hasFixedObjects = true;
     stateChanged();
 }
 
 const Configuration::ObjectTable &ConfigurationFollower::objects() const
 {
-    return m_isFixed ? m_fixed : m_reducer.objects();
+    return m_hasFixedObjects ? m_fixedObjects : m_reducer.objects();
 }
 
 bool ConfigurationFollower::isLogUp() const
@@ -123,13 +123,13 @@
     return Schema::encodeMessage(*state);
 }
 
-std::string ConfigurationFollower::request(bool wantsAll) const
+std::string ConfigurationFollower::makeRequest(bool wantsAll) const
 {
     const Schema::ConfigurationRequest request{wantsAll ? Base::LogOffset() : m_reducer.next()};
     return Schema::encodeMessage(request).value();
 }
 
-Errors::Result<void> ConfigurationFollower::take(std::string_view answer)
+Errors::Result<void> ConfigurationFollower::importAnswer(std::string_view answer)
 {
     BOOST_OUTCOME_TRY(state, Schema::decodeMessage<Schema::ConfigurationState>(answer));
     return m_reducer.importState(state);
--- a/src/libs/node/configurationfollower.h
+++ b/src/libs/node/configurationfollower.h
@@ -39,7 +39,7 @@
     /// Objects from files, for running without the platform.
     void setFixedObjects(std::vector<Schema::ConfigurationObject> objects);
 
-    bool isReady() const { return m_isFixed || m_reducer.isReady(); }
+    bool isReady() const { return m_hasFixedObjects || m_reducer.isReady(); }
     /// All objects that are in force.
     const Configuration::ObjectTable &objects() const;
     Configuration::Reducer &reducer() { return m_reducer; }
@@ -51,11 +51,11 @@
     /// For peers: what changed since the offset that \a request names.
     Errors::Result<std::string> answer(std::string_view request) const;
     /// The request that brings this process up to date.
-    std::string request(bool wantsAll) const;
+    std::string makeRequest(bool wantsAll) const;
     /// Takes a peer's answer in; an error asks for the whole state next time.
-    Errors::Result<void> take(std::string_view answer);
+    Errors::Result<void> importAnswer(std::string_view answer);
     /// A peer holds the configuration up to this offset.
-    void peerIsAhead(Base::LogOffset next) { m_reducer.raiseRequiredOffset(next); }
+    void raiseRequiredOffset(Base::LogOffset next) { m_reducer.raiseRequiredOffset(next); }
 
     /// The objects in force have changed, or the configuration has become whole.
     std::function<void()> changed;
@@ -75,8 +75,8 @@
     Timeline::EventLog *m_events;
     Configuration::Reducer m_reducer;
     std::unique_ptr<PlatformClient::Tailer> m_tailer;
-    Configuration::ObjectTable m_fixed;
-    bool m_isFixed = false;
+    Configuration::ObjectTable m_fixedObjects;
+    bool m_hasFixedObjects = false;
     bool m_isChangePosted = false;
 };
 
--- a/src/libs/node/peerlink.cpp
+++ b/src/libs/node/peerlink.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Base::Duration dutyInterval = std::chrono::seconds(1);
+constexpr Base::Duration logReaderUpdateInterval = std::chrono::seconds(1);
 constexpr const char *configurationPull = "configuration";
 
 Membership::ControlBudget::Options budgetOptions(const Schema::ControlSettings &control)
@@ -51,7 +51,7 @@
     };
     m_membership->configurationAhead = [this](const Runtime::SocketAddress &peer,
                                               const Membership::ConfigurationMark &mark) {
-        m_options.configuration->peerIsAhead(Base::LogOffset(mark.offset));
+        m_options.configuration->raiseRequiredOffset(Base::LogOffset(mark.offset));
         pullConfiguration(peer, false);
     };
     if (m_options.events)
@@ -63,8 +63,8 @@
                                                            const std::vector<std::string> &seeds,
                                                            Metrics::Registry &metrics)
 {
-    BOOST_OUTCOME_TRY(own, Runtime::parseSocketAddress(address));
-    options.address = own;
+    BOOST_OUTCOME_TRY(ownAddress, Runtime::parseSocketAddress(address));
+    options.address = ownAddress;
     for (const std::string &seed : seeds) {
         BOOST_OUTCOME_TRY(parsed, Runtime::parseSocketAddress(seed));
         options.seeds.push_back(parsed);
@@ -81,7 +81,7 @@
 
 PeerLink::~PeerLink()
 {
-    m_options.loop->timers().cancel(m_dutyTimer);
+    m_options.loop->timers().cancel(m_logReaderTimer);
 }
 
 Errors::Result<void> PeerLink::start()
@@ -97,7 +97,7 @@
     m_transport->setProvider(configurationPull, [this](std::string_view request) {
         return m_options.configuration->answer(request);
     });
-    checkDuties();
+    updateLogReaderRole();
     return boost::outcome_v2::success();
 }
 
@@ -108,15 +108,15 @@
 
 void PeerLink::setVms(const std::vector<PlatformClient::VmEntry> &vms)
 {
-    std::vector<Membership::ListedVm> listed;
+    std::vector<Membership::ListedVm> listedVms;
     for (const PlatformClient::VmEntry &vm : vms) {
         const auto address = Runtime::parseSocketAddress(vm.address);
-        listed.push_back({.id = vm.id,
-                          .ip = address ? address.value().ip : vm.address,
-                          .dataCentre = vm.dataCentre,
-                          .isLeaving = vm.state == PlatformClient::VmState::Leaving});
+        listedVms.push_back({.id = vm.id,
+                             .ip = address ? address.value().ip : vm.address,
+                             .dataCentre = vm.dataCentre,
+                             .isLeaving = vm.state == PlatformClient::VmState::Leaving});
     }
-    m_membership->setVmList(listed);
+    m_membership->setVmList(listedVms);
 }
 
 void PeerLink::configurationChanged()
@@ -131,24 +131,26 @@
     if (m_isPulling)
         return;
     m_isPulling = true;
-    m_transport->pull(peer, configurationPull, m_options.configuration->request(wantsAll),
+    m_transport->pull(peer, configurationPull, m_options.configuration->makeRequest(wantsAll),
                       [this, peer, wantsAll](Errors::Result<std::string> answer) {
                           m_isPulling = false;
                           if (!answer)
                               return;
-                          const auto taken = m_options.configuration->take(answer.value());
-                          if (!taken && !wantsAll)
+                          const auto imported =
+                              m_options.configuration->importAnswer(answer.value());
+                          if (!imported && !wantsAll)
                               pullConfiguration(peer, true);
                       });
 }
 
 /// Few processes of a data centre read the log; the others hear from them.
-void PeerLink::checkDuties()
+void PeerLink::updateLogReaderRole()
 {
     const Base::MonoTime now = m_options.loop->clock().now();
-    const bool isReader = m_membership->rankInDataCentre(now) < logReadersPerDataCentre;
-    m_options.configuration->setReadsLog(isReader || !m_options.configuration->isReady());
-    m_dutyTimer = m_options.loop->timers().start(dutyInterval, [this] { checkDuties(); });
+    const bool isLogReader = m_membership->rankInDataCentre(now) < logReadersPerDataCentre;
+    m_options.configuration->setReadsLog(isLogReader || !m_options.configuration->isReady());
+    m_logReaderTimer =
+        m_options.loop->timers().start(logReaderUpdateInterval, [this] { updateLogReaderRole(); });
 }
 
 } // namespace Lagoonbank::Node
--- a/src/libs/node/peerlink.h
+++ b/src/libs/node/peerlink.h
@@ -85,14 +85,14 @@
                                                             const std::vector<std::string> &seeds,
                                                             Metrics::Registry &metrics);
     void pullConfiguration(const Runtime::SocketAddress &peer, bool wantsAll);
-    void checkDuties();
+    void updateLogReaderRole();
 
     Options m_options;
     Membership::ControlBudget m_budget;
     std::unique_ptr<Membership::Membership> m_membership;
     std::unique_ptr<Membership::PeerTransport> m_transport;
     bool m_isPulling = false;
-    Runtime::TimerId m_dutyTimer;
+    Runtime::TimerId m_logReaderTimer;
 };
 
 } // namespace Lagoonbank::Node
--- a/tests/auto/node/tst_causality.cpp
+++ b/tests/auto/node/tst_causality.cpp
@@ -40,12 +40,12 @@
 /// One process: its own wall clock, its events and, but for the operator's, its membership.
 struct Process
 {
-    Process(const std::string &name, Base::Duration ahead)
+    Process(const std::string &name, Base::Duration clockOffset)
         : events({.process = name})
     {
-        clock.setWall(clock.wallNow() + ahead);
+        clock.setWall(clock.wallNow() + clockOffset);
     }
-    void note(EventType type) { events.record(type, {.endpoint = engine}, clock.wallNow()); }
+    void recordEvent(EventType type) { events.record(type, {.endpoint = engine}, clock.wallNow()); }
 
     Runtime::ManualClock clock;
     Timeline::EventLog events;
@@ -57,10 +57,10 @@
 
 /// An operator, a router that reads the log, a controller and another router, whose wall clocks
 /// differ by 10 s and more. Messages pass through their binary form, in order.
-class Drain
+class DrainScenario
 {
 public:
-    explicit Drain(const Row &row)
+    explicit DrainScenario(const Row &row)
         : m_row(row)
     {
         join(reader, Membership::MemberRole::Router);
@@ -70,14 +70,14 @@
             apply(controller);
         };
         router.membership->endpointLeaving = [this](const auto &, Base::Incarnation) {
-            router.note(EventType::EndpointDraining);
-            router.note(EventType::RequestEnded);
+            router.recordEvent(EventType::EndpointDraining);
+            router.recordEvent(EventType::RequestEnded);
         };
         run(5s);
     }
 
     /// From the operator's change to the end of the request that held the endpoint.
-    std::vector<Timeline::ProcessEvent> merged()
+    std::vector<Timeline::ProcessEvent> runAndMergeEvents()
     {
         const std::string record = publish();
         run(1s);
@@ -133,7 +133,7 @@
     std::string publish()
     {
         const Runtime::ManualClock &clock = operatorsHost.clock;
-        operatorsHost.note(EventType::ConfigurationPublished);
+        operatorsHost.recordEvent(EventType::ConfigurationPublished);
         Configuration::ChangeRecord change;
         change.key.kind = Schema::ObjectKind::DataCentre;
         change.key.name = "north";
@@ -148,19 +148,19 @@
     {
         if (std::exchange(process.hasApplied, true))
             return;
-        process.note(EventType::ConfigurationApplied);
+        process.recordEvent(EventType::ConfigurationApplied);
         const Base::MonoTime now = process.clock.now();
         process.membership->setConfigurationMark({.offset = 1, .hash = 1}, now);
         if (&process != &controller)
             return;
-        process.note(EventType::OrderSent);
+        process.recordEvent(EventType::OrderSent);
         process.membership->announceLeaving(engine, Base::Incarnation(1), now);
     }
 
     void run(Base::Duration duration)
     {
         constexpr Base::Duration step = 20ms;
-        for (Base::Duration passed{}; passed < duration; passed += step) {
+        for (Base::Duration elapsed{}; elapsed < duration; elapsed += step) {
             operatorsHost.clock.advance(step);
             for (Process *member : m_members) {
                 member->clock.advance(step);
@@ -197,7 +197,7 @@
 
 using Step = std::pair<std::string, EventType>;
 
-std::size_t place(const std::vector<Timeline::ProcessEvent> &events, const Step &step)
+std::size_t indexOf(const std::vector<Timeline::ProcessEvent> &events, const Step &step)
 {
     const auto found = std::find_if(events.begin(), events.end(), [&](const auto &event) {
         return event.process == step.first && event.event.type == step.second;
@@ -212,7 +212,7 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(drainIsInCausalOrderThoughClocksDiffer, boost::unit_test::data::make(rows),
+BOOST_DATA_TEST_CASE(drainIsMergedInCausalOrderDespiteClockSkew, boost::unit_test::data::make(rows),
                      row)
 {
     const Step steps[] = {{"operator", EventType::ConfigurationPublished},
@@ -221,19 +221,19 @@
                           {"vm-1/controller", EventType::OrderSent},
                           {"vm-2/router", EventType::EndpointDraining},
                           {"vm-2/router", EventType::RequestEnded}};
-    const auto events = Drain(row).merged();
-    std::vector<std::size_t> places;
+    const auto events = DrainScenario(row).runAndMergeEvents();
+    std::vector<std::size_t> indices;
     for (const Step &step : steps)
-        places.push_back(place(events, step));
-    BOOST_TEST(std::is_sorted(places.begin(), places.end()) == row.isCausal);
+        indices.push_back(indexOf(events, step));
+    BOOST_TEST(std::is_sorted(indices.begin(), indices.end()) == row.isCausal);
 }
 
-BOOST_AUTO_TEST_CASE(timesFarAheadAreNotBelieved)
+BOOST_AUTO_TEST_CASE(timesFarAheadAreRejected)
 {
     Process process("vm-1/router", 0s);
     const Timeline::HybridTime own = process.events.clock().tick(process.clock.wallNow());
-    const Timeline::HybridTime late{.wallMs = own.wallMs + 3'600'000};
-    Node::mergeRecordTime(Timeline::toString(late), process.events, process.clock);
+    const Timeline::HybridTime farAhead{.wallMs = own.wallMs + 3'600'000};
+    Node::mergeRecordTime(Timeline::toString(farAhead), process.events, process.clock);
     Node::mergeRecordTime("no time", process.events, process.clock);
     Node::mergeRecordTime("", process.events, process.clock);
     BOOST_TEST((process.events.clock().last() == own));
