--- a/src/libs/node/adminanswers.h
+++ b/src/libs/node/adminanswers.h
@@ -13,17 +13,18 @@
 
 namespace Lagoonbank::Node {
 
-// What all processes of the fleet tell on their admin ports in the same form.
+// Parts of the admin ports' answers that are the same for routers and controllers.
 
-/// Value of a query parameter; empty if it is not there.
+/// Returns the value of a query parameter, or an empty text if it is missing.
 std::string textParameter(const QueryParameters &query, std::string_view name);
-/// The same as a whole number; 0 if it is not there or no number.
+/// Returns the value of a query parameter as an integer, or 0 if it is missing or not a number.
 std::int64_t numberParameter(const QueryParameters &query, std::string_view name);
-/// `[{"id", "data_centre", "status", "reachable"}]`.
+/// Returns the members as `[{"id", "data_centre", "status", "reachable"}]`.
 nlohmann::ordered_json membersJson(const PeerLink &peers, Base::MonoTime now);
-/// `{"next", "hash", "log_up"}`.
+/// Returns the state of the configuration as `{"next", "hash", "log_up"}`.
 nlohmann::ordered_json configurationJson(const ConfigurationFollower &configuration);
-/// `{"events": [...]}`, filtered by `since`, `after`, `request`, `workspace` and `endpoint`.
+/// Returns `{"events": [...]}`, filtered by the parameters `since`, `after`, `request`, `workspace`
+/// and `endpoint`.
 AdminPort::Answer eventsAnswer(const Timeline::EventLog &events, const QueryParameters &query);
 
 } // namespace Lagoonbank::Node
--- a/src/libs/node/adminport.h
+++ b/src/libs/node/adminport.h
@@ -14,11 +14,12 @@
 
 namespace Lagoonbank::Node {
 
-/// Parameters of a query, percent-decoded; the last one of a name counts.
+/// The percent-decoded parameters of a query. If a name occurs more than once, the last value is
+/// used.
 using QueryParameters = std::map<std::string, std::string, std::less<>>;
 QueryParameters readQuery(std::string_view query);
 
-/// Where operators and metrics collectors ask a process; answers GET with JSON or text.
+/// HTTP server for operators and metrics collectors. Answers GET requests with JSON or text.
 class AdminPort
 {
 public:
--- a/src/libs/node/configurationfollower.cpp
+++ b/src/libs/node/configurationfollower.cpp
@@ -47,14 +47,14 @@
         makeTailer();
         return;
     }
-    // Not from within one of the tailer's own hooks.
+    // The tailer must not be destroyed within one of its own hooks.
     m_tailer->stop();
     m_loop.post([tailer = std::shared_ptr<PlatformClient::Tailer>(std::move(m_tailer))] {});
 }
 
 void ConfigurationFollower::makeTailer()
 {
-    // The verdict on a repeated record follows from the state, so that none may be left out.
+    // The reducer determines the verdict on repeated records, so the tailer must not drop them.
     m_tailer = std::make_unique<PlatformClient::Tailer>(
         PlatformClient::Tailer::Options{.log = m_log,
                                         .timers = &m_loop.timers(),
@@ -103,7 +103,7 @@
 
 void ConfigurationFollower::stateChanged()
 {
-    // A page of the log changes many objects; what follows from them is worked out once.
+    // A page of the log may change many objects. The hook is called once for all of them.
     if (m_isChangePosted)
         return;
     m_isChangePosted = true;
--- a/src/libs/node/configurationfollower.h
+++ b/src/libs/node/configurationfollower.h
@@ -14,55 +14,60 @@
 #include <string_view>
 #include <vector>
 
-/// What routers and controllers have in common as processes of the fleet.
+/// Code that the router and controller processes share.
 namespace Lagoonbank::Node {
 
-/// Keeps the configuration in force: few processes of a data centre follow the log, the others take
-/// what is new from peers. Serves from memory while the log is out.
+/// Keeps a process's configuration up to date. A few processes in each data centre follow the log,
+/// and the others receive changes from peers. While the log is unavailable, the configuration in
+/// memory remains in force.
 class ConfigurationFollower
 {
 public:
     struct Options
     {
         Runtime::Loop *loop = nullptr;
-        PlatformClient::LogClient *log = nullptr; ///< Null without a platform.
-        PlatformClient::Backoff::Options backoff; ///< While the log cannot be read.
-        /// Its clock merges the times that records carry; null for none.
+        PlatformClient::LogClient *log = nullptr; ///< Null if there is no platform.
+        PlatformClient::Backoff::Options backoff; ///< Delays between failed reads of the log.
+        /// Event log whose hybrid clock merges the times in records. May be null.
         Timeline::EventLog *events = nullptr;
     };
 
     explicit ConfigurationFollower(const Options &options);
 
     void start();
-    /// Whether this process reads the log itself.
+    /// Sets whether this process reads the log itself.
     void setReadsLog(bool readsLog);
-    /// Objects from files, for running without the platform.
+    /// Uses these objects, which were read from files, instead of the log and peers. Used without
+    /// the platform.
     void setFixedObjects(std::vector<Schema::ConfigurationObject> objects);
 
     bool isReady() const { return m_hasFixedObjects || m_reducer.isReady(); }
-    /// All objects that are in force.
+    /// The objects in force.
     const Configuration::ObjectTable &objects() const;
     Configuration::Reducer &reducer() { return m_reducer; }
     const Configuration::Reducer &reducer() const { return m_reducer; }
     bool isLogUp() const;
-    /// This process reads the log itself and has come to its end.
+    /// Whether this process reads the log itself and has reached its end.
     bool isAtEnd() const { return m_tailer && m_tailer->isCaughtUp(); }
 
-    /// For peers: what changed since the offset that \a request names.
+    /// Returns the encoded state for a peer, with the objects changed since the offset in \a
+    /// request.
     Errors::Result<std::string> answer(std::string_view request) const;
-    /// The request that brings this process up to date.
+    /// Returns an encoded request for a peer's newer state, or for its complete state if \a
+    /// wantsAll is set.
     std::string makeRequest(bool wantsAll) const;
-    /// Takes a peer's answer in; an error asks for the whole state next time.
+    /// Imports a peer's answer. If this fails, the caller should request the complete state.
     Errors::Result<void> importAnswer(std::string_view answer);
-    /// A peer holds the configuration up to this offset.
+    /// Must be called when a peer has the configuration up to this offset. Before this process has
+    /// it too, it does not become ready.
     void raiseRequiredOffset(Base::LogOffset next) { m_reducer.raiseRequiredOffset(next); }
 
-    /// The objects in force have changed, or the configuration has become whole.
+    /// Called when the objects in force have changed or the configuration has become complete.
     std::function<void()> changed;
     std::function<void(bool isUp)> logHealthChanged;
     std::function<void(const Configuration::Event &event)> eventRaised;
     std::function<void(const Configuration::ChangeResult &result)> changeProcessed;
-    /// A record of the log came in.
+    /// Called for each record read from the log.
     std::function<void(const Configuration::LogRecord &record)> recordRead;
 
 private:
--- a/src/libs/node/logicaltime.h
+++ b/src/libs/node/logicaltime.h
@@ -8,14 +8,13 @@
 
 namespace Lagoonbank::Node {
 
-/// Stamps what \a membership sends with the log's hybrid clock and merges what it receives, so that
-/// an event stands after those that caused it in other processes. Both must outlive \a membership's
-/// use, as must \a clock.
+/// Adds the hybrid time of \a events to the messages that \a membership sends and merges the times
+/// of those that it receives, so that events are ordered after their causes in other processes. \a
+/// events and \a clock must outlive \a membership.
 void connectClock(Membership::Membership &membership, Timeline::EventLog &events,
                   const Runtime::Clock &clock);
 
-/// Merges the time that a configuration record carries; a record without a readable one changes
-/// nothing.
+/// Merges the hybrid time of a configuration record. An empty or invalid time is ignored.
 void mergeRecordTime(std::string_view time, Timeline::EventLog &events,
                      const Runtime::Clock &clock);
 
--- a/src/libs/node/memberevents.h
+++ b/src/libs/node/memberevents.h
@@ -10,14 +10,14 @@
 
 namespace Lagoonbank::Node {
 
-/// The time line's event for what happened to a member.
+/// Returns the timeline's event type for a membership event.
 Timeline::EventType eventTypeOf(Membership::MemberEvent event);
 
-/// Delays between tries of one start of a process; other processes of the fleet get others.
+/// Returns backoff options with a seed that differs between processes and their incarnations.
 PlatformClient::Backoff::Options backoffOf(const std::string &process,
                                            Base::Incarnation incarnation);
 
-/// The incarnation of a process that starts at \a wall.
+/// Returns the incarnation of a process that starts at \a wall.
 Base::Incarnation incarnationAt(Base::WallTime wall);
 
 } // namespace Lagoonbank::Node
--- a/src/libs/node/peerlink.cpp
+++ b/src/libs/node/peerlink.cpp
@@ -15,7 +15,7 @@
 
 Membership::ControlBudget::Options budgetOptions(const Schema::ControlSettings &control)
 {
-    // A margin keeps bursts under the limit as well.
+    // The margin keeps the traffic below the limit during bursts too.
     constexpr double margin = 0.92;
     const double rate = control.bytesPerSecond * margin;
     return {.bytesPerSecond = rate, .burstBytes = rate, .overdraftBytes = rate / 2};
@@ -143,7 +143,8 @@
                       });
 }
 
-/// Few processes of a data centre read the log; the others hear from them.
+/// Determines whether this process reads the log. Only a few processes of a data centre do once
+/// their configuration is ready; the others receive changes from them.
 void PeerLink::updateLogReaderRole()
 {
     const Base::MonoTime now = m_options.loop->clock().now();
--- a/src/libs/node/peerlink.h
+++ b/src/libs/node/peerlink.h
@@ -21,7 +21,7 @@
 
 namespace Lagoonbank::Node {
 
-/// This process among its peers: membership, digests, and the configuration that peers pass on.
+/// Connects this process to its peers: membership, digests, and configuration received from peers.
 class PeerLink
 {
 public:
@@ -39,15 +39,15 @@
         std::vector<std::string> keys;
         Base::Incarnation incarnation;
         Schema::ControlSettings control;
-        /// Its clock travels with the messages to and from peers; null for none.
+        /// Event log whose hybrid clock is synchronised by the messages between peers. May be null.
         Timeline::EventLog *events = nullptr;
     };
 
-    /// Processes of a data centre that read the log themselves.
+    /// Number of processes in each data centre that read the log themselves.
     static constexpr std::size_t logReadersPerDataCentre = 2;
 
-    /// Fills \a options up from the settings of a router or controller and counts control traffic
-    /// in lagoonbank_control_bytes_total of \a metrics.
+    /// Completes \a options with the settings of a router or controller. Counts control traffic in
+    /// lagoonbank_control_bytes_total of \a metrics.
     template<typename Settings>
     static Errors::Result<std::unique_ptr<PeerLink>>
     create(Options options, const Settings &settings, Metrics::Registry &metrics)
@@ -64,10 +64,10 @@
     ~PeerLink();
 
     Errors::Result<void> start();
-    /// Tells the peers that this process leaves.
+    /// Announces to the peers that this process leaves.
     void leave();
     void setVms(const std::vector<PlatformClient::VmEntry> &vms);
-    /// To be called when the configuration has changed.
+    /// Must be called when the configuration has changed.
     void configurationChanged();
 
     Membership::Membership &membership() { return *m_membership; }
--- a/src/libs/node/platformbytes.h
+++ b/src/libs/node/platformbytes.h
@@ -7,8 +7,8 @@
 
 namespace Lagoonbank::Node {
 
-/// Counts the traffic with the platform in lagoonbank_platform_bytes_total of \a metrics; for
-/// PlatformClient::HttpTransportOptions::metered.
+/// Returns a function for PlatformClient::HttpTransportOptions::metered that counts traffic with
+/// the platform in lagoonbank_platform_bytes_total of \a metrics.
 std::function<void(Base::Bytes sent, Base::Bytes received)>
 platformByteCounter(Metrics::Registry &metrics);
 
--- a/src/libs/node/program.h
+++ b/src/libs/node/program.h
@@ -13,21 +13,21 @@
 
 namespace Lagoonbank::Node {
 
-// What the main functions of the fleet's programs have in common.
+// Helpers for the main functions of the router and controller programs.
 
-/// Exit status if a program cannot do its work.
+/// Exit status if a program fails at run time.
 constexpr int runTimeFailure = 1;
-/// Exit status if its command line or settings are wrong.
+/// Exit status if the command line or the settings are invalid.
 constexpr int usageFailure = 2;
 
-/// Sets up the log of this process.
+/// Configures the process's log.
 void configureLog(const Schema::LogSettings &settings);
 
-/// Prints \a errors, one a line; gives usageFailure.
+/// Prints \a errors, one per line, and returns usageFailure.
 int settingsFailure(const Schema::SettingsErrors &errors);
 
-/// Reads the settings from the YAML file \a path and sets up the log as they say; nothing after
-/// printing what is wrong.
+/// Reads the settings from the YAML file \a path and configures the log accordingly. On failure,
+/// prints the errors and returns nothing.
 template<typename Settings>
 std::optional<Settings> loadSettings(std::string_view program, const std::string &path)
 {
@@ -44,7 +44,7 @@
     return settings.value();
 }
 
-/// Starts \a process; false after printing why it could not.
+/// Starts \a process. On failure, prints the error and returns false.
 template<typename Process>
 bool startProcess(std::string_view program, Process &process)
 {
@@ -54,7 +54,7 @@
     return static_cast<bool>(started);
 }
 
-/// Runs \a loop; SIGTERM and SIGINT let \a process stop gracefully, which ends the loop.
+/// Runs \a loop until \a process has stopped. SIGTERM and SIGINT stop it gracefully.
 template<typename Process>
 void runUntilStopped(Runtime::Loop &loop, Process &process)
 {
--- a/tests/auto/node/tst_causality.cpp
+++ b/tests/auto/node/tst_causality.cpp
@@ -37,7 +37,7 @@
     return stream << row.name;
 }
 
-/// One process: its own wall clock, its events and, but for the operator's, its membership.
+/// A process with its own wall clock and events. All but the operator's host are also members.
 struct Process
 {
     Process(const std::string &name, Base::Duration clockOffset)
@@ -56,7 +56,7 @@
 };
 
 /// An operator, a router that reads the log, a controller and another router, whose wall clocks
-/// differ by 10 s and more. Messages pass through their binary form, in order.
+/// differ by up to 20 s. Messages are encoded, and delivered in order.
 class DrainScenario
 {
 public:
@@ -76,7 +76,8 @@
         run(5s);
     }
 
-    /// From the operator's change to the end of the request that held the endpoint.
+    /// Runs from the operator's change until the last request at the drained endpoint has ended.
+    /// Returns the events of all processes in merged order.
     std::vector<Timeline::ProcessEvent> runAndMergeEvents()
     {
         const std::string record = publish();
@@ -206,9 +207,9 @@
     return static_cast<std::size_t>(found - events.begin());
 }
 
-const Row rows[] = {{"both carry the time", true, true, true},
-                    {"messages without it", false, true, false},
-                    {"records without it", true, false, false}};
+const Row rows[] = {{"messages and records carry the time", true, true, true},
+                    {"messages without the time", false, true, false},
+                    {"records without the time", true, false, false}};
 
 } // namespace
 
