--- a/tests/auto/adapter/tst_routerprocess.cpp
+++ b/tests/auto/adapter/tst_routerprocess.cpp
@@ -226,7 +226,7 @@
         return std::stod(text.substr(at + name.size() + 2));
     };
     f.loop.post([&] { f.clock.advance(std::chrono::milliseconds(600)); });
-    f.runTurns(2);
+    f.runIterations(2);
     f.advance(std::chrono::seconds(1));
     BOOST_TEST(metric("lagoonbank_gateway_loop_wanted_seconds_total") >= 0.6);
     BOOST_TEST(metric("lagoonbank_gateway_loop_turn_seconds_count") > 0);
@@ -234,7 +234,7 @@
     BOOST_TEST(metric("lagoonbank_gateway_request_unread_seconds_count") == 0);
     for (int i = 0; i < 300; ++i) {
         f.clock.advance(std::chrono::milliseconds(10));
-        f.runTurns(1);
+        f.runIterations(1);
     }
     BOOST_TEST(metric("lagoonbank_gateway_loop_behind_seconds") < 0.2);
     BOOST_TEST(metric("lagoonbank_gateway_caller_connections") == 0);
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -217,7 +217,7 @@
         if (i % 5 == 4)
             answer.send("x");
         beacon("other", other.port);
-        f.runTurns(20);
+        f.runIterations(20);
     }
     BOOST_TEST(puller.packed.size() == 1000U);
 }
--- a/tests/auto/gateway/tst_callerleft.cpp
+++ b/tests/auto/gateway/tst_callerleft.cpp
@@ -73,7 +73,7 @@
                         f.clock.advance(milliseconds(stallMs));
                     };
                     f.loop.post(doAll);
-                    f.runTurns(20);
+                    f.runIterations(20);
                     BOOST_TEST(f.requests() == before);
                     BOOST_TEST(f.gateway.inFlight() == 0U);
                 }
@@ -113,7 +113,7 @@
         BOOST_REQUIRE(f.runUntil([&] { return f.gateway.inFlight() == 1; }));
         caller.close();
         f.clock.advance(milliseconds(stallMs));
-        f.runTurns(20);
+        f.runIterations(20);
         BOOST_TEST(f.requests() == 0U);
         BOOST_TEST(f.gateway.inFlight() == 0U);
     }
--- a/tests/auto/gateway/tst_gateway.cpp
+++ b/tests/auto/gateway/tst_gateway.cpp
@@ -401,7 +401,7 @@
     };
     for (int i = 0; i < 12 && refused() == 0; ++i) {
         others.push_back(f.call());
-        f.runTurns(5);
+        f.runIterations(5);
         f.advance(milliseconds(100));
     }
     BOOST_TEST(refused() == 1);
@@ -412,7 +412,7 @@
     BOOST_TEST(f.runUntil([&] { return taken.has("data: e1"); }));
     f.ownDelay = Base::Duration::zero();
     RawSocket later = f.call();
-    f.runTurns(5);
+    f.runIterations(5);
     BOOST_TEST(f.requests() == others.size() + 1);
 }
 
--- a/tests/auto/http/loopback.h
+++ b/tests/auto/http/loopback.h
@@ -26,33 +26,33 @@
 /// An event loop on a manual clock, which advances only when told to.
 struct PausedLoop
 {
-    static constexpr int maxTurns = 3000;
+    static constexpr int maxIterations = 3000;
 
     bool runUntil(const std::function<bool()> &condition)
     {
-        for (int turn = 0; turn < maxTurns; ++turn) {
+        for (int iteration = 0; iteration < maxIterations; ++iteration) {
             if (condition())
                 return true;
             loop.runOnce(std::chrono::milliseconds(5));
         }
         return condition();
     }
-    void runTurns(int count)
+    void runIterations(int count)
     {
-        for (int turn = 0; turn < count; ++turn)
+        for (int iteration = 0; iteration < count; ++iteration)
             loop.runOnce(std::chrono::milliseconds(1));
     }
     void advance(Base::Duration duration)
     {
         clock.advance(duration);
-        runTurns(3);
+        runIterations(3);
     }
 
     /// Advances the clock in small steps and runs the loop after each.
     void pass(Base::Duration duration)
     {
         constexpr Base::Duration step = std::chrono::milliseconds(5);
-        for (auto left = duration; left > left.zero(); left -= step)
+        for (auto remaining = duration; remaining > remaining.zero(); remaining -= step)
             advance(step);
     }
 
--- a/tests/auto/http/tst_client.cpp
+++ b/tests/auto/http/tst_client.cpp
@@ -181,7 +181,7 @@
     call.body = std::string(16 * 1024 * 1024, 'x'); // Exceeds the socket buffers.
     f.start(std::move(call));
     RawSocket server = f.accept();
-    f.runTurns(5);
+    f.runIterations(5);
     server.send("HTTP/1.1 413 Content Too Large\r\ncontent-length: 2\r\n\r\nno");
     const CallResult &result = f.finished();
     BOOST_TEST(result.end == CallEnd::Whole);
@@ -200,7 +200,7 @@
     const std::string part(1000, 'x');
     for (int sent = 0; sent < 1000 && f.results.empty(); ++sent) {
         server.send(part);
-        f.runTurns(1);
+        f.runIterations(1);
     }
     BOOST_REQUIRE(!f.results.empty());
     BOOST_TEST(f.results.back().end == CallEnd::Broken);
@@ -327,8 +327,8 @@
     call.settleTime = std::chrono::milliseconds(2);
     f.start(call);
     RawSocket first = f.accept();
-    int turns = 0;
-    f.runUntil([&] { return ++turns > 10; }); // Let the client notice that it is connected.
+    int iterations = 0;
+    f.runUntil([&] { return ++iterations > 10; }); // Let the client notice that it is connected.
     first.reset();
     BOOST_TEST(f.finished(1).end == CallEnd::TurnedAway);
     BOOST_TEST(!f.results.back().mayHaveBeenSent);
@@ -429,7 +429,7 @@
             RawSocket server = f.accept();
             BOOST_REQUIRE(f.runUntil([&] { return server.has("\r\n\r\n"); }));
             server.send(row.sent);
-            f.runTurns(5);
+            f.runIterations(5);
             f.advance(row.beforeTimeout);
             BOOST_TEST(f.results.empty());
             f.advance(row.remaining);
@@ -457,12 +457,12 @@
     server.send("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n");
     for (int i = 0; i < 3; ++i) {
         server.send("x");
-        f.runTurns(5);
+        f.runIterations(5);
         f.advance(std::chrono::seconds(4));
         BOOST_TEST(f.results.empty());
     }
     server.send("x");
-    f.runTurns(5);
+    f.runIterations(5);
     f.advance(std::chrono::seconds(1));
     BOOST_TEST(f.finished().end == CallEnd::TimedOut);
     BOOST_TEST(f.results.back().body == "xxxx");
--- a/tests/auto/http/tst_protocols.cpp
+++ b/tests/auto/http/tst_protocols.cpp
@@ -253,7 +253,7 @@
     Fixture f;
     RawSocket caller(f.server.address());
     caller.send(preface + frame(1, 4, 1, postHeaders) + frame(0, 0, 1, "half"));
-    f.runTurns(5);
+    f.runIterations(5);
     for (int i = 0; i < 36; ++i)
         f.advance(std::chrono::milliseconds(250));
     BOOST_TEST(!caller.isEnded());
--- a/tests/auto/http/tst_server.cpp
+++ b/tests/auto/http/tst_server.cpp
@@ -15,7 +15,7 @@
     Fixture f;
     RawSocket caller = f.connect();
     caller.send("POST /p?q=1 HTTP/1.1\r\nhost: a\r\nX-Thing: 7\r\ncontent-length: 3\r\n\r\nab");
-    f.runTurns(5);
+    f.runIterations(5);
     BOOST_TEST(f.requests.empty());
     caller.send("c");
     BOOST_REQUIRE(f.runUntil([&] { return caller.has("answer /p"); }));
@@ -125,7 +125,7 @@
             Fixture f;
             RawSocket caller = f.connect();
             caller.send(sent);
-            f.runTurns(5);
+            f.runIterations(5);
             for (int i = 0; i < 36; ++i)
                 f.advance(std::chrono::milliseconds(250));
             BOOST_TEST(!caller.isEnded());
@@ -273,7 +273,7 @@
                 caller.reset();
             else
                 caller.close();
-            f.runTurns(3);
+            f.runIterations(3);
             if (!row.resets)
                 responder.write("more");
             BOOST_TEST(f.runUntil([&] {
@@ -389,7 +389,7 @@
         caller.send(get);
         caller.finishSending();
         Responder &responder = f.awaitRequest();
-        f.runTurns(5);
+        f.runIterations(5);
         f.advance(std::chrono::seconds(1));
         BOOST_TEST(f.disconnects == 0);
         if (streams) {
@@ -431,7 +431,7 @@
     const std::string block(1024 * 1024, 'x');
     for (int i = 0; i < 16; ++i)
         responder.write(block);
-    f.runTurns(5);
+    f.runIterations(5);
     BOOST_TEST(responder.queuedBytes() > 0U);
     responder.end();
     BOOST_TEST(f.runUntil([&] { return caller.receive().size() > 16 * block.size(); }));
@@ -448,7 +448,7 @@
     caller.send(get);
     Responder &responder = f.awaitRequest();
     f.server->stopAccepting();
-    f.runTurns(3);
+    f.runIterations(3);
     responder.send(200, {}, "last");
     BOOST_TEST(f.runUntil([&] { return caller.has("last"); }));
     BOOST_TEST(f.runUntil([&] { return caller.isEnded(); }));
--- a/tests/auto/http/tst_unreadrequests.cpp
+++ b/tests/auto/http/tst_unreadrequests.cpp
@@ -59,7 +59,7 @@
                     caller.reset();
                 else if (row.halfCloses)
                     caller.finishSending();
-                f.runTurns(10);
+                f.runIterations(10);
                 // A reset discards unread bytes, so the request may not have been received at all.
                 const bool isReceived = f.responders.size() > before;
                 BOOST_TEST((isReceived || row.resets));
@@ -91,7 +91,7 @@
                 f.clock.advance(std::chrono::milliseconds(stallMs));
             });
             BOOST_TEST(f.runUntil([&] { return f.requests.size() == 20; }));
-            f.runTurns(10);
+            f.runIterations(10);
             BOOST_TEST(f.requests.size() == 20U);
             BOOST_TEST(f.server->openConnections() == 20U);
         }
@@ -112,7 +112,7 @@
     BOOST_REQUIRE(server.listen());
     std::optional<RawSocket> caller;
     const auto runUntilRead = [&](std::size_t count) {
-        for (int turn = 0; turn < 1000 && ages.size() < count; ++turn)
+        for (int iteration = 0; iteration < 1000 && ages.size() < count; ++iteration)
             loop.runOnce(std::chrono::milliseconds(5));
         BOOST_REQUIRE_EQUAL(ages.size(), count);
     };
@@ -144,7 +144,7 @@
     caller.send(get);
     Responder &first = f.awaitRequest();
     caller.send(get);
-    f.runTurns(5);
+    f.runIterations(5);
     f.advance(std::chrono::milliseconds(600));
     first.send(200, {}, "answer");
     f.awaitRequest(2);
@@ -158,7 +158,7 @@
     RawSocket caller = f.connect();
     caller.send(get);
     f.awaitRequest().send(200, {}, "answer");
-    f.runTurns(5);
+    f.runIterations(5);
     caller.send(std::string(get) + std::string(get) + std::string(get));
     for (std::size_t count = 2; count <= 4; ++count) {
         Responder &responder = f.awaitRequest(count);
@@ -176,16 +176,16 @@
     Fixture f;
     f.answersAtOnce = false;
     RawSocket caller = f.connect();
-    f.runTurns(5);
+    f.runIterations(5);
     f.advance(std::chrono::seconds(2));
     caller.send(get);
     f.awaitRequest();
     BOOST_TEST((f.clock.now() == f.requests.back().arrivedAt));
     caller.send(get.substr(0, 10));
-    f.runTurns(5);
+    f.runIterations(5);
     f.advance(std::chrono::seconds(2));
     f.responders.back()->send(200, {}, "answer");
-    f.runTurns(5);
+    f.runIterations(5);
     f.advance(std::chrono::seconds(1));
     caller.send(get.substr(10));
     f.awaitRequest(2);
@@ -234,7 +234,7 @@
         }
         f.clock.advance(std::chrono::milliseconds(200));
     });
-    f.runTurns(10);
+    f.runIterations(10);
     f.advance(std::chrono::seconds(1));
     BOOST_TEST(f.server->openConnections() == 1U);
     BOOST_TEST(!idle.isEnded());
--- a/tests/auto/http/tst_walljump.cpp
+++ b/tests/auto/http/tst_walljump.cpp
@@ -80,7 +80,7 @@
             partial.send("GET / HT");
             BOOST_REQUIRE(f.runUntil([&] { return f.responder != nullptr; }));
             wallJumpSeconds() = jump;
-            f.runTurns(10);
+            f.runIterations(10);
             BOOST_TEST(finished == 0);
             BOOST_TEST(!idle.isEnded());
             BOOST_TEST(!partial.isEnded());
