--- a/src/libs/timeline/eventfilter.h
+++ b/src/libs/timeline/eventfilter.h
@@ -18,12 +18,13 @@
 
     bool matches(const Event &event) const
     {
-        const auto fits = [](const auto &wanted, const auto &has) {
-            return wanted.empty() || wanted == has;
+        const auto matchesField = [](const auto &expected, const auto &actual) {
+            return expected.empty() || expected == actual;
         };
         return (!sinceMs || event.time.wallMs >= *sinceMs) && event.sequence > afterSequence
-            && fits(request, event.fields.request) && fits(workspace, event.fields.workspace)
-            && fits(endpoint, event.fields.endpoint);
+            && matchesField(request, event.fields.request)
+            && matchesField(workspace, event.fields.workspace)
+            && matchesField(endpoint, event.fields.endpoint);
     }
 };
 
--- a/src/libs/timeline/eventjson.cpp
+++ b/src/libs/timeline/eventjson.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-void put(Json &json, const char *name, const std::string &value)
+void putIfSet(Json &json, const char *name, const std::string &value)
 {
     if (!value.empty())
         json[name] = value;
@@ -31,11 +31,11 @@
               {"process", event.process},
               {"sequence", event.event.sequence},
               {"type", toString(event.event.type)}};
-    put(json, "request", fields.request.value());
-    put(json, "workspace", fields.workspace.value());
-    put(json, "endpoint", fields.endpoint.value());
-    put(json, "subject", fields.subject);
-    put(json, "detail", fields.detail);
+    putIfSet(json, "request", fields.request.value());
+    putIfSet(json, "workspace", fields.workspace.value());
+    putIfSet(json, "endpoint", fields.endpoint.value());
+    putIfSet(json, "subject", fields.subject);
+    putIfSet(json, "detail", fields.detail);
     return json;
 }
 
--- a/src/libs/timeline/eventlog.cpp
+++ b/src/libs/timeline/eventlog.cpp
@@ -20,16 +20,16 @@
         m_events.push_back(std::move(event));
         return time;
     }
-    m_events[m_first] = std::move(event);
-    m_first = (m_first + 1) % m_events.size();
+    m_events[m_oldest] = std::move(event);
+    m_oldest = (m_oldest + 1) % m_events.size();
     return time;
 }
 
-std::vector<ProcessEvent> EventLog::events(const EventFilter &filter, std::size_t most) const
+std::vector<ProcessEvent> EventLog::events(const EventFilter &filter, std::size_t maxCount) const
 {
     std::vector<ProcessEvent> events;
-    for (std::size_t i = m_events.size(); i > 0 && events.size() < most; --i) {
-        const Event &event = at(i - 1);
+    for (std::size_t i = m_events.size(); i > 0 && events.size() < maxCount; --i) {
+        const Event &event = eventAt(i - 1);
         if (event.sequence <= filter.afterSequence)
             break;
         if (filter.matches(event))
@@ -39,9 +39,9 @@
     return events;
 }
 
-const Event &EventLog::at(std::size_t index) const
+const Event &EventLog::eventAt(std::size_t index) const
 {
-    return m_events[(m_first + index) % m_events.size()];
+    return m_events[(m_oldest + index) % m_events.size()];
 }
 
 } // namespace Lagoonbank::Timeline
--- a/src/libs/timeline/eventlog.h
+++ b/src/libs/timeline/eventlog.h
@@ -34,16 +34,17 @@
     std::uint64_t dropped() const { return m_sequence - m_events.size(); }
     std::uint64_t lastSequence() const { return m_sequence; }
 
-    /// Oldest first; at most `most`, the latest ones.
-    std::vector<ProcessEvent> events(const EventFilter &filter, std::size_t most = SIZE_MAX) const;
+    /// Oldest first; at most `maxCount`, the latest ones.
+    std::vector<ProcessEvent> events(const EventFilter &filter,
+                                     std::size_t maxCount = SIZE_MAX) const;
 
 private:
-    const Event &at(std::size_t index) const;
+    const Event &eventAt(std::size_t index) const;
 
     Options m_options;
     HybridClock m_clock;
     std::vector<Event> m_events;
-    std::size_t m_first = 0;
+    std::size_t m_oldest = 0;
     std::uint64_t m_sequence = 0;
 };
 
--- a/src/libs/timeline/hybridclock.cpp
+++ b/src/libs/timeline/hybridclock.cpp
@@ -101,15 +101,15 @@
 
 std::optional<HybridTime> parseHybridTime(std::string_view text)
 {
-    constexpr std::size_t zoneAt = dateLength + 1 + timeLength;
-    if (text.size() <= zoneAt || text[dateLength] != 'T' || text[zoneAt] != 'Z')
+    constexpr std::size_t zonePosition = dateLength + 1 + timeLength;
+    if (text.size() <= zonePosition || text[dateLength] != 'T' || text[zonePosition] != 'Z')
         return std::nullopt;
     const auto date = parseDate(text.substr(0, dateLength));
     const auto time = parseTime(text.substr(dateLength + 1, timeLength));
     if (!date || !time)
         return std::nullopt;
     HybridTime result{.wallMs = *date + *time};
-    const std::string_view rest = text.substr(zoneAt + 1);
+    const std::string_view rest = text.substr(zonePosition + 1);
     if (rest.empty())
         return result;
     std::int64_t counter = 0;
@@ -134,8 +134,8 @@
 
 bool HybridClock::received(HybridTime remote, WallTime wall)
 {
-    const std::int64_t latest = toWallMs(wall) + Base::toMilliseconds(m_maxDrift);
-    if (remote.wallMs > latest) {
+    const std::int64_t latestAcceptedMs = toWallMs(wall) + Base::toMilliseconds(m_maxDrift);
+    if (remote.wallMs > latestAcceptedMs) {
         ++m_refused;
         return false;
     }
--- a/src/libs/timeline/mergedtimeline.cpp
+++ b/src/libs/timeline/mergedtimeline.cpp
@@ -23,7 +23,7 @@
     return a.event.sequence < b.event.sequence;
 }
 
-void append(std::string &line, std::string_view name, const std::string &value)
+void appendField(std::string &line, std::string_view name, const std::string &value)
 {
     if (!value.empty())
         absl::StrAppend(&line, " ", std::string(name), value);
@@ -49,20 +49,20 @@
 
 std::string renderText(const std::vector<ProcessEvent> &events)
 {
-    std::size_t widest = 0;
+    std::size_t processWidth = 0;
     for (const ProcessEvent &event : events)
-        widest = std::max(widest, event.process.size());
+        processWidth = std::max(processWidth, event.process.size());
     std::string text;
     for (const ProcessEvent &event : events) {
         const EventFields &fields = event.event.fields;
         std::string line = absl::StrFormat("%-29s %-*s %-22s", toString(event.event.time),
-                                           static_cast<int>(widest), event.process,
+                                           static_cast<int>(processWidth), event.process,
                                            std::string(toString(event.event.type)));
-        append(line, "", fields.subject);
-        append(line, "request ", fields.request.value());
-        append(line, "workspace ", fields.workspace.value());
-        append(line, "endpoint ", fields.endpoint.value());
-        append(line, "", fields.detail);
+        appendField(line, "", fields.subject);
+        appendField(line, "request ", fields.request.value());
+        appendField(line, "workspace ", fields.workspace.value());
+        appendField(line, "endpoint ", fields.endpoint.value());
+        appendField(line, "", fields.detail);
         line.erase(line.find_last_not_of(' ') + 1);
         absl::StrAppend(&text, line, "\n");
     }
--- a/src/libs/timeline/outcome.cpp
+++ b/src/libs/timeline/outcome.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-std::string inBrackets(const OutcomeEnd &end)
+std::string limitText(const OutcomeEnd &end)
 {
     const std::string &text = end.source.empty() ? end.limit : end.source;
     return text.empty() ? std::string() : absl::StrCat(" (", text, ")");
@@ -36,16 +36,16 @@
     if (!end.cause)
         return "the cause is not known";
     if (const std::string_view subject = limitSubject(*end.cause); !subject.empty())
-        return absl::StrCat(std::string(subject), inBrackets(end), " was used up");
+        return absl::StrCat(std::string(subject), limitText(end), " was used up");
     std::string text(Errors::errorRow(*end.cause).text);
     if (!text.empty() && text.back() == '.')
         text.pop_back();
     if (!text.empty())
         text.front() = absl::ascii_tolower(static_cast<unsigned char>(text.front()));
-    return text + inBrackets(end);
+    return text + limitText(end);
 }
 
-std::string place(const Outcome &outcome)
+std::string locationText(const Outcome &outcome)
 {
     if (outcome.attempts.empty())
         return {};
@@ -53,7 +53,7 @@
     return noun + outcome.attempts.back().endpoint.value();
 }
 
-std::string after(const Outcome &outcome)
+std::string durationText(const Outcome &outcome)
 {
     return outcome.tookMs ? absl::StrCat(" after ", *outcome.tookMs, " ms") : std::string();
 }
@@ -71,9 +71,9 @@
     return "It may have run.";
 }
 
-std::string wholeSentence(const Outcome &outcome)
+std::string completedSentence(const Outcome &outcome)
 {
-    std::string text = absl::StrCat("The request ran whole", place(outcome));
+    std::string text = absl::StrCat("The request ran whole", locationText(outcome));
     if (outcome.tookMs)
         absl::StrAppend(&text, " in ", *outcome.tookMs, " ms");
     if (outcome.attempts.size() > 1)
@@ -96,20 +96,21 @@
 {
     switch (outcome.end.kind) {
     case OutcomeKind::Running:
-        return absl::StrCat("The request is running", place(outcome), " since ",
+        return absl::StrCat("The request is running", locationText(outcome), " since ",
                             std::max<std::int64_t>(0, nowWallMs - outcome.startedWallMs), " ms.");
     case OutcomeKind::Whole:
-        return wholeSentence(outcome);
+        return completedSentence(outcome);
     case OutcomeKind::Refused:
         return absl::StrCat("It was refused and did not run: ", causeText(outcome.end), ".");
     case OutcomeKind::CutOff:
-        return absl::StrCat("It was cut off", place(outcome), after(outcome), ": ",
+        return absl::StrCat("It was cut off", locationText(outcome), durationText(outcome), ": ",
                             causeText(outcome.end), ". ", ranText(outcome.end.ran));
     case OutcomeKind::Unknown:
         break;
     }
-    return absl::StrCat("It is not known what became of it", place(outcome), after(outcome), ": ",
-                        causeText(outcome.end), ". ", ranText(outcome.end.ran));
+    return absl::StrCat("It is not known what became of it", locationText(outcome),
+                        durationText(outcome), ": ", causeText(outcome.end), ". ",
+                        ranText(outcome.end.ran));
 }
 
 } // namespace Lagoonbank::Timeline
--- a/src/libs/timeline/outcomejson.cpp
+++ b/src/libs/timeline/outcomejson.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-void put(Json &json, const char *name, const std::string &value)
+void putIfSet(Json &json, const char *name, const std::string &value)
 {
     if (!value.empty())
         json[name] = value;
@@ -24,7 +24,7 @@
     Json json{{"endpoint", attempt.endpoint.value()}, {"started_ms", attempt.startedMs}};
     if (attempt.endedMs)
         json["ended_ms"] = *attempt.endedMs;
-    put(json, "result", attempt.result);
+    putIfSet(json, "result", attempt.result);
     return json;
 }
 
@@ -72,7 +72,7 @@
 {
     const OutcomeEnd &end = outcome.end;
     Json json{{"request", outcome.request.value()}};
-    put(json, "workspace", outcome.workspace.value());
+    putIfSet(json, "workspace", outcome.workspace.value());
     if (outcome.key)
         json["idempotency_key"] = outcome.key->value();
     json["model_call"] = outcome.isModelCall;
@@ -84,8 +84,8 @@
     json["ran"] = toString(end.ran);
     if (end.cause)
         json["cause"] = toString(*end.cause);
-    put(json, "limit", end.limit);
-    put(json, "contract", end.source);
+    putIfSet(json, "limit", end.limit);
+    putIfSet(json, "contract", end.source);
     if (end.status != 0)
         json["status"] = end.status;
     json["attempts"] = Json::array();
--- a/src/libs/timeline/outcomering.cpp
+++ b/src/libs/timeline/outcomering.cpp
@@ -16,7 +16,7 @@
 {
     if (m_byRequest.contains(outcome.request))
         return;
-    makeRoom();
+    evictIfFull();
     outcome.end = {.kind = OutcomeKind::Running};
     const RequestId request = outcome.request;
     if (outcome.key)
@@ -31,7 +31,7 @@
 {
     if (Entry *found = entry(request))
         found->outcome.attempts.push_back(
-            {.endpoint = endpoint, .startedMs = sinceStart(*found, now)});
+            {.endpoint = endpoint, .startedMs = msSinceStart(*found, now)});
 }
 
 void OutcomeRing::attemptEnded(const RequestId &request, std::string result, MonoTime now)
@@ -40,7 +40,7 @@
     if (!found || found->outcome.attempts.empty())
         return;
     OutcomeAttempt &attempt = found->outcome.attempts.back();
-    attempt.endedMs = sinceStart(*found, now);
+    attempt.endedMs = msSinceStart(*found, now);
     attempt.result = std::move(result);
 }
 
@@ -50,7 +50,7 @@
     if (!found || !isRunning(*found))
         return;
     found->outcome.end = std::move(end);
-    found->outcome.tookMs = sinceStart(*found, now);
+    found->outcome.tookMs = msSinceStart(*found, now);
     --m_running;
 }
 
@@ -74,7 +74,7 @@
 }
 
 // Running requests at the front move to the back, so that each is passed over once in a round.
-void OutcomeRing::makeRoom()
+void OutcomeRing::evictIfFull()
 {
     if (m_entries.size() < m_capacity)
         return;
@@ -82,10 +82,10 @@
         while (isRunning(m_entries.front()))
             m_entries.splice(m_entries.end(), m_entries, m_entries.begin());
     }
-    drop(m_entries.begin());
+    evict(m_entries.begin());
 }
 
-void OutcomeRing::drop(Entries::iterator entry)
+void OutcomeRing::evict(Entries::iterator entry)
 {
     const Outcome &outcome = entry->outcome;
     if (outcome.key) {
@@ -105,7 +105,7 @@
     return entry.outcome.end.kind == OutcomeKind::Running;
 }
 
-std::int64_t OutcomeRing::sinceStart(const Entry &entry, MonoTime now)
+std::int64_t OutcomeRing::msSinceStart(const Entry &entry, MonoTime now)
 {
     return Base::toMilliseconds(now - entry.started);
 }
--- a/src/libs/timeline/outcomering.h
+++ b/src/libs/timeline/outcomering.h
@@ -57,10 +57,10 @@
     using Key = std::pair<std::string, std::string>;
 
     Entry *entry(const Base::RequestId &request);
-    void makeRoom();
-    void drop(Entries::iterator entry);
+    void evictIfFull();
+    void evict(Entries::iterator entry);
     static bool isRunning(const Entry &entry);
-    static std::int64_t sinceStart(const Entry &entry, Base::MonoTime now);
+    static std::int64_t msSinceStart(const Entry &entry, Base::MonoTime now);
 
     std::size_t m_capacity;
     Entries m_entries; // oldest first
--- a/src/libs/timeline/requestid.cpp
+++ b/src/libs/timeline/requestid.cpp
@@ -18,11 +18,11 @@
 
 constexpr int base36 = 36;
 constexpr char separator = '~';
-constexpr std::size_t mostDigits = 13; // of a 64 bit number in base 36
+constexpr std::size_t maxDigits = 13; // of a 64 bit number in base 36
 
 std::string toBase36(std::uint64_t number)
 {
-    std::array<char, mostDigits> digits{};
+    std::array<char, maxDigits> digits{};
     const auto result = std::to_chars(digits.data(), digits.data() + digits.size(), number, base36);
     return {digits.data(), result.ptr};
 }
--- a/tests/auto/timeline/tst_eventlog.cpp
+++ b/tests/auto/timeline/tst_eventlog.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(hybridTimesAsText)
+BOOST_AUTO_TEST_CASE(formatsAndParsesHybridTimes)
 {
     const HybridTime times[] = {{0, 0}, {1'796'233'711'123, 0}, {1'796'233'711'123, 7}};
     for (const HybridTime time : times)
@@ -37,7 +37,7 @@
         BOOST_TEST(!parseHybridTime(bad).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(clockNeverGoesBack)
+BOOST_AUTO_TEST_CASE(clockIsMonotonic)
 {
     HybridClock clock;
     const HybridTime first = clock.tick(noon);
@@ -46,7 +46,7 @@
     BOOST_TEST((second < clock.tick(noon + 1ms)));
 }
 
-BOOST_AUTO_TEST_CASE(clockFollowsOthersWithinItsBound)
+BOOST_AUTO_TEST_CASE(clockMergesRemoteTimesWithinMaxDrift)
 {
     HybridClock clock(10s);
     const std::int64_t noonMs = clock.tick(noon).wallMs;
@@ -57,7 +57,7 @@
     BOOST_TEST(clock.refused() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(ringKeepsTheLatest)
+BOOST_AUTO_TEST_CASE(ringKeepsTheLatestEvents)
 {
     EventLog log = makeLog("vm1/router", 3);
     for (int i = 0; i < 5; ++i)
@@ -72,7 +72,7 @@
     BOOST_TEST(log.events({.afterSequence = 5}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(filtersLetTheirsThrough)
+BOOST_AUTO_TEST_CASE(filtersSelectMatchingEvents)
 {
     EventLog log = makeLog("vm1/router");
     log.record(EventType::RequestStarted,
@@ -127,7 +127,7 @@
     BOOST_TEST((types == expected));
 }
 
-BOOST_AUTO_TEST_CASE(eventsSurviveJson)
+BOOST_AUTO_TEST_CASE(eventsRoundTripThroughJson)
 {
     const ProcessEvent event{"vm1/router",
                              {.time = {1'796'233'711'123, 2},
@@ -147,7 +147,7 @@
     BOOST_TEST(!eventsFromJson({{"events", 3}}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(renderings)
+BOOST_AUTO_TEST_CASE(rendersTextJsonAndHtml)
 {
     EventLog log = makeLog("vm1/router");
     log.record(EventType::RequestStarted, {.request = RequestId("a"), .detail = "</script><b>&\"x"},
@@ -165,7 +165,7 @@
     BOOST_TEST(page.find("src=") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(requestIdsTellTheirRouter)
+BOOST_AUTO_TEST_CASE(requestIdsIdentifyTheirRouter)
 {
     const RequestOrigin origin{DataCentreId("johar-town.lhr"), VmId("vm-3"),
                                Incarnation(1'796'233'711'123), 71};
--- a/tests/auto/timeline/tst_outcomering.cpp
+++ b/tests/auto/timeline/tst_outcomering.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(sentencesSayWhatBecameOfIt)
+BOOST_AUTO_TEST_CASE(sentencesDescribeTheOutcome)
 {
     using enum ErrorKind;
     struct Row
@@ -92,7 +92,7 @@
                == "The request is running on engine e1 since 120 ms.");
 }
 
-BOOST_AUTO_TEST_CASE(kindFollowsWhatIsKnown)
+BOOST_AUTO_TEST_CASE(outcomeKindDependsOnWhetherTheRequestRan)
 {
     BOOST_TEST((outcomeKind(Ran::No, false) == OutcomeKind::Refused));
     BOOST_TEST((outcomeKind(Ran::Unknown, false) == OutcomeKind::Unknown));
@@ -100,7 +100,7 @@
     BOOST_TEST((outcomeKind(Ran::Yes, false) == OutcomeKind::CutOff));
 }
 
-BOOST_AUTO_TEST_CASE(attemptsAreKeptWithTheirTimes)
+BOOST_AUTO_TEST_CASE(attemptsAreRecordedWithTheirTimes)
 {
     OutcomeRing ring(10);
     const RequestId id("a");
@@ -119,7 +119,7 @@
     BOOST_TEST((outcome.attempts[1] == OutcomeAttempt{EndpointId("e2"), 30, 90, "whole"}));
 }
 
-BOOST_AUTO_TEST_CASE(ringIsBoundedAndKeepsWhatRuns)
+BOOST_AUTO_TEST_CASE(ringIsBoundedAndKeepsRunningRequests)
 {
     OutcomeRing ring(3);
     ring.started(request("long"), start);
@@ -143,7 +143,7 @@
     BOOST_TEST(ring.find(RequestId("w")) != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(keyFindsItsLatestRequestWithinItsWorkspace)
+BOOST_AUTO_TEST_CASE(keyFindsTheLatestRequestOfItsWorkspace)
 {
     OutcomeRing ring(2);
     const IdempotencyKey key("booking-7");
@@ -163,7 +163,7 @@
     BOOST_TEST(ring.find(qila, key) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(outcomesSurviveJson)
+BOOST_AUTO_TEST_CASE(outcomesRoundTripThroughJson)
 {
     Outcome outcome = request("a");
     outcome.key = IdempotencyKey("k");
