--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,9 +1,9 @@
 #!/usr/bin/python3
-"""Runs real routers among a store, engines and callers that misbehave, and checks the promises.
+"""Runs real routers, with a store, engines and callers, under faults and checks their guarantees.
 
 Usage: soak.py --router BINARY [--seed N] [--seconds S] [--routers N] [--engines N] [--callers N]
-The same seed gives the same faults at the same times. Exits 1 if a promise was broken and prints
-which. Ends only the processes that it started, by their ids.
+The same seed gives the same faults at the same times. Prints each violated guarantee and exits 1 if
+there is one. Ends only the processes that it started, by their ids.
 """
 
 import argparse
@@ -25,11 +25,11 @@
 STORE_PORT, ENGINE_PORT = 9000, 9100
 FRONT, READY, METRICS, PEER = 8001, 8002, 8003, 8004
 KEYS = ["key-a", "key-b"]
-KINDS = {"i": "GET", "n": "POST", "s": "POST"}
-# After the last fault the callers have to be served again within this time.
+METHODS = {"i": "GET", "n": "POST", "s": "POST"}
+# The callers must be served again this long after the last fault.
 RECOVERY_S = 6.0
-# A planned stop takes 7.5 s at the most, and a pause of up to 3 s may fall into it.
-STOP_S = 12.0
+# A graceful stop takes at most 7.5 s, and a pause of up to 3 s may overlap it.
+STOP_TIMEOUT_S = 12.0
 
 
 class Router:
@@ -45,7 +45,7 @@
         self.process = None
 
     def start(self):
-        """Starts the process; its log goes to a file that a failed run keeps."""
+        """Starts the process; it logs to a file, which is kept if the run fails."""
         settings = self.folder / f"router-{self.number}.yaml"
         settings.write_text("".join(f"{key}: {value}\n" for key, value in {
             "vm": f"r{self.number}", "data_centre": self.data_centre,
@@ -57,14 +57,14 @@
                                         stderr=log, close_fds=True)
         log.close()
 
-    def send(self, number):
-        """Sends a signal to the process if it lives."""
+    def send_signal(self, signal_number):
+        """Sends a signal to the process if it is running."""
         if self.process.poll() is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     @staticmethod
-    async def ended(process, seconds):
-        """Waits for the end of a process; False if it lives on."""
+    async def wait_for_exit(process, seconds):
+        """Waits for a process to exit; returns False if it is still running."""
         for _ in range(int(seconds / 0.05)):
             if process.poll() is not None:
                 return True
@@ -72,42 +72,42 @@
         return False
 
     async def stop(self):
-        """Ends the process whatever it does."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
-        await self.ended(self.process, 5)
+        """Kills the process, even if it is paused."""
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
+        await self.wait_for_exit(self.process, 5)
 
 
 class Soak:
-    """One run."""
+    """One run with its processes, faults, callers and checks."""
 
     def __init__(self, options, folder):
         self.options = options
         self.folder = folder
-        self.rng = world.generator(options.seed, "faults")
+        self.rng = world.random_generator(options.seed, "faults")
         self.runs = {}
-        self.refused = set()  # Ids of requests that were told "not run".
+        self.refused = set()  # Ids of requests whose answer says that they did not run.
         self.kinds = {}  # Request id -> kind.
         self.outcomes = collections.Counter()
-        self.broken = []
-        self.arrivals = rules.Arrivals(self.broken)
-        self.disturbances = self.arrivals.disturbances
-        self.last_served = collections.deque(maxlen=400)  # (time, whether it was served)
+        self.violations = []
+        self.arrival_checker = rules.ArrivalChecker(self.violations)
+        self.disturbances = self.arrival_checker.disturbances
+        self.recent_results = collections.deque(maxlen=400)  # (Time, whether it was served.)
         self.store = world.Store()
         self.version = 1
         self.routers, self.engines, self.proxies, self.store_proxies = [], [], [], []
         self.next_id = 0
-        self.is_over = False
+        self.is_finished = False
 
     async def set_up(self):
         """Starts store, engines, proxies and routers."""
         net = f"127.{self.options.net}"
         servers = [await wire.serve(f"{net}.9.1", STORE_PORT, self.store.handle)]
-        await self.store.put("keyed.op", "config", world.configuration(self.version, KEYS))
+        await self.store.put("keyed.op", "config", world.operator_configuration(self.version, KEYS))
         for i in range(self.options.engines):
             engine = world.Engine(f"e{i}", "app" if i % 2 else "llm", f"dc{i // 2 % 2}", self.runs,
-                                  world.generator(self.options.seed, f"engine {i}"))
-            engine.arrived = self.arrivals.arrived
+                                  world.random_generator(self.options.seed, f"engine {i}"))
+            engine.on_arrival = self.arrival_checker.check_arrival
             ip = f"{net}.2.{i + 1}"
             servers.append(await wire.serve(ip, ENGINE_PORT, engine.handle))
             proxy_ip = f"{net}.3.{i + 1}"
@@ -128,7 +128,7 @@
 
     @contextlib.contextmanager
     def disturbing(self, *names):
-        """While it lasts, and some time after it, these are not in touch."""
+        """Marks components as disturbed while the block runs, and for rules.STABLE_S after it."""
         for name in names:
             self.disturbances.begin(name)
         try:
@@ -137,16 +137,16 @@
             for name in names:
                 self.disturbances.end(name)
 
-    # Faults, each with its own end.
+    # Faults; each ends by itself.
 
-    async def restart(self, router, number):
-        """A signal that ends the process, and a new process unless another fault began one."""
+    async def restart(self, router, signal_number):
+        """Ends the process by a signal and starts a new one, unless another fault did."""
         process = router.process
         with self.disturbing(f"router {router.number}"):
-            router.send(number)
-            if not await router.ended(process, STOP_S):
-                self.broken.append(f"router {router.number} did not end in time after "
-                                   f"{number.name}")
+            router.send_signal(signal_number)
+            if not await router.wait_for_exit(process, STOP_TIMEOUT_S):
+                self.violations.append(f"router {router.number} did not end in time after "
+                                       f"{signal_number.name}")
                 await router.stop()
             if router.process is process:
                 router.start()
@@ -156,20 +156,20 @@
         await self.restart(rng.choice(self.routers), signal.SIGKILL)
 
     async def fault_terminate(self, rng):
-        """Stops a router in a planned way."""
+        """Stops a router gracefully."""
         await self.restart(rng.choice(self.routers), signal.SIGTERM)
 
     async def fault_pause(self, rng):
-        """Pauses a router; a signal to end may come meanwhile."""
+        """Pauses a router; another fault may signal it meanwhile."""
         router = rng.choice(self.routers)
         with self.disturbing(f"router {router.number}"):
-            router.send(signal.SIGSTOP)
+            router.send_signal(signal.SIGSTOP)
             await asyncio.sleep(rng.uniform(0.2, 3))
-            router.send(signal.SIGCONT)
+            router.send_signal(signal.SIGCONT)
 
     async def fault_hup(self, rng):
-        """Asks a router to read its settings again."""
-        rng.choice(self.routers).send(signal.SIGHUP)
+        """Makes a router reload its settings."""
+        rng.choice(self.routers).send_signal(signal.SIGHUP)
 
     async def fault_herd(self, rng):
         """Kills all routers at once."""
@@ -177,7 +177,7 @@
         await asyncio.gather(*(self.restart(router, signal.SIGKILL) for router in self.routers))
 
     async def fault_engine_link(self, rng):
-        """Harms the connections to an engine."""
+        """Disturbs the connections to an engine."""
         number = rng.randrange(len(self.proxies))
         proxy = self.proxies[number]
         with self.disturbing(f"engine {self.engines[number].name}"):
@@ -186,58 +186,58 @@
             proxy.set_mode("pass")
 
     async def fault_engine(self, rng):
-        """An engine misbehaves."""
+        """Makes an engine slow, unresponsive, break connections or shed requests."""
         engine = rng.choice(self.engines)
         engine.mode = rng.choice(["slow", "mute", "reset", "shed"])
         await asyncio.sleep(rng.uniform(0.5, 3))
         engine.mode = "good"
 
     async def fault_replace(self, rng):
-        """An engine drains and another start of it takes its address."""
+        """Drains an engine; a new start of it then takes over its address."""
         engine = rng.choice(self.engines)
-        if engine.is_leaving:
+        if engine.is_changing:
             return
-        engine.is_leaving = True
+        engine.is_changing = True
         await self.store.put("keyed.servers", engine.id, engine.entry("draining"))
         await asyncio.sleep(1.5)
         await self.store.put("keyed.servers", engine.id, "")
         engine.boot += 1
         engine.started_ms = time.time_ns() // 1_000_000
-        await self.be_cold(engine)
-        engine.is_leaving = False
+        await self.warm_up(engine)
+        engine.is_changing = False
 
-    async def be_cold(self, engine):
-        """Until it is warm, and its entry says so."""
+    async def warm_up(self, engine):
+        """Makes an engine cold, waits until it is warm and updates its entry."""
         engine.become_cold()
         await self.store.put("keyed.servers", engine.id, engine.entry())
         await asyncio.sleep(world.WARMUP_S)
         await self.store.put("keyed.servers", engine.id, engine.entry())
 
     async def fault_cold(self, rng):
-        """An engine becomes cold without a new start."""
+        """Makes an engine cold without a new start."""
         engine = rng.choice(self.engines)
-        if engine.is_leaving:
+        if engine.is_changing:
             return
-        engine.is_leaving = True
-        await self.be_cold(engine)
-        engine.is_leaving = False
+        engine.is_changing = True
+        await self.warm_up(engine)
+        engine.is_changing = False
 
     async def fault_drain(self, rng):
-        """The operators drain a data centre and take it back; its engines are cold then."""
+        """Drains a data centre and ends the drain; its engines are cold afterwards."""
         data_centre = f"dc{rng.randrange(2)}"
-        if self.arrivals.drained:
+        if self.arrival_checker.drained_at:
             return
         await self.store.put("keyed.op", f"evacuate/{data_centre}", "{}")
-        self.arrivals.drained[data_centre] = time.monotonic()
+        self.arrival_checker.drained_at[data_centre] = time.monotonic()
         await asyncio.sleep(rng.uniform(4, 9))
-        del self.arrivals.drained[data_centre]
+        del self.arrival_checker.drained_at[data_centre]
         for engine in self.engines:
             if engine.data_centre == data_centre:
                 engine.become_cold()
         await self.store.put("keyed.op", f"evacuate/{data_centre}", "")
 
     async def fault_store(self, rng):
-        """The store is slow, refuses, or goes silent for all or for some."""
+        """Makes the store slow, refuse calls, or disturbs the connections of one router to it."""
         kind = rng.choice(["slow", "refuse", "some"])
         with self.disturbing("store"):
             if kind == "slow":
@@ -253,13 +253,13 @@
                 proxy.set_mode("pass")
 
     async def fault_configure(self, rng):
-        """The operator writes a newer configuration."""
+        """Writes a newer configuration to the store."""
         del rng
         self.version += 1
-        await self.store.put("keyed.op", "config", world.configuration(self.version, KEYS))
+        await self.store.put("keyed.op", "config", world.operator_configuration(self.version, KEYS))
 
-    async def cause_faults(self):
-        """Faults in series that overlap."""
+    async def inject_faults(self):
+        """Starts random faults until the time is up; they may overlap."""
         faults = sorted(name for name in dir(self) if name.startswith("fault_"))
         running = []
         end = time.monotonic() + self.options.seconds
@@ -267,22 +267,22 @@
             name = self.rng.choice(faults)
             if name == "fault_herd" and self.rng.random() < 0.7:
                 continue
-            rng = world.generator(self.options.seed, f"{name} {len(running)}")
+            rng = world.random_generator(self.options.seed, f"{name} {len(running)}")
             running.append(asyncio.create_task(getattr(self, name)(rng)))
             await asyncio.sleep(self.rng.uniform(0.1, 0.9))
         await asyncio.gather(*running)
 
     # Callers.
 
-    async def caller(self, number):
-        """Sends requests on kept connections, each to another router after a failure."""
-        rng = world.generator(self.options.seed, f"caller {number}")
+    async def run_caller(self, number):
+        """Sends requests over a persistent connection; picks a random router after a failure."""
+        rng = world.random_generator(self.options.seed, f"caller {number}")
         connection = None
-        while not self.is_over:
+        while not self.is_finished:
             if connection is None:
                 connection = await self.connect(rng.choice(self.routers))
             if connection is not None:
-                connection = await self.call(connection, rng)
+                connection = await self.send_request(connection, rng)
             await asyncio.sleep(rng.uniform(0.01, 0.08))
         if connection:
             connection[1].close()
@@ -297,91 +297,93 @@
             await asyncio.sleep(0.05)
             return None
 
-    async def call(self, connection, rng):
-        """One request; gives the connection if it can be used again."""
+    async def send_request(self, connection, rng):
+        """Sends one request; returns the connection if it can be reused, else None."""
         reader, writer, router = connection
         self.next_id += 1
         request = f"{self.options.seed:x}-{self.next_id:x}"
         kind = rng.choice("inss")
         self.kinds[request] = kind
-        self.arrivals.sent[request] = (time.monotonic(), router)
+        self.arrival_checker.sent_requests[request] = (time.monotonic(), router)
         fields = {"host": "h", "lagoonbank-attempt-id": request, "api-key": rng.choice(KEYS),
                   "lagoonbank-deadline-remaining": "4000"}
         try:
-            writer.write(wire.message(f"{KINDS[kind]} /{kind}/x HTTP/1.1", fields))
-            keeps = await asyncio.wait_for(self.read_answer(reader, request, kind), 6)
-        except (wire.Broken, OSError):
-            self.note("cut", False)
-            keeps = False
+            writer.write(wire.message(f"{METHODS[kind]} /{kind}/x HTTP/1.1", fields))
+            keep_open = await asyncio.wait_for(self.read_answer(reader, request, kind), 6)
+        except (wire.ConnectionBroken, OSError):
+            self.record_outcome("cut", False)
+            keep_open = False
         except asyncio.TimeoutError:
-            self.note("no answer", False)
-            keeps = False
-        if not keeps:
+            self.record_outcome("no answer", False)
+            keep_open = False
+        if not keep_open:
             writer.close()
             return None
         return connection
 
     async def read_answer(self, reader, request, kind):
-        """Reads and checks one answer; whether the connection is kept."""
+        """Reads and checks one answer; returns whether the connection is kept."""
         head = await wire.read_head(reader)
         if head is None:
-            raise wire.Broken("closed")
+            raise wire.ConnectionBroken("closed")
         status = int(head[0].split(" ")[1])
         fields = head[1]
-        body = await wire.whole_body(reader, fields)
+        body = await wire.read_whole_body(reader, fields)
         if status in (429, 503, 408, 421):
             self.refused.add(request)
         if status == 200:
-            self.check_whole(request, kind, fields, body)
+            self.check_success(request, kind, fields, body)
         elif status in (400, 401, 403, 404):
-            self.broken.append(f"{request} was answered {status} though it is proper")
-        self.note(str(status), status == 200)
+            self.violations.append(f"{request} was answered {status} although it is valid")
+        self.record_outcome(str(status), status == 200)
         return fields.get("connection", "").lower() != "close"
 
-    def check_whole(self, request, kind, fields, body):
-        """A success is the whole answer to this request and bears its proof."""
+    def check_success(self, request, kind, fields, body):
+        """A success must have the complete answer to this request, its id and a seal."""
         whole = b"".join(world.event(request, n) for n in range(1, world.EVENTS + 1))
         expected = whole if kind == "s" else world.plain_body(request)
         if body != expected:
-            self.broken.append(f"{request} got another body: {body[:80]!r}")
+            self.violations.append(f"{request} got the wrong body: {body[:80]!r}")
         if not fields.get("lagoonbank-server-seal") or fields.get(
                 "lagoonbank-attempt-id") != request:
-            self.broken.append(f"{request} got a success without its proof")
+            self.violations.append(f"{request} got a success without its id or the engine's seal")
 
-    def note(self, outcome, served):
-        """Counts an outcome."""
+    def record_outcome(self, outcome, served):
+        """Counts the outcome of a request."""
         self.outcomes[outcome] += 1
-        self.last_served.append((time.monotonic(), served))
+        self.recent_results.append((time.monotonic(), served))
 
     def check_runs(self):
-        """What engines ran against what callers were told."""
+        """Compares the requests that engines ran with the answers that callers got."""
         for request, engines in self.runs.items():
             if request not in self.kinds:
-                self.broken.append(f"{request} ran though nobody sent it")
+                self.violations.append(f"{request} ran although no caller sent it")
             elif self.kinds[request] == "n" and len(engines) > 1:
-                self.broken.append(f"{request} may run once and ran at {engines}")
+                self.violations.append(f"{request} must run only once and ran at {engines}")
             if request in self.refused and self.kinds.get(request) == "n":
-                self.broken.append(f"{request} was refused as not run and ran at {engines}")
+                self.violations.append(
+                    f"{request} was refused as not executed but ran at {engines}")
 
     async def run(self):
-        """The whole run; what was broken."""
+        """Runs everything; returns the violated guarantees."""
         servers = await self.set_up()
         await asyncio.sleep(1)
-        callers = [asyncio.create_task(self.caller(i)) for i in range(self.options.callers)]
-        await self.cause_faults()
+        callers = [asyncio.create_task(self.run_caller(i)) for i in range(self.options.callers)]
+        await self.inject_faults()
         await asyncio.sleep(RECOVERY_S)
         since = time.monotonic() - 2
-        recent = [served for at, served in self.last_served if at > since]
+        recent = [served for answered_at, served in self.recent_results if answered_at > since]
         if not recent or sum(recent) < 0.9 * len(recent):
-            self.broken.append(f"after the faults {sum(recent)} of {len(recent)} are served")
-        self.is_over = True
+            self.violations.append(
+                f"after the faults only {sum(recent)} of {len(recent)} requests are served")
+        self.is_finished = True
         await asyncio.gather(*callers)
         for router in self.routers:
             await router.stop()
         for server in servers:
             server.close()
         self.check_runs()
-        return self.broken
+        return self.violations
 
 
 def main():
@@ -394,23 +396,24 @@
     parser.add_argument("--engines", type=int, default=8)
     parser.add_argument("--callers", type=int, default=12)
     parser.add_argument("--net", type=int, default=77,
-                        help="second number of the loopback addresses; runs at once need several")
-    parser.add_argument("--keep", help="folder for settings and logs; a new one if left out")
+                        help="second octet of the loopback addresses; differs for concurrent runs")
+    parser.add_argument("--keep", help="folder for settings and logs; default: a new one")
     options = parser.parse_args()
     if options.seed is None:
         options.seed = time.time_ns() % 1000000
     folder = pathlib.Path(options.keep or tempfile.mkdtemp(prefix="lagoonbank-soak-"))
     folder.mkdir(parents=True, exist_ok=True)
     soak = Soak(options, folder)
-    broken = asyncio.run(soak.run())
-    print(f"seed {options.seed}: {dict(soak.outcomes)}, {len(soak.runs)} ran, {len(broken)} broken")
-    for line in broken[:20]:
+    violations = asyncio.run(soak.run())
+    print(f"seed {options.seed}: {dict(soak.outcomes)}, {len(soak.runs)} ran, "
+          f"{len(violations)} violations")
+    for line in violations[:20]:
         print(f"  {line}")
-    if broken:
+    if violations:
         print(f"  logs: {folder}")
     elif not options.keep:
         shutil.rmtree(folder)
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -1,22 +1,22 @@
-"""HTTP/1.1 as the soak's own callers, engines and store need it."""
+"""Minimal HTTP/1.1 for the callers, engines and store of the soak tests."""
 
 import asyncio
 
 
-class Broken(Exception):
-    """The connection ended before the message was whole."""
+class ConnectionBroken(Exception):
+    """The connection ended before the message was complete."""
 
 
 async def read_head(reader):
-    """First line and fields of a message; None if the connection ended in order before it."""
+    """Start line and header fields of a message; None if the connection was closed before it."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
         if error.partial:
-            raise Broken("head") from error
+            raise ConnectionBroken("head") from error
         return None
     except (ConnectionError, asyncio.LimitOverrunError) as error:
-        raise Broken("head") from error
+        raise ConnectionBroken("head") from error
     lines = raw[:-4].decode("latin-1").split("\r\n")
     fields = {}
     for line in lines[1:]:
@@ -26,7 +26,7 @@
 
 
 async def read_body(reader, fields):
-    """Pieces of a body as they come; raises Broken if it is cut."""
+    """Yields a body as it arrives; raises ConnectionBroken if it is incomplete."""
     try:
         if fields.get("transfer-encoding") == "chunked":
             while True:
@@ -39,36 +39,37 @@
         if length:
             yield await reader.readexactly(length)
     except (asyncio.IncompleteReadError, ConnectionError, ValueError) as error:
-        raise Broken("body") from error
+        raise ConnectionBroken("body") from error
 
 
-async def whole_body(reader, fields):
-    """The body as one piece."""
+async def read_whole_body(reader, fields):
+    """Reads the complete body."""
     return b"".join([piece async for piece in read_body(reader, fields)])
 
 
-def message(first, fields, body=b""):
-    """A message with a length."""
-    lines = [first] + [f"{name}: {value}" for name, value in fields.items()]
+def message(start_line, fields, body=b""):
+    """A message with a content-length."""
+    lines = [start_line] + [f"{name}: {value}" for name, value in fields.items()]
     lines.append(f"content-length: {len(body)}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 def chunk(piece):
-    """One chunk of a body."""
+    """One chunk in the chunked transfer coding."""
     return f"{len(piece):x}\r\n".encode() + piece + b"\r\n"
 
 
 async def serve(ip, port, handle):
-    """A server that gives each request to `handle(first, fields, body, writer)`; the handler says
-    whether the connection stays open."""
+    """Starts a server that passes each request to `handle(start_line, fields, body, writer)`.
+
+    The handler returns whether the connection stays open."""
     async def connected(reader, writer):
         try:
             while (head := await read_head(reader)) is not None:
-                body = await whole_body(reader, head[1])
+                body = await read_whole_body(reader, head[1])
                 if not await handle(head[0], head[1], body, writer):
                     break
-        except (Broken, ConnectionError, asyncio.CancelledError):
+        except (ConnectionBroken, ConnectionError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The soak's world around the routers: a store, engines and proxies that misbehave on order."""
+"""The environment of the routers in a soak run: a store, engines and proxies, all with faults."""
 
 import asyncio
 import base64
@@ -10,7 +10,7 @@
 
 
 class Proxy:
-    """Passes connections on, or delays, resets, silences or cuts one direction of them."""
+    """Forwards connections, or delays, resets, silences or refuses them, or drops one direction."""
 
     MODES = ("pass", "delay", "reset", "silent", "cut_in", "cut_out", "refuse")
 
@@ -21,19 +21,19 @@
         self.server = None
 
     async def start(self, ip, port):
-        """Listens; gives itself."""
+        """Starts to listen; returns the proxy itself."""
         self.server = await asyncio.start_server(self.connected, ip, port)
         return self
 
     def set_mode(self, mode):
-        """Changes how connections are treated, open ones too."""
+        """Sets how connections are treated, open ones included."""
         self.mode = mode
         if mode == "reset":
             for writer in list(self.writers):
                 writer.transport.abort()
 
     async def connected(self, reader, writer):
-        """One connection through the proxy."""
+        """Forwards one connection."""
         if self.mode in ("reset", "refuse"):
             writer.transport.abort()
             return
@@ -44,14 +44,14 @@
             return
         self.writers |= {writer, up_writer}
         try:
-            await asyncio.gather(self.pump(reader, up_writer, "cut_in"),
-                                 self.pump(up_reader, writer, "cut_out"))
+            await asyncio.gather(self.forward(reader, up_writer, "cut_in"),
+                                 self.forward(up_reader, writer, "cut_out"))
         except asyncio.CancelledError:
             pass  # The run is over.
         self.writers -= {writer, up_writer}
 
-    async def pump(self, reader, writer, cut):
-        """One direction; what comes while it is cut or silent is lost for good."""
+    async def forward(self, reader, writer, cut):
+        """Forwards one direction; once bytes are dropped, everything after them is dropped too."""
         lost = False
         try:
             while piece := await reader.read(65536):
@@ -69,7 +69,7 @@
 
 
 class Store:
-    """The newest record of each key and the tail of two topics."""
+    """The platform's store: topics of keyed records, with the newest value of each key."""
 
     def __init__(self):
         self.records = {}  # topic -> list of (key, value)
@@ -78,61 +78,62 @@
         self.changed = asyncio.Condition()
 
     async def put(self, topic, key, value):
-        """Appends a record; no value drops the key."""
+        """Appends a record; an empty value removes the key."""
         async with self.changed:
             self.records.setdefault(topic, []).append((key, value))
             self.changed.notify_all()
 
-    async def handle(self, first, fields, body, writer):
-        """One call."""
+    async def handle(self, start_line, fields, body, writer):
+        """Handles one call."""
         del fields
         await asyncio.sleep(self.delay)
-        path, _, query = first.split(" ")[1].partition("?")
-        asked = dict(item.split("=", 1) for item in query.split("&"))
+        path, _, query = start_line.split(" ")[1].partition("?")
+        parameters = dict(item.split("=", 1) for item in query.split("&"))
         if self.status != 200:
             writer.write(wire.message(f"HTTP/1.1 {self.status} No", {}))
             return True
-        answer = await getattr(self, path.rsplit("/", 1)[1].replace("-", "_"))(asked, body)
+        answer = await getattr(self, path.rsplit("/", 1)[1].replace("-", "_"))(parameters, body)
         writer.write(wire.message("HTTP/1.1 200 OK", {}, answer))
         await writer.drain()
         return True
 
-    async def log_newest(self, asked, body):
-        """All keys on one page."""
+    async def log_newest(self, parameters, body):
+        """All keys with their newest values, on one page."""
         del body
-        records = self.records.get(asked["topic"], [])
+        records = self.records.get(parameters["topic"], [])
         newest = {key: (value, offset) for offset, (key, value) in enumerate(records)}
         items = [{"key": key, "value": base64.b64encode(value.encode()).decode(), "offset": offset}
                  for key, (value, offset) in sorted(newest.items()) if value]
         return json.dumps({"items": items, "has_more": False, "end": len(records)}).encode()
 
-    async def log_read(self, asked, body):
-        """Waits for records."""
+    async def log_read(self, parameters, body):
+        """The records from an offset on; waits for new ones up to wait_ms."""
         del body
-        start = int(asked["from"])
+        start = int(parameters["from"])
         def end():
-            return len(self.records.get(asked["topic"], []))
+            return len(self.records.get(parameters["topic"], []))
         async with self.changed:
             try:
                 await asyncio.wait_for(self.changed.wait_for(lambda: end() > start),
-                                       int(asked.get("wait_ms", 0)) / 1000)
+                                       int(parameters.get("wait_ms", 0)) / 1000)
             except asyncio.TimeoutError:
                 pass
         out = end().to_bytes(8, "big") + bytes(8)
-        for key, value in self.records.get(asked["topic"], [])[start:]:
+        for key, value in self.records.get(parameters["topic"], [])[start:]:
             content = bytes([len(key)]) + key.encode() + value.encode()
             out += len(content).to_bytes(4, "big") + content
         return out
 
-    async def log_append(self, asked, body):
-        """One record."""
+    async def log_append(self, parameters, body):
+        """Appends one record."""
         size = body[4]
-        await self.put(asked["topic"], body[5:5 + size].decode(), body[5 + size:].decode())
+        await self.put(parameters["topic"], body[5:5 + size].decode(), body[5 + size:].decode())
         return b'{"offset":0,"end":1}'
 
 
 EVENTS = 8
-# A cold engine bears this; in any second a fleet may send it so many times that, and so many more.
+# A cold engine takes WARMUP_PER_S requests a second for WARMUP_S. In any second a fleet may send it
+# COLD_EXCESS times that number plus COLD_SLACK.
 WARMUP_S, WARMUP_PER_S = 2.0, 16
 COLD_EXCESS, COLD_SLACK = 1.5, 5
 
@@ -143,58 +144,58 @@
 
 
 def answer_head(request_id, endpoint_id):
-    """Headers of an endpoint's own answer."""
+    """Headers of an answer that an endpoint itself sends."""
     return {"lagoonbank-attempt-id": request_id, "lagoonbank-server-seal": "s",
             "lagoonbank-instance-id": endpoint_id}
 
 
 def plain_body(request_id):
-    """The whole answer to a request that is no stream."""
+    """The complete body of the answer to a request that does not stream."""
     return f"answer to {request_id}".encode()
 
 
 class Engine:
-    """An engine or a service; writes down what it ran."""
+    """An engine or a plain service; records which requests it ran."""
 
     def __init__(self, name, service, data_centre, runs, rng):
         self.name = name
         self.service = service
         self.data_centre = data_centre
         self.cold_until = 0.0
-        self.arrived = None  # Told of each request for this engine.
-        self.runs = runs  # request id -> list of names of engines
+        self.on_arrival = None  # Called with each request for this engine.
+        self.runs = runs  # Request id -> ids of the engines that ran it.
         self.rng = rng
         self.mode = "good"
         self.boot = 0
         self.started_ms = time.time_ns() // 1_000_000
-        self.is_leaving = False
+        self.is_changing = False
         self.address = None
 
     @property
     def id(self):
-        """Of this start of it."""
+        """Id of the current start of the engine."""
         return f"{self.name}-{self.boot}"
 
     def become_cold(self):
-        """It bears few requests for a while."""
+        """Starts a warm-up, in which the engine takes few requests."""
         self.cold_until = time.monotonic() + WARMUP_S
 
     def entry(self, state="ready"):
-        """As it stands in the store."""
+        """The engine's entry in the store."""
         cold_ms = max(0, int((self.cold_until - time.monotonic()) * 1000))
         return json.dumps({"service": self.service, "address": self.address,
                            "zone": self.data_centre, "version": "v1", "slots": 8, "state": state,
                            "seq": self.boot, "warmup_left_ms": cold_ms, "born": self.started_ms})
 
-    async def handle(self, first, fields, body, writer):
-        """One request."""
+    async def handle(self, start_line, fields, body, writer):
+        """Handles one request; returns whether the connection is kept."""
         del body
         request = fields.get("lagoonbank-attempt-id", "")
         head = answer_head(request, self.id)
         if fields.get("lagoonbank-expect-instance") != self.id:
             writer.write(wire.message("HTTP/1.1 421 Other", head))
             return True
-        self.arrived(self, request)
+        self.on_arrival(self, request)
         if self.mode == "shed":
             writer.write(wire.message("HTTP/1.1 503 Full", {"lagoonbank-not-executed": "1"}))
             return True
@@ -205,14 +206,14 @@
         if self.mode == "reset" and self.rng.random() < 0.4:
             writer.transport.abort()
             return False
-        if first.startswith("POST /s/"):
+        if start_line.startswith("POST /s/"):
             return await self.stream(request, int(fields.get("last-event-id", "0")), head, writer)
         writer.write(wire.message("HTTP/1.1 200 OK", head, plain_body(request)))
         await writer.drain()
         return True
 
     async def stream(self, request, after, head, writer):
-        """Events in chunks, cut or torn on order."""
+        """Streams the events after number `after`; mode "reset" breaks some off within an event."""
         lines = [f"{name}: {value}" for name, value in head.items()]
         writer.write(("HTTP/1.1 200 OK\r\n" + "\r\n".join(lines)
                       + "\r\ntransfer-encoding: chunked\r\n\r\n").encode())
@@ -231,8 +232,8 @@
         return True
 
 
-def configuration(version, keys):
-    """What the operator writes."""
+def operator_configuration(version, keys):
+    """The configuration that the operator writes to the store."""
     def route(kind, prefix, service, timeout):
         return {"name": prefix, "host": "h", "prefix": f"/{prefix}/", "kind": kind,
                 "service": service, "max_attempts": 2, "timeout_ms": timeout,
@@ -247,11 +248,11 @@
         "tenants": [{"name": f"t{i}", "keys": [key]} for i, key in enumerate(keys)]})
 
 
-def generator(seed, name):
-    """Random numbers of one part of the world."""
+def random_generator(seed, name):
+    """A generator for one part of a run, seeded by the run's seed and the part's name."""
     return random.Random(f"{seed}/{name}")
 
 
 def part_id(name):
-    """Of a part of a prompt, as callers write it."""
+    """Id of a part of a prompt, in the format of the prompt header."""
     return f"{random.Random(name).getrandbits(32):08x}"
