--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -54,7 +54,7 @@
 void CrashGossip::sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
                             const std::vector<Router> &routers)
 {
-    std::map<std::string, std::pair<Runtime::SocketAddress, Schema::CrashNews>> datagrams;
+    std::map<std::string, std::pair<Runtime::SocketAddress, Schema::CrashUpdate>> datagrams;
     for (const Schema::SharedRequestEnd &end : ends) {
         for (const Runtime::SocketAddress &router : countingRoutersOf(end.request, routers)) {
             auto &[to, datagram] = datagrams[Runtime::toString(router)];
@@ -104,7 +104,7 @@
         send(peer, {.quarantined = {quarantine}});
 }
 
-void CrashGossip::receive(const Schema::CrashNews &message) const
+void CrashGossip::receive(const Schema::CrashUpdate &message) const
 {
     if (received)
         received(message);
@@ -119,7 +119,7 @@
 
 void CrashGossip::resendQuarantined()
 {
-    Schema::CrashNews message{.quarantined = quarantined()};
+    Schema::CrashUpdate message{.quarantined = quarantined()};
     if (message.quarantined.empty())
         return;
     std::shuffle(message.quarantined.begin(), message.quarantined.end(), m_random);
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -56,10 +56,10 @@
     CrashGossip(const CrashGossip &) = delete;
     CrashGossip &operator=(const CrashGossip &) = delete;
 
-    std::function<void(const Runtime::SocketAddress &to, const Schema::CrashNews &message)> send;
+    std::function<void(const Runtime::SocketAddress &to, const Schema::CrashUpdate &message)> send;
     /// Returns the requests that are quarantined now.
     std::function<std::vector<Schema::SharedQuarantine>()> quarantined;
-    std::function<void(const Schema::CrashNews &message)> received;
+    std::function<void(const Schema::CrashUpdate &message)> received;
 
     void start();
     /// Sends crash reports in the order given; the last ones are dropped if the budget is too
@@ -67,7 +67,7 @@
     void sendCrashReports(const std::vector<Schema::SharedRequestEnd> &ends);
     /// Sends a new quarantine to all routers.
     void sendQuarantine(const Schema::SharedQuarantine &quarantine);
-    void receive(const Schema::CrashNews &message) const;
+    void receive(const Schema::CrashUpdate &message) const;
     /// Number of crash reports that were not sent for lack of budget. A report counts once for each
     /// receiver.
     std::uint64_t dropped() const { return m_dropped; }
--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -100,15 +100,15 @@
 void FleetLink::receive(const Runtime::SocketAddress &from, std::string_view datagram)
 {
     const auto version = Schema::messageVersion(datagram);
-    if (version == versionOf(Schema::PromptNews{})) {
-        read<Schema::PromptNews>(
+    if (version == versionOf(Schema::PromptUpdate{})) {
+        read<Schema::PromptUpdate>(
             datagram, [this](const auto &message) { m_options.prompts->receive(message); });
-    } else if (version == versionOf(Schema::LoadNews{})) {
-        read<Schema::LoadNews>(datagram, [this](const auto &message) {
+    } else if (version == versionOf(Schema::LoadUpdate{})) {
+        read<Schema::LoadUpdate>(datagram, [this](const auto &message) {
             m_options.loads->receive(message, m_options.sync->arrivalDelay());
         });
-    } else if (version == versionOf(Schema::CrashNews{})) {
-        read<Schema::CrashNews>(
+    } else if (version == versionOf(Schema::CrashUpdate{})) {
+        read<Schema::CrashUpdate>(
             datagram, [this](const auto &message) { m_options.crashes->receive(message); });
     } else {
         read<Schema::FleetBeacon>(datagram, [this, &from](const auto &beacon) {
--- a/src/libs/fleetsync/loadgossip.cpp
+++ b/src/libs/fleetsync/loadgossip.cpp
@@ -23,7 +23,7 @@
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
-void LoadGossip::receive(const Schema::LoadNews &message, Base::Duration delay) const
+void LoadGossip::receive(const Schema::LoadUpdate &message, Base::Duration delay) const
 {
     if (received)
         received(message, delay);
@@ -39,7 +39,7 @@
 {
     if (!send || !latest)
         return;
-    const Schema::LoadNews message = latest();
+    const Schema::LoadUpdate message = latest();
     const bool isDue = !message.loads.empty() || ++m_intervalsSinceSent >= m_options.idleIntervals;
     if (!isDue || (message.loads.empty() && message.usual.empty()))
         return;
--- a/src/libs/fleetsync/loadgossip.h
+++ b/src/libs/fleetsync/loadgossip.h
@@ -37,14 +37,14 @@
     LoadGossip(const LoadGossip &) = delete;
     LoadGossip &operator=(const LoadGossip &) = delete;
 
-    std::function<void(const Runtime::SocketAddress &to, const Schema::LoadNews &message)> send;
+    std::function<void(const Runtime::SocketAddress &to, const Schema::LoadUpdate &message)> send;
     /// Returns the loads that this router has now, to be sent to peers.
-    std::function<Schema::LoadNews()> latest;
+    std::function<Schema::LoadUpdate()> latest;
     /// Called for each message of a peer. The message arrived \a delay ago.
-    std::function<void(const Schema::LoadNews &message, Base::Duration delay)> received;
+    std::function<void(const Schema::LoadUpdate &message, Base::Duration delay)> received;
 
     void start();
-    void receive(const Schema::LoadNews &message, Base::Duration delay) const;
+    void receive(const Schema::LoadUpdate &message, Base::Duration delay) const;
 
 private:
     void tick();
--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -62,7 +62,7 @@
     ++m_newCount;
 }
 
-void PromptGossip::receive(const Schema::PromptNews &message) const
+void PromptGossip::receive(const Schema::PromptUpdate &message) const
 {
     if (!received)
         return;
@@ -73,7 +73,7 @@
 void PromptGossip::flush()
 {
     m_timer.reset();
-    const Schema::PromptNews message = std::exchange(m_pending, {});
+    const Schema::PromptUpdate message = std::exchange(m_pending, {});
     const bool hasNew = std::exchange(m_newCount, 0) > 0;
     const std::vector<Runtime::SocketAddress> peers = m_options.peers();
     const auto count = static_cast<double>(message.prompts.size());
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -46,14 +46,14 @@
     PromptGossip(const PromptGossip &) = delete;
     PromptGossip &operator=(const PromptGossip &) = delete;
 
-    std::function<void(const Runtime::SocketAddress &to, const Schema::PromptNews &message)> send;
+    std::function<void(const Runtime::SocketAddress &to, const Schema::PromptUpdate &message)> send;
     std::function<void(const Schema::SharedPrompt &prompt)> received;
 
     /// Reports the holder of a prompt: the endpoint that has it in its cache. \a isNew is false if
     /// the holder has not changed; the report then uses only the half of the burst budget that is
     /// not reserved for new prompts.
     void report(const Schema::SharedPrompt &prompt, bool isNew);
-    void receive(const Schema::PromptNews &message) const;
+    void receive(const Schema::PromptUpdate &message) const;
     /// Prompts that were not sent to the peers for lack of budget or of space in a datagram.
     std::uint64_t dropped() const { return m_dropped; }
 
@@ -64,7 +64,7 @@
 
     Options m_options;
     Admission::Gcra m_bytes;
-    Schema::PromptNews m_pending; ///< Prompts that have not been sent to the peers yet.
+    Schema::PromptUpdate m_pending; ///< Prompts that have not been sent to the peers yet.
     std::size_t m_newCount = 0; ///< Number of new prompts, which are first in m_pending.
     std::optional<Runtime::TimerId> m_timer;
     std::uint64_t m_dropped = 0;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -311,14 +311,14 @@
         m_admissionQueue.slotMayBeFree(service);
 }
 
-Schema::LoadNews Gateway::loadsForPeers()
+Schema::LoadUpdate Gateway::loadsForPeers()
 {
     if (!m_options.policy.sharedLoads)
         return {};
     return m_loadSharing.announcement(m_options.loop->clock().now());
 }
 
-void Gateway::peerLoadsReceived(const Schema::LoadNews &announcement, Base::Duration delay)
+void Gateway::peerLoadsReceived(const Schema::LoadUpdate &announcement, Base::Duration delay)
 {
     if (m_options.policy.sharedLoads)
         m_loadSharing.merge(announcement, delay, m_options.loop->clock().now());
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -155,9 +155,9 @@
     void setRouterCount(std::size_t routers);
 
     /// Endpoint loads to be sent to peers.
-    Schema::LoadNews loadsForPeers();
+    Schema::LoadUpdate loadsForPeers();
     /// Merges endpoint loads from a peer, which were received \a delay ago.
-    void peerLoadsReceived(const Schema::LoadNews &announcement, Base::Duration delay);
+    void peerLoadsReceived(const Schema::LoadUpdate &announcement, Base::Duration delay);
     /// Records that a peer sent a request with this prompt to this endpoint.
     void promptReceived(const PromptHolding &holding);
     /// Records that an endpoint terminated while it was processing a request of this router or of a
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -30,9 +30,9 @@
 
 } // namespace
 
-Schema::LoadNews LoadSharing::announcement(Base::MonoTime now)
+Schema::LoadUpdate LoadSharing::announcement(Base::MonoTime now)
 {
-    Schema::LoadNews announcement;
+    Schema::LoadUpdate announcement;
     for (const auto &[service, endpoints] : m_options.registry->services()) {
         const auto averageLoad = m_options.registry->averageLoad(service, now);
         if (!averageLoad || announcement.usual.size() >= maximumServices)
@@ -66,7 +66,7 @@
     loads.erase(end, loads.end());
 }
 
-void LoadSharing::merge(const Schema::LoadNews &announcement, Base::Duration delay,
+void LoadSharing::merge(const Schema::LoadUpdate &announcement, Base::Duration delay,
                         Base::MonoTime now)
 {
     for (const auto &[service, endpoints] : m_options.registry->services()) {
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -45,9 +45,9 @@
     { }
 
     /// The average loads and the loads of hot endpoints, to be sent to a peer.
-    Schema::LoadNews announcement(Base::MonoTime now);
+    Schema::LoadUpdate announcement(Base::MonoTime now);
     /// Merges the announcement of a peer, which was received \a delay ago.
-    void merge(const Schema::LoadNews &announcement, Base::Duration delay, Base::MonoTime now);
+    void merge(const Schema::LoadUpdate &announcement, Base::Duration delay, Base::MonoTime now);
 
 private:
     void keepNewest(std::vector<Schema::SharedLoad> &loads);
--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -40,7 +40,8 @@
                 },
             .self = addresses[index],
             .randomSeed = index + 1});
-        gossip->send = [this](const Runtime::SocketAddress &to, const Schema::CrashNews &message) {
+        gossip->send = [this](const Runtime::SocketAddress &to,
+                              const Schema::CrashUpdate &message) {
             constexpr std::size_t headers = 28;
             ++datagrams;
             bytes += headers + Schema::encodeMessage(message).value().size();
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -153,11 +153,11 @@
 {
     Fixture f;
     std::size_t receivedLoads = 0;
-    f.other.loads.received = [&](const Schema::LoadNews &message, Base::Duration) {
+    f.other.loads.received = [&](const Schema::LoadUpdate &message, Base::Duration) {
         receivedLoads = message.loads.size();
     };
     f.one.loads.latest = [] {
-        return Schema::LoadNews{
+        return Schema::LoadUpdate{
             .loads = {{.endpoint = 5, .running = 11, .slots = 12, .ageMs = 40}}};
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
@@ -173,7 +173,7 @@
 {
     Fixture f;
     std::uint64_t receivedId = 0;
-    f.other.crashes.received = [&](const Schema::CrashNews &message) {
+    f.other.crashes.received = [&](const Schema::CrashUpdate &message) {
         receivedId = message.ends.empty() ? 0 : message.ends.front().request;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
--- a/tests/auto/fleetsync/tst_loadgossip.cpp
+++ b/tests/auto/fleetsync/tst_loadgossip.cpp
@@ -22,7 +22,7 @@
     {
         for (int i = 0; i < peerCount; ++i)
             peers.push_back({"10.0.0." + std::to_string(i), 7000});
-        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::LoadNews &message) {
+        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::LoadUpdate &message) {
             constexpr std::size_t headers = 28;
             ++datagrams;
             bytes += headers + Schema::encodeMessage(message).value().size();
@@ -42,7 +42,7 @@
     std::size_t datagrams = 0;
     std::size_t bytes = 0;
     std::set<std::string> receivers;
-    Schema::LoadNews localLoads;
+    Schema::LoadUpdate localLoads;
     Runtime::ManualClock clock;
     Runtime::TimerQueue timers{clock};
     LoadGossip gossip{{.timers = &timers, .peers = [this] { return peers; }}};
@@ -94,7 +94,7 @@
 {
     Fixture f;
     Base::Duration receivedDelay{};
-    f.gossip.received = [&](const Schema::LoadNews &, Base::Duration delay) {
+    f.gossip.received = [&](const Schema::LoadUpdate &, Base::Duration delay) {
         receivedDelay = delay;
     };
     f.gossip.receive({}, milliseconds(700));
--- a/tests/auto/fleetsync/tst_promptgossip.cpp
+++ b/tests/auto/fleetsync/tst_promptgossip.cpp
@@ -20,7 +20,8 @@
     explicit Fixture(int peers = 7)
         : peerCount(peers)
     {
-        gossip.send = [this](const Runtime::SocketAddress &to, const Schema::PromptNews &message) {
+        gossip.send = [this](const Runtime::SocketAddress &to,
+                             const Schema::PromptUpdate &message) {
             constexpr std::size_t headers = 28;
             ++datagrams;
             prompts += message.prompts.size();
@@ -152,9 +153,9 @@
 
 BOOST_AUTO_TEST_CASE(promptMessageIsDistinguishedFromBeacon)
 {
-    const std::string prompts = Schema::encodeMessage(Schema::PromptNews{}).value();
+    const std::string prompts = Schema::encodeMessage(Schema::PromptUpdate{}).value();
     const std::string beacon = Schema::encodeMessage(Schema::FleetBeacon{}).value();
-    BOOST_TEST((Schema::messageVersion(prompts) == versionOf(Schema::PromptNews{})));
+    BOOST_TEST((Schema::messageVersion(prompts) == versionOf(Schema::PromptUpdate{})));
     BOOST_TEST((Schema::messageVersion(beacon) == versionOf(Schema::FleetBeacon{})));
     BOOST_TEST((Schema::messageVersion(prompts) != Schema::messageVersion(beacon)));
     BOOST_TEST(!Schema::messageVersion("x"));
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -184,7 +184,7 @@
         }
     }
     EndpointRecord &endpoint(const char *id) { return *registry.find(Base::EndpointId(id)); }
-    Schema::LoadNews announcement(const char *id, int running, std::uint16_t ageMs)
+    Schema::LoadUpdate announcement(const char *id, int running, std::uint16_t ageMs)
     {
         return {.loads = {{.endpoint = endpoint(id).startHash,
                            .running = static_cast<std::uint16_t>(running),
@@ -209,7 +209,7 @@
         f.registry.loadReported(f.endpoint("b"), {.running = 3, .slots = 12}, f.now);
     }
     f.registry.loadReported(f.endpoint("c"), {.running = 9, .waiting = 2, .slots = 12}, f.now);
-    const Schema::LoadNews announcement = f.sharing.announcement(f.now + milliseconds(40));
+    const Schema::LoadUpdate announcement = f.sharing.announcement(f.now + milliseconds(40));
     BOOST_REQUIRE(announcement.loads.size() == 1U);
     BOOST_TEST(announcement.loads[0].endpoint == f.endpoint("c").startHash);
     BOOST_TEST(announcement.loads[0].running == 9);
@@ -241,7 +241,7 @@
         registry.loadReported(*registry.find(id), {.running = 9, .slots = 12}, now);
         now += milliseconds(10);
     }
-    const Schema::LoadNews announcement = sharing.announcement(now);
+    const Schema::LoadUpdate announcement = sharing.announcement(now);
     BOOST_TEST(announcement.loads.size() == LoadSharing::Options().maximumLoads);
     for (const Schema::SharedLoad &load : announcement.loads)
         BOOST_TEST(load.ageMs <= 10 * LoadSharing::Options().maximumLoads);
@@ -269,7 +269,7 @@
 BOOST_AUTO_TEST_CASE(reportsOfAnEarlierStartAreIgnored)
 {
     Fixture f;
-    const Schema::LoadNews announcement = f.announcement("a", 11, 0);
+    const Schema::LoadUpdate announcement = f.announcement("a", 11, 0);
     Fleet::Endpoint again = f.endpoint("a").info;
     again.startedAt = Base::WallTime(seconds(9));
     f.registry.put(again, f.now);
