--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -39,7 +39,7 @@
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
-void CrashGossip::sendCrashReports(const std::vector<Schema::SharedRequestEnd> &ends)
+void CrashGossip::sendCrashReports(const std::vector<Schema::SharedCrash> &ends)
 {
     std::vector<Router> routers{{Routing::stableHash(Runtime::toString(m_options.self))}};
     for (const Runtime::SocketAddress &peer : m_options.peers())
@@ -51,24 +51,24 @@
     }
 }
 
-void CrashGossip::sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
+void CrashGossip::sendBatch(const std::vector<Schema::SharedCrash> &ends,
                             const std::vector<Router> &routers)
 {
     std::map<std::string, std::pair<Runtime::SocketAddress, Schema::CrashUpdate>> datagrams;
-    for (const Schema::SharedRequestEnd &end : ends) {
+    for (const Schema::SharedCrash &end : ends) {
         for (const Runtime::SocketAddress &router : countingRoutersOf(end.request, routers)) {
             auto &[to, datagram] = datagrams[Runtime::toString(router)];
             to = router;
-            datagram.ends.push_back(end);
+            datagram.crashes.push_back(end);
         }
     }
     const Base::MonoTime now = m_options.timers->clock().now();
     for (const auto &[name, addressed] : datagrams) {
         const auto &[to, datagram] = addressed;
         const double cost =
-            emptyDatagramBytes + crashReportBytes * static_cast<double>(datagram.ends.size());
+            emptyDatagramBytes + crashReportBytes * static_cast<double>(datagram.crashes.size());
         if (!send || m_bytes.waitFor(cost, now) != Base::Duration::zero()) {
-            m_dropped += datagram.ends.size();
+            m_dropped += datagram.crashes.size();
             continue;
         }
         m_bytes.charge(cost, now);
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -64,7 +64,7 @@
     void start();
     /// Sends crash reports in the order given; the last ones are dropped if the budget is too
     /// small.
-    void sendCrashReports(const std::vector<Schema::SharedRequestEnd> &ends);
+    void sendCrashReports(const std::vector<Schema::SharedCrash> &ends);
     /// Sends a new quarantine to all routers.
     void sendQuarantine(const Schema::SharedQuarantine &quarantine);
     void receive(const Schema::CrashUpdate &message) const;
@@ -81,7 +81,7 @@
 
     void tick();
     /// Sends as many crash reports as fit into one datagram.
-    void sendBatch(const std::vector<Schema::SharedRequestEnd> &ends,
+    void sendBatch(const std::vector<Schema::SharedCrash> &ends,
                    const std::vector<Router> &routers);
     void resendQuarantined();
     std::vector<Runtime::SocketAddress> countingRoutersOf(std::uint64_t request,
--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -84,7 +84,7 @@
     const Peer &peer = m_peers.receive(fromIp, beacon, m_freshness.arrivalTime(), isNew);
     const auto asOfBefore = m_freshness.asOf();
     applyDrains(beacon);
-    for (const SharedEndpoint &change : beacon.news)
+    for (const SharedEndpoint &change : beacon.changes)
         apply(change);
     pullDifferences(peer);
     watchLeader(peer);
@@ -333,10 +333,10 @@
     if (!send)
         return;
     Schema::FleetBeacon message = beacon();
-    message.news = changes;
+    message.changes = changes;
     // Each standby gets only its own name: two names are a third of a beacon.
     if (m_isLeader && isStandby(peer))
-        message.deputies = {peer.id};
+        message.standbys = {peer.id};
     m_peers.setBeaconSent(peer);
     send(peer.address, message);
 }
--- a/src/libs/fleetsync/loadgossip.cpp
+++ b/src/libs/fleetsync/loadgossip.cpp
@@ -41,7 +41,7 @@
         return;
     const Schema::LoadUpdate message = latest();
     const bool isDue = !message.loads.empty() || ++m_intervalsSinceSent >= m_options.idleIntervals;
-    if (!isDue || (message.loads.empty() && message.usual.empty()))
+    if (!isDue || (message.loads.empty() && message.averageLoads.empty()))
         return;
     const std::vector<Runtime::SocketAddress> peers = m_options.peers();
     if (peers.empty())
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -50,7 +50,7 @@
         - std::chrono::milliseconds(peer.hasState ? beacon.knowledgeAgeMs : 0);
     peer.configuration = beacon.configuration;
     peer.endpoints = beacon.endpoints;
-    peer.standbys = beacon.deputies;
+    peer.standbys = beacon.standbys;
     if (isFirstSeen)
         count(peer.dataCentre);
     return peer;
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -35,9 +35,9 @@
     Schema::LoadUpdate announcement;
     for (const auto &[service, endpoints] : m_options.registry->services()) {
         const auto averageLoad = m_options.registry->averageLoad(service, now);
-        if (!averageLoad || announcement.usual.size() >= maximumServices)
+        if (!averageLoad || announcement.averageLoads.size() >= maximumServices)
             continue;
-        announcement.usual.push_back(
+        announcement.averageLoads.push_back(
             {.service = Routing::stableHash(service.value()),
              .requestsMilli = static_cast<std::uint32_t>(*averageLoad * thousandths)});
         for (const EndpointPtr &endpoint : endpoints) {
@@ -71,7 +71,7 @@
 {
     for (const auto &[service, endpoints] : m_options.registry->services()) {
         const std::uint64_t hash = Routing::stableHash(service.value());
-        for (const Schema::SharedUsualLoad &average : announcement.usual) {
+        for (const Schema::SharedAverageLoad &average : announcement.averageLoads) {
             if (average.service == hash)
                 m_options.registry->mergeAverageLoad(service, average.requestsMilli / thousandths,
                                                      now);
--- a/src/libs/gateway/promptdirectory.cpp
+++ b/src/libs/gateway/promptdirectory.cpp
@@ -21,7 +21,7 @@
     return {.prompt = holding.prompt.hash,
             .endpoint = holding.endpoint,
             .tokens = static_cast<std::uint32_t>(holding.prompt.tokens.value()),
-            .readingMs = static_cast<std::uint32_t>(
+            .remainingPrefillMs = static_cast<std::uint32_t>(
                 std::max<std::int64_t>(0, Base::toMilliseconds(holding.remainingPrefillTime)))};
 }
 
@@ -29,7 +29,7 @@
 {
     return {.prompt = {.hash = shared.prompt, .tokens = Base::Tokens(shared.tokens)},
             .endpoint = shared.endpoint,
-            .remainingPrefillTime = std::chrono::milliseconds(shared.readingMs)};
+            .remainingPrefillTime = std::chrono::milliseconds(shared.remainingPrefillMs)};
 }
 
 PromptDirectory::Announcement PromptDirectory::recordUse(const PromptHolding &holding,
--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -4,12 +4,12 @@
 
 namespace Lagoonbank::Gateway {
 
-Schema::SharedRequestEnd toShared(const RequestCrash &crash)
+Schema::SharedCrash toShared(const RequestCrash &crash)
 {
     return {.request = crash.request.value(), .endpoint = crash.endpoint};
 }
 
-RequestCrash fromShared(const Schema::SharedRequestEnd &shared)
+RequestCrash fromShared(const Schema::SharedCrash &shared)
 {
     return {.request = RequestFingerprint(shared.request), .endpoint = shared.endpoint};
 }
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -29,8 +29,8 @@
     Base::Duration remaining = Base::Duration::max();
 };
 
-Schema::SharedRequestEnd toShared(const RequestCrash &crash);
-RequestCrash fromShared(const Schema::SharedRequestEnd &shared);
+Schema::SharedCrash toShared(const RequestCrash &crash);
+RequestCrash fromShared(const Schema::SharedCrash &shared);
 Schema::SharedQuarantine toShared(const QuarantinedRequest &quarantined);
 QuarantinedRequest fromShared(const Schema::SharedQuarantine &shared);
 
--- a/tests/auto/fleetsync/tst_crashgossip.cpp
+++ b/tests/auto/fleetsync/tst_crashgossip.cpp
@@ -45,8 +45,8 @@
             constexpr std::size_t headers = 28;
             ++datagrams;
             bytes += headers + Schema::encodeMessage(message).value().size();
-            if (!message.ends.empty())
-                receivedReports[to.ip] += message.ends.size();
+            if (!message.crashes.empty())
+                receivedReports[to.ip] += message.crashes.size();
             if (!message.quarantined.empty())
                 ++receivedQuarantines[to.ip];
         };
@@ -86,7 +86,7 @@
 BOOST_AUTO_TEST_CASE(allReportsOfFullEndpointAreSent)
 {
     Routers f(6);
-    std::vector<Schema::SharedRequestEnd> ends;
+    std::vector<Schema::SharedCrash> ends;
     ends.reserve(128);
     for (std::uint64_t request = 0; request < 128; ++request)
         ends.push_back({.request = request, .endpoint = 11});
@@ -115,7 +115,7 @@
     Routers f(300);
     std::uint64_t request = 0;
     for (int endpoint = 0; endpoint < 200; ++endpoint) {
-        std::vector<Schema::SharedRequestEnd> ends;
+        std::vector<Schema::SharedCrash> ends;
         ends.reserve(20);
         for (int i = 0; i < 20; ++i)
             ends.push_back(
--- a/tests/auto/fleetsync/tst_fleetlink.cpp
+++ b/tests/auto/fleetsync/tst_fleetlink.cpp
@@ -141,7 +141,8 @@
         receivedId = prompt.prompt;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
-    f.one.prompts.report({.prompt = 42, .endpoint = 5, .tokens = 10000, .readingMs = 100}, true);
+    f.one.prompts.report({.prompt = 42, .endpoint = 5, .tokens = 10000, .remainingPrefillMs = 100},
+                         true);
     BOOST_TEST(f.runUntil([&] {
         f.clock.advance(std::chrono::milliseconds(1));
         return receivedId == 42;
@@ -174,7 +175,7 @@
     Fixture f;
     std::uint64_t receivedId = 0;
     f.other.crashes.received = [&](const Schema::CrashUpdate &message) {
-        receivedId = message.ends.empty() ? 0 : message.ends.front().request;
+        receivedId = message.crashes.empty() ? 0 : message.crashes.front().request;
     };
     f.one.sync.addRouter("other", "dc0", {"127.0.0.1", f.other.port}, 0);
     f.one.crashes.sendCrashReports({{.request = 42, .endpoint = 5}});
--- a/tests/auto/fleetsync/tst_loadgossip.cpp
+++ b/tests/auto/fleetsync/tst_loadgossip.cpp
@@ -55,7 +55,7 @@
 BOOST_AUTO_TEST_CASE(routerKeepsToByteLimitInLargeFleet)
 {
     Fixture f;
-    f.localLoads.usual.resize(2);
+    f.localLoads.averageLoads.resize(2);
     f.localLoads.loads.resize(Gateway::LoadSharing::Options().maximumLoads);
     f.gossip.start();
     f.pass(seconds(10));
@@ -70,7 +70,7 @@
     f.gossip.start();
     f.pass(seconds(5));
     BOOST_TEST(f.datagrams == 0U); // There are no loads to send.
-    f.localLoads.usual.resize(1);
+    f.localLoads.averageLoads.resize(1);
     f.pass(seconds(10));
     BOOST_TEST(f.datagrams >= 9U);
     BOOST_TEST(f.datagrams <= 11U);
@@ -83,7 +83,7 @@
 BOOST_AUTO_TEST_CASE(routerWithoutPeersSendsNothing)
 {
     Fixture f(0);
-    f.localLoads.usual.resize(1);
+    f.localLoads.averageLoads.resize(1);
     f.localLoads.loads.resize(1);
     f.gossip.start();
     f.pass(seconds(2));
--- a/tests/auto/fleetsync/tst_promptgossip.cpp
+++ b/tests/auto/fleetsync/tst_promptgossip.cpp
@@ -34,7 +34,8 @@
     }
     void report(std::uint64_t prompt, bool isNew = true)
     {
-        gossip.report({.prompt = prompt, .endpoint = 5, .tokens = 10000, .readingMs = 100}, isNew);
+        gossip.report({.prompt = prompt, .endpoint = 5, .tokens = 10000, .remainingPrefillMs = 100},
+                      isNew);
     }
     void pass(Base::Duration duration)
     {
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -215,9 +215,9 @@
     BOOST_TEST(announcement.loads[0].running == 9);
     BOOST_TEST(announcement.loads[0].waiting == 2);
     BOOST_TEST(announcement.loads[0].ageMs == 40);
-    BOOST_REQUIRE(announcement.usual.size() == 1U);
-    BOOST_TEST(announcement.usual[0].requestsMilli > 2900U);
-    BOOST_TEST(announcement.usual[0].requestsMilli < 4000U);
+    BOOST_REQUIRE(announcement.averageLoads.size() == 1U);
+    BOOST_TEST(announcement.averageLoads[0].requestsMilli > 2900U);
+    BOOST_TEST(announcement.averageLoads[0].requestsMilli < 4000U);
     // The lower load of an endpoint that was hot is announced as well, but no old report.
     f.registry.loadReported(f.endpoint("c"), {.running = 2, .slots = 12},
                             f.now + milliseconds(200));
