--- a/cmake/KnownRed.cmake
+++ b/cmake/KnownRed.cmake
@@ -1,9 +1,9 @@
-# Reads KNOWN-RED.txt: test cases that fail for a real fault which is not mended yet. Their programs run without
-# them, and tools/run-tests prints the list. A line is
+# Reads KNOWN-RED.txt, the test cases that fail because of a real fault that is not fixed yet. Their test programs
+# run without them, and tools/run-tests prints the list. Format of a line:
 #   program/case | cause | command, seed and what was seen | issue
 
 set(known_red_file ${CMAKE_SOURCE_DIR}/KNOWN-RED.txt)
-set(known_red_most 3)
+set(known_red_max 3)
 set(known_red_cases "")
 if(EXISTS ${known_red_file})
     set_property(DIRECTORY APPEND PROPERTY CMAKE_CONFIGURE_DEPENDS ${known_red_file})
@@ -21,12 +21,12 @@
         list(APPEND known_red_cases ${CMAKE_MATCH_1})
     endforeach()
     list(LENGTH known_red_cases known_red_count)
-    if(known_red_count GREATER known_red_most)
-        message(FATAL_ERROR "KNOWN-RED.txt: ${known_red_count} cases; mend some, ${known_red_most} may stand.")
+    if(known_red_count GREATER known_red_max)
+        message(FATAL_ERROR "KNOWN-RED.txt: ${known_red_count} cases; fix some, at most ${known_red_max} are allowed.")
     endif()
 endif()
 
-# Sets <result> to the arguments that leave out the known red cases of a program.
+# Sets <result> to the arguments that exclude the known failing cases of a test program.
 function(lagoonbank_known_red_arguments program result)
     set(arguments "")
     foreach(case IN LISTS known_red_cases)
--- a/cmake/LagoonbankTargets.cmake
+++ b/cmake/LagoonbankTargets.cmake
@@ -1,9 +1,9 @@
-# Shared compile settings and one function for each kind of target.
+# Common compile options, and one function for each kind of target.
 
 add_library(lagoonbank_options INTERFACE)
 target_compile_options(lagoonbank_options INTERFACE -Wall -Wextra -Wpedantic -Werror
     -Wno-missing-field-initializers)
-# GCC 12 reports a false overlap where a literal and a string are added (GCC bug 105329).
+# GCC 12 falsely warns of an overlap when a literal and a string are concatenated (GCC bug 105329).
 if(CMAKE_CXX_COMPILER_ID STREQUAL "GNU" AND CMAKE_CXX_COMPILER_VERSION VERSION_LESS 13)
     target_compile_options(lagoonbank_options INTERFACE -Wno-restrict)
 endif()
@@ -17,7 +17,7 @@
 
 include(${CMAKE_CURRENT_LIST_DIR}/KnownRed.cmake)
 
-# Libraries from Debian's packages; their headers are system headers.
+# Libraries from Debian packages; their headers count as system headers.
 find_package(absl REQUIRED)
 find_package(OpenSSL REQUIRED)
 find_package(Threads REQUIRED)
@@ -32,7 +32,7 @@
 find_package(ZLIB REQUIRED)
 
 # lagoonbank_library(<name> [DEPENDS <lib>...] [LINK <target>...])
-# Builds src/libs/<name> from the sources in the calling folder.
+# Builds the library src/libs/<name> from the sources in the calling folder.
 function(lagoonbank_library name)
     cmake_parse_arguments(ARG "" "" "DEPENDS;LINK" ${ARGN})
     file(GLOB sources CONFIGURE_DEPENDS *.cpp generated/*.cpp)
@@ -62,7 +62,7 @@
 endfunction()
 
 # lagoonbank_test(<tst_unit> [DEPENDS <lib>...] [LINK <target>...] [LABELS <label>...])
-# One Boost.Test program from <tst_unit>.cpp in the calling folder.
+# Builds a Boost.Test program from <tst_unit>.cpp in the calling folder and adds it as a test.
 function(lagoonbank_test name)
     cmake_parse_arguments(ARG "" "" "DEPENDS;LINK;LABELS" ${ARGN})
     add_executable(${name} ${name}.cpp)
@@ -79,7 +79,7 @@
     endif()
 endfunction()
 
-# Adds every subfolder of the calling folder that has a CMakeLists.txt.
+# Adds each direct subfolder of the calling folder that has a CMakeLists.txt.
 function(lagoonbank_add_subfolders)
     file(GLOB lists CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*/CMakeLists.txt)
     list(SORT lists)
