--- a/tools/benchtoml.py
+++ b/tools/benchtoml.py
@@ -1,8 +1,8 @@
-"""Writes days and sites of the users' bench in TOML, for the tools that make some."""
+"""Writes scenarios ("days") and deployments ("sites") of the users' bench as TOML."""
 
 
 def value_text(value):
-    """A value in one line, for the few types that days and sites need."""
+    """A TOML value on one line; supports only the types that days and sites use."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, str):
@@ -15,7 +15,7 @@
 
 
 def site_text(site):
-    """A whole site: its plain values and tables, then its days."""
+    """A site as TOML: its plain values and tables, then its days."""
     tables = {key: value for key, value in site.items() if isinstance(value, dict)}
     lines = [f"{key} = {value_text(value)}" for key, value in site.items()
              if key not in tables and key != "day"]
