--- a/src/libs/fleet/endpointdirectory.cpp
+++ b/src/libs/fleet/endpointdirectory.cpp
@@ -64,7 +64,7 @@
         return;
     const bool isEarlier =
         known != m_entries.end() && isOfEarlierStart(endpoint, known->second.endpoint);
-    if (isEarlier && !isConfirmed && isLateWrite(endpoint, version))
+    if (isEarlier && !isConfirmed && isDelayedWrite(endpoint, version))
         return;
     m_unconfirmed.erase(id);
     if (known != m_entries.end() && !endpoint.startedAt)
@@ -176,7 +176,7 @@
 
 /// An entry written after the store dropped that of the known start is not a delayed write,
 /// whatever its start time.
-bool EndpointDirectory::isLateWrite(const Endpoint &endpoint, Base::LogOffset version)
+bool EndpointDirectory::isDelayedWrite(const Endpoint &endpoint, Base::LogOffset version)
 {
     if (isRemovalPending(endpoint.id, version))
         return false;
--- a/src/libs/fleet/endpointdirectory.h
+++ b/src/libs/fleet/endpointdirectory.h
@@ -54,8 +54,8 @@
     {
         Endpoint endpoint;
         Base::LogOffset version;
-        /// Whether the entry was written repeatedly after that of a later start, which shows that
-        /// it is not a delayed write.
+        /// Whether the start time of the entry is earlier than that of a previous entry, but the
+        /// endpoint has written it repeatedly, which shows that it is not a delayed write.
         bool isConfirmed = false;
     };
     using Entries = absl::flat_hash_map<Base::EndpointId, Entry>;
@@ -90,7 +90,8 @@
     void storeFailed();
     /// Whether pending removals are held until the store returns.
     bool holdsRemovals() const { return m_holdsRemovals; }
-    /// Whether the removal of entries that are dropped now is deferred.
+    /// Whether the directory waits for endpoints to write their entries again after an outage of
+    /// the store. Until then it defers the removal of entries that the store drops.
     bool isWaiting() const { return m_rewriteTimer || m_holdsRemovals; }
     /// Whether there are pending removals, or entries that may be delayed writes. Only further
     /// reads of the store can resolve them.
@@ -114,8 +115,9 @@
 private:
     bool isGone(const Base::EndpointId &id, Base::LogOffset version) const;
     bool isRemovalPending(const Base::EndpointId &id, Base::LogOffset version) const;
-    /// Whether this entry of an earlier start has to be taken for a delayed write.
-    bool isLateWrite(const Endpoint &endpoint, Base::LogOffset version);
+    /// Whether this entry, whose start time is earlier than the known one, has to be taken for a
+    /// delayed write.
+    bool isDelayedWrite(const Endpoint &endpoint, Base::LogOffset version);
     void rememberGone(const Base::EndpointId &id, Base::LogOffset version);
     /// Adds the endpoint to the digest, or removes it if it is included already.
     void toggleInDigest(const Endpoint &endpoint);
--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -12,10 +12,11 @@
 using Schema::SharedEndpoint;
 
 /// Maximum number of changes in one datagram; more are detected by the hash and pulled.
-constexpr std::size_t maxChanges = 8;
-/// Minimum advance of the state's time that shows that it comes from a later read of the store.
-/// Several leaders pass on the same read, with ages that differ by their transit times.
-constexpr Base::Duration minAdvance = std::chrono::milliseconds(200);
+constexpr std::size_t maxChangesPerDatagram = 8;
+/// If the time up to which the state reflects the store advances by more than this, the state comes
+/// from a new read of the store. Smaller differences arise when several leaders pass on the same
+/// read, with ages that differ by their transit times.
+constexpr Base::Duration minAdvanceOfNewRead = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -88,7 +89,7 @@
         apply(change);
     pullDifferences(peer);
     watchLeader(peer);
-    const bool isNewer = asOfBefore && *m_freshness.asOf() - *asOfBefore > minAdvance;
+    const bool isNewer = asOfBefore && *m_freshness.asOf() - *asOfBefore > minAdvanceOfNewRead;
     if (isFollowing() && isNewer)
         pushState();
     if (isNew && !peer.isBeaconSent)
@@ -124,11 +125,11 @@
     m_options.directory->storeFailed();
 }
 
-/// Records that the state reflects the store up to \a at, as a peer has reported. A peer that the
+/// Records that the state reflects the store up to \a asOf, as a peer has reported. A peer that the
 /// store answers first reports its recovery before this router's own read succeeds.
-void FleetSync::recordStateAsOf(Base::MonoTime at)
+void FleetSync::recordStateAsOf(Base::MonoTime asOf)
 {
-    if (m_freshness.advanceTo(at, isReadOverdue()))
+    if (m_freshness.advanceTo(asOf, isReadOverdue()))
         m_options.directory->storeReturned();
 }
 
@@ -185,7 +186,7 @@
     const auto age = stateAge();
     if (!m_isLeader || !age || *age > m_options.maxLeaderAge)
         return;
-    if (m_changes.size() <= maxChanges) {
+    if (m_changes.size() <= maxChangesPerDatagram) {
         m_changes.push_back(isGone ? toSharedRemoval(entry.endpoint.id, entry.version)
                                    : toShared(entry));
     }
@@ -199,7 +200,7 @@
 {
     m_changesTimer.reset();
     std::vector<SharedEndpoint> changes = std::exchange(m_changes, {});
-    if (changes.size() > maxChanges)
+    if (changes.size() > maxChangesPerDatagram)
         changes.clear();
     for (const auto &[id, peer] : m_peers.peers()) {
         // A leader of another data centre that reads the store gets the changes from there, unless
--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -51,7 +51,7 @@
         std::string id;
         std::string dataCentre;
         std::uint16_t port = 0;
-        std::uint32_t strength = 0; ///< See FleetBeacon.
+        std::uint32_t strength = 0; ///< Link speed of this router's VM in Mbit/s.
         Fleet::EndpointDirectory *directory = nullptr;
         Runtime::TimerQueue *timers = nullptr;
         std::uint64_t randomSeed = 1;
@@ -210,13 +210,13 @@
     bool shouldPullConfiguration(const Peer &peer, bool isBehind);
     void pullDifferences(const Peer &peer);
     bool isSuperseded(const Peer &peer) const;
-    bool isSource(const Peer &peer) const;
+    bool isRegularSource(const Peer &peer) const;
     void pullTimedOut();
     void apply(const Schema::SharedEndpoint &shared);
     bool hadEmptyPull(const Peer &peer) const;
     void handleEmptyPull();
     void requireStoreRead();
-    void recordStateAsOf(Base::MonoTime at);
+    void recordStateAsOf(Base::MonoTime asOf);
     Schema::FleetBeacon beacon() const;
 
     Options m_options;
@@ -225,8 +225,8 @@
     Fleet::DataCentreDrains m_drains;
     StoreFreshness m_freshness;
     Base::MonoTime m_startedAt{};
-    Base::MonoTime m_readingSince{};
-    Base::MonoTime m_pulledAt{};
+    Base::MonoTime m_readingSince{}; ///< When this router last began to read the store.
+    Base::MonoTime m_pulledAt{}; ///< Start of the last pull.
     bool m_isPulling = false;
     std::string m_pulledFrom; ///< Id of the peer of the last pull.
     std::uint64_t m_pulledConfiguration = 0; ///< That peer's revision when the pull began.
@@ -240,7 +240,7 @@
     std::vector<Schema::SharedEndpoint> m_changes; ///< Changes not sent to the peers yet.
     std::optional<Runtime::TimerId> m_changesTimer;
     bool m_isLeader = true;
-    bool m_isReading = true;
+    bool m_isReading = true; ///< Whether this router reads the store.
     /// Whether this leader followed another one before it began to read, and has not read yet.
     bool m_hasFollowed = false;
     bool m_isLeaving = false;
--- a/src/libs/fleetsync/fleetsyncpulls.cpp
+++ b/src/libs/fleetsync/fleetsyncpulls.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 /// Whether this router normally gets its state from this peer.
-bool FleetSync::isSource(const Peer &peer) const
+bool FleetSync::isRegularSource(const Peer &peer) const
 {
     return m_peers.isLocal(peer) || (isFollowing() && isFollowable(peer));
 }
@@ -32,7 +32,7 @@
     // Traffic between data centres is expensive, and the leader of the own data centre sends the
     // same a moment later.
     const bool isStale = now() - m_freshness.asOf().value_or(m_startedAt) > m_options.maxLeaderAge;
-    if (!isSource(peer) && !isStale && !m_freshness.hasFailed())
+    if (!isRegularSource(peer) && !isStale && !m_freshness.hasFailed())
         return false;
     if (!m_isReading)
         return true;
@@ -41,12 +41,14 @@
     return m_freshness.hasFailed() || now() - m_readingSince > m_options.firstReadTimeout;
 }
 
-/// A newer configuration is pulled from another data centre only if the own one stays behind.
+/// Whether to pull the configuration of this peer; \a isBehind says that it is newer than that of
+/// this router. Another data centre is asked only if the newer configuration has not arrived from
+/// the regular sources within `localSourceTimeout`.
 bool FleetSync::shouldPullConfiguration(const Peer &peer, bool isBehind)
 {
     if (!isBehind)
         return false;
-    if (isSource(peer))
+    if (isRegularSource(peer))
         return true;
     if (!m_behindSince)
         m_behindSince = now();
@@ -167,9 +169,9 @@
 
 bool FleetSync::hadEmptyPull(const Peer &peer) const
 {
-    return peer.lastEmptyPull && peer.lastEmptyPull->own == m_options.directory->hash()
-        && peer.lastEmptyPull->peer == peer.endpoints
-        && now() - peer.lastEmptyPull->at < m_options.emptyPullInterval;
+    return peer.lastEmptyPull && peer.lastEmptyPull->ownHash == m_options.directory->hash()
+        && peer.lastEmptyPull->peerHash == peer.endpoints
+        && now() - peer.lastEmptyPull->endedAt < m_options.emptyPullInterval;
 }
 
 /// Handles an answer without new data although the two states differ: the peer lacks entries of
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -85,17 +85,17 @@
         && now() - leader.stateAsOf <= m_options.maxDeferAge;
 }
 
-/// Whether the peer takes precedence over this router as leader and as store reader. A router
-/// whose directory applies removals at once outranks one whose directory defers them after an
-/// outage (see EndpointDirectory::isWaiting()), as the latter reports the removal of an endpoint
-/// late.
+/// Whether the peer takes precedence over this router as leader and as store reader. A router that
+/// removes dropped endpoints at once outranks one that defers their removal after an outage of the
+/// store (`isWaiting`), as the latter reports the removal late.
 bool FleetSync::outranks(const Peer &peer) const
 {
     const bool isWaiting = m_options.directory->isWaiting();
     return peer.isWaiting != isWaiting ? isWaiting : m_peers.isStronger(peer);
 }
 
-/// Only leaders that outrank this router can be followed, so that no two leaders follow each other.
+/// Whether this router may follow the peer, that is, get its state from it instead of the store.
+/// Only leaders that outrank this router are followed, so that no two leaders follow each other.
 bool FleetSync::isFollowable(const Peer &peer) const
 {
     return !m_peers.isLocal(peer) && peer.isReading && !peer.isLeaving && outranks(peer)
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -22,11 +22,11 @@
     std::string dataCentre;
     Runtime::SocketAddress address; ///< For datagrams and for pulls.
     std::optional<Base::MonoTime> lastBeaconAt; ///< Empty before its first beacon.
-    // These members have the meaning of the same members of FleetBeacon.
-    std::uint32_t strength = 0;
-    bool isLeading = false;
-    bool isReading = false;
-    bool isLeaving = false;
+    std::uint32_t strength = 0; ///< Link speed of its VM in Mbit/s; the strongest router leads.
+    bool isLeading = false; ///< Leads its data centre, even if its state is not fresh.
+    bool isReading = false; ///< Leads its data centre, and its state is fresh.
+    bool isLeaving = false; ///< Is shutting down, so that peers must not rely on it.
+    /// Defers the removal of endpoints, as it may have missed writes to the store in an outage.
     bool isWaiting = false;
     Base::MonoTime stateAsOf{}; ///< Time up to which its state reflects the store.
     bool hasState = false;
@@ -34,12 +34,12 @@
     std::uint64_t endpoints = 0; ///< Hash of its endpoints.
     bool isBeaconSent = false; ///< Whether this router has sent it a beacon.
     std::vector<std::string> standbys; ///< Standbys that it has appointed as leader.
-    /// A pull without new data: when it ended, and the hashes of both sides at that time.
+    /// A pull without new data: when it ended, and the hashes of the endpoints that both sides had.
     struct EmptyPull
     {
-        Base::MonoTime at;
-        std::uint64_t own = 0;
-        std::uint64_t peer = 0;
+        Base::MonoTime endedAt;
+        std::uint64_t ownHash = 0;
+        std::uint64_t peerHash = 0;
     };
     std::optional<EmptyPull> lastEmptyPull;
 };
@@ -56,7 +56,7 @@
     {
         std::string id; ///< Id of this router.
         std::string dataCentre;
-        std::uint32_t strength = 0; ///< See FleetBeacon.
+        std::uint32_t strength = 0; ///< Link speed of this router's VM in Mbit/s.
         const Runtime::Clock *clock = nullptr;
         std::uint64_t randomSeed = 1;
         /// Time between two beacons among a leader and its standbys, and among leaders.
@@ -98,10 +98,10 @@
 
     /// Records that this router has sent a beacon to \a peer.
     void setBeaconSent(const Peer &peer) { m_peers[peer.id].isBeaconSent = true; }
-    /// Records that a pull from \a peer returned nothing new for endpoints with hash \a own.
-    void setEmptyPull(const Peer &peer, std::uint64_t own)
+    /// Records that a pull from \a peer returned nothing new for endpoints with hash \a ownHash.
+    void setEmptyPull(const Peer &peer, std::uint64_t ownHash)
     {
-        m_peers[peer.id].lastEmptyPull = {m_options.clock->now(), own, peer.endpoints};
+        m_peers[peer.id].lastEmptyPull = {m_options.clock->now(), ownHash, peer.endpoints};
     }
     bool isAlive(const Peer &peer) const;
     /// Time without a beacon after which a peer is considered dead.
--- a/src/libs/fleetsync/routerregistry.h
+++ b/src/libs/fleetsync/routerregistry.h
@@ -23,7 +23,7 @@
         std::string id;
         std::string dataCentre;
         Runtime::SocketAddress address;
-        std::uint32_t strength = 0; ///< See FleetBeacon.
+        std::uint32_t strength = 0; ///< Link speed of this router's VM in Mbit/s.
         PlatformClient::Backoff::Options backoff; ///< Delay between two attempts.
     };
 
--- a/src/libs/fleetsync/storefreshness.cpp
+++ b/src/libs/fleetsync/storefreshness.cpp
@@ -24,8 +24,9 @@
     return now < m_backlogUntil ? m_suspendedAt : now;
 }
 
-/// Two outages count as one if endpoints had no time to write their entries in between. A gap that
-/// begins right after an outage is treated as part of that outage, whatever its cause.
+/// Returns whether the gap since the current state, together with preceding outages in between
+/// which endpoints had no time to write their entries, is longer than `minExpiryOutage`. A gap that
+/// begins right after an outage counts as part of that outage, whatever its cause.
 bool StoreFreshness::mayHaveExpired(Base::MonoTime asOf, bool isReadOverdue)
 {
     const Base::Duration availableFor = *m_asOf - m_availableSince;
--- a/src/libs/gateway/admissionqueue.h
+++ b/src/libs/gateway/admissionqueue.h
@@ -21,7 +21,7 @@
     /// Whether the request was sent to an endpoint before. Such a request is served before others,
     /// as part of its work is done, but it may be excluded from some endpoints.
     bool isRepeat = false;
-    double usableShare = 1; ///< Fraction of the slots that the request may fill; see LoadShedder.
+    double usableShare = 1; ///< Fraction of the slots that the request may fill.
     Urgency urgency;
 
     /// Negative if this priority is served before the other, 0 if they are equal.
@@ -99,7 +99,7 @@
     struct Key
     {
         QueuePriority priority;
-        std::uint64_t number = 0; ///< Like Ticket::number.
+        std::uint64_t number = 0; ///< Orders waiters of equal priority by arrival.
 
         bool operator<(const Key &other) const;
     };
--- a/src/libs/gateway/backlogcontrol.cpp
+++ b/src/libs/gateway/backlogcontrol.cpp
@@ -54,7 +54,8 @@
         computeShares(now);
 }
 
-/// Divides by urgency as LoadShedder divides slots, with the same cost for each request.
+/// Computes the admitted share of each urgency, so that the most urgent requests are admitted first
+/// and each urgency gets its minimum share. All requests count with the same cost.
 void BacklogControl::computeShares(Base::MonoTime now)
 {
     constexpr double idleArrivals = 0.1;
--- a/src/libs/gateway/backlogcontrol.h
+++ b/src/libs/gateway/backlogcontrol.h
@@ -42,8 +42,8 @@
         /// Minimum of the admitted share. Some requests are always admitted, so that the router
         /// notices when it has processor time again.
         double minAdmittedShare = 0.05;
-        /// Minimum share of each urgency, relative to the admitted share of all requests; see
-        /// LoadShedder.
+        /// Minimum admitted share of the requests of each urgency, relative to the admitted share
+        /// of all requests.
         double minShare = 0.35;
         /// A workspace that sends more than this multiple of the other workspaces' average is
         /// limited to that multiple, whether or not the delay is above the target. Callers that
--- a/src/libs/gateway/concurrencylimit.h
+++ b/src/libs/gateway/concurrencylimit.h
@@ -20,7 +20,8 @@
     struct Options
     {
         /// Minimum number of routers for which the limit is enforced. With fewer, each router
-        /// receives the load of every endpoint often enough; see Placement.
+        /// receives reports of every endpoint often enough; see
+        /// Placement::Options::largeFleetRouters.
         double minRouters = 10;
         /// Requests queued at an endpoint, relative to its slots, above which the endpoint counts
         /// as short of slots.
--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -20,10 +20,10 @@
                               static_cast<std::uint64_t>(startedAt));
 }
 
-void noteReport(EndpointRecord &endpoint, const LoadReport &report, Base::MonoTime at)
+void noteReport(EndpointRecord &endpoint, const LoadReport &report, Base::MonoTime reportedAt)
 {
     endpoint.report = report;
-    endpoint.reportedAt = at;
+    endpoint.reportedAt = reportedAt;
     endpoint.inFlightAtReport = endpoint.inFlight;
 }
 
@@ -214,26 +214,26 @@
     double others = endpoint.report->running + endpoint.report->waiting - endpoint.inFlightAtReport;
     if (endpoint.isReportFromPeer) {
         const double average = averageLoad(endpoint.info.service, now).value_or(0);
-        const double halves = Base::toSeconds(now - endpoint.reportedAt)
+        const double halfLives = Base::toSeconds(now - endpoint.reportedAt)
             / Base::toSeconds(m_options.peerReportHalfLife);
-        others = average + (others - average) * std::exp2(-halves);
+        others = average + (others - average) * std::exp2(-halfLives);
     }
     return std::max(own, others + own);
 }
 
 double EndpointRegistry::fleetLoad(const EndpointRecord &endpoint, Base::MonoTime now) const
 {
-    constexpr int minimumOwn = 2;
+    constexpr int minOwnRequests = 2;
     const double own = endpoint.inFlight;
     if (!endpoint.report) // Assumes that half of the routers send as many requests as this one.
         return own * std::max(1.0, m_routerCount / 2);
     const double reported = endpoint.report->running + endpoint.report->waiting;
-    const double ownThen = endpoint.inFlightAtReport;
-    if (ownThen >= minimumOwn)
-        return std::max(own, reported * own / ownThen);
-    const double halves =
+    const double ownAtReport = endpoint.inFlightAtReport;
+    if (ownAtReport >= minOwnRequests)
+        return std::max(own, reported * own / ownAtReport);
+    const double halfLives =
         Base::toSeconds(now - endpoint.reportedAt) / Base::toSeconds(m_options.othersHalfLife);
-    return own + std::max(0.0, reported - ownThen) * std::exp2(-halves);
+    return own + std::max(0.0, reported - ownAtReport) * std::exp2(-halfLives);
 }
 
 void EndpointRegistry::answerTimed(EndpointRecord &endpoint, Base::Duration latency,
@@ -244,7 +244,7 @@
         return;
     const double share = Base::toSeconds(latency) / Base::toSeconds(target);
     const double step = m_options.timelyShareStep;
-    if (share < m_options.lateShare) {
+    if (share < m_options.lateLatencyShare) {
         endpoint.timelyShare = std::min(1.0, endpoint.timelyShare + step / 4);
         return;
     }
--- a/src/libs/gateway/endpointregistry.h
+++ b/src/libs/gateway/endpointregistry.h
@@ -153,7 +153,7 @@
         Base::Duration othersHalfLife = std::chrono::seconds(1);
         /// Fraction of the target latency from which an answer is late. Late answers lower the
         /// fraction of an endpoint's slots that is used, other answers raise it again.
-        double lateShare = 0.5;
+        double lateLatencyShare = 0.5;
         /// Decrease of EndpointRecord::timelyShare per late answer; any other answer increases it
         /// by a quarter of this.
         double timelyShareStep = 0.06;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -25,8 +25,8 @@
 /// the answers of endpoints above it.
 constexpr Placement::LoadThreshold fleetBound{.factor = 2, .slack = 3};
 
-/// Applies the policy switches that map to options of the gateway's components.
-Gateway::Options withPolicy(Gateway::Options options)
+/// Returns the options with the features disabled that `options.policy` switches off.
+Gateway::Options applyPolicySwitches(Gateway::Options options)
 {
     const Schema::PolicySettings &policy = options.policy;
     if (!policy.bound)
@@ -65,7 +65,7 @@
 } // namespace
 
 Gateway::Gateway(Options options)
-    : m_options(withPolicy(std::move(options)))
+    : m_options(applyPolicySwitches(std::move(options)))
     , m_endpoints(m_options.endpoints)
     , m_loadSharing({.registry = &m_endpoints})
     , m_health({.registry = &m_endpoints, .clock = &m_options.loop->clock(), .log = m_options.log})
@@ -83,7 +83,7 @@
           {.timers = &m_options.loop->timers(), .check = connectionCheck(*m_options.client)})
 {
     m_crashWatch.crashed = [this](const auto &endpoint, const auto &requests) {
-        endpointEnded(endpoint, requests);
+        endpointCrashed(endpoint, requests);
     };
     m_reachability.reachabilityChanged = [this](EndpointRecord &endpoint) {
         if (!endpoint.isUnreachable && std::exchange(endpoint.hasCrashed, false))
@@ -225,8 +225,8 @@
     m_prompts.mergeHolding(completed, m_options.loop->clock().now());
 }
 
-void Gateway::endpointEnded(const EndpointRecord &endpoint,
-                            const std::vector<RequestFingerprint> &requests)
+void Gateway::endpointCrashed(const EndpointRecord &endpoint,
+                              const std::vector<RequestFingerprint> &requests)
 {
     // The endpoint may restart under the same id before its store entry shows that.
     if (const EndpointPtr record = m_endpoints.findByStart(endpoint.startHash)) {
@@ -234,32 +234,32 @@
         if (m_options.policy.reachability)
             m_reachability.reportUnreachable(record);
     }
-    std::vector<RequestCrash> ends;
+    std::vector<RequestCrash> crashes;
     for (const RequestFingerprint request : requests) {
-        ends.push_back({.request = request, .endpoint = endpoint.startHash});
+        crashes.push_back({.request = request, .endpoint = endpoint.startHash});
         m_options.log->request(
             part, "Endpoint terminated while processing a request.",
             {{"endpoint", endpoint.info.id.value()}, {"asks", toString(request)}});
     }
     // Requests that have crashed endpoints before are announced first, as they are the likelier
     // cause.
-    std::stable_partition(ends.begin(), ends.end(), [this](const RequestCrash &end) {
-        return m_quarantine.hasCrashes(end.request);
+    std::stable_partition(crashes.begin(), crashes.end(), [this](const RequestCrash &crash) {
+        return m_quarantine.hasCrashes(crash.request);
     });
-    if (m_options.requestsEnded)
-        m_options.requestsEnded(ends);
-    for (const RequestCrash &end : ends)
-        noteRequestEnd(end);
+    if (m_options.crashesDetected)
+        m_options.crashesDetected(crashes);
+    for (const RequestCrash &crash : crashes)
+        recordCrash(crash);
 }
 
-void Gateway::noteRequestEnd(const RequestCrash &end)
+void Gateway::recordCrash(const RequestCrash &crash)
 {
     const Base::MonoTime now = m_options.loop->clock().now();
-    if (!m_quarantine.crashed(end, now))
+    if (!m_quarantine.crashed(crash, now))
         return;
-    const QuarantinedRequest quarantined{.request = end.request,
-                                         .remaining = *m_quarantine.timeLeft(end.request, now)};
-    noteQuarantined(end.request, "ends");
+    const QuarantinedRequest quarantined{.request = crash.request,
+                                         .remaining = *m_quarantine.timeLeft(crash.request, now)};
+    noteQuarantined(crash.request, "ends");
     if (m_options.requestQuarantined)
         m_options.requestQuarantined(quarantined);
 }
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -112,9 +112,9 @@
         /// Announces to peers that a prompt was sent to an endpoint or is still in use there. Null
         /// without peers.
         std::function<void(const PromptHolding &holding)> promptPlaced;
-        /// Announces to peers that an endpoint terminated while it was processing these requests of
+        /// Announces to peers that an endpoint crashed while it was processing these requests of
         /// this router. Null without peers.
-        std::function<void(const std::vector<RequestCrash> &ends)> requestsEnded;
+        std::function<void(const std::vector<RequestCrash> &crashes)> crashesDetected;
         /// Announces a quarantined request to peers and to routers that start later. Null without
         /// peers.
         std::function<void(const QuarantinedRequest &quarantined)> requestQuarantined;
@@ -160,9 +160,9 @@
     void peerLoadsReceived(const Schema::LoadUpdate &announcement, Base::Duration delay);
     /// Records that a peer sent a request with this prompt to this endpoint.
     void promptReceived(const PromptHolding &holding);
-    /// Records that an endpoint terminated while it was processing a request of this router or of a
+    /// Records that an endpoint crashed while it was processing a request of this router or of a
     /// peer.
-    void noteRequestEnd(const RequestCrash &end);
+    void recordCrash(const RequestCrash &crash);
     /// Merges a quarantined request from a peer or the store. Returns the remaining time of its
     /// quarantine if this router did not have it yet.
     std::optional<Base::Duration> quarantineReceived(const QuarantinedRequest &quarantined);
@@ -214,8 +214,8 @@
     ConcurrencyLimit &concurrencyLimit(const Base::ServiceId &service);
     /// Processes an endpoint's load report. Wakes waiting requests if more slots are free now.
     void loadReported(EndpointRecord &endpoint, const LoadReport &report);
-    void endpointEnded(const EndpointRecord &endpoint,
-                       const std::vector<RequestFingerprint> &requests);
+    void endpointCrashed(const EndpointRecord &endpoint,
+                         const std::vector<RequestFingerprint> &requests);
     void noteQuarantined(RequestFingerprint request, std::string_view from);
     /// Cache memory of one endpoint of a service; 0 if unknown.
     Base::Tokens memoryOf(const Base::ServiceId &service) const;
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -31,7 +31,7 @@
     std::vector<EndpointPtr> tried; ///< Endpoints that are not tried again.
     /// Maximum number of requests from this router in flight at one endpoint; unset for no limit.
     std::optional<std::size_t> connectionShare;
-    /// Fraction of an endpoint's slots that a request of this priority may fill; see LoadShedder.
+    /// Fraction of an endpoint's slots that may be in use for the request to be sent there.
     double usableShare = 1;
     /// Maximum number of requests per slot that may queue at an endpoint. Plain services complete a
     /// request in tens of milliseconds, so that a short queue is acceptable; engines take seconds.
--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -20,7 +20,7 @@
 {
     m_isRunning = true;
     // The log may have been unavailable while this view was stopped.
-    m_hasHealth = false;
+    m_hasReportedHealth = false;
     fill();
 }
 
@@ -29,7 +29,7 @@
     m_isRunning = true;
     for (const std::string &key : keys)
         m_offsets.try_emplace(key, known);
-    m_hasHealth = false;
+    m_hasReportedHealth = false;
     m_isFilling = false;
     m_isFilled = true;
     m_position = std::max(m_position, known + Base::LogOffset(1));
@@ -198,8 +198,8 @@
     m_backoff.reset();
     const bool isOverdue = isAnswerOverdue();
     m_answeredAt = m_options.timers->clock().now();
-    const bool hasChanged = !m_hasHealth || !m_isLogAvailable || isOverdue;
-    m_hasHealth = true;
+    const bool hasChanged = !m_hasReportedHealth || !m_isLogAvailable || isOverdue;
+    m_hasReportedHealth = true;
     m_isLogAvailable = true;
     if (hasChanged && healthChanged)
         healthChanged(true);
@@ -207,8 +207,8 @@
 
 void KeyedView::readFailed(void (KeyedView::*retry)())
 {
-    const bool hasChanged = !m_hasHealth || m_isLogAvailable;
-    m_hasHealth = true;
+    const bool hasChanged = !m_hasReportedHealth || m_isLogAvailable;
+    m_hasReportedHealth = true;
     m_isLogAvailable = false;
     schedule(m_backoff.next(), retry);
     if (hasChanged && healthChanged)
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -98,7 +98,7 @@
     bool m_isFilled = false;
     bool m_isFilling = true;
     bool m_isLogAvailable = false;
-    bool m_hasHealth = false;
+    bool m_hasReportedHealth = false; ///< Whether healthChanged() was called since start().
     std::optional<Base::MonoTime> m_answeredAt;
     Base::LogOffset m_position; ///< Offset of the next record to read from the tail.
     absl::flat_hash_map<std::string, Base::LogOffset> m_offsets; ///< Newest record of each key.
