--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr std::ptrdiff_t maxItems = 32; ///< Crash reports or quarantines in one datagram.
+constexpr std::ptrdiff_t maxItemsPerDatagram =
+    32; ///< Crash reports or quarantines in one datagram.
 /// Size of a datagram without crash reports: IP and UDP headers, version and two counts.
 constexpr double emptyDatagramBytes = 46;
 constexpr double crashReportBytes = 16; ///< Size of one crash report in a datagram.
@@ -22,7 +23,7 @@
 CrashGossip::CrashGossip(Options options)
     : m_options(std::move(options))
     , m_random(m_options.randomSeed)
-    , m_bytes({.rate = m_options.bytesPerSecond, .burst = m_options.burstBytes})
+    , m_byteBudget({.rate = m_options.bytesPerSecond, .burst = m_options.burstBytes})
 { }
 
 CrashGossip::~CrashGossip()
@@ -45,7 +46,7 @@
     for (const Runtime::SocketAddress &peer : m_options.peers())
         routers.push_back({Routing::stableHash(Runtime::toString(peer)), peer});
     for (auto first = ends.begin(); first != ends.end();) {
-        const auto count = std::min<std::ptrdiff_t>(ends.end() - first, maxItems);
+        const auto count = std::min<std::ptrdiff_t>(ends.end() - first, maxItemsPerDatagram);
         sendBatch({first, first + count}, routers);
         first += count;
     }
@@ -67,11 +68,11 @@
         const auto &[to, datagram] = addressed;
         const double cost =
             emptyDatagramBytes + crashReportBytes * static_cast<double>(datagram.crashes.size());
-        if (!send || m_bytes.waitFor(cost, now) != Base::Duration::zero()) {
+        if (!send || m_byteBudget.waitFor(cost, now) != Base::Duration::zero()) {
             m_dropped += datagram.crashes.size();
             continue;
         }
-        m_bytes.charge(cost, now);
+        m_byteBudget.charge(cost, now);
         send(to, datagram);
     }
 }
@@ -123,7 +124,8 @@
     if (message.quarantined.empty())
         return;
     std::shuffle(message.quarantined.begin(), message.quarantined.end(), m_random);
-    message.quarantined.resize(std::min<std::size_t>(message.quarantined.size(), maxItems));
+    message.quarantined.resize(
+        std::min<std::size_t>(message.quarantined.size(), maxItemsPerDatagram));
     std::vector<Runtime::SocketAddress> peers = m_options.peers();
     std::shuffle(peers.begin(), peers.end(), m_random);
     peers.resize(std::min(peers.size(), m_options.resendPeers));
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -80,7 +80,7 @@
     };
 
     void tick();
-    /// Sends as many crash reports as fit into one datagram.
+    /// Sends crash reports to the routers that count them, in one datagram to each.
     void sendBatch(const std::vector<Schema::SharedCrash> &ends,
                    const std::vector<Router> &routers);
     void resendQuarantined();
@@ -89,7 +89,7 @@
 
     Options m_options;
     std::mt19937_64 m_random;
-    Admission::Gcra m_bytes;
+    Admission::Gcra m_byteBudget;
     std::uint64_t m_dropped = 0;
     Runtime::TimerId m_timer;
 };
--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -22,7 +22,7 @@
 /// own link is slow then.
 constexpr Base::Duration initialPullTimeout = std::chrono::seconds(1);
 constexpr Base::Duration maxPullTimeout = std::chrono::seconds(8);
-constexpr std::size_t maxRequestBytes = 1024;
+constexpr std::size_t maxPullRequestBytes = 1024;
 /// Maximum size of one answer: 8,192 endpoints and a configuration of 4 MB when compressed.
 constexpr double maxStateBytes = 6e6;
 constexpr int ok = 200;
@@ -34,9 +34,9 @@
 
 FleetLink::FleetLink(Options options)
     : m_options(std::move(options))
-    , m_stateBytes({.rate = m_options.stateBytesPerSecond,
-                    .burst = m_options.stateBytesPerSecond,
-                    .debt = maxStateBytes})
+    , m_stateByteBudget({.rate = m_options.stateBytesPerSecond,
+                         .burst = m_options.stateBytesPerSecond,
+                         .debt = maxStateBytes})
     , m_pullTimeout(initialPullTimeout)
 { }
 
@@ -60,7 +60,7 @@
             raw->receive(from, datagram);
         });
     link->m_server = std::make_unique<Http::Server>(Http::Server::Options{
-        .loop = own.loop, .address = own.address, .limits = {.bodyBytes = maxRequestBytes}});
+        .loop = own.loop, .address = own.address, .limits = {.bodyBytes = maxPullRequestBytes}});
     link->m_server->setHandler(
         [raw = link.get()](const Http::Request &request,
                            const std::shared_ptr<Http::Responder> &responder) {
@@ -199,7 +199,7 @@
         return;
     }
     const Base::MonoTime now = m_options.loop->clock().now();
-    if (m_stateBytes.waitFor(1, now) != Base::Duration::zero()) {
+    if (m_stateByteBudget.waitFor(1, now) != Base::Duration::zero()) {
         responder.send(tooBusy, {}, {});
         return;
     }
@@ -209,7 +209,7 @@
         responder.abort();
         return;
     }
-    m_stateBytes.charge(static_cast<double>(body.value().size()), now);
+    m_stateByteBudget.charge(static_cast<double>(body.value().size()), now);
     m_options.sent(body.value().size());
     responder.send(ok, {{"content-type", "application/octet-stream"}}, std::move(body.value()));
 }
--- a/src/libs/fleetsync/fleetlink.h
+++ b/src/libs/fleetsync/fleetlink.h
@@ -71,7 +71,7 @@
     void answer(const Http::Request &request, Http::Responder &responder);
 
     Options m_options;
-    Admission::Gcra m_stateBytes;
+    Admission::Gcra m_stateByteBudget;
     std::unique_ptr<Runtime::UdpSocket> m_socket;
     std::unique_ptr<Http::Server> m_server;
     std::size_t m_pulls = 0; ///< Pulls in flight.
--- a/src/libs/fleetsync/fleetsync.cpp
+++ b/src/libs/fleetsync/fleetsync.cpp
@@ -259,8 +259,8 @@
         sendTo(*peer);
 }
 
-/// Passes the state on at once, so that delays do not add up on the way from the store reader
-/// through other leaders to their standbys.
+/// Sends the state at once to the peers with frequent beacons, so that delays do not add up on the
+/// way from the store reader through other leaders to their standbys.
 void FleetSync::pushState()
 {
     m_pushedAt = now();
@@ -335,7 +335,7 @@
         return;
     Schema::FleetBeacon message = beacon();
     message.changes = changes;
-    // Each standby gets only its own name: two names are a third of a beacon.
+    // A beacon names only the standby that it is sent to: two names are a third of a beacon.
     if (m_isLeader && isStandby(peer))
         message.standbys = {peer.id};
     m_peers.setBeaconSent(peer);
--- a/src/libs/fleetsync/fleetsyncrole.cpp
+++ b/src/libs/fleetsync/fleetsyncrole.cpp
@@ -10,7 +10,7 @@
 
 /// Added to the delay of m_leaderTimer, so that the leader already counts as failing when the timer
 /// expires.
-constexpr Base::Duration readMargin = std::chrono::milliseconds(1);
+constexpr Base::Duration leaderTimerMargin = std::chrono::milliseconds(1);
 
 } // namespace
 
@@ -152,9 +152,9 @@
 {
     if (isFollowing() && isFollowable(peer)) {
         m_options.timers->cancel(m_leaderTimer);
-        m_leaderTimer = m_options.timers->start(m_options.maxFollowedAge
-                                                    - (now() - *m_freshness.asOf()) + readMargin,
-                                                [this] { updateRole(); });
+        m_leaderTimer = m_options.timers->start(
+            m_options.maxFollowedAge - (now() - *m_freshness.asOf()) + leaderTimerMargin,
+            [this] { updateRole(); });
         return;
     }
     if (!peer.isReading || !m_peers.isLocal(peer))
@@ -162,7 +162,8 @@
     m_options.timers->cancel(m_leaderTimer);
     Base::Duration limit = m_peers.beaconTimeout(peer);
     if (m_peers.isStandbyOf(peer))
-        limit = std::min(limit, m_options.maxLeaderAge - (now() - peer.stateAsOf) + readMargin);
+        limit =
+            std::min(limit, m_options.maxLeaderAge - (now() - peer.stateAsOf) + leaderTimerMargin);
     m_leaderTimer = m_options.timers->start(limit, [this] { updateRole(); });
 }
 
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -25,7 +25,7 @@
     peer.address = address;
     peer.strength = strength;
     if (isNew)
-        count(dataCentre);
+        countRouter(dataCentre);
     return &peer;
 }
 
@@ -52,7 +52,7 @@
     peer.endpoints = beacon.endpoints;
     peer.standbys = beacon.standbys;
     if (isFirstSeen)
-        count(peer.dataCentre);
+        countRouter(peer.dataCentre);
     return peer;
 }
 
@@ -65,7 +65,7 @@
 {
     Base::Duration interval = m_options.beaconInterval;
     if (!isLocal(peer)) {
-        const auto others = static_cast<double>(otherDataCentres());
+        const auto others = static_cast<double>(otherDataCentreCount());
         interval = std::chrono::duration_cast<Base::Duration>(
             interval * std::max(1.0, others / static_cast<double>(m_options.contacts)));
     } else if (!isStandbyOf(peer)) {
@@ -133,8 +133,8 @@
 std::vector<const Peer *> PeerTable::contacts(bool isReading)
 {
     std::vector<std::string> dataCentres;
-    dataCentres.reserve(m_sizes.size());
-    for (const auto &[dataCentre, size] : m_sizes) {
+    dataCentres.reserve(m_routerCounts.size());
+    for (const auto &[dataCentre, size] : m_routerCounts) {
         if (dataCentre != m_options.dataCentre)
             dataCentres.push_back(dataCentre);
     }
@@ -144,7 +144,7 @@
     std::vector<const Peer *> found;
     found.reserve(dataCentres.size());
     for (const std::string &dataCentre : dataCentres)
-        found.push_back(contactIn(dataCentre));
+        found.push_back(chooseContact(dataCentre));
     return found;
 }
 
@@ -155,14 +155,14 @@
 
 std::size_t PeerTable::localCount() const
 {
-    const auto found = m_sizes.find(m_options.dataCentre);
-    return found == m_sizes.end() ? 0 : found->second;
+    const auto found = m_routerCounts.find(m_options.dataCentre);
+    return found == m_routerCounts.end() ? 0 : found->second;
 }
 
 /// Returns the leader of another data centre. While none is known, returns either its strongest
 /// router, which leads if it is alive, or a random one, each half of the time. With random choice
 /// alone it would take 25 s to reach the leader of 50 routers.
-const Peer *PeerTable::contactIn(const std::string &dataCentre)
+const Peer *PeerTable::chooseContact(const std::string &dataCentre)
 {
     std::vector<const Peer *> leaders;
     std::vector<const Peer *> others;
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -131,10 +131,13 @@
     const std::map<std::string, Peer> &peers() const { return m_peers; }
 
 private:
-    void count(const std::string &dataCentre) { ++m_sizes[dataCentre]; }
+    void countRouter(const std::string &dataCentre) { ++m_routerCounts[dataCentre]; }
     std::size_t localCount() const;
-    std::size_t otherDataCentres() const { return m_sizes.size() - (localCount() > 0 ? 1 : 0); }
-    const Peer *contactIn(const std::string &dataCentre);
+    std::size_t otherDataCentreCount() const
+    {
+        return m_routerCounts.size() - (localCount() > 0 ? 1 : 0);
+    }
+    const Peer *chooseContact(const std::string &dataCentre);
     static const Peer *strongestOf(const std::vector<const Peer *> &peers);
     /// Whether \a a precedes \a b in the order in which routers of a data centre lead.
     static bool isStrongerThan(const Peer *a, const Peer *b);
@@ -142,7 +145,8 @@
     Options m_options;
     std::mt19937_64 m_random;
     std::map<std::string, Peer> m_peers; ///< By id.
-    std::map<std::string, std::size_t> m_sizes; ///< Routers by data centre, without this one.
+    std::map<std::string, std::size_t>
+        m_routerCounts; ///< Routers by data centre, without this one.
 };
 
 } // namespace Lagoonbank::FleetSync
--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -15,7 +15,7 @@
 
 PromptGossip::PromptGossip(Options options)
     : m_options(std::move(options))
-    , m_bytes({.rate = m_options.bytesPerSecond, .burst = m_options.burstBytes})
+    , m_byteBudget({.rate = m_options.bytesPerSecond, .burst = m_options.burstBytes})
 { }
 
 PromptGossip::~PromptGossip()
@@ -82,11 +82,11 @@
     // Half of the burst is reserved for new prompts.
     const double reserved = hasNew ? 0 : m_options.burstBytes / 2;
     const Base::MonoTime now = m_options.timers->clock().now();
-    if (!send || m_bytes.waitFor(cost + reserved, now) != Base::Duration::zero()) {
+    if (!send || m_byteBudget.waitFor(cost + reserved, now) != Base::Duration::zero()) {
         m_dropped += message.prompts.size();
         return;
     }
-    m_bytes.charge(cost, now);
+    m_byteBudget.charge(cost, now);
     for (const Runtime::SocketAddress &peer : peers)
         send(peer, message);
 }
--- a/src/libs/gateway/admissionqueue.cpp
+++ b/src/libs/gateway/admissionqueue.cpp
@@ -101,6 +101,7 @@
     }
 }
 
+/// Tries the waiters of a queue in turn, until \a maxFailedAttempts of them found no slot.
 /// Callbacks may add and remove waiters, so no iterator is kept across a call.
 void AdmissionQueue::tryPlace(const QueueId &queueId, int maxFailedAttempts)
 {
--- a/src/libs/gateway/endpointregistry.cpp
+++ b/src/libs/gateway/endpointregistry.cpp
@@ -93,7 +93,8 @@
     m_freeIndices.push_back(record->index);
 }
 
-/// Endpoints may have become cold while they were drained, and report that only with an answer.
+/// Endpoints whose drain ends count as cold: they may have become cold while they were drained, and
+/// report that only with an answer.
 void EndpointRegistry::setDrainedDataCentres(std::set<Base::DataCentreId> dataCentres,
                                              Base::MonoTime now)
 {
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double thousandths = 1000;
-constexpr std::size_t maximumServices = 8;
+constexpr std::size_t maximumServicesPerMessage = 8;
 
 std::uint16_t toShort(std::int64_t number)
 {
@@ -35,7 +35,7 @@
     Schema::LoadUpdate announcement;
     for (const auto &[service, endpoints] : m_options.registry->services()) {
         const auto averageLoad = m_options.registry->averageLoad(service, now);
-        if (!averageLoad || announcement.averageLoads.size() >= maximumServices)
+        if (!averageLoad || announcement.averageLoads.size() >= maximumServicesPerMessage)
             continue;
         announcement.averageLoads.push_back(
             {.service = Routing::stableHash(service.value()),
--- a/src/libs/gateway/loadshedder.cpp
+++ b/src/libs/gateway/loadshedder.cpp
@@ -158,8 +158,8 @@
         < m_options.starvedShare * servedShare(service.all, now, m_options.halfLife);
 }
 
-/// The fair share is the same for every workspace that has sent requests; a single workspace is
-/// never greedy.
+/// Whether the workspace sends far more than its fair share, which is the same for every workspace
+/// that has sent requests. A single workspace is never greedy.
 bool LoadShedder::isGreedy(const Service &service, const Tally &workspace, Base::MonoTime now) const
 {
     const double arrivals = workspace.arrivals.value(now, m_options.workspaceHalfLife);
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -41,6 +41,7 @@
     return prefixes;
 }
 
+/// Returns the hash of the longest prefix that requests may share, or nothing if there is none.
 /// Requests whose prompts are equal up to the last part have the same affinity.
 std::optional<std::uint64_t> RequestRun::affinity() const
 {
@@ -64,7 +65,8 @@
             .remainingTimeout = m_request.remainingTimeout};
 }
 
-/// Endpoints that refused a started stream, or were unreachable, may accept it a moment later.
+/// A started stream may be sent again to endpoints that refused it or were unreachable, as they may
+/// accept it a moment later.
 std::vector<EndpointPtr> RequestRun::endpointsToAvoid() const
 {
     if (!m_hasStreamBegun)
@@ -164,7 +166,8 @@
             .urgency = {.priority = m_priority, .routePriority = m_route->priority}};
 }
 
-/// A request that was sent before may use all slots, as part of its work is done.
+/// Fraction of the slots that the request may use. A request that was sent before may use all, as
+/// part of its work is done.
 double RequestRun::usableShare() const
 {
     const bool isDivided = m_triedEndpoints.empty() && m_gateway.m_options.policy.shares;
--- a/src/libs/gateway/warmupquota.cpp
+++ b/src/libs/gateway/warmupquota.cpp
@@ -13,10 +13,10 @@
     if (fleet == m_fleet)
         return;
     m_fleet = std::move(fleet);
-    m_self = Routing::stableHash(m_fleet.self);
-    m_others.clear();
+    m_selfHash = Routing::stableHash(m_fleet.self);
+    m_otherHashes.clear();
     for (const std::string &other : m_fleet.others)
-        m_others.push_back(Routing::stableHash(other));
+        m_otherHashes.push_back(Routing::stableHash(other));
     ++m_generation;
 }
 
@@ -51,14 +51,14 @@
 /// estimated from the hash of this router alone.
 std::size_t WarmupQuota::routerRank(std::uint64_t endpointHash) const
 {
-    const std::uint64_t own = Routing::mixHashes(endpointHash, m_self);
+    const std::uint64_t own = Routing::mixHashes(endpointHash, m_selfHash);
     if (!isFleetKnown()) {
         const double part = static_cast<double>(own)
             / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
         return static_cast<std::size_t>(part * static_cast<double>(m_options.assumedFleetSize));
     }
     return static_cast<std::size_t>(
-        std::count_if(m_others.begin(), m_others.end(), [&](std::uint64_t other) {
+        std::count_if(m_otherHashes.begin(), m_otherHashes.end(), [&](std::uint64_t other) {
             return Routing::mixHashes(endpointHash, other) < own;
         }));
 }
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -71,8 +71,8 @@
 
     Options m_options;
     Fleet m_fleet;
-    std::uint64_t m_self = 0; ///< Hash of this router's name; the same on every router.
-    std::vector<std::uint64_t> m_others;
+    std::uint64_t m_selfHash = 0; ///< Hash of this router's name; the same on every router.
+    std::vector<std::uint64_t> m_otherHashes;
     std::uint64_t m_generation = 1;
 };
 
