--- a/src/libs/fleet/endpoint.h
+++ b/src/libs/fleet/endpoint.h
@@ -26,7 +26,7 @@
     std::string softwareVersion;
     int slots = 0; ///< Maximum number of concurrent requests; zero if not known.
     EndpointState state = EndpointState::Ready;
-    bool isWarmingUp = false; ///< Is cold and can run few requests only; see Warmup.
+    bool isWarmingUp = false; ///< Is cold, so that it can run few requests only.
     /// Time of the start by the endpoint's own wall clock; not set if the endpoint does not report
     /// it. Compared only with other starts under the same id.
     std::optional<Base::WallTime> startedAt;
--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -40,27 +40,27 @@
     m_timer = m_options.timers->start(first, [this] { tick(); });
 }
 
-void CrashGossip::sendCrashReports(const std::vector<Schema::SharedCrash> &ends)
+void CrashGossip::sendCrashReports(const std::vector<Schema::SharedCrash> &crashes)
 {
     std::vector<Router> routers{{Routing::stableHash(Runtime::toString(m_options.self))}};
     for (const Runtime::SocketAddress &peer : m_options.peers())
         routers.push_back({Routing::stableHash(Runtime::toString(peer)), peer});
-    for (auto first = ends.begin(); first != ends.end();) {
-        const auto count = std::min<std::ptrdiff_t>(ends.end() - first, maxItemsPerDatagram);
+    for (auto first = crashes.begin(); first != crashes.end();) {
+        const auto count = std::min<std::ptrdiff_t>(crashes.end() - first, maxItemsPerDatagram);
         sendBatch({first, first + count}, routers);
         first += count;
     }
 }
 
-void CrashGossip::sendBatch(const std::vector<Schema::SharedCrash> &ends,
+void CrashGossip::sendBatch(const std::vector<Schema::SharedCrash> &crashes,
                             const std::vector<Router> &routers)
 {
     std::map<std::string, std::pair<Runtime::SocketAddress, Schema::CrashUpdate>> datagrams;
-    for (const Schema::SharedCrash &end : ends) {
-        for (const Runtime::SocketAddress &router : countingRoutersOf(end.request, routers)) {
+    for (const Schema::SharedCrash &crash : crashes) {
+        for (const Runtime::SocketAddress &router : countingRoutersOf(crash.request, routers)) {
             auto &[to, datagram] = datagrams[Runtime::toString(router)];
             to = router;
-            datagram.crashes.push_back(end);
+            datagram.crashes.push_back(crash);
         }
     }
     const Base::MonoTime now = m_options.timers->clock().now();
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -64,7 +64,7 @@
     void start();
     /// Sends crash reports in the order given; the last ones are dropped if the budget is too
     /// small.
-    void sendCrashReports(const std::vector<Schema::SharedCrash> &ends);
+    void sendCrashReports(const std::vector<Schema::SharedCrash> &crashes);
     /// Sends a new quarantine to all routers.
     void sendQuarantine(const Schema::SharedQuarantine &quarantine);
     void receive(const Schema::CrashUpdate &message) const;
@@ -81,7 +81,7 @@
 
     void tick();
     /// Sends crash reports to the routers that count them, in one datagram to each.
-    void sendBatch(const std::vector<Schema::SharedCrash> &ends,
+    void sendBatch(const std::vector<Schema::SharedCrash> &crashes,
                    const std::vector<Router> &routers);
     void resendQuarantined();
     std::vector<Runtime::SocketAddress> countingRoutersOf(std::uint64_t request,
