--- a/src/libs/admission/sharedigest.cpp
+++ b/src/libs/admission/sharedigest.cpp
@@ -17,8 +17,8 @@
 {
     auto flags = static_cast<std::uint8_t>(digest.representative ? representativeFlag : 0);
     auto dataCentre = static_cast<std::uint8_t>(digest.dataCentre);
-    archive(digest.routers, digest.dataCentres, digest.version, digest.author, dataCentre, flags,
-            digest.demand);
+    archive(digest.routersHash, digest.dataCentresHash, digest.version, digest.author, dataCentre,
+            flags, digest.demand);
     digest.dataCentre = dataCentre;
     digest.representative = (flags & representativeFlag) != 0;
     if (digest.representative)
@@ -26,31 +26,32 @@
 }
 
 template<typename Archive>
-void serializeCells(Archive &archive, std::vector<ShareCell> &cells, auto serializeCell)
+void serializeTransfers(Archive &archive, std::vector<TransferTotal> &transfers,
+                        auto serializeTransfer)
 {
-    auto count = static_cast<std::uint8_t>(cells.size());
+    auto count = static_cast<std::uint8_t>(transfers.size());
     archive(count);
-    if (count > maxShareCells)
-        throw cereal::Exception("too many cells");
-    cells.resize(count);
-    for (ShareCell &cell : cells)
-        serializeCell(cell);
+    if (count > maxTransferTotals)
+        throw cereal::Exception("too many transfers");
+    transfers.resize(count);
+    for (TransferTotal &transfer : transfers)
+        serializeTransfer(transfer);
 }
 
 template<typename Archive>
 void serializeDigest(Archive &archive, ShareDigest &digest)
 {
     serializeHeader(archive, digest);
-    serializeCells(archive, digest.routerCells, [&](ShareCell &cell) {
-        cell.from = digest.author;
-        archive(cell.to, cell.transferred);
+    serializeTransfers(archive, digest.routerTransfers, [&](TransferTotal &transfer) {
+        transfer.from = digest.author;
+        archive(transfer.to, transfer.units);
     });
-    serializeCells(archive, digest.dataCentreCells, [&](ShareCell &cell) {
-        auto from = static_cast<std::uint8_t>(cell.from);
-        auto to = static_cast<std::uint8_t>(cell.to);
-        archive(from, to, cell.transferred);
-        cell.from = from;
-        cell.to = to;
+    serializeTransfers(archive, digest.dataCentreTransfers, [&](TransferTotal &transfer) {
+        auto from = static_cast<std::uint8_t>(transfer.from);
+        auto to = static_cast<std::uint8_t>(transfer.to);
+        archive(from, to, transfer.units);
+        transfer.from = from;
+        transfer.to = to;
     });
 }
 
--- a/src/libs/admission/sharedigest.h
+++ b/src/libs/admission/sharedigest.h
@@ -9,23 +9,23 @@
 
 namespace Lagoonbank::Admission {
 
-/// One cell of a ShareLedger as sent to peers: the units that participant `from` has ever
-/// transferred to participant `to`.
-struct ShareCell
+/// Total of all transfers from one participant of a ShareLedger (router or data centre) to another,
+/// as sent to peers.
+struct TransferTotal
 {
-    std::uint16_t from = 0;
-    std::uint16_t to = 0;
-    std::uint32_t transferred = 0;
+    std::uint16_t from = 0; ///< Index of the sending participant.
+    std::uint16_t to = 0; ///< Index of the receiving participant.
+    std::uint32_t units = 0; ///< Never decreases.
 
-    bool operator==(const ShareCell &) const = default;
+    bool operator==(const TransferTotal &) const = default;
 };
 
-/// Gossip message of one router about one workspace. Encodes to at most maxShareDigestBytes; cells
-/// that do not fit are sent in later digests.
+/// Gossip message of one router about one workspace. Encodes to at most maxShareDigestBytes;
+/// transfer totals that do not fit are sent in later digests.
 struct ShareDigest
 {
-    std::uint32_t routers = 0; ///< Hash of the router list in which `author` is an index.
-    std::uint32_t dataCentres = 0; ///< Hash of the fleet's data centres.
+    std::uint32_t routersHash = 0; ///< Hash of the router list in which `author` is an index.
+    std::uint32_t dataCentresHash = 0; ///< Hash of the fleet's data centres.
     std::uint32_t version = 0; ///< Increases with each digest of the author.
     std::uint16_t author = 0; ///< Index of the sender among its data centre's routers.
     std::uint16_t dataCentre = 0; ///< Index of the author's data centre.
@@ -37,15 +37,15 @@
     /// share.
     std::uint16_t level = 0;
     std::uint16_t extra = 0;
-    std::vector<ShareCell> routerCells; ///< Transfers by `author` to other routers.
-    std::vector<ShareCell> dataCentreCells; ///< Transfers between data centres.
+    std::vector<TransferTotal> routerTransfers; ///< Transfers by `author` to other routers.
+    std::vector<TransferTotal> dataCentreTransfers; ///< Transfers between data centres.
 
     bool operator==(const ShareDigest &) const = default;
 };
 
 constexpr std::size_t maxShareDigestBytes = 96;
-/// Maximum number of cells in one digest, router and data centre cells together.
-constexpr std::size_t maxShareCells = 10;
+/// Maximum number of transfer totals in one digest, of routers and data centres together.
+constexpr std::size_t maxTransferTotals = 10;
 
 std::string encode(const ShareDigest &digest);
 Errors::Result<ShareDigest> decodeShareDigest(std::string_view bytes);
--- a/src/libs/admission/shareledger.cpp
+++ b/src/libs/admission/shareledger.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Maximum number of pending credits of one cell; a further credit replaces the last one.
+// Maximum number of pending credits per sender and receiver; a further credit replaces the last
+// one.
 constexpr std::size_t maxPendingCredits = 8;
 
 } // namespace
@@ -25,57 +26,58 @@
 std::int64_t ShareLedger::units(std::size_t participant, MonoTime now) const
 {
     std::int64_t units = initialUnits(participant);
-    for (const auto &[cell, count] : m_cells) {
-        if (cell.first == participant)
-            units -= count.latest;
-        if (cell.second == participant)
-            units += creditedUnits(count, now);
+    for (const auto &[direction, total] : m_totals) {
+        if (direction.first == participant)
+            units -= total.latest;
+        if (direction.second == participant)
+            units += creditedUnits(total, now);
     }
     return std::max<std::int64_t>(0, units);
 }
 
-bool ShareLedger::merge(Cell cell, std::uint32_t transferred, MonoTime now)
+bool ShareLedger::merge(Direction direction, std::uint32_t transferred, MonoTime now)
 {
-    if (cell.from >= m_participants || cell.to >= m_participants || cell.from == cell.to)
+    if (direction.from >= m_participants || direction.to >= m_participants
+        || direction.from == direction.to)
         return false;
-    CellState &count = m_cells[{cell.from, cell.to}];
-    if (transferred <= count.latest)
+    Total &total = m_totals[{direction.from, direction.to}];
+    if (transferred <= total.latest)
         return false;
-    raise(count, transferred, now);
+    raise(total, transferred, now);
     return true;
 }
 
-std::int64_t ShareLedger::transferUnits(Cell cell, std::int64_t amount, MonoTime now)
+std::int64_t ShareLedger::transferUnits(Direction direction, std::int64_t amount, MonoTime now)
 {
-    const std::int64_t available = std::min(amount, units(cell.from, now));
+    const std::int64_t available = std::min(amount, units(direction.from, now));
     if (available <= 0)
         return 0;
-    const auto found = m_cells.find({cell.from, cell.to});
-    const std::int64_t before = found == m_cells.end() ? 0 : found->second.latest;
+    const auto found = m_totals.find({direction.from, direction.to});
+    const std::int64_t before = found == m_totals.end() ? 0 : found->second.latest;
     if (before + available > std::numeric_limits<std::uint32_t>::max())
         return 0;
-    return merge(cell, static_cast<std::uint32_t>(before + available), now) ? available : 0;
+    return merge(direction, static_cast<std::uint32_t>(before + available), now) ? available : 0;
 }
 
-void ShareLedger::raise(CellState &count, std::uint32_t transferred, MonoTime now) const
+void ShareLedger::raise(Total &total, std::uint32_t transferred, MonoTime now) const
 {
-    count.latest = transferred;
+    total.latest = transferred;
     if (m_creditDelay == Base::Duration::zero()) {
-        count.credited = transferred;
+        total.credited = transferred;
         return;
     }
-    count.credited = creditedUnits(count, now);
-    std::erase_if(count.pendingCredits,
+    total.credited = creditedUnits(total, now);
+    std::erase_if(total.pendingCredits,
                   [&](const PendingCredit &raise) { return raise.effectiveAt <= now; });
-    if (count.pendingCredits.size() >= maxPendingCredits)
-        count.pendingCredits.pop_back();
-    count.pendingCredits.push_back({transferred, now + m_creditDelay});
+    if (total.pendingCredits.size() >= maxPendingCredits)
+        total.pendingCredits.pop_back();
+    total.pendingCredits.push_back({transferred, now + m_creditDelay});
 }
 
-std::uint32_t ShareLedger::creditedUnits(const CellState &count, MonoTime now)
+std::uint32_t ShareLedger::creditedUnits(const Total &total, MonoTime now)
 {
-    std::uint32_t credited = count.credited;
-    for (const PendingCredit &raise : count.pendingCredits) {
+    std::uint32_t credited = total.credited;
+    for (const PendingCredit &raise : total.pendingCredits) {
         if (raise.effectiveAt <= now)
             credited = std::max(credited, raise.transferred);
     }
--- a/src/libs/admission/shareledger.h
+++ b/src/libs/admission/shareledger.h
@@ -12,16 +12,17 @@
 
 /// Divides a fixed number of units among participants; a participant can only transfer units that
 /// it holds and never takes units from another one (the demarcation protocol, implemented as a
-/// bounded counter). A cell counts all units that one participant ever transferred to another one
-/// and only increases, so that messages may be late, duplicated, reordered or lost: a lost message
-/// leaves units unused, but never lets two participants use them.
+/// bounded counter). For each sending and receiving participant, it stores the total of all units
+/// transferred so far. The total only increases, so that messages may be late, duplicated,
+/// reordered or lost: a lost message leaves units unused, but never lets two participants use them.
 class ShareLedger
 {
 public:
     /// Units of all participants together.
     static constexpr std::int64_t totalUnits = 10'000;
 
-    struct Cell
+    /// Indexes of the sending and the receiving participant of a transfer.
+    struct Direction
     {
         std::uint16_t from = 0;
         std::uint16_t to = 0;
@@ -47,18 +48,19 @@
     /// Units that the participant holds, as far as known to this process; never negative.
     std::int64_t units(std::size_t participant, Base::MonoTime now) const;
 
-    /// Updates the count of a cell if \a transferred is higher. Returns false if it is not, or if
-    /// the cell does not name two different participants.
-    bool merge(Cell cell, std::uint32_t transferred, Base::MonoTime now);
-    /// Transfers \a amount, but at most what `from` holds; returns the number of units transferred.
-    std::int64_t transferUnits(Cell cell, std::int64_t amount, Base::MonoTime now);
+    /// Sets the total of \a direction to \a transferred if that is higher. Returns false if it is
+    /// not, or if `from` and `to` are not two different participants.
+    bool merge(Direction direction, std::uint32_t transferred, Base::MonoTime now);
+    /// Transfers \a amount, but at most what participant `from` holds; returns the number of units
+    /// transferred.
+    std::int64_t transferUnits(Direction direction, std::int64_t amount, Base::MonoTime now);
 
-    /// Calls `visitor` with each cell and its highest received count.
+    /// Calls `visitor` with each direction that has transfers and its highest received total.
     template<typename Visitor>
-    void forEachCell(Visitor visitor) const
+    void forEachTotal(Visitor visitor) const
     {
-        for (const auto &[cell, count] : m_cells)
-            visitor(Cell{cell.first, cell.second}, count.latest);
+        for (const auto &[direction, total] : m_totals)
+            visitor(Direction{direction.first, direction.second}, total.latest);
     }
 
 private:
@@ -67,19 +69,19 @@
         std::uint32_t transferred = 0;
         Base::MonoTime effectiveAt{};
     };
-    struct CellState
+    struct Total
     {
-        std::uint32_t latest = 0; // highest count received
-        std::uint32_t credited = 0; // count up to which the receiver has been credited
+        std::uint32_t latest = 0; // highest total received
+        std::uint32_t credited = 0; // total up to which the receiver has been credited
         std::vector<PendingCredit> pendingCredits; // in increasing order of `transferred`
     };
 
-    void raise(CellState &count, std::uint32_t transferred, Base::MonoTime now) const;
-    static std::uint32_t creditedUnits(const CellState &count, Base::MonoTime now);
+    void raise(Total &total, std::uint32_t transferred, Base::MonoTime now) const;
+    static std::uint32_t creditedUnits(const Total &total, Base::MonoTime now);
 
     std::size_t m_participants = 1;
     Base::Duration m_creditDelay{};
-    std::map<std::pair<std::uint16_t, std::uint16_t>, CellState> m_cells; // by sender and receiver
+    std::map<std::pair<std::uint16_t, std::uint16_t>, Total> m_totals; // by sender and receiver
 };
 
 } // namespace Lagoonbank::Admission
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -25,7 +25,9 @@
 constexpr double maxDataCentreFraction = 0.5;
 /// Minimum transfer, as a fraction of the equal share; a smaller one does not justify a message.
 constexpr double minTransfer = 0.01;
-constexpr std::size_t maxDataCentreCells = 4; ///< Maximum number in one digest.
+/// Maximum number of transfer totals between data centres in one digest; the others in it are
+/// between routers.
+constexpr std::size_t maxDataCentreTransfers = 4;
 /// Digests are still sent for this long after the workspace has become inactive.
 constexpr Duration trailingDigestTime = std::chrono::seconds(10);
 
@@ -192,20 +194,20 @@
 
 void WorkspaceShares::receive(const ShareDigest &digest, MonoTime now)
 {
-    if (digest.dataCentres != m_topology.dataCentresHash)
+    if (digest.dataCentresHash != m_topology.dataCentresHash)
         return;
-    for (const ShareCell &cell : digest.dataCentreCells)
-        m_dataCentreLedger.merge({cell.from, cell.to}, cell.transferred, now);
+    for (const TransferTotal &transfer : digest.dataCentreTransfers)
+        m_dataCentreLedger.merge({transfer.from, transfer.to}, transfer.units, now);
     if (digest.representative && digest.dataCentre != m_topology.dataCentre)
         recordReport(
             m_dataCentreDemands, digest.dataCentre,
             {digest.author, digest.version, static_cast<double>(digest.dataCentreDemand), now});
-    if (digest.routers != m_topology.routersHash || digest.dataCentre != m_topology.dataCentre)
+    if (digest.routersHash != m_topology.routersHash || digest.dataCentre != m_topology.dataCentre)
         return;
     if (digest.author == m_topology.self)
         return;
-    for (const ShareCell &cell : digest.routerCells)
-        m_routerLedger.merge({digest.author, cell.to}, cell.transferred, now);
+    for (const TransferTotal &transfer : digest.routerTransfers)
+        m_routerLedger.merge({digest.author, transfer.to}, transfer.units, now);
     const bool isNewer =
         recordReport(m_routerDemands, digest.author,
                      {digest.author, digest.version, static_cast<double>(digest.demand), now});
@@ -228,8 +230,8 @@
         return std::nullopt;
 
     const FairDivision division = isRepresentative() ? ownDivision(now) : FairDivision{};
-    ShareDigest digest{.routers = m_topology.routersHash,
-                       .dataCentres = m_topology.dataCentresHash,
+    ShareDigest digest{.routersHash = m_topology.routersHash,
+                       .dataCentresHash = m_topology.dataCentresHash,
                        .version = ++m_version,
                        .author = m_topology.self,
                        .dataCentre = m_topology.dataCentre,
@@ -239,18 +241,21 @@
                            static_cast<std::uint32_t>(std::min(dataCentreDemand(now), 1e9)),
                        .level = asUnits(division.level),
                        .extra = asUnits(division.extra)};
-    std::vector<ShareCell> routerCells;
-    m_routerLedger.forEachCell([&](ShareLedger::Cell cell, std::uint32_t transferred) {
-        if (cell.from == m_topology.self)
-            routerCells.push_back({cell.from, cell.to, transferred});
+    std::vector<TransferTotal> routerTransfers;
+    m_routerLedger.forEachTotal([&](ShareLedger::Direction direction, std::uint32_t transferred) {
+        if (direction.from == m_topology.self)
+            routerTransfers.push_back({direction.from, direction.to, transferred});
     });
-    std::vector<ShareCell> dataCentreCells;
-    m_dataCentreLedger.forEachCell([&](ShareLedger::Cell cell, std::uint32_t transferred) {
-        dataCentreCells.push_back({cell.from, cell.to, transferred});
-    });
-    digest.dataCentreCells = nextCells(dataCentreCells, maxDataCentreCells, m_nextDataCentreCell);
-    digest.routerCells =
-        nextCells(routerCells, maxShareCells - digest.dataCentreCells.size(), m_nextRouterCell);
+    std::vector<TransferTotal> dataCentreTransfers;
+    m_dataCentreLedger.forEachTotal(
+        [&](ShareLedger::Direction direction, std::uint32_t transferred) {
+            dataCentreTransfers.push_back({direction.from, direction.to, transferred});
+        });
+    digest.dataCentreTransfers =
+        nextTransfers(dataCentreTransfers, maxDataCentreTransfers, m_nextDataCentreTransfer);
+    digest.routerTransfers =
+        nextTransfers(routerTransfers, maxTransferTotals - digest.dataCentreTransfers.size(),
+                      m_nextRouterTransfer);
     return digest;
 }
 
@@ -263,11 +268,11 @@
         : 0;
 }
 
-bool WorkspaceShares::isFresh(const DemandReports &reports, std::uint16_t from, Duration age,
+bool WorkspaceShares::isFresh(const DemandReports &reports, std::uint16_t from, Duration maxAge,
                               MonoTime now)
 {
     const auto found = reports.find(from);
-    return found != reports.end() && now - found->second.receivedAt <= age;
+    return found != reports.end() && now - found->second.receivedAt <= maxAge;
 }
 
 double WorkspaceShares::dataCentreDemand(MonoTime now) const
@@ -330,15 +335,15 @@
     return true;
 }
 
-std::vector<ShareCell> WorkspaceShares::nextCells(const std::vector<ShareCell> &all,
-                                                  std::size_t maxCells, std::size_t &next)
+std::vector<TransferTotal> WorkspaceShares::nextTransfers(const std::vector<TransferTotal> &all,
+                                                          std::size_t maxCount, std::size_t &next)
 {
-    std::vector<ShareCell> cells;
-    const std::size_t count = std::min(maxCells, all.size());
+    std::vector<TransferTotal> transfers;
+    const std::size_t count = std::min(maxCount, all.size());
     for (std::size_t i = 0; i < count; ++i)
-        cells.push_back(all[(next + i) % all.size()]);
+        transfers.push_back(all[(next + i) % all.size()]);
     next = all.empty() ? 0 : (next + count) % all.size();
-    return cells;
+    return transfers;
 }
 
 } // namespace Lagoonbank::Admission::Internal
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -73,7 +73,7 @@
     double ownFraction(Base::MonoTime now) const;
     double dataCentreUnits(Base::MonoTime now) const;
     double routerDemand(std::uint16_t router, Base::MonoTime now) const;
-    static bool isFresh(const DemandReports &reports, std::uint16_t from, Base::Duration age,
+    static bool isFresh(const DemandReports &reports, std::uint16_t from, Base::Duration maxAge,
                         Base::MonoTime now);
     double dataCentreDemand(Base::MonoTime now) const;
     double scaledDemand(double demand, Base::MonoTime now) const;
@@ -85,8 +85,10 @@
     bool isDataCentreActive(std::uint16_t dataCentre, Base::MonoTime now) const;
     bool isActive(Base::MonoTime now) const;
     bool recordReport(DemandReports &reports, std::uint16_t from, const DemandReport &report) const;
-    static std::vector<ShareCell> nextCells(const std::vector<ShareCell> &all, std::size_t maxCells,
-                                            std::size_t &next);
+    /// Up to \a maxCount elements of \a all, starting at index \a next and wrapping at the end;
+    /// advances \a next, so that successive calls cover all of them.
+    static std::vector<TransferTotal> nextTransfers(const std::vector<TransferTotal> &all,
+                                                    std::size_t maxCount, std::size_t &next);
 
     ShareTopology m_topology;
     ShareTiming m_timing;
@@ -98,8 +100,8 @@
     std::uint16_t m_representative = 0;
     std::optional<Division> m_division; // the last one that the representative reported
     std::uint32_t m_version = 0;
-    std::size_t m_nextRouterCell = 0;
-    std::size_t m_nextDataCentreCell = 0;
+    std::size_t m_nextRouterTransfer = 0; // index of the first one for the next digest
+    std::size_t m_nextDataCentreTransfer = 0; // likewise
     std::optional<double> m_shareCap; // applies until m_shareCapUntil
     Base::MonoTime m_shareCapUntil{};
     Base::MonoTime m_lastDataCentreTransfer{};
--- a/tests/auto/admission/tst_shareallocator.cpp
+++ b/tests/auto/admission/tst_shareallocator.cpp
@@ -220,8 +220,8 @@
 
 BOOST_AUTO_TEST_CASE(digestsRoundTripAndTruncatedBytesAreRejected)
 {
-    ShareDigest digest{.routers = 1,
-                       .dataCentres = 2,
+    ShareDigest digest{.routersHash = 1,
+                       .dataCentresHash = 2,
                        .version = 3,
                        .author = 4,
                        .dataCentre = 5,
@@ -231,9 +231,9 @@
                        .level = 8,
                        .extra = 9};
     for (std::uint16_t i = 0; i < 6; ++i)
-        digest.routerCells.push_back({4, i, 100U * i});
+        digest.routerTransfers.push_back({4, i, 100U * i});
     for (std::uint16_t i = 0; i < 4; ++i)
-        digest.dataCentreCells.push_back({i, 9, 7U * i});
+        digest.dataCentreTransfers.push_back({i, 9, 7U * i});
     const std::string bytes = encode(digest);
     BOOST_TEST(bytes.size() <= maxShareDigestBytes);
     BOOST_TEST((decodeShareDigest(bytes).value() == digest));
