--- a/src/libs/membership/demanddigests.cpp
+++ b/src/libs/membership/demanddigests.cpp
@@ -76,7 +76,7 @@
                        [this](const auto &item) { return item.second.sends < m_options.sends; });
 }
 
-void DemandDigests::age(Base::MonoTime now)
+void DemandDigests::expire(Base::MonoTime now)
 {
     std::erase_if(m_entries,
                   [&](const auto &item) { return now - item.second.writtenAt > m_options.maxAge; });
--- a/src/libs/membership/demanddigests.h
+++ b/src/libs/membership/demanddigests.h
@@ -38,7 +38,7 @@
     std::vector<DemandDigest> take(std::size_t bytes, Base::MonoTime now);
     bool hasDue() const;
     /// Drops digests older than Options::maxAge.
-    void age(Base::MonoTime now);
+    void expire(Base::MonoTime now);
     std::size_t size() const { return m_entries.size(); }
 
 private:
--- a/src/libs/membership/leavingendpoints.cpp
+++ b/src/libs/membership/leavingendpoints.cpp
@@ -50,7 +50,7 @@
     return result;
 }
 
-void LeavingEndpoints::age(Base::MonoTime now)
+void LeavingEndpoints::expire(Base::MonoTime now)
 {
     std::erase_if(m_entries, [&](const auto &item) {
         return now - item.second.leavingSince > m_options.keepTime;
--- a/src/libs/membership/leavingendpoints.h
+++ b/src/libs/membership/leavingendpoints.h
@@ -35,7 +35,7 @@
     std::vector<LeavingEndpoint> entries(Base::MonoTime now) const;
     bool contains(const std::string &endpoint) const { return m_entries.contains(endpoint); }
     /// Drops entries older than Options::keepTime.
-    void age(Base::MonoTime now);
+    void expire(Base::MonoTime now);
     /// Hash of all entries; equal on members that have the same entries.
     std::uint32_t hash() const;
 
--- a/src/libs/membership/loaddigests.cpp
+++ b/src/libs/membership/loaddigests.cpp
@@ -47,10 +47,10 @@
 void LoadDigests::setOwnWorkSinceSample(const Base::EndpointId &endpoint, Base::WorkUnits work)
 {
     Entry &entry = m_entries[nameKey(endpoint.value())];
-    const double change = std::abs(work.value() - entry.sentSince);
-    if (change > significantChange * std::max(entry.sentSince, 1.0))
+    const double change = std::abs(work.value() - entry.ownWorkSinceSample);
+    if (change > significantChange * std::max(entry.ownWorkSinceSample, 1.0))
         entry.sends = 0;
-    entry.sentSince = work.value();
+    entry.ownWorkSinceSample = work.value();
 }
 
 bool LoadDigests::receive(std::uint32_t origin, const LoadReport &report, Base::MonoTime now)
@@ -125,7 +125,7 @@
         const LoadReport report{.endpoint = key,
                                 .work = toWire(entry->work),
                                 .ageMs = static_cast<std::uint32_t>(age),
-                                .sentSince = toWire(entry->sentSince)};
+                                .sentSince = toWire(entry->ownWorkSinceSample)};
         const std::size_t size = encodedSize(report);
         if (size > bytes || reports.size() >= maxReports)
             break;
--- a/src/libs/membership/loaddigests.h
+++ b/src/libs/membership/loaddigests.h
@@ -69,7 +69,7 @@
         double work = 0;
         Base::MonoTime sampledAt{};
         bool hasSample = false;
-        double sentSince = 0;
+        double ownWorkSinceSample = 0;
         std::uint32_t sends = 0;
         std::vector<PeerWork> peers;
     };
--- a/src/libs/membership/membership.cpp
+++ b/src/libs/membership/membership.cpp
@@ -317,9 +317,9 @@
 
 void Membership::doHousekeeping(Base::MonoTime now)
 {
-    m_table.age(now);
-    m_leaving.age(now);
-    m_demands.age(now);
+    m_table.expire(now);
+    m_leaving.expire(now);
+    m_demands.expire(now);
     // Every member pings the suspects once a second. The ping carries the suspicion, so a suspect
     // that is alive refutes it even if some datagrams are lost.
     for (const Member *suspect : peersWhere([this](const Member &member) {
@@ -352,12 +352,12 @@
         m_table.find(id)->isListed = listed.contains(member.info.ip);
 }
 
-void Membership::setConfigurationMark(const ConfigurationMark &mark, Base::MonoTime now)
+void Membership::setAppliedConfiguration(const ConfigurationMark &applied, Base::MonoTime now)
 {
-    if (mark.offset < m_mark.offset)
+    if (applied.offset < m_appliedConfiguration.offset)
         return;
-    const bool isNew = mark != m_mark;
-    m_mark = mark;
+    const bool isNew = applied != m_appliedConfiguration;
+    m_appliedConfiguration = applied;
     if (isNew)
         scheduleUrgentGossip(now);
 }
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -102,8 +102,8 @@
     /// The state of this peer is to be pulled over TCP and passed to mergeState().
     std::function<void(const Runtime::SocketAddress &peer, const StateRequest &request)>
         statePullNeeded;
-    /// A peer has applied more of the configuration stream than this process.
-    std::function<void(const Runtime::SocketAddress &peer, const ConfigurationMark &mark)>
+    /// A peer has applied more of the configuration stream than this process, up to \a applied.
+    std::function<void(const Runtime::SocketAddress &peer, const ConfigurationMark &applied)>
         configurationAhead;
     std::function<void(const Base::EndpointId &endpoint, Base::Incarnation incarnation)>
         endpointLeaving;
@@ -139,7 +139,8 @@
     void setVmList(const std::vector<ListedVm> &vms);
 
     // State that this process publishes.
-    void setConfigurationMark(const ConfigurationMark &mark, Base::MonoTime now);
+    /// Sets the position up to which this process has applied the configuration stream.
+    void setAppliedConfiguration(const ConfigurationMark &applied, Base::MonoTime now);
     void announceLeaving(const Base::EndpointId &endpoint, Base::Incarnation incarnation,
                          Base::MonoTime now);
     bool isLeaving(const Base::EndpointId &endpoint, Base::Incarnation incarnation) const;
@@ -160,7 +161,10 @@
     /// process. Limits a task to a few processes of a data centre; for example, only ranks 0 and 1
     /// read the log.
     std::size_t rankInDataCentre(Base::MonoTime now) const;
-    const ConfigurationMark &configurationMark() const { return m_mark; }
+    /// Position up to which this process has applied the configuration stream.
+    const ConfigurationMark &appliedConfiguration() const { return m_appliedConfiguration; }
+    /// Number of messages from peers that have applied the stream up to the same offset, but with a
+    /// different resulting state.
     std::uint64_t configurationConflicts() const { return m_configurationConflicts; }
 
 private:
@@ -243,7 +247,7 @@
     LeavingEndpoints m_leaving;
     LoadDigests m_loads;
     DemandDigests m_demands;
-    ConfigurationMark m_mark;
+    ConfigurationMark m_appliedConfiguration;
     std::mt19937_64 m_random;
     Internal::GossipQueue m_memberUpdates;
     Internal::GossipQueue m_leavingUpdates;
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -153,14 +153,16 @@
 void Membership::compareState(const Sender &sender, const Runtime::SocketAddress &from,
                               const PeerMessage &message, Base::MonoTime now)
 {
-    const ConfigurationMark &mark = message.configuration;
-    if (mark.offset > m_mark.offset && configurationAhead
-        && (mark.offset > m_requestedOffset || now - m_offsetRequestedAt >= offsetRequestPeriod)) {
-        m_requestedOffset = mark.offset;
+    const ConfigurationMark &applied = message.configuration;
+    if (applied.offset > m_appliedConfiguration.offset && configurationAhead
+        && (applied.offset > m_requestedOffset
+            || now - m_offsetRequestedAt >= offsetRequestPeriod)) {
+        m_requestedOffset = applied.offset;
         m_offsetRequestedAt = now;
-        configurationAhead(from, mark);
+        configurationAhead(from, applied);
     }
-    if (mark.offset == m_mark.offset && mark.hash != m_mark.hash)
+    if (applied.offset == m_appliedConfiguration.offset
+        && applied.hash != m_appliedConfiguration.hash)
         ++m_configurationConflicts;
 
     const Member *member = m_table.find(sender.id);
@@ -179,7 +181,7 @@
 
 StateAnswer Membership::answer(const StateRequest &request, Base::MonoTime now) const
 {
-    return {.members = m_table.differing(request.tables), .leaving = m_leaving.entries(now)};
+    return {.members = m_table.differingMembers(request.tables), .leaving = m_leaving.entries(now)};
 }
 
 void Membership::mergeState(const StateAnswer &state, Base::MonoTime now)
@@ -207,7 +209,7 @@
     message.time = stamp();
     message.ownHash = ownHash();
     message.fleetHash = fleetHash();
-    message.configuration = m_mark;
+    message.configuration = m_appliedConfiguration;
     std::size_t size = encodedSize(message) + sealSize(m_self.id) + datagramOverheadBytes;
     fillUpdates(message, peer, size, now);
     if (peer && message.type != MessageType::Outdated)
--- a/src/libs/membership/membertable.cpp
+++ b/src/libs/membership/membertable.cpp
@@ -96,7 +96,7 @@
     return m_suspectCount;
 }
 
-void MemberTable::age(Base::MonoTime now)
+void MemberTable::expire(Base::MonoTime now)
 {
     for (auto it = m_members.begin(); it != m_members.end();) {
         Member &member = it->second;
@@ -138,7 +138,7 @@
     return result;
 }
 
-std::vector<MemberUpdate> MemberTable::differing(const std::vector<TableHash> &known) const
+std::vector<MemberUpdate> MemberTable::differingMembers(const std::vector<TableHash> &known) const
 {
     std::map<std::string, std::uint32_t> theirs;
     for (const TableHash &table : known)
--- a/src/libs/membership/membertable.h
+++ b/src/libs/membership/membertable.h
@@ -62,7 +62,7 @@
     std::size_t suspectCount() const;
 
     /// Drops expired tombstones and ends the damping of members whose penalty has decayed.
-    void age(Base::MonoTime now);
+    void expire(Base::MonoTime now);
     void remove(const std::string &id);
 
     /// Hash over id and incarnation of the living members of \a dataCentre; equal on processes
@@ -74,7 +74,7 @@
     std::vector<TableHash> hashes() const;
     /// Members of the data centres whose hash differs from the one in \a known, at most
     /// maxStateMembers.
-    std::vector<MemberUpdate> differing(const std::vector<TableHash> &known) const;
+    std::vector<MemberUpdate> differingMembers(const std::vector<TableHash> &known) const;
 
 private:
     void addFlapPenalty(Member &member, Base::MonoTime now);
--- a/src/libs/node/peerlink.cpp
+++ b/src/libs/node/peerlink.cpp
@@ -122,8 +122,8 @@
 void PeerLink::configurationChanged()
 {
     const Configuration::Reducer &reducer = m_options.configuration->reducer();
-    m_membership->setConfigurationMark({.offset = reducer.next().value(), .hash = reducer.hash()},
-                                       m_options.loop->clock().now());
+    m_membership->setAppliedConfiguration(
+        {.offset = reducer.next().value(), .hash = reducer.hash()}, m_options.loop->clock().now());
 }
 
 void PeerLink::pullConfiguration(const Runtime::SocketAddress &peer, bool wantsAll)
--- a/tests/auto/membership/tst_membership.cpp
+++ b/tests/auto/membership/tst_membership.cpp
@@ -126,7 +126,7 @@
     // State changes on both sides during the partition.
     fleet.at(1).announceLeaving(EndpointId("engine-inside"), Incarnation(1), fleet.now());
     fleet.at(0).announceLeaving(EndpointId("engine-outside"), Incarnation(1), fleet.now());
-    fleet.at(0).setConfigurationMark({.offset = 90, .hash = 1}, fleet.now());
+    fleet.at(0).setAppliedConfiguration({.offset = 90, .hash = 1}, fleet.now());
     fleet.run(std::chrono::minutes(2));
     BOOST_TEST(fleet.countEvents(MemberEvent::Died) == 0U);
 
@@ -142,7 +142,7 @@
     const auto healed = fleet.runUntil(isHealed, settleTime);
     BOOST_REQUIRE(healed);
     BOOST_TEST(toSeconds(*healed) < 15.0);
-    BOOST_TEST(fleet.at(0).configurationMark().offset == 90U);
+    BOOST_TEST(fleet.at(0).appliedConfiguration().offset == 90U);
     BOOST_TEST(!fleet.at(0).isLeaving(EndpointId("engine-inside"), Incarnation(2)));
 }
 
--- a/tests/auto/node/tst_causality.cpp
+++ b/tests/auto/node/tst_causality.cpp
@@ -151,7 +151,7 @@
             return;
         process.recordEvent(EventType::ConfigurationApplied);
         const Base::MonoTime now = process.clock.now();
-        process.membership->setConfigurationMark({.offset = 1, .hash = 1}, now);
+        process.membership->setAppliedConfiguration({.offset = 1, .hash = 1}, now);
         if (&process != &controller)
             return;
         process.recordEvent(EventType::OrderSent);
