--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -136,8 +136,8 @@
 
 void Exchange::setFirstToken()
 {
-    if (!m_end.firstToken)
-        m_end.firstToken = now();
+    if (!m_result.firstTokenAt)
+        m_result.firstTokenAt = now();
 }
 
 void Exchange::countAnswerTokens(std::int64_t count)
@@ -146,12 +146,12 @@
     m_attemptTokens += count;
     if (m_options.hooks.progressed)
         m_options.hooks.progressed(*m_target, Base::Tokens(count), isFirst);
-    m_end.answerTokens += Base::Tokens(count);
+    m_result.answerTokens += Base::Tokens(count);
 }
 
 void Exchange::setCachedTokens(Base::Tokens tokens)
 {
-    m_end.cachedTokens = tokens;
+    m_result.cachedTokens = tokens;
 }
 
 Base::Duration Exchange::stallTimeout() const
@@ -220,13 +220,13 @@
                          .succeeded = succeeded,
                          .error = std::move(error),
                          .load = m_load,
-                         .cachedTokens = m_end.cachedTokens,
+                         .cachedTokens = m_result.cachedTokens,
                          .answerTokens = Base::Tokens(m_attemptTokens),
                          .resumed = m_resumed};
     if (!succeeded && result.error.ran != Ran::No)
         m_mayHaveRun = true;
-    m_end.endpoint = m_target->endpoint;
-    m_end.attempts.push_back(result);
+    m_result.endpoint = m_target->endpoint;
+    m_result.attempts.push_back(result);
     m_options.hooks.attemptEnded(result);
 }
 
@@ -247,7 +247,7 @@
             .earlierMayHaveRun = m_mayHaveRun,
             .attempts = m_runs,
             .resumes = m_resumes,
-            .deadline = {.at = m_options.route.deadline}};
+            .deadline = {.answerBy = m_options.route.deadline}};
 }
 
 void Exchange::failAttempt(const Error &error)
@@ -294,9 +294,9 @@
 /// The error of the last attempt that was not a resume.
 Error Exchange::lastRunError() const
 {
-    const auto run = std::find_if(m_end.attempts.rbegin(), m_end.attempts.rend(),
+    const auto run = std::find_if(m_result.attempts.rbegin(), m_result.attempts.rend(),
                                   [](const AttemptResult &attempt) { return !attempt.resumed; });
-    return run == m_end.attempts.rend() ? Error{} : run->error;
+    return run == m_result.attempts.rend() ? Error{} : run->error;
 }
 
 Ran Exchange::ranSoFar() const
@@ -317,7 +317,7 @@
 void Exchange::finishSuccess(int status)
 {
     endAttempt(true, {});
-    RequestResult end = std::move(m_end);
+    RequestResult end = std::move(m_result);
     end.succeeded = true;
     end.status = status;
     finish(std::move(end));
@@ -330,7 +330,7 @@
 
 void Exchange::failRequest(Refusal refusal)
 {
-    RequestResult end = std::move(m_end);
+    RequestResult end = std::move(m_result);
     end.status = Errors::errorRow(refusal.error.kind).httpStatus;
     if (hasBegun()) {
         end.cutOff = true;
@@ -357,7 +357,7 @@
         if (mayHaveSent)
             cancelUpstream(*m_target);
     }
-    RequestResult end = std::move(m_end);
+    RequestResult end = std::move(m_result);
     end.refusal = Refusal{.error = {ErrorKind::CallerLeft, {}, ranSoFar()}};
     end.cutOff = hasBegun();
     finish(std::move(end));
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -85,7 +85,7 @@
     Base::Tokens promptTokens;
     Base::Tokens cachedTokens;
     Base::Tokens answerTokens;
-    std::optional<Base::MonoTime> firstToken;
+    std::optional<Base::MonoTime> firstTokenAt; ///< Time of the first token, if there was one.
 };
 
 /// Callbacks from an exchange to the router. All are called on the event loop.
@@ -210,7 +210,7 @@
     std::optional<Runtime::TimerId> m_progressTimer;
     std::optional<Runtime::TimerId> m_deadlineTimer;
     std::optional<Runtime::TimerId> m_retryTimer;
-    RequestResult m_end;
+    RequestResult m_result;
 };
 
 } // namespace Lagoonbank::Exchange
--- a/src/libs/retry/deadline.h
+++ b/src/libs/retry/deadline.h
@@ -11,15 +11,15 @@
 /// the transfer of the answer to the caller: attempts have to end that much earlier.
 struct Deadline
 {
-    std::optional<Base::MonoTime> at; ///< Time by which the caller needs the answer, if any.
+    std::optional<Base::MonoTime> answerBy; ///< Time by which the caller needs the answer, if any.
     Base::Duration reserve = std::chrono::milliseconds(2);
 
     /// Time available to an attempt that starts now; never negative. No value without a deadline.
     std::optional<Base::Duration> remaining(Base::MonoTime now) const
     {
-        if (!at)
+        if (!answerBy)
             return std::nullopt;
-        return std::max(Base::Duration::zero(), *at - now - reserve);
+        return std::max(Base::Duration::zero(), *answerBy - now - reserve);
     }
 
     /// Whether an attempt that starts after `wait` and takes at least `minimum` can end in time.
--- a/src/libs/router/inflightbeacon.cpp
+++ b/src/libs/router/inflightbeacon.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-std::string encodeBeacon(char mark, const std::vector<InFlight> &entries)
+std::string encodeBeacon(char firstByte, const std::vector<InFlight> &entries)
 {
-    std::string body(1, mark);
+    std::string body(1, firstByte);
     for (std::size_t i = 0; i < std::min(entries.size(), maxBeaconEntries); ++i) {
         appendNumber(body, entries[i].endpoint, keyBytes);
         const double steps =
@@ -40,9 +40,9 @@
     return body;
 }
 
-std::optional<std::vector<InFlight>> decodeBeacon(char mark, std::string_view body)
+std::optional<std::vector<InFlight>> decodeBeacon(char firstByte, std::string_view body)
 {
-    if (body.empty() || body.front() != mark || (body.size() - 1) % beaconEntryBytes != 0)
+    if (body.empty() || body.front() != firstByte || (body.size() - 1) % beaconEntryBytes != 0)
         return std::nullopt;
     std::vector<InFlight> entries;
     for (std::size_t offset = 1; offset < body.size(); offset += beaconEntryBytes) {
--- a/src/libs/router/inflightbeacon.h
+++ b/src/libs/router/inflightbeacon.h
@@ -19,11 +19,11 @@
     bool operator==(const InFlight &) const = default;
 };
 
-/// Encodes the body of a beacon: \a mark, then beaconEntryBytes per endpoint. Work is rounded to
-/// steps of 8 units and limited to 524,280 units. Entries beyond maxBeaconEntries are left out.
-std::string encodeBeacon(char mark, const std::vector<InFlight> &entries);
-/// Returns no value if \a body does not start with \a mark or its length is invalid.
-std::optional<std::vector<InFlight>> decodeBeacon(char mark, std::string_view body);
+/// Encodes the body of a beacon: \a firstByte, then beaconEntryBytes per endpoint. Work is rounded
+/// to steps of 8 units and limited to 524,280 units. Entries beyond maxBeaconEntries are left out.
+std::string encodeBeacon(char firstByte, const std::vector<InFlight> &entries);
+/// Returns no value if \a body does not start with \a firstByte or its length is invalid.
+std::optional<std::vector<InFlight>> decodeBeacon(char firstByte, std::string_view body);
 
 /// Size of an entry: short key of the endpoint (4 bytes) and its work in steps (2 bytes), both
 /// little-endian.
--- a/src/libs/router/loadsharing.cpp
+++ b/src/libs/router/loadsharing.cpp
@@ -27,7 +27,7 @@
 
 void LoadSharing::reported(const Base::EndpointId &endpoint, const LoadHeader &header)
 {
-    m_membership.loads().report(endpoint, header.work, m_loop.clock().now() - header.age);
+    m_membership.loads().report(endpoint, header.work, m_loop.clock().now() - header.sampleAge);
 }
 
 void LoadSharing::received(const Membership::LoadReport &report, Base::MonoTime sampledAt)
--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -69,7 +69,7 @@
             hasWork = true;
         } else if (name == "age") {
             const auto age = static_cast<std::int64_t>(*value);
-            header.age = std::chrono::milliseconds(std::min(age, maxReportAgeMs));
+            header.sampleAge = std::chrono::milliseconds(std::min(age, maxReportAgeMs));
         } else if (name == "capacity") {
             header.capacity = Base::WorkUnits(*value);
         } else if (name == "incarnation") {
@@ -247,7 +247,7 @@
     const auto found = m_waiting.find(ticket);
     if (found == m_waiting.end())
         return;
-    const Base::Duration waited = m_loop.clock().now() - found->second.since;
+    const Base::Duration waited = m_loop.clock().now() - found->second.waitingSince;
     applyDecision(ticket, choose(found->second.query, waited));
 }
 
@@ -307,7 +307,7 @@
 {
     while (const auto ticket = queue.front()) {
         const auto found = m_waiting.find(*ticket);
-        const Base::Duration waited = m_loop.clock().now() - found->second.since;
+        const Base::Duration waited = m_loop.clock().now() - found->second.waitingSince;
         const Routing::Decision decision = choose(found->second.query, waited);
         if (decision.outcome == Routing::Outcome::Wait)
             return;
@@ -368,10 +368,11 @@
     if (index == Routing::noEndpoint || !header)
         return;
     const Base::MonoTime now = m_loop.clock().now();
-    m_routing.noteReport(
-        index,
-        {.work = header->work, .sampledAt = now - header->age, .incarnation = header->incarnation},
-        header->capacity, now);
+    m_routing.noteReport(index,
+                         {.work = header->work,
+                          .sampledAt = now - header->sampleAge,
+                          .incarnation = header->incarnation},
+                         header->capacity, now);
 }
 
 void Placer::chatServed(std::uint64_t chatHash, const Base::EndpointId &endpoint,
--- a/src/libs/router/placer.h
+++ b/src/libs/router/placer.h
@@ -21,7 +21,7 @@
 struct LoadHeader
 {
     Base::WorkUnits work;
-    Base::Duration age{}; ///< Time since the load was sampled.
+    Base::Duration sampleAge{}; ///< Time since the load was sampled.
     Base::WorkUnits capacity; ///< Zero if the header does not state it.
     Base::Incarnation incarnation;
 };
@@ -79,7 +79,7 @@
     {
         Exchange::RouteQuery query;
         std::function<void(Exchange::Placement)> placed;
-        Base::MonoTime since;
+        Base::MonoTime waitingSince;
         /// Queue that the request is in. Null if it is in none: the engine that caches its chat is
         /// at its load bound, and placement is retried at short intervals.
         Routing::WaitQueue *queue = nullptr;
--- a/src/libs/router/requestrecorder.cpp
+++ b/src/libs/router/requestrecorder.cpp
@@ -90,8 +90,8 @@
     const Base::MonoTime now = m_options.clock->now();
     metrics.inFlight.add(-1);
     metrics.duration.observe(Base::toSeconds(now - info.started));
-    if (end.firstToken)
-        metrics.firstToken.observe(Base::toSeconds(*end.firstToken - info.started));
+    if (end.firstTokenAt)
+        metrics.firstToken.observe(Base::toSeconds(*end.firstTokenAt - info.started));
     if (end.succeeded) {
         metrics.promptTokens.increment(static_cast<double>(end.promptTokens.value()));
         metrics.cachedTokens.increment(static_cast<double>(end.cachedTokens.value()));
--- a/src/libs/routing/loadestimator.cpp
+++ b/src/libs/routing/loadestimator.cpp
@@ -38,8 +38,8 @@
     row.incarnation = report.incarnation;
     row.sampledAt = std::min(report.sampledAt, now);
     row.reportedWork = std::max(report.work.value(), 0.0);
-    row.unattributed =
-        row.reportedWork - row.own.workAt(row.sampledAt) - row.peers.workAt(row.sampledAt);
+    row.unattributed = row.reportedWork - row.ownInFlight.workAt(row.sampledAt)
+        - row.peersInFlight.workAt(row.sampledAt);
     row.fadedUnattributed = row.unattributed * weightOf(row, now);
     update(endpoint);
     return true;
@@ -48,7 +48,7 @@
 SentWork LoadEstimator::noteSent(EndpointIndex endpoint, Base::WorkUnits work, Base::MonoTime now)
 {
     Row &row = m_rows[endpoint];
-    row.own.add(work.value(), now);
+    row.ownInFlight.add(work.value(), now);
     update(endpoint);
     return {.endpoint = endpoint, .generation = row.generation, .remaining = work.value()};
 }
@@ -62,7 +62,7 @@
     Row &row = m_rows[sent->endpoint];
     if (row.generation != sent->generation)
         return;
-    row.own.add(-part, now);
+    row.ownInFlight.add(-part, now);
     update(sent->endpoint);
 }
 
@@ -81,7 +81,7 @@
     if (work.size() < m_rows.size())
         work.resize(m_rows.size(), 0.0F);
     const auto value = static_cast<float>(std::max(inFlight.value(), 0.0));
-    m_rows[endpoint].peers.add(value - work[endpoint], now);
+    m_rows[endpoint].peersInFlight.add(value - work[endpoint], now);
     work[endpoint] = value;
     update(endpoint);
 }
@@ -104,7 +104,7 @@
     for (EndpointIndex endpoint = 0; endpoint < work.size(); ++endpoint) {
         if (work[endpoint] == 0.0F)
             continue;
-        m_rows[endpoint].peers.add(-work[endpoint], now);
+        m_rows[endpoint].peersInFlight.add(-work[endpoint], now);
         update(endpoint);
     }
     work.clear();
@@ -138,19 +138,20 @@
 
 Base::WorkUnits LoadEstimator::ownInFlight(EndpointIndex endpoint) const
 {
-    return Base::WorkUnits(m_rows[endpoint].own.current());
+    return Base::WorkUnits(m_rows[endpoint].ownInFlight.current());
 }
 
 Base::WorkUnits LoadEstimator::peersInFlight(EndpointIndex endpoint) const
 {
-    return Base::WorkUnits(m_rows[endpoint].peers.current());
+    return Base::WorkUnits(m_rows[endpoint].peersInFlight.current());
 }
 
 void LoadEstimator::update(EndpointIndex endpoint)
 {
     const Row &row = m_rows[endpoint];
     const double unattributed = m_arePeersComplete ? 0.0 : row.fadedUnattributed;
-    m_load[endpoint] = std::max(unattributed + row.own.current() + row.peers.current(), 0.0);
+    m_load[endpoint] =
+        std::max(unattributed + row.ownInFlight.current() + row.peersInFlight.current(), 0.0);
 }
 
 double LoadEstimator::weightOf(const Row &row, Base::MonoTime now) const
--- a/src/libs/routing/loadestimator.h
+++ b/src/libs/routing/loadestimator.h
@@ -99,8 +99,8 @@
 private:
     struct Row
     {
-        WorkHistory own;
-        WorkHistory peers;
+        WorkHistory ownInFlight; ///< Work that this router has in flight.
+        WorkHistory peersInFlight; ///< Work that all peers together have in flight.
         double reportedWork = 0.0;
         double unattributed = 0.0; ///< Reported work that neither this router nor its peers sent.
         double fadedUnattributed = 0.0; ///< `unattributed`, faded to the average of the others.
--- a/src/libs/routing/suspicion.cpp
+++ b/src/libs/routing/suspicion.cpp
@@ -55,7 +55,7 @@
 bool Suspicion::admitsTrial(EndpointIndex endpoint, Base::MonoTime now) const
 {
     const Row &row = m_rows[endpoint];
-    if (row.state == State::Healthy || now < row.trialsFrom)
+    if (row.state == State::Healthy || now < row.backoffUntil)
         return false;
     return !row.trialInFlight || now - row.trialSentAt >= m_options.trialTimeout;
 }
@@ -102,7 +102,7 @@
     const Base::Duration backoff =
         m_options.initialBackoff * (std::int64_t{1} << (row.backoffLevel - 1));
     row.suspectedSince = now;
-    row.trialsFrom = now + std::min(backoff, m_options.maximumBackoff);
+    row.backoffUntil = now + std::min(backoff, m_options.maximumBackoff);
     row.state = State::Suspected;
     row.failures = 0;
     row.successes = 0;
--- a/src/libs/routing/suspicion.h
+++ b/src/libs/routing/suspicion.h
@@ -76,7 +76,7 @@
         std::uint8_t backoffLevel = 0;
         bool trialInFlight = false;
         Base::MonoTime suspectedSince;
-        Base::MonoTime trialsFrom; ///< While suspected: end of the backoff.
+        Base::MonoTime backoffUntil; ///< While suspected: no trial is sent before this time.
         Base::MonoTime trialSentAt;
         Base::MonoTime healthySince;
     };
--- a/tests/auto/placing/tst_placer.cpp
+++ b/tests/auto/placing/tst_placer.cpp
@@ -106,7 +106,7 @@
         if (!row.isValid)
             continue;
         BOOST_TEST(header->work.value() == row.work);
-        BOOST_TEST(Base::toMilliseconds(header->age) == row.ageMs);
+        BOOST_TEST(Base::toMilliseconds(header->sampleAge) == row.ageMs);
     }
 }
 
--- a/tests/auto/retry/tst_retrybudget.cpp
+++ b/tests/auto/retry/tst_retrybudget.cpp
@@ -61,7 +61,7 @@
 
 BOOST_AUTO_TEST_CASE(deadlineSubtractsReserve)
 {
-    const Deadline deadline{.at = start + 100ms, .reserve = 10ms};
+    const Deadline deadline{.answerBy = start + 100ms, .reserve = 10ms};
     BOOST_TEST(deadline.remaining(start)->count() == Duration(90ms).count());
     BOOST_TEST(deadline.remaining(start + 95ms)->count() == 0);
     BOOST_TEST(deadline.leavesTime(start, 50ms, 39ms));
--- a/tests/auto/retry/tst_retrydecision.cpp
+++ b/tests/auto/retry/tst_retrydecision.cpp
@@ -63,7 +63,7 @@
                     for (const Duration left : {Duration(1s), Duration(1ms)}) {
                         in.traits.attempts = attempts;
                         in.traits.resumes = resumes;
-                        in.traits.deadline.at = start + left;
+                        in.traits.deadline.answerBy = start + left;
                         visit(in);
                     }
                 }
@@ -158,7 +158,7 @@
         ErrorKind kind;
         Ran ran;
     };
-    const Deadline inTime{.at = start + 1s};
+    const Deadline inTime{.answerBy = start + 1s};
     const RequestTraits model{.idempotent = true, .resumable = true, .deadline = inTime};
     const RequestTraits once{.idempotent = false, .resumable = false, .deadline = inTime};
     RequestTraits resumesUsedUp = model;
@@ -166,7 +166,7 @@
     RequestTraits attemptsUsedUp = model;
     attemptsUsedUp.attempts = 3;
     RequestTraits nearDeadline = model;
-    nearDeadline.deadline.at = start + 2ms;
+    nearDeadline.deadline.answerBy = start + 2ms;
     RequestTraits nonIdempotentStream = once;
     nonIdempotentStream.resumable = true;
 
@@ -277,7 +277,7 @@
 BOOST_AUTO_TEST_CASE(reportsSpentRetryBudget)
 {
     Inputs in{.failure = {.kind = ErrorKind::EndpointRefused, .provenNotRun = true},
-              .traits = {.idempotent = true, .deadline = {.at = start + 1s}}};
+              .traits = {.idempotent = true, .deadline = {.answerBy = start + 1s}}};
     in.workspaceHasBudget = false;
     BOOST_TEST((decideFor(in).kind == ErrorKind::RetryBudgetSpent));
     BOOST_TEST((decideFor(in).ran == Ran::No));
