--- a/src/libs/controller/cachemover.cpp
+++ b/src/libs/controller/cachemover.cpp
@@ -119,7 +119,7 @@
     m_events.insert(m_events.end(), read.events.begin(), read.events.end());
     m_result.nextEventOffset = std::max(from, read.next);
     const bool hasMore = !read.events.empty() && read.next > from;
-    if (hasMore && ++m_pages < m_options.maxEventPages)
+    if (hasMore && ++m_pagesRead < m_options.maxEventPages)
         return readEvents(read.next);
     for (std::string &chat : hotChats(m_events, m_options.maxChats))
         m_chats.push_back(std::move(chat));
@@ -128,13 +128,13 @@
 
 void CacheMover::startTransfers()
 {
-    while (!m_chats.empty() && m_running < m_options.maxConcurrentTransfers) {
+    while (!m_chats.empty() && m_runningTransfers < m_options.maxConcurrentTransfers) {
         const std::string chat = std::move(m_chats.front());
         m_chats.pop_front();
-        ++m_running;
+        ++m_runningTransfers;
         exportChat(chat);
     }
-    if (m_chats.empty() && m_running == 0)
+    if (m_chats.empty() && m_runningTransfers == 0)
         finish();
 }
 
@@ -160,7 +160,7 @@
 
 void CacheMover::finishChat(bool isMoved, std::size_t bytes)
 {
-    --m_running;
+    --m_runningTransfers;
     if (isMoved) {
         ++m_result.chats;
         m_result.bytes += bytes;
--- a/src/libs/controller/cachemover.h
+++ b/src/libs/controller/cachemover.h
@@ -43,12 +43,13 @@
         Runtime::TimerQueue *timers = nullptr;
         EndpointCalls calls;
         EndpointCalls::MaySend maySend;
-        CacheEngine from;
+        CacheEngine from; ///< Engine whose caches are moved.
         std::vector<CacheEngine> candidates; ///< Possible destinations; does not contain \a from.
         std::uint64_t firstEventOffset = 0; ///< Offset of the first cache event to read.
-        std::size_t maxChats = 64;
+        std::size_t maxChats = 64; ///< Maximum number of chats to move.
         std::size_t maxConcurrentTransfers = 4;
-        std::size_t maxEventPages = 64;
+        std::size_t maxEventPages = 64; ///< Maximum number of pages of cache events to read.
+        /// Time after which the move ends, even if some chats were not moved.
         Base::Duration maxDuration = std::chrono::seconds(2);
     };
     struct MoveResult
@@ -80,9 +81,9 @@
     Options m_options;
     Base::MonoTime m_deadline;
     std::vector<CacheEvent> m_events;
-    std::size_t m_pages = 0;
-    std::deque<std::string> m_chats;
-    std::size_t m_running = 0;
+    std::size_t m_pagesRead = 0;
+    std::deque<std::string> m_chats; ///< Chats whose transfers have not started.
+    std::size_t m_runningTransfers = 0;
     MoveResult m_result;
     bool m_isFinished = false;
     Runtime::TimerId m_timer;
--- a/src/libs/controller/endpointanswers.cpp
+++ b/src/libs/controller/endpointanswers.cpp
@@ -50,7 +50,7 @@
     if (!std::isfinite(work) || work < 0 || age > maxAgeMs)
         return badAnswer("the load report is out of range");
     return LoadAnswer{.work = Base::WorkUnits(work),
-                      .age = std::chrono::milliseconds(age),
+                      .sampleAge = std::chrono::milliseconds(age),
                       .running = countOf(json, "running"),
                       .queued = countOf(json, "queued"),
                       .incarnation = Base::Incarnation(countOf(json, "incarnation")),
--- a/src/libs/controller/endpointanswers.h
+++ b/src/libs/controller/endpointanswers.h
@@ -16,7 +16,7 @@
 struct LoadAnswer
 {
     Base::WorkUnits work;
-    Base::Duration age{}; ///< Age of the sample when the endpoint sent it.
+    Base::Duration sampleAge{}; ///< Age of the sample when the endpoint sent it.
     std::uint64_t running = 0;
     std::uint64_t queued = 0;
     Base::Incarnation incarnation;
@@ -41,7 +41,7 @@
 
 struct CacheEventPage
 {
-    std::uint64_t next = 0;
+    std::uint64_t next = 0; ///< Offset at which the next page starts.
     std::vector<CacheEvent> events;
 };
 
--- a/src/libs/controller/ordercoordinator.h
+++ b/src/libs/controller/ordercoordinator.h
@@ -26,7 +26,7 @@
 {
     Base::EndpointId endpoint;
     Runtime::SocketAddress address;
-    bool checksFencing = false;
+    bool checksFencing = false; ///< Whether it refuses orders with an outdated fencing number.
     double capacity = 1;
     Base::ModelId model;
     Orders::EndpointSettings desired;
@@ -65,9 +65,9 @@
         Base::Duration checkPeriod = std::chrono::seconds(30);
         std::size_t maxConcurrentEngines = 8; ///< Maximum number of engines processed at a time.
         Orders::WeightLoadLimiter::Options weightLoads;
-        /// See CacheMover::Options::maxDuration.
+        /// Time after which a move of caches ends, even if some chats were not moved.
         Base::Duration maxMoveDuration = std::chrono::seconds(2);
-        std::size_t maxMovedChats = 64;
+        std::size_t maxMovedChats = 64; ///< Maximum number of chats moved from one engine.
     };
 
     explicit OrderCoordinator(Options options);
--- a/src/libs/controller/prober.cpp
+++ b/src/libs/controller/prober.cpp
@@ -54,7 +54,7 @@
     const Base::MonoTime now = m_options.timers->clock().now();
     for (const Base::EndpointId &endpoint : assigned.endpoints) {
         Base::MonoTime &due = m_nextProbeAt[endpoint];
-        if (now < due || m_inFlight.contains(endpoint))
+        if (now < due || m_probeSentAt.contains(endpoint))
             continue;
         if (!m_options.takeFromBudget(static_cast<std::size_t>(m_options.schedule.bytesPerProbe))) {
             if (deferred)
@@ -69,7 +69,7 @@
 void Prober::probe(const Target &target)
 {
     const Base::MonoTime sentAt = m_options.timers->clock().now();
-    m_inFlight[target.endpoint] = sentAt;
+    m_probeSentAt[target.endpoint] = sentAt;
     Http::Call call{.server = target.address,
                     .target = "/v1/load",
                     .connectTimeout = m_options.timeout,
@@ -88,7 +88,7 @@
 void Prober::handleResult(const Base::EndpointId &endpoint, Base::MonoTime sentAt,
                           const Http::CallResult &result)
 {
-    m_inFlight.erase(endpoint);
+    m_probeSentAt.erase(endpoint);
     if (!m_targets.contains(endpoint))
         return;
     const auto load = readLoadAnswer(result.body);
@@ -97,7 +97,7 @@
         // Counts the whole round trip towards the age of the sample, so that a sample never
         // appears more recent than it is.
         if (reported)
-            reported(endpoint, load.value(), sentAt - load.value().age);
+            reported(endpoint, load.value(), sentAt - load.value().sampleAge);
         return;
     }
     if (failed)
--- a/src/libs/controller/prober.h
+++ b/src/libs/controller/prober.h
@@ -68,7 +68,7 @@
     Options m_options;
     std::vector<std::string> m_members;
     std::map<Base::EndpointId, Target> m_targets;
-    std::map<Base::EndpointId, Base::MonoTime> m_inFlight;
+    std::map<Base::EndpointId, Base::MonoTime> m_probeSentAt; ///< For probes without an answer yet.
     std::map<Base::EndpointId, Base::MonoTime> m_nextProbeAt;
     std::size_t m_probedEndpointCount = 0;
     Runtime::TimerId m_timer;
--- a/src/libs/orders/lease.cpp
+++ b/src/libs/orders/lease.cpp
@@ -147,7 +147,7 @@
             m_pendingId.clear();
         } else if (now - m_lastAttemptAt >= m_options.retryPeriod) {
             m_lastAttemptAt = now;
-            appendRequested(m_pendingId, m_pending);
+            appendRequested(m_pendingId, m_pendingRecord);
         }
         return;
     }
@@ -188,11 +188,11 @@
 {
     record.dataCentre = m_options.dataCentre;
     record.holder = m_options.holder;
-    m_pending = std::move(record);
+    m_pendingRecord = std::move(record);
     m_pendingId = m_options.holder + '/' + std::to_string(++m_appendCount);
     m_pendingSince = now;
     m_lastAttemptAt = now;
-    appendRequested(m_pendingId, m_pending);
+    appendRequested(m_pendingId, m_pendingRecord);
 }
 
 } // namespace Lagoonbank::Orders
--- a/src/libs/orders/lease.h
+++ b/src/libs/orders/lease.h
@@ -127,7 +127,7 @@
     Base::MonoTime m_uncheckedOrdersFrom{};
     Base::MonoTime m_lastAttemptAt{};
     std::string m_pendingId; ///< Id of the appended record not yet read back; may be empty.
-    LeaseRecord m_pending;
+    LeaseRecord m_pendingRecord; ///< The record with the id m_pendingId.
     Base::MonoTime m_pendingSince{};
     std::uint64_t m_appendCount = 0;
 };
--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -47,21 +47,21 @@
 
 bool WeightLoadLimiter::mayStart(Base::MonoTime now)
 {
-    std::erase_if(m_running,
+    std::erase_if(m_runningLoads,
                   [&](const auto &load) { return now - load.second > m_options.loadTimeout; });
-    return now >= m_nextStartAt && m_running.size() < m_options.maxRunning;
+    return now >= m_nextStartAt && m_runningLoads.size() < m_options.maxConcurrentLoads;
 }
 
 void WeightLoadLimiter::started(const Base::EndpointId &endpoint, Base::MonoTime now)
 {
-    m_running[endpoint] = now;
-    m_nextStartAt = std::max(m_nextStartAt, now + m_options.spacing);
+    m_runningLoads[endpoint] = now;
+    m_nextStartAt = std::max(m_nextStartAt, now + m_options.minStartInterval);
 }
 
 void WeightLoadLimiter::noteStoreRefusal(const Base::EndpointId &endpoint,
                                          Base::Duration retryAfter, Base::MonoTime now)
 {
-    m_running.erase(endpoint);
+    m_runningLoads.erase(endpoint);
     m_nextStartAt = std::max(m_nextStartAt, now + retryAfter);
 }
 
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -46,8 +46,9 @@
 public:
     struct Options
     {
-        std::size_t maxRunning = 2;
-        Base::Duration spacing = std::chrono::seconds(1);
+        std::size_t maxConcurrentLoads = 2;
+        /// Minimum time between the starts of two loads.
+        Base::Duration minStartInterval = std::chrono::seconds(1);
         /// A load that takes longer counts as lost.
         Base::Duration loadTimeout = std::chrono::minutes(10);
     };
@@ -61,14 +62,15 @@
     /// To be called when a load on the endpoint has started.
     void started(const Base::EndpointId &endpoint, Base::MonoTime now);
     /// To be called when a load on the endpoint has ended.
-    void finished(const Base::EndpointId &endpoint) { m_running.erase(endpoint); }
+    void finished(const Base::EndpointId &endpoint) { m_runningLoads.erase(endpoint); }
     /// To be called when the weight store responded with status 429.
     void noteStoreRefusal(const Base::EndpointId &endpoint, Base::Duration retryAfter,
                           Base::MonoTime now);
 
 private:
     Options m_options;
-    std::map<Base::EndpointId, Base::MonoTime> m_running;
+    /// Start times of the loads in progress.
+    std::map<Base::EndpointId, Base::MonoTime> m_runningLoads;
     Base::MonoTime m_nextStartAt{};
 };
 
@@ -116,6 +118,8 @@
         : m_options(options)
     { }
 
+    /// The endpoints that \a member has to probe, of those in \a endpoints, and the period of its
+    /// probes. \a members are all members that share the probing.
     Result probesOf(const std::string &member, const std::vector<std::string> &members,
                     const std::vector<Base::EndpointId> &endpoints) const;
 
--- a/tests/auto/controller/tst_endpointanswers.cpp
+++ b/tests/auto/controller/tst_endpointanswers.cpp
@@ -42,7 +42,7 @@
         "capacity": 8192, "incarnation": 17, "draining": true, "news": []})");
     BOOST_REQUIRE(load);
     BOOST_TEST(load.value().work.value() == 96.5);
-    BOOST_TEST((load.value().age == std::chrono::milliseconds(30)));
+    BOOST_TEST((load.value().sampleAge == std::chrono::milliseconds(30)));
     BOOST_TEST(load.value().running + load.value().queued == 3U);
     BOOST_TEST(load.value().isDraining);
     const auto state = readStateAnswer(R"({"model": "m", "version": "", "draining": false})");
--- a/tests/auto/orders/tst_orderplan.cpp
+++ b/tests/auto/orders/tst_orderplan.cpp
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_CASE(weightLoadsAreLimited)
 {
-    WeightLoadLimiter loads({.maxRunning = 2, .spacing = 1s});
+    WeightLoadLimiter loads({.maxConcurrentLoads = 2, .minStartInterval = 1s});
     MonoTime now{std::chrono::hours(1)};
     BOOST_TEST(loads.mayStart(now));
     loads.started(EndpointId("a"), now);
