--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -254,12 +254,12 @@
     return boost::outcome_v2::success();
 }
 
-std::optional<Schema::ConfigurationState> Reducer::exportState(Base::LogOffset since) const
+std::optional<Schema::ConfigurationState> Reducer::exportState(Base::LogOffset firstOffset) const
 {
     if (!m_isComplete)
         return std::nullopt;
-    Schema::ConfigurationState state{.since = since, .next = m_next, .hash = m_state.hash()};
-    state.objects = m_state.changedSince(since);
+    Schema::ConfigurationState state{.since = firstOffset, .next = m_next, .hash = m_state.hash()};
+    state.objects = m_state.changedSince(firstOffset);
     return state;
 }
 
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -82,9 +82,9 @@
     /// after next() or is inconsistent with this one. The caller should then request the complete
     /// state, since offset 0.
     Errors::Result<void> importState(const Schema::ConfigurationState &state);
-    /// The objects changed since \a since, for peers. Returns nothing until the configuration is
-    /// complete. An offset above next() gives no objects.
-    std::optional<Schema::ConfigurationState> exportState(Base::LogOffset since) const;
+    /// The objects changed by records from offset \a firstOffset on, for peers. Returns nothing
+    /// until the configuration is complete. An offset above next() gives no objects.
+    std::optional<Schema::ConfigurationState> exportState(Base::LogOffset firstOffset) const;
     /// Sets the offset that peers have reached. The reducer is not ready before it has reached it
     /// too. Lower offsets than before are ignored.
     void raiseRequiredOffset(Base::LogOffset offset);
--- a/src/libs/configuration/snapshot.cpp
+++ b/src/libs/configuration/snapshot.cpp
@@ -45,8 +45,8 @@
     if (part.parts > maxParts)
         return std::nullopt;
     Unfinished *unfinished = find(part);
-    unfinished->read.insert_or_assign(part.part, part);
-    if (unfinished->read.size() < unfinished->parts)
+    unfinished->receivedParts.insert_or_assign(part.part, part);
+    if (unfinished->receivedParts.size() < unfinished->partCount)
         return std::nullopt;
     Snapshot snapshot = join(*unfinished);
     std::erase_if(m_unfinished, [&](const Unfinished &other) { return other.id == part.snapshot; });
@@ -56,7 +56,7 @@
 SnapshotCollector::Unfinished *SnapshotCollector::find(const SnapshotPart &part)
 {
     const auto it = std::ranges::find(m_unfinished, part.snapshot, &Unfinished::id);
-    if (it != m_unfinished.end() && it->parts == part.parts)
+    if (it != m_unfinished.end() && it->partCount == part.parts)
         return &*it;
     if (it != m_unfinished.end())
         m_unfinished.erase(it);
@@ -67,9 +67,9 @@
 
 Snapshot SnapshotCollector::join(Unfinished &unfinished)
 {
-    const SnapshotPart &first = unfinished.read.begin()->second;
+    const SnapshotPart &first = unfinished.receivedParts.begin()->second;
     Snapshot snapshot{first.snapshot, first.writer, first.through, first.hash, {}};
-    for (auto &[number, part] : unfinished.read)
+    for (auto &[number, part] : unfinished.receivedParts)
         std::ranges::move(part.objects, std::back_inserter(snapshot.objects));
     return snapshot;
 }
--- a/src/libs/configuration/snapshot.h
+++ b/src/libs/configuration/snapshot.h
@@ -39,8 +39,8 @@
     struct Unfinished
     {
         std::string id;
-        std::uint32_t parts = 0;
-        std::map<std::uint32_t, SnapshotPart> read;
+        std::uint32_t partCount = 0;
+        std::map<std::uint32_t, SnapshotPart> receivedParts; ///< By part number.
     };
 
     Unfinished *find(const SnapshotPart &part);
--- a/src/libs/configuration/snapshotscheduler.cpp
+++ b/src/libs/configuration/snapshotscheduler.cpp
@@ -12,7 +12,7 @@
     const Base::Duration rankDelay = std::min(m_options.rankStep * steps, period);
     const Base::MonoTime due = m_lastSnapshotSeen
         ? *m_lastSnapshotSeen + period + rankDelay
-        : m_start + std::min(m_options.startDelay, period) + rankDelay;
+        : m_startedAt + std::min(m_options.startDelay, period) + rankDelay;
     if (m_lastAppendStarted && (!m_lastSnapshotSeen || *m_lastAppendStarted > *m_lastSnapshotSeen))
         return std::max(due, *m_lastAppendStarted + m_options.retryDelay);
     return due;
--- a/src/libs/configuration/snapshotscheduler.h
+++ b/src/libs/configuration/snapshotscheduler.h
@@ -25,7 +25,7 @@
 
     SnapshotScheduler(const Options &options, Base::MonoTime start)
         : m_options(options)
-        , m_start(start)
+        , m_startedAt(start)
     { }
 
     /// Must be called when a complete snapshot is read after the end of the log has been reached.
@@ -41,7 +41,7 @@
 
 private:
     Options m_options;
-    Base::MonoTime m_start;
+    Base::MonoTime m_startedAt;
     std::optional<Base::MonoTime> m_lastSnapshotSeen;
     std::optional<Base::MonoTime> m_lastAppendStarted;
 };
