--- a/src/libs/admission/sharedigest.h
+++ b/src/libs/admission/sharedigest.h
@@ -33,7 +33,8 @@
     bool representative = false; ///< Whether the author represents its data centre.
     /// Set by a representative: demand of all routers of its data centre, in the unit of `demand`.
     std::uint32_t dataCentreDemand = 0;
-    /// Set by a representative: FairDivision of the share of its data centre, in 1/10,000 of that
+    /// Set by a representative: how it divides the share of its data centre among the routers, as
+    /// in FairDivision: each gets its demand up to `level`, plus `extra`. In 1/10,000 of that
     /// share.
     std::uint16_t level = 0;
     std::uint16_t extra = 0;
--- a/src/libs/admission/workspaceshares.h
+++ b/src/libs/admission/workspaceshares.h
@@ -24,7 +24,7 @@
     std::uint16_t dataCentre = 0; ///< Index of this router's data centre.
 };
 
-/// The durations of ShareOptions.
+/// The durations of the same names in ShareOptions.
 struct ShareTiming
 {
     Base::Duration propagationTime{};
@@ -43,6 +43,7 @@
     /// smaller of its old and new share for ShareTiming::propagationTime, until the other routers
     /// know about the change.
     void setTopology(const ShareTopology &topology, Base::MonoTime now);
+    /// Fraction of the fleet-wide limit that this router may use, 0 to 1.
     double share(Base::MonoTime now) const;
 
     /// Updates the demand of this router and transfers surplus units to others. \a demand is in
