--- a/src/libs/claims/claimtable.h
+++ b/src/libs/claims/claimtable.h
@@ -59,6 +59,7 @@
     /// an unknown one.
     void apply(const ClaimOutcome &claimOutcome, Base::MonoTime now);
 
+    /// The state of the claim's key, from the point of view of the request that made the claim.
     ClaimStatus claimStatus(const Claim &claim, Base::MonoTime now, const IsGone &isGone) const;
     /// The entry of the holder of \a key; null if there is none.
     const Entry *find(const ClaimKey &key) const;
--- a/src/libs/configuration/state.h
+++ b/src/libs/configuration/state.h
@@ -32,7 +32,7 @@
     Verdict verdict = Verdict::Malformed;
     std::optional<ObjectKey> key; ///< Not set if the record cannot be read.
     std::string publisher;
-    Base::Revision base;
+    Base::Revision base; ///< Revision that the change replaces.
     Base::Revision revision; ///< Revision of the object after this record.
     std::string winner; ///< For a stale change: publisher of the current revision.
     std::string detail;
--- a/src/libs/membership/membership.h
+++ b/src/libs/membership/membership.h
@@ -134,7 +134,10 @@
     }
     /// Calls timeReceived with the logical time of a received message, unless it carries none.
     void receiveTime(const MessageTime &time) const;
+    /// Answers a pull of state: the members of the data centres whose hash differs from the one of
+    /// the requester, and all leaving endpoints.
     StateAnswer answer(const StateRequest &request, Base::MonoTime now) const;
+    /// Merges the answer to a pull of state.
     void mergeState(const StateAnswer &state, Base::MonoTime now);
     void setVmList(const std::vector<ListedVm> &vms);
 
@@ -173,13 +176,14 @@
         std::string target;
         Base::MonoTime indirectProbeAt;
         Base::MonoTime deadline;
-        bool isCross = false;
+        bool isCross = false; ///< The target is in another data centre.
         bool isIndirectProbeSent = false;
     };
+    /// A ping that this process sent on behalf of another member, which gets the ack.
     struct Relay
     {
         Runtime::SocketAddress requester;
-        std::uint32_t probe = 0;
+        std::uint32_t probe = 0; ///< Number of the requester's probe.
         Base::MonoTime expiresAt;
     };
 
--- a/src/libs/membership/peercodec.cpp
+++ b/src/libs/membership/peercodec.cpp
@@ -108,8 +108,8 @@
 
 std::size_t encodedSize(const MemberUpdate &update)
 {
-    constexpr std::size_t enums = 2;
-    return enums + textSize(update.id) + textSize(update.dataCentre) + textSize(update.region)
+    constexpr std::size_t enumBytes = 2;
+    return enumBytes + textSize(update.id) + textSize(update.dataCentre) + textSize(update.region)
         + countSize(update.ip) + countSize(update.port) + countSize(update.incarnation);
 }
 
@@ -138,9 +138,9 @@
 
 std::size_t encodedSize(const PeerMessage &message)
 {
-    constexpr std::size_t archiveHead = 1;
-    constexpr std::size_t versionAndType = 2;
-    return archiveHead + versionAndType + countSize(message.time.wallMs)
+    constexpr std::size_t archiveHeadBytes = 1;
+    constexpr std::size_t versionAndTypeBytes = 2;
+    return archiveHeadBytes + versionAndTypeBytes + countSize(message.time.wallMs)
         + countSize(message.time.counter) + countSize(message.probe) + textSize(message.target)
         + countSize(message.ownHash) + countSize(message.fleetHash)
         + countSize(message.knownIncarnation) + countSize(message.configuration.offset)
