--- a/src/libs/controller/endpointanswers.cpp
+++ b/src/libs/controller/endpointanswers.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t maxAgeMs = std::int64_t{24} * 60 * 60 * 1000;
+constexpr std::int64_t maxSampleAgeMs = std::int64_t{24} * 60 * 60 * 1000;
 
 Errors::Error badAnswer(const char *what)
 {
@@ -47,7 +47,7 @@
         return badAnswer("the load report has no work");
     const double work = json["work"].get<double>();
     const std::uint64_t age = countOf(json, "age_ms");
-    if (!std::isfinite(work) || work < 0 || age > maxAgeMs)
+    if (!std::isfinite(work) || work < 0 || age > maxSampleAgeMs)
         return badAnswer("the load report is out of range");
     return LoadAnswer{.work = Base::WorkUnits(work),
                       .sampleAge = std::chrono::milliseconds(age),
--- a/src/libs/router/inflightsharing.cpp
+++ b/src/libs/router/inflightsharing.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// Share of the control traffic budget for beacons.
-constexpr double bytesPerSecond = 2800;
-constexpr Base::Duration minInterval = std::chrono::milliseconds(50);
-constexpr Base::Duration maxInterval = std::chrono::seconds(1);
+constexpr double beaconBytesPerSecond = 2800;
+constexpr Base::Duration minBeaconInterval = std::chrono::milliseconds(50);
+constexpr Base::Duration maxBeaconInterval = std::chrono::seconds(1);
 /// Interval of beacons while no work changes; they only show that this router is alive.
 constexpr Base::Duration idleInterval = std::chrono::milliseconds(600);
 /// Time without a beacon after which a peer is assumed to be stopped or disconnected.
@@ -62,7 +62,7 @@
 {
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<Membership::MemberUpdate> peers = regionPeers(now);
-    Base::Duration wait = maxInterval;
+    Base::Duration wait = maxBeaconInterval;
     if (!peers.empty() && peers.size() <= maxPeers)
         wait = sendToPeers(peers);
     updatePeerStates(peers, now);
@@ -75,15 +75,15 @@
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<InFlight> changed = changedWork();
     if (changed.empty() && now - m_lastSent.sentAt < idleInterval)
-        return minInterval;
+        return minBeaconInterval;
     m_lastSent.sentAt = now;
     const std::string body = encodeBeacon(Membership::PeerTransport::directMark, changed);
     for (const Membership::MemberUpdate &peer : peers)
         m_peers.transport()->sendDirect(Membership::toSocketAddress(peer), body);
     const std::size_t datagramBytes = body.size() + Membership::datagramOverheadBytes
         + Membership::sealSize(m_peers.membership().self().id);
-    const double seconds = static_cast<double>(datagramBytes * peers.size()) / bytesPerSecond;
-    return std::clamp(Base::fromSeconds(seconds), minInterval, maxInterval);
+    const double seconds = static_cast<double>(datagramBytes * peers.size()) / beaconBytesPerSecond;
+    return std::clamp(Base::fromSeconds(seconds), minBeaconInterval, maxBeaconInterval);
 }
 
 std::vector<InFlight> InFlightSharing::changedWork()
--- a/src/libs/router/quotasharing.cpp
+++ b/src/libs/router/quotasharing.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr Base::Duration interval = std::chrono::seconds(1);
+constexpr Base::Duration updateInterval = std::chrono::seconds(1);
 /// Share of the control traffic budget for demand digests, in bytes per interval.
-constexpr Base::Bytes digestBytes{1200};
-/// Overhead per datagram that is charged to digestBytes.
-constexpr Base::Bytes datagramBytes{16};
+constexpr Base::Bytes digestBytesPerInterval{1200};
+/// Overhead per datagram that is charged to digestBytesPerInterval.
+constexpr Base::Bytes overheadPerDatagram{16};
 
 } // namespace
 
@@ -23,7 +23,7 @@
         m_allocator.receive(Base::WorkspaceId(digest.workspace), digest.bytes,
                             m_options.loop->clock().now());
     };
-    m_timer = m_options.loop->timers().start(interval, [this] { updateShares(); });
+    m_timer = m_options.loop->timers().start(updateInterval, [this] { updateShares(); });
 }
 
 QuotaSharing::~QuotaSharing()
@@ -71,9 +71,9 @@
         m_options.admission->setShare(workspace, m_allocator.share(workspace, now), now);
     }
     for (Admission::ShareAllocator::Outgoing &digest :
-         m_allocator.digests(now, digestBytes, datagramBytes))
+         m_allocator.digests(now, digestBytesPerInterval, overheadPerDatagram))
         m_options.membership->setDemand(digest.workspace, std::move(digest.bytes), now);
-    m_timer = m_options.loop->timers().start(interval, [this] { updateShares(); });
+    m_timer = m_options.loop->timers().start(updateInterval, [this] { updateShares(); });
 }
 
 } // namespace Lagoonbank::Router
--- a/src/libs/routing/placementtoken.cpp
+++ b/src/libs/routing/placementtoken.cpp
@@ -18,14 +18,15 @@
 using Byte = unsigned char;
 
 constexpr Byte formatVersion = 1;
-constexpr std::size_t versionAt = 0;
-constexpr std::size_t endpointAt = 4; // Bytes 1 to 3 are zero, so that the text needs no padding.
-constexpr std::size_t cachedAt = 12;
-constexpr std::size_t issuedAt = 16;
-constexpr std::size_t signatureAt = 20;
+constexpr std::size_t versionOffset = 0;
+// Bytes 1 to 3 are zero, so that the text needs no padding.
+constexpr std::size_t endpointOffset = 4;
+constexpr std::size_t cachedOffset = 12;
+constexpr std::size_t issuedOffset = 16;
+constexpr std::size_t signatureOffset = 20;
 constexpr std::size_t signatureLength = 16;
-constexpr std::size_t rawLength = signatureAt + signatureLength;
-constexpr std::size_t signedLength = signatureAt + sizeof(std::uint64_t);
+constexpr std::size_t rawLength = signatureOffset + signatureLength;
+constexpr std::size_t signedLength = signatureOffset + sizeof(std::uint64_t);
 constexpr std::size_t digestLength = 32;
 static_assert(rawLength % 3 == 0 && rawLength / 3 * 4 == PlacementToken::textLength);
 
@@ -129,8 +130,8 @@
     Signature sign(const Raw &raw, std::uint64_t chatHash)
     {
         std::array<Byte, signedLength> message;
-        std::copy_n(raw.begin(), signatureAt, message.begin());
-        store(message.data() + signatureAt, chatHash);
+        std::copy_n(raw.begin(), signatureOffset, message.begin());
+        store(message.data() + signatureOffset, chatHash);
         std::array<Byte, digestLength> digest{};
         std::size_t length = 0;
         EVP_MAC_init(m_context, nullptr, 0, nullptr);
@@ -144,7 +145,7 @@
     bool verify(const Raw &raw, std::uint64_t chatHash)
     {
         const Signature signature = sign(raw, chatHash);
-        return CRYPTO_memcmp(signature.data(), raw.data() + signatureAt, signatureLength) == 0;
+        return CRYPTO_memcmp(signature.data(), raw.data() + signatureOffset, signatureLength) == 0;
     }
 
 private:
@@ -178,14 +179,14 @@
                                            Base::WallTime now) const
 {
     Raw raw{};
-    raw[versionAt] = formatVersion;
-    store(raw.data() + endpointAt, placement.endpointHash);
+    raw[versionOffset] = formatVersion;
+    store(raw.data() + endpointOffset, placement.endpointHash);
     const auto maximum = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
     const std::int64_t cached = std::clamp<std::int64_t>(placement.cached.value(), 0, maximum);
-    store(raw.data() + cachedAt, static_cast<std::uint32_t>(cached));
-    store(raw.data() + issuedAt, secondsOf(now));
+    store(raw.data() + cachedOffset, static_cast<std::uint32_t>(cached));
+    store(raw.data() + issuedOffset, secondsOf(now));
     const Signature signature = m_current->sign(raw, chatHash);
-    std::copy(signature.begin(), signature.end(), raw.begin() + signatureAt);
+    std::copy(signature.begin(), signature.end(), raw.begin() + signatureOffset);
     Text text;
     encode(raw, &text);
     return text;
@@ -195,17 +196,18 @@
                                               Base::WallTime now) const
 {
     Raw raw{};
-    if (!decode(text, &raw) || raw[versionAt] != formatVersion)
+    if (!decode(text, &raw) || raw[versionOffset] != formatVersion)
         return std::nullopt;
     const bool verified = (m_current && m_current->verify(raw, chatHash))
         || (m_previous && m_previous->verify(raw, chatHash));
     if (!verified)
         return std::nullopt;
-    const Base::WallTime issued{std::chrono::seconds(load<std::uint32_t>(raw.data() + issuedAt))};
+    const Base::WallTime issued{
+        std::chrono::seconds(load<std::uint32_t>(raw.data() + issuedOffset))};
     if (issued > now + maximumClockSkew || now - issued > m_lifetime)
         return std::nullopt;
-    return Placement{.endpointHash = load<std::uint64_t>(raw.data() + endpointAt),
-                     .cached = Base::Tokens(load<std::uint32_t>(raw.data() + cachedAt))};
+    return Placement{.endpointHash = load<std::uint64_t>(raw.data() + endpointOffset),
+                     .cached = Base::Tokens(load<std::uint32_t>(raw.data() + cachedOffset))};
 }
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/placementtoken.h
+++ b/src/libs/routing/placementtoken.h
@@ -39,6 +39,8 @@
     /// False without a current key; write() must not be called then.
     bool enabled() const;
     Text write(std::uint64_t chatHash, const Placement &placement, Base::WallTime now) const;
+    /// The placement in a token. No value if the signature does not match the token and the chat,
+    /// or if the token has expired.
     std::optional<Placement> read(std::string_view text, std::uint64_t chatHash,
                                   Base::WallTime now) const;
 
