--- a/src/apps/bench/balancer.cpp
+++ b/src/apps/bench/balancer.cpp
@@ -14,7 +14,7 @@
 Balancer::Balancer(const Options &options)
     : m_options(options)
 {
-    for (const Experiment::RouterPlace &router : options.definition->routers)
+    for (const Experiment::DeployedRouter &router : options.definition->routers)
         m_addresses.push_back(Runtime::parseSocketAddress(router.address).value());
     m_ready.resize(m_addresses.size());
 }
@@ -33,13 +33,13 @@
 std::size_t Balancer::choose(const Experiment::PlannedCall &call, std::size_t attempt) const
 {
     const std::size_t count = m_addresses.size();
-    const std::size_t own =
+    const std::size_t preferred =
         Experiment::chooseRouter(call, m_options.definition->balancer, count) + attempt;
     for (std::size_t i = 0; i < count; ++i) {
-        if (m_ready[(own + i) % count])
-            return (own + i) % count;
+        if (m_ready[(preferred + i) % count])
+            return (preferred + i) % count;
     }
-    return own % count;
+    return preferred % count;
 }
 
 void Balancer::check(std::size_t router)
--- a/src/apps/bench/balancer.h
+++ b/src/apps/bench/balancer.h
@@ -11,7 +11,7 @@
 
 namespace Lagoonbank::Bench {
 
-/// Stands for the platform's balancer: spreads callers over the routers that say they are ready.
+/// Stands in for the platform's balancer: spreads callers over the routers that report to be ready.
 class Balancer
 {
 public:
@@ -24,12 +24,13 @@
 
     explicit Balancer(const Options &options);
 
-    /// Begins to ask each router for its readiness; goes on until stop().
+    /// Starts to check the readiness of each router periodically, until stop().
     void start();
     void stop() { m_isStopped = true; }
     std::size_t readyCount() const;
 
-    /// The router of a call's \a attempt, the first ready one from the call's own on.
+    /// The router for an \a attempt of a call: the first ready one, starting from the router
+    /// assigned to the call and the number of the attempt.
     std::size_t choose(const Experiment::PlannedCall &call, std::size_t attempt) const;
     const Runtime::SocketAddress &address(std::size_t router) const { return m_addresses[router]; }
 
--- a/src/apps/bench/chathistory.cpp
+++ b/src/apps/bench/chathistory.cpp
@@ -26,12 +26,12 @@
     Chat &chat = m_chats[call.chat];
     if (chat.messages.empty() && kind.systemTokens > 0) {
         const std::string &workspace = m_definition.workspaces[call.workspace].workspace.value();
-        addMessage(chat, "system", words(workspace + "-s", kind.systemTokens));
+        addMessage(chat, "system", makeText(workspace + "-s", kind.systemTokens));
     }
     const std::string prefix =
         "c" + std::to_string(call.chat) + "t" + std::to_string(call.turn) + "w";
-    // A token for each role is part of the prompt.
-    addMessage(chat, "user", words(prefix, call.promptTokens));
+    // The prompt has another token for the role of each message.
+    addMessage(chat, "user", makeText(prefix, call.promptTokens));
 
     std::string body;
     body.reserve(chat.messages.size() + 256);
@@ -84,7 +84,7 @@
     chat.messages += '}';
 }
 
-std::string ChatHistory::words(std::string_view prefix, int count) const
+std::string ChatHistory::makeText(std::string_view prefix, int count) const
 {
     std::string text;
     for (int i = 0; i < count; ++i) {
--- a/src/apps/bench/chathistory.h
+++ b/src/apps/bench/chathistory.h
@@ -10,42 +10,43 @@
 
 namespace Lagoonbank::Bench {
 
-/// The callers' side of all open chats: what was said so far and the token of the last answer.
+/// Messages and latest placement token of all open chats, as their callers keep them.
 class ChatHistory
 {
 public:
-    /// \a runTag keeps the prompts of one run apart from those of earlier runs.
+    /// \a runTag makes the prompts of a run differ from those of earlier runs.
     ChatHistory(const Experiment::Definition &definition, std::string runTag)
         : m_definition(definition)
         , m_runTag(std::move(runTag))
     { }
 
     std::string chatId(const Experiment::PlannedCall &call) const;
-    /// Adds the turn's question and gives the request's body with everything said so far.
+    /// Adds the user message of the turn and returns the body of the request, which has all
+    /// messages of the chat.
     std::string nextBody(const Experiment::PlannedCall &call);
-    /// The token of the chat's last answer; empty if there is none.
+    /// Placement token of the last answer in the chat; empty if there is none.
     std::string placementToken(const Experiment::PlannedCall &call) const;
     void addAnswer(const Experiment::PlannedCall &call, const std::string &text);
     void setPlacementToken(const Experiment::PlannedCall &call, std::string token);
-    /// Forgets the chat.
+    /// Removes the chat.
     void close(const Experiment::PlannedCall &call) { m_chats.erase(call.chat); }
 
 private:
     struct Chat
     {
-        std::string messages; ///< JSON objects with commas between them.
+        std::string messages; ///< JSON objects separated by commas.
         std::string placementToken;
     };
 
     static void addMessage(Chat &chat, std::string_view role, std::string_view text);
-    std::string words(std::string_view prefix, int count) const;
+    std::string makeText(std::string_view prefix, int count) const;
 
     const Experiment::Definition &m_definition;
     std::string m_runTag;
     absl::flat_hash_map<std::uint64_t, Chat> m_chats;
 };
 
-/// The body of a call of a plain service: the same for all sendings of one matter.
+/// Body of a call of a plain service. Retries and duplicates of a call have the same body.
 std::string serviceBody(const Experiment::ServiceCall &service, const Experiment::PlannedCall &call,
                         const std::string &runTag);
 
--- a/src/apps/bench/eventplayer.cpp
+++ b/src/apps/bench/eventplayer.cpp
@@ -11,7 +11,7 @@
 using Experiment::EventKind;
 
 constexpr int httpOk = 200;
-constexpr Base::Duration orderTimeout = std::chrono::seconds(2);
+constexpr Base::Duration requestTimeout = std::chrono::seconds(2);
 constexpr const char *clearFaults = R"({"fault":"none"})";
 
 std::string_view nameOf(EventKind kind)
@@ -45,14 +45,14 @@
 
 void EventPlayer::start()
 {
-    mark("start", "", "");
+    writeMark("start", "", "");
     for (const Experiment::Event &event : m_definition.events)
-        m_options.loop->timers().start(event.at, [this, &event] { play(event); });
+        m_options.loop->timers().start(event.timeInRun, [this, &event] { runEvent(event); });
 }
 
-void EventPlayer::play(const Experiment::Event &event)
+void EventPlayer::runEvent(const Experiment::Event &event)
 {
-    mark(nameOf(event.kind), event.target, event.body);
+    writeMark(nameOf(event.kind), event.target, event.body);
     switch (event.kind) {
     case EventKind::Fault:
         return send("POST", addressOf(event.target), "/faults", event.body, nullptr);
@@ -69,20 +69,20 @@
 
 void EventPlayer::end(const std::function<void()> &done)
 {
-    mark("end", "", "");
-    std::set<std::string> faulty;
+    writeMark("end", "", "");
+    std::set<std::string> addresses;
     for (const Experiment::Event &event : m_definition.events) {
         if (event.kind == EventKind::Fault)
-            faulty.insert(addressOf(event.target));
+            addresses.insert(addressOf(event.target));
         if (event.kind == EventKind::PlatformFault)
-            faulty.insert(m_definition.platformAddress);
+            addresses.insert(m_definition.platformAddress);
     }
-    if (faulty.empty())
+    if (addresses.empty())
         return done();
-    auto left = std::make_shared<std::size_t>(faulty.size());
-    for (const std::string &address : faulty) {
-        send("POST", address, "/faults", clearFaults, [left, done] {
-            if (--*left == 0)
+    auto remaining = std::make_shared<std::size_t>(addresses.size());
+    for (const std::string &address : addresses) {
+        send("POST", address, "/faults", clearFaults, [remaining, done] {
+            if (--*remaining == 0)
                 done();
         });
     }
@@ -99,14 +99,14 @@
         .headers = {{"content-type", "application/json"}},
         .body = body,
         .freshConnection = true,
-        .headTimeout = orderTimeout,
-        .totalTimeout = orderTimeout,
+        .headTimeout = requestTimeout,
+        .totalTimeout = requestTimeout,
     };
-    const std::string what = method + " " + target + " at " + address + " with " + body;
+    const std::string request = method + " " + target + " at " + address + " with " + body;
     m_options.client->start(
-        std::move(call), {.finished = [this, what, done](const Http::CallResult &result) {
+        std::move(call), {.finished = [this, request, done](const Http::CallResult &result) {
             if (result.status != httpOk)
-                m_notes.push_back("time line: " + what + " was not taken: "
+                m_notes.push_back("time line: " + request + " was not taken: "
                                   + std::to_string(result.status) + " " + result.body);
             if (done)
                 done();
@@ -115,14 +115,15 @@
 
 std::string EventPlayer::addressOf(const std::string &endpoint) const
 {
-    for (const Experiment::EndpointPlace &place : m_definition.endpoints) {
-        if (place.endpoint.value() == endpoint)
-            return place.address;
+    for (const Experiment::DeployedEndpoint &deployed : m_definition.endpoints) {
+        if (deployed.endpoint.value() == endpoint)
+            return deployed.address;
     }
     return {};
 }
 
-void EventPlayer::mark(std::string_view kind, const std::string &target, const std::string &text)
+void EventPlayer::writeMark(std::string_view kind, const std::string &target,
+                            const std::string &text)
 {
     if (!m_marks.is_open())
         return;
@@ -133,9 +134,9 @@
     m_marks << line.dump() << std::endl;
 }
 
-std::vector<Experiment::DrainMark> EventPlayer::drains() const
+std::vector<Experiment::DrainPeriod> EventPlayer::drains() const
 {
-    std::vector<Experiment::DrainMark> drains;
+    std::vector<Experiment::DrainPeriod> drains;
     if (m_options.acceptancesFile.empty())
         return drains;
     std::ifstream file(m_options.acceptancesFile);
@@ -149,7 +150,7 @@
             drains.push_back({.endpoint = endpoint, .acceptedMs = acceptedMs});
             continue;
         }
-        for (Experiment::DrainMark &drain : drains) {
+        for (Experiment::DrainPeriod &drain : drains) {
             if (drain.endpoint == endpoint && !drain.endedMs)
                 drain.endedMs = acceptedMs;
         }
--- a/src/apps/bench/eventplayer.h
+++ b/src/apps/bench/eventplayer.h
@@ -12,11 +12,13 @@
 
 namespace Lagoonbank::Bench {
 
-/// Plays an experiment's time line: orders faults itself and writes a mark for each event, so that
-/// a script beside it can publish, kill or restart (a process starts no other).
+/// Runs the time line of an experiment. It injects faults itself and writes a mark for each event,
+/// from which a script running alongside publishes configuration or kills and restarts processes,
+/// because this program does not start processes.
 ///
-/// A mark is one JSON line {"at_ms", "kind", "target", "text"}. For a drain the script answers by
-/// a line {"kind": "drain" or "undrain", "endpoint", "accepted_ms"} in the acceptances file.
+/// A mark is one JSON line {"at_ms", "kind", "target", "text"}. The script confirms a drain by a
+/// line
+/// {"kind": "drain" or "undrain", "endpoint", "accepted_ms"} in the acceptances file.
 class EventPlayer
 {
 public:
@@ -25,26 +27,27 @@
         Runtime::Loop *loop = nullptr;
         Http::Client *client = nullptr;
         const Experiment::Definition *definition = nullptr;
-        std::string marksFile; ///< Empty: no marks are written.
-        std::string acceptancesFile; ///< Empty: no drain counts as accepted.
+        std::string marksFile; ///< No marks are written if empty.
+        std::string acceptancesFile; ///< No drain counts as accepted if empty.
     };
 
     explicit EventPlayer(const Options &options);
 
-    /// Schedules all events from now on and writes the mark "start".
+    /// Writes the mark "start" and schedules all events relative to the current time.
     void start();
-    /// Clears all faults and writes the mark "end"; \a done when that was answered.
+    /// Writes the mark "end" and clears all faults. Calls \a done when all requests to clear them
+    /// have ended.
     void end(const std::function<void()> &done);
-    /// The drains that the acceptances file tells of.
-    std::vector<Experiment::DrainMark> drains() const;
+    /// Drains recorded in the acceptances file.
+    std::vector<Experiment::DrainPeriod> drains() const;
     const std::vector<std::string> &notes() const { return m_notes; }
 
 private:
-    void play(const Experiment::Event &event);
+    void runEvent(const Experiment::Event &event);
     void send(const std::string &method, const std::string &address, const std::string &target,
               const std::string &body, const std::function<void()> &done);
     std::string addressOf(const std::string &endpoint) const;
-    void mark(std::string_view kind, const std::string &target, const std::string &text);
+    void writeMark(std::string_view kind, const std::string &target, const std::string &text);
 
     Options m_options;
     const Experiment::Definition &m_definition;
--- a/src/apps/bench/fleetprobe.cpp
+++ b/src/apps/bench/fleetprobe.cpp
@@ -20,17 +20,17 @@
 constexpr std::string_view controlBytesMetric = "lagoonbank_control_bytes_total";
 constexpr std::string_view decisionMetric = "lagoonbank_decision_seconds";
 
-bool isGood(const Http::CallResult &result)
+bool isOk(const Http::CallResult &result)
 {
     return result.end == Http::CallEnd::Whole && result.status == httpOk;
 }
 
-/// Calls \a done after it was called \a count times.
+/// Returns a function that calls \a done when it is called for the \a count th time.
 std::function<void()> afterAll(std::size_t count, std::function<void()> done)
 {
-    auto left = std::make_shared<std::size_t>(count);
-    return [left, done = std::move(done)] {
-        if (--*left == 0)
+    auto remaining = std::make_shared<std::size_t>(count);
+    return [remaining, done = std::move(done)] {
+        if (--*remaining == 0)
             done();
     };
 }
@@ -44,8 +44,8 @@
           {.bound = m_definition.skewBound, .typicalWork = Experiment::typicalWork(m_definition)})
 { }
 
-void FleetProbe::ask(const std::string &address, const std::string &target, Base::Duration timeout,
-                     Answered answered)
+void FleetProbe::get(const std::string &address, const std::string &target, Base::Duration timeout,
+                     ResponseHandler handler)
 {
     Http::Call call{
         .server = Runtime::parseSocketAddress(address).value(),
@@ -56,22 +56,23 @@
         .totalTimeout = timeout,
         .maxBodyBytes = maxLedgerBytes,
     };
-    m_options.client->start(std::move(call), {.finished = std::move(answered)});
+    m_options.client->start(std::move(call), {.finished = std::move(handler)});
 }
 
 void FleetProbe::prepare(std::function<void()> done)
 {
-    const auto one =
+    const auto requestDone =
         afterAll(m_definition.endpoints.size() + m_definition.routers.size(), std::move(done));
-    for (const Experiment::EndpointPlace &place : m_definition.endpoints)
-        ask(place.address, "/ledger?clear=true", ledgerTimeout, [one](const auto &) { one(); });
+    for (const Experiment::DeployedEndpoint &endpoint : m_definition.endpoints)
+        get(endpoint.address, "/ledger?clear=true", ledgerTimeout,
+            [requestDone](const auto &) { requestDone(); });
     for (std::size_t i = 0; i < m_definition.routers.size(); ++i) {
-        ask(m_definition.routers[i].adminAddress, "/metrics", metricsTimeout,
-            [this, one, i](const Http::CallResult &result) {
-                if (isGood(result))
-                    m_atStart[i] = {Experiment::readMetrics(result.body),
-                                    m_options.loop->clock().now()};
-                one();
+        get(m_definition.routers[i].adminAddress, "/metrics", metricsTimeout,
+            [this, requestDone, i](const Http::CallResult &result) {
+                if (isOk(result))
+                    m_metricsAtStart[i] = {Experiment::readMetrics(result.body),
+                                           m_options.loop->clock().now()};
+                requestDone();
             });
     }
 }
@@ -79,8 +80,9 @@
 void FleetProbe::startSampling()
 {
     m_isSampling = true;
-    m_startedAt = m_options.loop->clock().now();
-    m_startedWallMs = Base::toMilliseconds(m_options.loop->clock().wallNow().time_since_epoch());
+    m_samplingStartedAt = m_options.loop->clock().now();
+    m_samplingStartedWallMs =
+        Base::toMilliseconds(m_options.loop->clock().wallNow().time_since_epoch());
     sampleLoads();
     sampleRevisions();
 }
@@ -95,18 +97,18 @@
     if (!m_isSampling)
         return;
     auto round = std::make_shared<LoadRound>();
-    const Base::Duration since = m_options.loop->clock().now() - m_startedAt;
-    round->counts = since >= m_definition.warmUp && since <= m_definition.length;
-    for (const Experiment::EndpointPlace &place : m_definition.endpoints)
-        round->waiting += place.isEngine ? 1 : 0;
-    for (const Experiment::EndpointPlace &place : m_definition.endpoints) {
-        if (!place.isEngine)
+    const Base::Duration timeInRun = m_options.loop->clock().now() - m_samplingStartedAt;
+    round->isMeasured = timeInRun >= m_definition.warmUp && timeInRun <= m_definition.length;
+    for (const Experiment::DeployedEndpoint &endpoint : m_definition.endpoints)
+        round->pendingRequests += endpoint.isEngine ? 1 : 0;
+    for (const Experiment::DeployedEndpoint &endpoint : m_definition.endpoints) {
+        if (!endpoint.isEngine)
             continue;
-        const std::string name = place.endpoint.value();
-        ask(place.address, "/v1/load", loadTimeout,
+        const std::string name = endpoint.endpoint.value();
+        get(endpoint.address, "/v1/load", loadTimeout,
             [this, round, name](const Http::CallResult &result) {
                 addLoad(name, result, *round);
-                if (--round->waiting == 0 && round->counts)
+                if (--round->pendingRequests == 0 && round->isMeasured)
                     m_skew.add(round->loads);
             });
     }
@@ -116,7 +118,7 @@
 void FleetProbe::addLoad(const std::string &endpoint, const Http::CallResult &result,
                          LoadRound &round)
 {
-    if (!isGood(result))
+    if (!isOk(result))
         return;
     const auto report = Experiment::readLoadReport(result.body);
     if (!report)
@@ -124,7 +126,7 @@
     const std::int64_t incarnation = report.value().incarnation;
     const std::int64_t first = m_incarnations.try_emplace(endpoint, incarnation).first->second;
     if (first != incarnation)
-        m_replaced[endpoint] = true;
+        m_replacedEndpoints[endpoint] = true;
     if (!report.value().isDraining)
         round.loads.push_back(report.value().load);
 }
@@ -133,9 +135,9 @@
 {
     if (!m_isSampling)
         return;
-    for (const Experiment::RouterPlace &place : m_definition.routers) {
-        const std::string name = place.vm.value();
-        ask(place.adminAddress, "/admin/status", metricsTimeout,
+    for (const Experiment::DeployedRouter &router : m_definition.routers) {
+        const std::string name = router.vm.value();
+        get(router.adminAddress, "/admin/status", metricsTimeout,
             [this, name](const Http::CallResult &result) { addRevisions(name, result); });
     }
     m_options.loop->timers().start(revisionInterval, [this] { sampleRevisions(); });
@@ -143,7 +145,7 @@
 
 void FleetProbe::addRevisions(const std::string &router, const Http::CallResult &result)
 {
-    if (!isGood(result))
+    if (!isOk(result))
         return;
     const auto offset = Experiment::readConfigurationOffset(result.body);
     if (!offset)
@@ -155,27 +157,28 @@
 
 void FleetProbe::collect(Experiment::Evidence &evidence, std::function<void()> done)
 {
-    const auto one =
+    const auto requestDone =
         afterAll(m_definition.endpoints.size() + 2 * m_definition.routers.size(), std::move(done));
-    for (const Experiment::EndpointPlace &place : m_definition.endpoints) {
-        ask(place.address, "/ledger", ledgerTimeout,
-            [this, one, &place, &evidence](const Http::CallResult &result) {
-                readLedger(place, result, evidence);
-                one();
+    for (const Experiment::DeployedEndpoint &endpoint : m_definition.endpoints) {
+        get(endpoint.address, "/ledger", ledgerTimeout,
+            [this, requestDone, &endpoint, &evidence](const Http::CallResult &result) {
+                readLedger(endpoint, result, evidence);
+                requestDone();
             });
     }
-    const std::string since = "/admin/outcomes?since=" + std::to_string(m_startedWallMs);
+    const std::string outcomesTarget =
+        "/admin/outcomes?since=" + std::to_string(m_samplingStartedWallMs);
     for (std::size_t i = 0; i < m_definition.routers.size(); ++i) {
-        const Experiment::RouterPlace &place = m_definition.routers[i];
-        ask(place.adminAddress, "/metrics", metricsTimeout,
-            [this, one, i](const Http::CallResult &result) {
+        const Experiment::DeployedRouter &router = m_definition.routers[i];
+        get(router.adminAddress, "/metrics", metricsTimeout,
+            [this, requestDone, i](const Http::CallResult &result) {
                 readMetrics(i, result);
-                one();
+                requestDone();
             });
-        ask(place.adminAddress, since, ledgerTimeout,
-            [this, one, &place, &evidence](const Http::CallResult &result) {
-                readOutcomes(place, result, evidence);
-                one();
+        get(router.adminAddress, outcomesTarget, ledgerTimeout,
+            [this, requestDone, &router, &evidence](const Http::CallResult &result) {
+                readOutcomes(router, result, evidence);
+                requestDone();
             });
     }
 }
@@ -183,57 +186,57 @@
 void FleetProbe::readMetrics(std::size_t router, const Http::CallResult &result)
 {
     const std::string name = m_definition.routers[router].vm.value();
-    const auto start = m_atStart.find(router);
-    if (!isGood(result) || start == m_atStart.end())
-        return note(name, "metrics could not be read at the start and at the end");
+    const auto start = m_metricsAtStart.find(router);
+    if (!isOk(result) || start == m_metricsAtStart.end())
+        return addNote(name, "metrics could not be read at the start and at the end");
     const auto metrics = Experiment::readMetrics(result.body);
     const auto &before = start->second.metrics;
     m_decisionSeconds.add(metrics, decisionMetric);
     m_decisionSeconds.subtract(before, decisionMetric);
     const auto bytes = Experiment::sumOf(metrics, controlBytesMetric);
     if (!bytes)
-        return note(name, "has no metric " + std::string(controlBytesMetric));
-    const double grown = *bytes - Experiment::sumOf(before, controlBytesMetric).value_or(0);
-    const double seconds = Base::toSeconds(m_options.loop->clock().now() - start->second.at);
-    if (grown >= 0 && seconds > 0)
-        m_controlBytesPerSecond.add(grown / seconds);
+        return addNote(name, "has no metric " + std::string(controlBytesMetric));
+    const double bytesInRun = *bytes - Experiment::sumOf(before, controlBytesMetric).value_or(0);
+    const double seconds = Base::toSeconds(m_options.loop->clock().now() - start->second.readAt);
+    if (bytesInRun >= 0 && seconds > 0)
+        m_controlBytesPerSecond.add(bytesInRun / seconds);
     else
-        note(name, "was replaced in the run; its control bytes are left out");
+        addNote(name, "was replaced in the run; its control bytes are left out");
 }
 
-void FleetProbe::readLedger(const Experiment::EndpointPlace &place, const Http::CallResult &result,
-                            Experiment::Evidence &evidence)
+void FleetProbe::readLedger(const Experiment::DeployedEndpoint &endpoint,
+                            const Http::CallResult &result, Experiment::Evidence &evidence)
 {
-    const std::string &name = place.endpoint.value();
+    const std::string &name = endpoint.endpoint.value();
     Experiment::Ledger ledger;
-    ledger.isWhole = false;
-    if (isGood(result)) {
+    ledger.isComplete = false;
+    if (isOk(result)) {
         if (auto read = Experiment::readLedger(result.body))
             ledger = std::move(read.value());
     }
-    if (m_replaced.contains(name))
-        ledger.isWhole = false;
-    if (!ledger.isWhole)
-        note(name, "its ledger is not whole");
+    if (m_replacedEndpoints.contains(name))
+        ledger.isComplete = false;
+    if (!ledger.isComplete)
+        addNote(name, "its ledger is not whole");
     ledger.endpoint = name;
     evidence.ledgers.push_back(std::move(ledger));
 }
 
-void FleetProbe::readOutcomes(const Experiment::RouterPlace &place, const Http::CallResult &result,
-                              Experiment::Evidence &evidence)
+void FleetProbe::readOutcomes(const Experiment::DeployedRouter &router,
+                              const Http::CallResult &result, Experiment::Evidence &evidence)
 {
-    if (!isGood(result))
-        return note(place.vm.value(), "its outcomes could not be read");
+    if (!isOk(result))
+        return addNote(router.vm.value(), "its outcomes could not be read");
     auto outcomes = Experiment::readOutcomes(result.body);
     if (!outcomes)
-        return note(place.vm.value(), "its outcomes could not be read");
+        return addNote(router.vm.value(), "its outcomes could not be read");
     for (Experiment::OutcomeRecord &outcome : outcomes.value())
         evidence.outcomes.push_back(std::move(outcome));
 }
 
-void FleetProbe::note(const std::string &who, const std::string &what)
+void FleetProbe::addNote(const std::string &process, const std::string &message)
 {
-    m_notes.push_back(who + ": " + what);
+    m_notes.push_back(process + ": " + message);
 }
 
 } // namespace Lagoonbank::Bench
--- a/src/apps/bench/fleetprobe.h
+++ b/src/apps/bench/fleetprobe.h
@@ -18,8 +18,8 @@
 
 namespace Lagoonbank::Bench {
 
-/// Asks routers and endpoints for their own view: load while the run goes on, metrics at its start
-/// and end, ledgers and outcomes after it.
+/// Collects data from routers and endpoints: loads and revisions during the run, metrics at its
+/// start and end, and ledgers and outcomes after it.
 class FleetProbe
 {
 public:
@@ -32,12 +32,13 @@
 
     explicit FleetProbe(const Options &options);
 
-    /// Empties the ledgers and reads the routers' metrics as they were before the run.
+    /// Clears the ledgers and reads the routers' metrics before the run.
     void prepare(std::function<void()> done);
-    /// Samples engines' load and routers' revisions until stopSampling().
+    /// Samples the engines' loads and the routers' configuration revisions until stopSampling().
     void startSampling();
     void stopSampling();
-    /// Reads metrics, ledgers and outcomes; \a evidence and the figures below are whole then.
+    /// Reads metrics, ledgers and outcomes. When \a done is called, \a evidence and the figures
+    /// below are complete.
     void collect(Experiment::Evidence &evidence, std::function<void()> done);
 
     const Experiment::SkewMeter &skew() const { return m_skew; }
@@ -47,31 +48,32 @@
     std::vector<Experiment::RevisionSample> takeRevisions() { return std::move(m_revisions); }
 
 private:
+    /// Loads of all engines, requested at the same time.
     struct LoadRound
     {
         std::vector<Experiment::EngineLoad> loads;
-        std::size_t waiting = 0;
-        bool counts = true;
+        std::size_t pendingRequests = 0;
+        bool isMeasured = true; ///< False during the warm-up and after the end of the run.
     };
     struct MetricsAtStart
     {
         std::vector<Experiment::Metric> metrics;
-        Base::MonoTime at;
+        Base::MonoTime readAt;
     };
-    using Answered = std::function<void(const Http::CallResult &result)>;
+    using ResponseHandler = std::function<void(const Http::CallResult &result)>;
 
-    void ask(const std::string &address, const std::string &target, Base::Duration timeout,
-             Answered answered);
+    void get(const std::string &address, const std::string &target, Base::Duration timeout,
+             ResponseHandler handler);
     void sampleLoads();
     void addLoad(const std::string &endpoint, const Http::CallResult &result, LoadRound &round);
     void sampleRevisions();
     void addRevisions(const std::string &router, const Http::CallResult &result);
     void readMetrics(std::size_t router, const Http::CallResult &result);
-    void readLedger(const Experiment::EndpointPlace &place, const Http::CallResult &result,
+    void readLedger(const Experiment::DeployedEndpoint &endpoint, const Http::CallResult &result,
                     Experiment::Evidence &evidence);
-    void readOutcomes(const Experiment::RouterPlace &place, const Http::CallResult &result,
+    void readOutcomes(const Experiment::DeployedRouter &router, const Http::CallResult &result,
                       Experiment::Evidence &evidence);
-    void note(const std::string &who, const std::string &what);
+    void addNote(const std::string &process, const std::string &message);
 
     Options m_options;
     const Experiment::Definition &m_definition;
@@ -80,11 +82,11 @@
     Experiment::Histogram m_decisionSeconds;
     std::vector<Experiment::RevisionSample> m_revisions;
     std::vector<std::string> m_notes;
-    std::map<std::size_t, MetricsAtStart> m_atStart;
-    std::map<std::string, std::int64_t> m_incarnations; ///< Of the endpoints, as first seen.
-    std::map<std::string, bool> m_replaced;
-    Base::MonoTime m_startedAt;
-    std::int64_t m_startedWallMs = 0;
+    std::map<std::size_t, MetricsAtStart> m_metricsAtStart;
+    std::map<std::string, std::int64_t> m_incarnations; ///< First one seen of each endpoint.
+    std::map<std::string, bool> m_replacedEndpoints;
+    Base::MonoTime m_samplingStartedAt;
+    std::int64_t m_samplingStartedWallMs = 0;
     bool m_isSampling = false;
 };
 
--- a/src/apps/bench/loadgenerator.cpp
+++ b/src/apps/bench/loadgenerator.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using Experiment::CallerView;
+using Experiment::CallerOutcome;
 using Experiment::ChatCall;
 using Experiment::ServiceCall;
 
@@ -32,17 +32,17 @@
     return std::string(result.headers.find(name).value_or(""));
 }
 
-CallerView viewOf(Errors::Ran ran)
+CallerOutcome outcomeOf(Errors::Ran ran)
 {
     switch (ran) {
     case Errors::Ran::No:
-        return CallerView::Refused;
+        return CallerOutcome::Refused;
     case Errors::Ran::Yes:
-        return CallerView::Failed;
+        return CallerOutcome::Failed;
     case Errors::Ran::Unknown:
         break;
     }
-    return CallerView::Unknown;
+    return CallerOutcome::Unknown;
 }
 
 std::string nameOf(Http::CallEnd end)
@@ -71,34 +71,34 @@
     , m_workload(m_definition)
     , m_chats(m_definition, options.runTag)
 {
-    for (const Experiment::EndpointPlace &place : m_definition.endpoints) {
-        if (!place.isEngine)
-            m_services.push_back(Runtime::parseSocketAddress(place.address).value());
+    for (const Experiment::DeployedEndpoint &endpoint : m_definition.endpoints) {
+        if (!endpoint.isEngine)
+            m_services.push_back(Runtime::parseSocketAddress(endpoint.address).value());
     }
 }
 
 void LoadGenerator::start()
 {
     m_startedAt = m_options.loop->clock().now();
-    m_next = m_workload.next();
-    pump();
+    m_nextCall = m_workload.next();
+    sendDueCalls();
 }
 
-void LoadGenerator::pump()
+void LoadGenerator::sendDueCalls()
 {
     const Base::Duration now = m_options.loop->clock().now() - m_startedAt;
-    while (m_next && m_next->at <= now) {
-        m_figures.sendDelayMs.add(milliseconds(now - m_next->at));
-        open(*m_next);
-        m_next = m_workload.next();
+    while (m_nextCall && m_nextCall->timeInRun <= now) {
+        m_figures.sendDelayMs.add(milliseconds(now - m_nextCall->timeInRun));
+        startCall(*m_nextCall);
+        m_nextCall = m_workload.next();
     }
-    if (m_next)
-        m_options.loop->timers().start(m_next->at - now, [this] { pump(); });
+    if (m_nextCall)
+        m_options.loop->timers().start(m_nextCall->timeInRun - now, [this] { sendDueCalls(); });
     else
-        closeWhenDone();
+        finishIfDone();
 }
 
-void LoadGenerator::open(const Experiment::PlannedCall &call)
+void LoadGenerator::startCall(const Experiment::PlannedCall &call)
 {
     const Experiment::WorkspaceLoad &load = m_definition.workspaces[call.workspace];
     auto exchange = std::make_shared<Exchange>();
@@ -107,7 +107,7 @@
     Experiment::CallerRecord &record = exchange->record;
     record.number = call.number;
     record.workspace = load.workspace.value();
-    record.counts = call.at >= m_definition.warmUp;
+    record.isMeasured = call.timeInRun >= m_definition.warmUp;
     if (const auto *service = std::get_if<ServiceCall>(&exchange->kind->call)) {
         record.isModelCall = false;
         record.isIdempotent = service->idempotent;
@@ -126,7 +126,7 @@
 void LoadGenerator::send(const ExchangePtr &exchange)
 {
     exchange->sentAt = m_options.loop->clock().now();
-    exchange->lastPieceAt.reset();
+    exchange->lastTokenAt.reset();
     exchange->status = 0;
     exchange->stream = {};
     exchange->errorBody.clear();
@@ -135,8 +135,8 @@
         hooks.headReceived = [exchange](int status, const Http::Headers &) {
             exchange->status = status;
         };
-        hooks.bodyReceived = [this, exchange](std::string_view piece) {
-            receive(*exchange, piece);
+        hooks.bodyReceived = [this, exchange](std::string_view chunk) {
+            receiveChunk(*exchange, chunk);
         };
     }
     hooks.finished = [this, exchange](const Http::CallResult &result) { finish(exchange, result); };
@@ -162,7 +162,7 @@
         call.method = service->method;
         call.target = "/services/" + service->service.value() + "/" + service->path;
         if (service->direct && !m_services.empty())
-            makeDirect(call, exchange);
+            redirectToService(call, exchange);
     } else if (const std::string token = m_chats.placementToken(exchange.call); !token.empty()) {
         call.headers.add("x-placement", token);
     }
@@ -171,7 +171,7 @@
     return call;
 }
 
-void LoadGenerator::makeDirect(Http::Call &call, const Exchange &exchange) const
+void LoadGenerator::redirectToService(Http::Call &call, const Exchange &exchange) const
 {
     const auto &service = std::get<ServiceCall>(exchange.kind->call);
     call.server = m_services[exchange.call.balancerDraw % m_services.size()];
@@ -181,47 +181,48 @@
         {"content-type", "application/json"}};
 }
 
-void LoadGenerator::receive(Exchange &exchange, std::string_view piece)
+void LoadGenerator::receiveChunk(Exchange &exchange, std::string_view chunk)
 {
     if (exchange.status != httpOk) {
-        exchange.errorBody += piece;
+        exchange.errorBody += chunk;
         return;
     }
-    const std::int64_t before = exchange.stream.pieces();
-    exchange.stream.add(piece);
-    const std::int64_t more = exchange.stream.pieces() - before;
-    if (more == 0)
+    const std::int64_t before = exchange.stream.deltaCount();
+    exchange.stream.add(chunk);
+    const std::int64_t newDeltas = exchange.stream.deltaCount() - before;
+    if (newDeltas == 0)
         return;
     const Base::MonoTime now = m_options.loop->clock().now();
-    if (exchange.record.counts && !exchange.lastPieceAt) {
+    if (exchange.record.isMeasured && !exchange.lastTokenAt) {
         m_figures.firstTokenMs.add(milliseconds(now - exchange.sentAt));
-    } else if (exchange.record.counts) {
-        // Tokens that came in one read share the time since the read before.
-        const double gap = milliseconds(now - *exchange.lastPieceAt) / static_cast<double>(more);
-        for (std::int64_t i = 0; i < more; ++i)
+    } else if (exchange.record.isMeasured) {
+        // Tokens received in one read share the time since the previous read.
+        const double gap =
+            milliseconds(now - *exchange.lastTokenAt) / static_cast<double>(newDeltas);
+        for (std::int64_t i = 0; i < newDeltas; ++i)
             m_figures.betweenTokensMs.add(gap);
     }
-    exchange.lastPieceAt = now;
+    exchange.lastTokenAt = now;
 }
 
 void LoadGenerator::finish(const ExchangePtr &exchange, const Http::CallResult &result)
 {
-    // The balancer turns to another router where one takes no connection.
+    // Like the platform's balancer, try another router if one does not accept a connection.
     const bool canReconnect = exchange->reconnects + 1 < m_definition.routers.size();
     if (result.end == Http::CallEnd::NotConnected && canReconnect) {
         ++exchange->reconnects;
         return send(exchange);
     }
     readHead(*exchange, result);
-    readEnd(*exchange, result);
-    measure(*exchange);
+    readResult(*exchange, result);
+    recordAnswerTime(*exchange);
     m_records.push_back(exchange->record);
-    if (retryLater(exchange, result))
+    if (scheduleRetry(exchange, result))
         return;
     if (exchange->call.chat != 0 && exchange->call.isLastTurn)
         m_chats.close(exchange->call);
     --m_inFlight;
-    closeWhenDone();
+    finishIfDone();
 }
 
 void LoadGenerator::readHead(Exchange &exchange, const Http::CallResult &result)
@@ -233,10 +234,10 @@
         m_chats.setPlacementToken(exchange.call, std::move(token));
 }
 
-void LoadGenerator::readEnd(Exchange &exchange, const Http::CallResult &result)
+void LoadGenerator::readResult(Exchange &exchange, const Http::CallResult &result)
 {
-    const bool isGood = result.status >= httpOk && result.status < httpMultipleChoices;
-    if (isGood)
+    const bool isSuccess = result.status >= httpOk && result.status < httpMultipleChoices;
+    if (isSuccess)
         readAnswer(exchange, result);
     else
         readError(exchange, result);
@@ -247,7 +248,7 @@
     Experiment::CallerRecord &record = exchange.record;
     const bool isWhole = result.end == Http::CallEnd::Whole;
     if (!record.isModelCall) {
-        record.view = isWhole ? CallerView::Whole : CallerView::Unknown;
+        record.outcome = isWhole ? CallerOutcome::Whole : CallerOutcome::Unknown;
         if (isWhole)
             record.check = Experiment::checkServiceAnswer(exchange.body, result.body);
         else
@@ -263,7 +264,7 @@
     record.check = verdict.check;
     record.tokens = verdict.tokens;
     if (isDone && isWhole && exchange.stream.error().empty()) {
-        record.view = CallerView::Whole;
+        record.outcome = CallerOutcome::Whole;
         m_chats.addAnswer(exchange.call, answer);
         return;
     }
@@ -279,12 +280,12 @@
         text = &exchange.stream.error();
     const auto error = Experiment::readErrorBody(*text);
     if (!error) {
-        const bool didNotLeave = result.end == Http::CallEnd::NotConnected;
-        exchange.record.view = didNotLeave ? CallerView::Failed : CallerView::Unknown;
+        const bool notConnected = result.end == Http::CallEnd::NotConnected;
+        exchange.record.outcome = notConnected ? CallerOutcome::Failed : CallerOutcome::Unknown;
         exchange.record.errorKind = nameOf(result.end);
         return;
     }
-    exchange.record.view = viewOf(error->ran);
+    exchange.record.outcome = outcomeOf(error->ran);
     exchange.record.ran = error->ran;
     exchange.record.errorKind = error->kind;
     exchange.record.limit = error->limit;
@@ -292,23 +293,24 @@
         exchange.record.requestId = error->requestId;
 }
 
-void LoadGenerator::measure(const Exchange &exchange)
+void LoadGenerator::recordAnswerTime(const Exchange &exchange)
 {
-    const bool isWhole = exchange.record.view == CallerView::Whole;
-    if (isWhole && exchange.record.counts && !isStreamed(*exchange.kind))
+    const bool isWhole = exchange.record.outcome == CallerOutcome::Whole;
+    if (isWhole && exchange.record.isMeasured && !isStreamed(*exchange.kind))
         m_figures.wholeAnswerMs[exchange.kind->name].add(
             milliseconds(m_options.loop->clock().now() - exchange.sentAt));
 }
 
-bool LoadGenerator::retryLater(const ExchangePtr &exchange, const Http::CallResult &result)
+bool LoadGenerator::scheduleRetry(const ExchangePtr &exchange, const Http::CallResult &result)
 {
-    const bool isRefused = exchange->record.view == CallerView::Refused;
+    const bool isRefused = exchange->record.outcome == CallerOutcome::Refused;
     if (!isRefused || exchange->attempt >= m_definition.retriesOnRetryAfter)
         return false;
-    const std::string wait = headerOf(result, "retry-after");
+    const std::string retryAfter = headerOf(result, "retry-after");
     int seconds = 0;
-    const auto read = std::from_chars(wait.data(), wait.data() + wait.size(), seconds);
-    if (wait.empty() || read.ec != std::errc() || seconds < 0)
+    const auto read =
+        std::from_chars(retryAfter.data(), retryAfter.data() + retryAfter.size(), seconds);
+    if (retryAfter.empty() || read.ec != std::errc() || seconds < 0)
         return false;
     ++exchange->attempt;
     m_options.loop->timers().start(std::chrono::seconds(seconds), [this, exchange] {
@@ -320,16 +322,16 @@
         record.turn = exchange->record.turn;
         record.isModelCall = exchange->record.isModelCall;
         record.isIdempotent = exchange->record.isIdempotent;
-        record.counts = exchange->record.counts;
+        record.isMeasured = exchange->record.isMeasured;
         exchange->record = std::move(record);
         send(exchange);
     });
     return true;
 }
 
-void LoadGenerator::closeWhenDone()
+void LoadGenerator::finishIfDone()
 {
-    if (m_next || m_inFlight > 0 || !finished)
+    if (m_nextCall || m_inFlight > 0 || !finished)
         return;
     const auto hook = std::exchange(finished, nullptr);
     hook();
--- a/src/apps/bench/loadgenerator.h
+++ b/src/apps/bench/loadgenerator.h
@@ -19,16 +19,16 @@
 
 namespace Lagoonbank::Bench {
 
-/// What the callers measured.
+/// Latencies measured by the callers.
 struct LoadFigures
 {
     Experiment::Samples firstTokenMs;
     Experiment::Samples betweenTokensMs;
     std::map<std::string, Experiment::Samples> wholeAnswerMs; ///< Unstreamed calls, by kind.
-    Experiment::Samples sendDelayMs; ///< Between the planned and the real time of sending.
+    Experiment::Samples sendDelayMs; ///< Delay between the planned and the actual sending.
 };
 
-/// Sends the calls of a workload at their times, whatever the fleet does with them.
+/// Sends the calls of a workload at their planned times, independently of the answers (open loop).
 class LoadGenerator
 {
 public:
@@ -43,7 +43,7 @@
 
     explicit LoadGenerator(const Options &options);
 
-    /// Called once, when the last call of the workload has ended.
+    /// Called once, after the last call of the workload has ended.
     std::function<void()> finished;
 
     void start();
@@ -58,38 +58,38 @@
         Experiment::PlannedCall call;
         const Experiment::CallKind *kind = nullptr;
         std::string body;
-        int attempt = 0; ///< After refusals that may be retried.
-        std::size_t reconnects = 0; ///< After routers that took no connection.
+        int attempt = 0; ///< Number of retries after refusals with Retry-After.
+        std::size_t reconnects = 0; ///< Number of routers that did not accept a connection.
         Base::MonoTime sentAt;
-        std::optional<Base::MonoTime> lastPieceAt;
-        int status = 0; ///< Of a streamed answer.
+        std::optional<Base::MonoTime> lastTokenAt;
+        int status = 0; ///< HTTP status of a streamed answer.
         Experiment::StreamReader stream;
-        std::string errorBody; ///< What came in place of a stream.
+        std::string errorBody; ///< Body of an error response received instead of a stream.
         Experiment::CallerRecord record;
     };
     using ExchangePtr = std::shared_ptr<Exchange>;
 
-    void pump();
-    void open(const Experiment::PlannedCall &call);
+    void sendDueCalls();
+    void startCall(const Experiment::PlannedCall &call);
     void send(const ExchangePtr &exchange);
     Http::Call httpCall(const Exchange &exchange) const;
-    void makeDirect(Http::Call &call, const Exchange &exchange) const;
-    void receive(Exchange &exchange, std::string_view piece);
+    void redirectToService(Http::Call &call, const Exchange &exchange) const;
+    void receiveChunk(Exchange &exchange, std::string_view chunk);
     void finish(const ExchangePtr &exchange, const Http::CallResult &result);
     void readHead(Exchange &exchange, const Http::CallResult &result);
-    void readEnd(Exchange &exchange, const Http::CallResult &result);
+    void readResult(Exchange &exchange, const Http::CallResult &result);
     void readAnswer(Exchange &exchange, const Http::CallResult &result);
     void readError(Exchange &exchange, const Http::CallResult &result);
-    void measure(const Exchange &exchange);
-    bool retryLater(const ExchangePtr &exchange, const Http::CallResult &result);
-    void closeWhenDone();
+    void recordAnswerTime(const Exchange &exchange);
+    bool scheduleRetry(const ExchangePtr &exchange, const Http::CallResult &result);
+    void finishIfDone();
 
     Options m_options;
     const Experiment::Definition &m_definition;
     Experiment::Workload m_workload;
     ChatHistory m_chats;
-    std::vector<Runtime::SocketAddress> m_services; ///< For direct calls.
-    std::optional<Experiment::PlannedCall> m_next;
+    std::vector<Runtime::SocketAddress> m_services; ///< For calls that bypass the routers.
+    std::optional<Experiment::PlannedCall> m_nextCall;
     Base::MonoTime m_startedAt;
     std::size_t m_inFlight = 0;
     std::vector<Experiment::CallerRecord> m_records;
--- a/src/apps/bench/main.cpp
+++ b/src/apps/bench/main.cpp
@@ -1,4 +1,4 @@
-/// \file Loads a running fleet as an experiment says and reports what it measured.
+/// \file Puts a running fleet under the load of an experiment and reports the measurements.
 
 #include "experiment/definitionreader.h"
 #include "experiment/report.h"
@@ -15,13 +15,15 @@
 #include <unistd.h>
 #include <vector>
 
-ABSL_FLAG(std::string, report, "", "File for the report (run) or the picture (plot).");
+ABSL_FLAG(std::string, report, "", "File for the report (run) or the plot (plot).");
 ABSL_FLAG(std::string, policy, "", "Name of the routing policy for the report.");
-ABSL_FLAG(std::int64_t, seed, -1, "Seed in place of the experiment's; -1 keeps it.");
-ABSL_FLAG(double, seconds, 0, "Length in place of the experiment's; 0 keeps it.");
-ABSL_FLAG(int, net, 0, "Second octet of all addresses in place of the deployment's; 0 keeps it.");
-ABSL_FLAG(std::string, marks, "", "File for a JSON line for each event of the time line.");
-ABSL_FLAG(std::string, acceptances, "", "File that tells when drains were accepted.");
+ABSL_FLAG(std::int64_t, seed, -1, "Overrides the seed of the experiment; -1 keeps it.");
+ABSL_FLAG(double, seconds, 0, "Overrides the length of the experiment; 0 keeps it.");
+ABSL_FLAG(int, net, 0, "Overrides the second octet of all addresses; 0 keeps it.");
+ABSL_FLAG(std::string, marks, "",
+          "File for the marks: a JSON line for each event of the time line.");
+ABSL_FLAG(std::string, acceptances, "",
+          "File in which a script records when drains were accepted.");
 
 namespace {
 
@@ -30,10 +32,11 @@
 constexpr int exitRunTime = 1;
 constexpr int exitUsage = 2;
 constexpr std::string_view logPrefix = "lagoonbank-bench: ";
-constexpr const char *usage = "Loads a running lagoonbank fleet and reports.\n"
-                              "  lagoonbank-bench run EXPERIMENT.yaml [--report OUT.json]\n"
-                              "  lagoonbank-bench compare REPORT.json...\n"
-                              "  lagoonbank-bench plot REPORT.json... --report OUT.svg\n";
+constexpr const char *usage =
+    "Puts a running lagoonbank fleet under load and reports the results.\n"
+    "  lagoonbank-bench run EXPERIMENT.yaml [--report OUT.json]\n"
+    "  lagoonbank-bench compare REPORT.json...\n"
+    "  lagoonbank-bench plot REPORT.json... --report OUT.svg\n";
 
 int fail(int status, const std::string &text)
 {
@@ -89,7 +92,7 @@
     return 0;
 }
 
-int viewReports(const std::vector<std::string> &files, bool asPicture)
+int viewReports(const std::vector<std::string> &files, bool asPlot)
 {
     if (files.empty())
         return fail(exitUsage, "at least one report file is needed.");
@@ -100,7 +103,7 @@
             return fail(exitUsage, report.error().detail);
         reports.push_back(std::move(report.value()));
     }
-    if (!asPicture) {
+    if (!asPlot) {
         std::cout << Experiment::formatTable(reports);
         return 0;
     }
--- a/src/apps/bench/runner.cpp
+++ b/src/apps/bench/runner.cpp
@@ -12,7 +12,7 @@
 constexpr Base::Duration readyWait = std::chrono::seconds(15);
 constexpr Base::Duration readyPoll = std::chrono::milliseconds(100);
 constexpr Base::Duration progressInterval = std::chrono::milliseconds(250);
-/// Time for routers to note the outcomes and for runs that nobody waits for to end.
+/// Time for routers to record the last outcomes and for endpoints to end runs without a caller.
 constexpr Base::Duration settleTime = std::chrono::milliseconds(500);
 constexpr double microsecondsPerSecond = 1'000'000;
 
@@ -58,7 +58,7 @@
     m_balancer.start();
     waitForRouters(Base::Duration::zero());
     m_loop.run();
-    if (!m_isWhole)
+    if (!m_hasReport)
         return Errors::makeError(Errors::ErrorKind::Internal, m_failure);
     return std::move(m_report);
 }
@@ -74,7 +74,7 @@
         return m_probe.prepare([this] { startLoad(); });
     }
     if (waited >= readyWait) {
-        m_failure = "no router got ready; is the fleet running?";
+        m_failure = "no router became ready; is the fleet running?";
         return m_loop.stop();
     }
     m_loop.timers().start(readyPoll, [this, waited] { waitForRouters(waited + readyPoll); });
@@ -126,7 +126,7 @@
     }
     m_report.reconciliation = Experiment::reconcile(m_evidence);
     m_report.cacheReuse = Experiment::measureCacheReuse(m_evidence, definition.cacheBlockTokens);
-    if (m_probe.skew().samples().size() + m_probe.skew().idle() > 0)
+    if (m_probe.skew().samples().size() + m_probe.skew().idleSamples() > 0)
         m_report.skew = m_probe.skew();
     m_report.controlBytesPerSecond = m_probe.controlBytesPerSecond();
     m_report.firstTokenMs = m_load.figures().firstTokenMs;
@@ -137,7 +137,7 @@
     m_report.decisionUsP99 = inMicroseconds(m_probe.decisionSeconds().percentile(99));
     for (const auto *notes : {&m_probe.notes(), &m_events.notes()})
         m_report.notes.insert(m_report.notes.end(), notes->begin(), notes->end());
-    m_isWhole = true;
+    m_hasReport = true;
 }
 
 void Runner::showProgress()
--- a/src/apps/bench/runner.h
+++ b/src/apps/bench/runner.h
@@ -12,7 +12,7 @@
 
 namespace Lagoonbank::Bench {
 
-/// One run of an experiment from waiting for ready routers to the report.
+/// Runs an experiment, from waiting for the routers to become ready to the report.
 class Runner
 {
 public:
@@ -21,12 +21,12 @@
         Experiment::Definition definition;
         std::string marksFile;
         std::string acceptancesFile;
-        bool showProgress = false; ///< One line on standard error.
+        bool showProgress = false; ///< Shows a progress line on standard error.
     };
 
     explicit Runner(Options options);
 
-    /// Runs the loop until the report is whole.
+    /// Runs the event loop until the report is complete.
     Errors::Result<Experiment::Report> run();
 
 private:
@@ -48,7 +48,7 @@
     Experiment::Report m_report;
     Base::MonoTime m_startedAt;
     bool m_isLoading = false;
-    bool m_isWhole = false;
+    bool m_hasReport = false;
     std::string m_failure;
 };
 
--- a/src/libs/experiment/answercheck.cpp
+++ b/src/libs/experiment/answercheck.cpp
@@ -21,7 +21,8 @@
 constexpr std::string_view dataPrefix = "data:";
 constexpr std::string_view doneEvent = "[DONE]";
 
-/// First 8 hexadecimal digits of XXH3, as the stand-in engine names a request in its tokens.
+/// First 8 hexadecimal digits of the XXH3 hash with which the stand-in engine prefixes each token
+/// of a request's answer.
 std::string tokenHash(std::string_view requestId)
 {
     constexpr unsigned upperHalf = 32;
@@ -32,7 +33,7 @@
     return stream.str();
 }
 
-/// Text of a piece in the chat-completions form.
+/// Text of a streamed event in the chat-completions format; empty if it has none.
 std::string deltaOf(const nlohmann::json &event)
 {
     const auto choices = event.find("choices");
@@ -57,12 +58,12 @@
                                std::int64_t wantedTokens)
 {
     const std::string prefix = joined(tokenHash(requestId), "-");
-    AnswerVerdict verdict{AnswerCheck::Fits, 0};
+    AnswerVerdict verdict{AnswerCheck::Matches, 0};
     bool hasGap = false;
     for (std::string_view token : splitParts(text, ' ')) {
-        const bool isOwn = token.starts_with(prefix);
+        const bool matchesRequest = token.starts_with(prefix);
         const auto index =
-            isOwn ? toNumber<std::int64_t>(token.substr(prefix.size())) : std::nullopt;
+            matchesRequest ? toNumber<std::int64_t>(token.substr(prefix.size())) : std::nullopt;
         if (!index) {
             verdict.check = AnswerCheck::Foreign;
             return verdict;
@@ -89,20 +90,20 @@
     const nlohmann::json json = nlohmann::json::parse(answer, nullptr, false);
     if (!json.is_object() || !json.contains("receipt"))
         return AnswerCheck::Cut;
-    const bool isOwn = json["receipt"] == expectedReceipt(requestBody);
-    return isOwn ? AnswerCheck::Fits : AnswerCheck::Foreign;
+    const bool matchesRequest = json["receipt"] == expectedReceipt(requestBody);
+    return matchesRequest ? AnswerCheck::Matches : AnswerCheck::Foreign;
 }
 
-void StreamReader::add(std::string_view piece)
+void StreamReader::add(std::string_view chunk)
 {
-    m_rest.append(piece);
+    m_incompleteLine.append(chunk);
     std::size_t from = 0;
-    for (std::size_t end = m_rest.find('\n'); end != std::string::npos;
-         end = m_rest.find('\n', from)) {
-        readEvent(std::string_view(m_rest).substr(from, end - from));
+    for (std::size_t end = m_incompleteLine.find('\n'); end != std::string::npos;
+         end = m_incompleteLine.find('\n', from)) {
+        readEvent(std::string_view(m_incompleteLine).substr(from, end - from));
         from = end + 1;
     }
-    m_rest.erase(0, from);
+    m_incompleteLine.erase(0, from);
 }
 
 void StreamReader::readEvent(std::string_view line)
@@ -125,7 +126,7 @@
     if (text.empty())
         return;
     m_text += text;
-    ++m_pieces;
+    ++m_deltaCount;
 }
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/answercheck.h
+++ b/src/libs/experiment/answercheck.h
@@ -8,46 +8,47 @@
 
 namespace Lagoonbank::Experiment {
 
-/// Result of comparing a model's answer with the one that its request must get.
+/// Result of comparing a model's answer with the expected answer to its request.
 struct AnswerVerdict
 {
     AnswerCheck check = AnswerCheck::NotChecked;
-    std::int64_t tokens = 0;
+    std::int64_t tokens = 0; ///< Tokens of the answer that belong to the request.
 };
 
-/// The stand-in engine's token \a index of the answer to \a requestId, with its trailing space.
+/// Token \a index of the stand-in engine's answer to \a requestId, with its trailing space.
 std::string expectedToken(std::string_view requestId, std::int64_t index);
 
-/// Foreign if any token is not of this request; Cut if tokens are missing in the middle, repeated
-/// or fewer than \a wantedTokens (where more than 0 are wanted).
+/// Compares a model's answer with the expected tokens. Returns Foreign if any token belongs to
+/// another request, and Cut if tokens are missing or repeated, or if there are fewer than
+/// \a wantedTokens. A \a wantedTokens of 0 skips the check of the length.
 AnswerVerdict checkModelAnswer(std::string_view requestId, std::string_view text,
                                std::int64_t wantedTokens);
 
-/// The stand-in service's receipt for a request with that body.
+/// Receipt that the stand-in service returns for a request with \a body.
 std::string expectedReceipt(std::string_view body);
 
-/// Compares a plain service's answer with the one that the request's body must get.
+/// Compares a plain service's answer with the receipt expected for \a requestBody.
 AnswerCheck checkServiceAnswer(std::string_view requestBody, std::string_view answer);
 
-/// Puts the pieces of a streamed chat answer together.
+/// Reassembles a streamed chat answer (server-sent events) from chunks of any size.
 class StreamReader
 {
 public:
-    void add(std::string_view piece);
+    void add(std::string_view chunk);
     const std::string &text() const { return m_text; }
     bool isDone() const { return m_isDone; }
-    /// The error event's object as JSON; empty if there was none.
+    /// JSON of the stream's error event; empty if there was none.
     const std::string &error() const { return m_error; }
-    /// Pieces of text so far.
-    std::int64_t pieces() const { return m_pieces; }
+    /// Number of events with text received so far.
+    std::int64_t deltaCount() const { return m_deltaCount; }
 
 private:
     void readEvent(std::string_view line);
 
-    std::string m_rest;
+    std::string m_incompleteLine;
     std::string m_text;
     std::string m_error;
-    std::int64_t m_pieces = 0;
+    std::int64_t m_deltaCount = 0;
     bool m_isDone = false;
 };
 
--- a/src/libs/experiment/definition.h
+++ b/src/libs/experiment/definition.h
@@ -11,25 +11,26 @@
 
 namespace Lagoonbank::Experiment {
 
-/// A number drawn anew each time: \a min plus an exponential part, cut at \a max.
-struct Spread
+/// Distribution of a random number: \a min plus an exponentially distributed part, limited to \a
+/// max.
+struct Distribution
 {
     double min = 1;
     double mean = 1;
     double max = 1;
 };
 
-/// A chat with a model whose turns come back after pauses.
+/// A chat with a model; each turn repeats the messages of the turns before it.
 struct ChatCall
 {
     Base::ModelId model;
     bool stream = true;
-    std::string priority; ///< Empty for the contract's default.
-    int systemTokens = 0; ///< Prefix shared by all chats of the workspace.
-    Spread promptTokens; ///< New tokens of one turn.
-    Spread answerTokens;
-    Spread pauseSeconds; ///< From one turn's sending to the next one's.
-    Spread turns;
+    std::string priority; ///< Empty for the default of the workspace's contract.
+    int systemTokens = 0; ///< Length of the prefix that all chats of the workspace share.
+    Distribution promptTokens; ///< New prompt tokens of each turn.
+    Distribution answerTokens;
+    Distribution pauseSeconds; ///< Time between the sending of one turn and of the next.
+    Distribution turns; ///< Number of turns of a chat.
 };
 
 /// A call of a plain service.
@@ -38,28 +39,28 @@
     Base::ServiceId service;
     std::string method = "POST";
     std::string path;
-    bool idempotent = true; ///< As the contract has it.
+    bool idempotent = true; ///< As configured in the contract.
     bool withKey = false; ///< Sends an Idempotency-Key.
-    double duplicateShare = 0; ///< Share of calls sent once more through another router.
-    Spread duplicateSeconds; ///< Time from the first to the second sending.
+    double duplicateShare = 0; ///< Share of calls that are sent again through another router.
+    Distribution duplicateSeconds; ///< Time between a call and its duplicate.
     int bodyBytes = 64;
-    bool direct = false; ///< Goes to an endpoint without a router, for comparison.
+    bool direct = false; ///< Bypasses the routers, for comparison.
 };
 
-/// One kind of call of a workspace.
+/// One kind of call that a workspace sends.
 struct CallKind
 {
     std::string name;
-    double weight = 1;
+    double weight = 1; ///< Share of the workspace's calls, relative to the other kinds.
     std::variant<ChatCall, ServiceCall> call;
 };
 
-/// A window in which a workspace sends \a times its rate.
+/// A period of the run in which a workspace sends its rate multiplied by \a rateFactor.
 struct Surge
 {
     Base::Duration from{};
     Base::Duration to{};
-    double times = 1;
+    double rateFactor = 1;
 };
 
 struct WorkspaceLoad
@@ -72,18 +73,20 @@
     std::vector<CallKind> kinds;
 };
 
-/// Which router the platform's balancer gives a caller.
+/// How the platform's balancer assigns callers to routers.
 enum class Balancer : std::uint8_t { Random, Sticky };
 
-struct RouterPlace
+/// A router of the deployment under test.
+struct DeployedRouter
 {
     Base::VmId vm;
     Base::DataCentreId dataCentre;
-    std::string address; ///< ip:port for callers
-    std::string adminAddress; ///< ip:port for metrics and outcomes
+    std::string address; ///< ip:port that callers connect to.
+    std::string adminAddress; ///< ip:port that serves metrics and outcomes.
 };
 
-struct EndpointPlace
+/// An endpoint of the deployment under test.
+struct DeployedEndpoint
 {
     Base::EndpointId endpoint;
     Base::DataCentreId dataCentre;
@@ -93,34 +96,35 @@
 
 enum class EventKind : std::uint8_t { Fault, PlatformFault, Drain, Undrain, VmChange, Mark };
 
-/// Something done to the fleet at a time of the run.
+/// A scheduled action on the fleet, such as injecting a fault.
 struct Event
 {
-    Base::Duration at{};
+    Base::Duration timeInRun{}; ///< Time since the start of the run.
     EventKind kind = EventKind::Mark;
     std::string target; ///< Endpoint or VM; empty for the platform.
     std::string body; ///< JSON for Fault, PlatformFault and VmChange; free text for Mark.
 };
 
-/// One whole experiment with the places of the processes that it loads.
+/// An experiment with the addresses of the processes that it puts load on.
 struct Definition
 {
     std::string name;
-    std::string policy; ///< For the report only; routers have it from their settings.
+    std::string
+        policy; ///< Only named in the report; routers read their policy from their settings.
     std::uint64_t seed = 1;
     Base::Duration length = std::chrono::seconds(10);
-    Base::Duration warmUp{}; ///< Latency, skew and reuse count only after it.
+    Base::Duration warmUp{}; ///< Latency, skew and cache reuse are measured only after this time.
     Balancer balancer = Balancer::Random;
     Base::Duration healthCheckInterval = std::chrono::milliseconds(200);
     int retriesOnRetryAfter = 0;
     Base::Duration callDeadline = std::chrono::seconds(30);
-    double skewBound = 1.25; ///< The routing policy's c.
+    double skewBound = 1.25; ///< Multiple of the mean load that the routing policy allows.
     int cacheBlockTokens = 16;
     std::string platformAddress;
-    std::vector<RouterPlace> routers;
-    std::vector<EndpointPlace> endpoints;
+    std::vector<DeployedRouter> routers;
+    std::vector<DeployedEndpoint> endpoints;
     std::vector<WorkspaceLoad> workspaces;
-    std::vector<Event> events; ///< In order of time.
+    std::vector<Event> events; ///< Sorted by time.
 };
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/definitionreader.cpp
+++ b/src/libs/experiment/definitionreader.cpp
@@ -25,17 +25,17 @@
 constexpr int loopbackNet = 127;
 constexpr int maxPort = 65535;
 
-/// The octets of a loopback address, with \a net in place of the second.
+/// Reads a loopback address; \a net, if given, replaces the second octet.
 std::string readIp(const YamlReader &yaml, std::optional<int> net)
 {
     const std::string text = yaml.text();
     std::vector<int> octets;
     for (const std::string_view part : splitParts(text, '.'))
         octets.push_back(toNumber<int>(part).value_or(-1));
-    const bool isGood = octets.size() == 4
+    const bool isValid = octets.size() == 4
         && std::all_of(octets.begin(), octets.end(),
                        [](int octet) { return octet >= 0 && octet <= maxOctet; });
-    if (!isGood)
+    if (!isValid)
         yaml.fail(joined("'", yaml.text(), "' is no IPv4 address"));
     if (octets.front() != loopbackNet)
         yaml.fail("the bench loads loopback addresses (127.x.x.x) alone");
@@ -49,23 +49,24 @@
     return Base::fromSeconds(yaml.number(0, maxSeconds));
 }
 
-Spread readSpread(const YamlReader &yaml, double max)
+Distribution readDistribution(const YamlReader &yaml, double max)
 {
     if (yaml.node().IsScalar()) {
         const double value = yaml.number(0, max);
         return {value, value, value};
     }
     yaml.expectMap({"min", "mean", "max"});
-    Spread spread;
-    spread.min = yaml.at("min").number(0, max);
-    spread.max = yaml.at("max").number(spread.min, max);
-    spread.mean = yaml.at("mean").number(spread.min, spread.max);
-    return spread;
+    Distribution distribution;
+    distribution.min = yaml.at("min").number(0, max);
+    distribution.max = yaml.at("max").number(distribution.min, max);
+    distribution.mean = yaml.at("mean").number(distribution.min, distribution.max);
+    return distribution;
 }
 
-Spread readSpread(const YamlReader &yaml, const char *key, double fallback, double max)
+Distribution readDistribution(const YamlReader &yaml, const char *key, double fallback, double max)
 {
-    return yaml.has(key) ? readSpread(yaml.at(key), max) : Spread{fallback, fallback, fallback};
+    return yaml.has(key) ? readDistribution(yaml.at(key), max)
+                         : Distribution{fallback, fallback, fallback};
 }
 
 class DefinitionReader
@@ -81,7 +82,7 @@
         yaml.expectMap({"name", "policy", "seed", "seconds", "warm_up", "deployment", "balancer",
                         "health_check", "retries", "deadline", "skew_bound", "cache_block_tokens",
                         "workspaces", "time_line"});
-        readHead(yaml);
+        readGeneral(yaml);
         readDeployment(yaml.at("deployment"));
         readWorkspaces(yaml.at("workspaces"));
         if (yaml.has("time_line"))
@@ -90,7 +91,7 @@
     }
 
 private:
-    void readHead(const YamlReader &yaml)
+    void readGeneral(const YamlReader &yaml)
     {
         constexpr std::int64_t maxSeed = std::numeric_limits<std::int64_t>::max();
         m_result.name = yaml.at("name").text();
@@ -113,12 +114,12 @@
         m_result.balancer = balancer == "sticky" ? Balancer::Sticky : Balancer::Random;
     }
 
-    void readDeployment(const YamlReader &place)
+    void readDeployment(const YamlReader &deploymentKey)
     {
         const auto folder = std::filesystem::path(m_options.file).parent_path();
-        const std::string file = (folder / place.text()).lexically_normal().string();
+        const std::string file = (folder / deploymentKey.text()).lexically_normal().string();
         if (!std::filesystem::exists(file))
-            place.fail(joined("deployment file '", file, "' is not there"));
+            deploymentKey.fail(joined("deployment file '", file, "' is not there"));
         const YamlReader yaml = YamlReader::load(file);
         if (!yaml.node().IsMap())
             yaml.fail("a deployment must be a map");
@@ -130,9 +131,9 @@
         readBearerKeys(yaml.at("bearer_keys"));
     }
 
-    std::string readAddress(const YamlReader &place, const YamlReader &ports, const char *port)
+    std::string readAddress(const YamlReader &host, const YamlReader &ports, const char *port)
     {
-        return joined(readIp(place.at("ip"), m_options.net), ":",
+        return joined(readIp(host.at("ip"), m_options.net), ":",
                       ports.at(port).integer(1, maxPort));
     }
 
@@ -242,10 +243,10 @@
         chat.stream = yaml.flag("stream", true);
         chat.priority = yaml.text("priority", "");
         chat.systemTokens = static_cast<int>(yaml.number("system_tokens", 0, 0, maxTokens));
-        chat.promptTokens = readSpread(yaml.at("prompt"), maxTokens);
-        chat.answerTokens = readSpread(yaml.at("answer"), maxTokens);
-        chat.pauseSeconds = readSpread(yaml, "pause", 1, maxSeconds);
-        chat.turns = readSpread(yaml, "turns", 1, maxTokens);
+        chat.promptTokens = readDistribution(yaml.at("prompt"), maxTokens);
+        chat.answerTokens = readDistribution(yaml.at("answer"), maxTokens);
+        chat.pauseSeconds = readDistribution(yaml, "pause", 1, maxSeconds);
+        chat.turns = readDistribution(yaml, "turns", 1, maxTokens);
         return chat;
     }
 
@@ -261,7 +262,7 @@
         service.withKey = yaml.flag("with_key", false);
         service.direct = yaml.flag("direct", false);
         service.duplicateShare = yaml.number("duplicates", 0, 0, 1);
-        service.duplicateSeconds = readSpread(yaml, "duplicate_after", 0, maxSeconds);
+        service.duplicateSeconds = readDistribution(yaml, "duplicate_after", 0, maxSeconds);
         service.bodyBytes = static_cast<int>(yaml.number("body_bytes", 64, 0, maxTokens));
         if (service.duplicateShare > 0 && !service.withKey && !service.idempotent)
             yaml.at("duplicates")
@@ -276,7 +277,7 @@
         for (std::size_t i = 0; i < list.size(); ++i)
             m_result.events.push_back(readEvent(list.item(i)));
         std::stable_sort(m_result.events.begin(), m_result.events.end(),
-                         [](const Event &a, const Event &b) { return a.at < b.at; });
+                         [](const Event &a, const Event &b) { return a.timeInRun < b.timeInRun; });
     }
 
     Event readEvent(const YamlReader &yaml)
@@ -292,7 +293,7 @@
             yaml.at("kind").fail("'kind' must be fault, platform_fault, drain, undrain, vm_change "
                                  "or mark");
         Event event;
-        event.at = readSeconds(yaml.at("at"));
+        event.timeInRun = readSeconds(yaml.at("at"));
         event.kind = kind->second;
         const bool needsEndpoint = event.kind == EventKind::Fault || event.kind == EventKind::Drain
             || event.kind == EventKind::Undrain;
@@ -308,9 +309,9 @@
     std::string readTarget(const YamlReader &yaml) const
     {
         std::string id = yaml.text();
-        const bool isKnown =
-            std::any_of(m_result.endpoints.begin(), m_result.endpoints.end(),
-                        [&](const EndpointPlace &place) { return place.endpoint.value() == id; });
+        const bool isKnown = std::any_of(
+            m_result.endpoints.begin(), m_result.endpoints.end(),
+            [&](const DeployedEndpoint &endpoint) { return endpoint.endpoint.value() == id; });
         if (!isKnown)
             yaml.fail(joined("endpoint '", id, "' is not in the deployment"));
         return id;
--- a/src/libs/experiment/metricstext.cpp
+++ b/src/libs/experiment/metricstext.cpp
@@ -23,7 +23,8 @@
     return toNumber<double>(text);
 }
 
-/// Label values of our own metrics have neither quotes nor commas within.
+/// Parses labels. The metrics of the project have no label values with quotes or commas, so these
+/// are not handled.
 std::map<std::string, std::string> labelsOf(std::string_view text)
 {
     std::map<std::string, std::string> labels;
@@ -92,15 +93,15 @@
 
 void Histogram::add(const std::vector<Metric> &metrics, std::string_view name)
 {
-    fold(metrics, name, 1);
+    addScaled(metrics, name, 1);
 }
 
 void Histogram::subtract(const std::vector<Metric> &metrics, std::string_view name)
 {
-    fold(metrics, name, -1);
+    addScaled(metrics, name, -1);
 }
 
-void Histogram::fold(const std::vector<Metric> &metrics, std::string_view name, double sign)
+void Histogram::addScaled(const std::vector<Metric> &metrics, std::string_view name, double factor)
 {
     const std::string bucketName = joined(name, "_bucket");
     for (const Metric &metric : metrics) {
@@ -110,7 +111,7 @@
         if (bound == metric.labels.end())
             continue;
         if (const auto upper = numberOf(bound->second))
-            m_buckets[*upper] += sign * metric.value;
+            m_buckets[*upper] += factor * metric.value;
     }
 }
 
--- a/src/libs/experiment/metricstext.h
+++ b/src/libs/experiment/metricstext.h
@@ -8,7 +8,7 @@
 
 namespace Lagoonbank::Experiment {
 
-/// One line of the Prometheus text format.
+/// One sample of the Prometheus text format.
 struct Metric
 {
     std::string name;
@@ -16,27 +16,27 @@
     double value = 0;
 };
 
-/// Reads the Prometheus text format; lines that are no samples are left out.
+/// Parses the Prometheus text format. Lines that are not samples are skipped.
 std::vector<Metric> readMetrics(std::string_view text);
 
-/// Sum of all samples of that name; nothing if there are none.
+/// Sum of all samples named \a name; no value if there are none.
 std::optional<double> sumOf(const std::vector<Metric> &metrics, std::string_view name);
 
-/// A Prometheus histogram with the counts of several processes put together.
+/// A Prometheus histogram summed over several processes.
 class Histogram
 {
 public:
-    /// Adds the samples <name>_bucket.
+    /// Adds the samples named <name>_bucket.
     void add(const std::vector<Metric> &metrics, std::string_view name);
-    /// Takes away what was counted before the measurement.
+    /// Subtracts the samples taken before the measurement.
     void subtract(const std::vector<Metric> &metrics, std::string_view name);
-    /// Percentile by linear interpolation within a bucket; nothing if it is empty.
+    /// Percentile by linear interpolation within a bucket; no value if the histogram is empty.
     std::optional<double> percentile(double percent) const;
 
 private:
-    void fold(const std::vector<Metric> &metrics, std::string_view name, double sign);
+    void addScaled(const std::vector<Metric> &metrics, std::string_view name, double factor);
 
-    std::map<double, double> m_buckets; ///< Upper bound to cumulative count.
+    std::map<double, double> m_buckets; ///< Cumulative counts by upper bound.
 };
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/random.cpp
+++ b/src/libs/experiment/random.cpp
@@ -16,15 +16,15 @@
     return -mean * std::log1p(-uniform());
 }
 
-double Random::draw(const Spread &spread)
+double Random::draw(const Distribution &distribution)
 {
-    const double above = std::max(spread.mean - spread.min, 0.0);
-    return std::min(spread.min + exponential(above), spread.max);
+    const double above = std::max(distribution.mean - distribution.min, 0.0);
+    return std::min(distribution.min + exponential(above), distribution.max);
 }
 
-int Random::drawCount(const Spread &spread, int least)
+int Random::drawCount(const Distribution &distribution, int minimum)
 {
-    return std::max(static_cast<int>(std::lround(draw(spread))), least);
+    return std::max(static_cast<int>(std::lround(draw(distribution))), minimum);
 }
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/random.h
+++ b/src/libs/experiment/random.h
@@ -7,7 +7,7 @@
 
 namespace Lagoonbank::Experiment {
 
-/// Draws that are the same on every machine for one seed.
+/// Random numbers that depend only on the seed and are the same on every machine.
 class Random
 {
 public:
@@ -16,13 +16,13 @@
     { }
 
     std::uint64_t bits() { return m_engine(); }
-    /// From 0 up to but without 1.
+    /// Uniformly distributed in [0, 1).
     double uniform();
-    /// Exponential with the given mean.
+    /// Exponentially distributed with \a mean.
     double exponential(double mean);
-    double draw(const Spread &spread);
-    /// A whole number of at least \a least.
-    int drawCount(const Spread &spread, int least);
+    double draw(const Distribution &distribution);
+    /// Rounds a number drawn from \a distribution to an integer of at least \a minimum.
+    int drawCount(const Distribution &distribution, int minimum);
 
 private:
     std::mt19937_64 m_engine;
--- a/src/libs/experiment/reconciliation.cpp
+++ b/src/libs/experiment/reconciliation.cpp
@@ -29,15 +29,16 @@
     return entry.startedMs > 0;
 }
 
-/// Everything that ran, by request and by idempotency key.
+/// Runs found in the ledgers, by request id and by idempotency key. Entries that never started are
+/// not included.
 class RunIndex
 {
 public:
     explicit RunIndex(const std::vector<Ledger> &ledgers)
     {
         for (const Ledger &ledger : ledgers) {
-            if (!ledger.isWhole)
-                m_partial.insert(ledger.endpoint);
+            if (!ledger.isComplete)
+                m_incompleteEndpoints.insert(ledger.endpoint);
             for (const LedgerEntry &entry : ledger.entries)
                 add(ledger, entry);
         }
@@ -48,8 +49,11 @@
         return find(m_byRequest, requestId);
     }
     const std::vector<Run> &byKey(const std::string &key) const { return find(m_byKey, key); }
-    bool isPartial(const std::string &endpoint) const { return m_partial.contains(endpoint); }
-    bool hasPartial() const { return !m_partial.empty(); }
+    bool hasIncompleteLedger(const std::string &endpoint) const
+    {
+        return m_incompleteEndpoints.contains(endpoint);
+    }
+    bool hasAnyIncompleteLedger() const { return !m_incompleteEndpoints.empty(); }
 
 private:
     using Map = absl::flat_hash_map<std::string, std::vector<Run>>;
@@ -72,10 +76,10 @@
 
     Map m_byRequest;
     Map m_byKey;
-    absl::flat_hash_set<std::string> m_partial;
+    absl::flat_hash_set<std::string> m_incompleteEndpoints;
 };
 
-bool hasWhole(const std::vector<Run> &runs)
+bool hasCompletedRun(const std::vector<Run> &runs)
 {
     return std::any_of(runs.begin(), runs.end(),
                        [](const Run &run) { return run.entry->state == stateWhole; });
@@ -93,52 +97,53 @@
     {
         const bool hasLedgers = !m_evidence.ledgers.empty();
         if (!m_evidence.callers.empty()) {
-            measure(Promise::CrossedAnswers, &Comparison::compareCrossed);
-            measure(Promise::CutAnswers, &Comparison::compareCut);
+            countBreaches(Guarantee::CrossedAnswers, &Comparison::compareCrossed);
+            countBreaches(Guarantee::CutAnswers, &Comparison::compareCut);
         }
         if (hasLedgers && !m_evidence.callers.empty()) {
-            measure(Promise::RefusedButRan, &Comparison::compareRefused);
-            measure(Promise::RanTwice, &Comparison::compareRanTwice);
-            measure(Promise::LostAccepted, &Comparison::compareLost);
+            countBreaches(Guarantee::RefusedButRan, &Comparison::compareRefused);
+            countBreaches(Guarantee::RanTwice, &Comparison::compareRanTwice);
+            countBreaches(Guarantee::LostAccepted, &Comparison::compareLost);
         }
         if (hasLedgers && !m_evidence.drains.empty())
-            measure(Promise::SentToLeaving, &Comparison::compareLeaving);
+            countBreaches(Guarantee::SentToLeaving, &Comparison::compareLeaving);
         if (!m_evidence.revisions.empty())
-            measure(Promise::ConfigReverted, &Comparison::compareRevisions);
+            countBreaches(Guarantee::ConfigReverted, &Comparison::compareRevisions);
         return std::move(m_result);
     }
 
 private:
-    void measure(Promise promise, void (Comparison::*compare)())
+    void countBreaches(Guarantee guarantee, void (Comparison::*compare)())
     {
-        m_promise = promise;
-        m_result.counts.at(static_cast<std::size_t>(promise)) = 0;
+        m_guarantee = guarantee;
+        m_result.breachCounts.at(static_cast<std::size_t>(guarantee)) = 0;
         (this->*compare)();
     }
 
-    void found(const std::string &requestId, std::string detail)
+    void addBreach(const std::string &requestId, std::string detail)
     {
-        ++*m_result.counts.at(static_cast<std::size_t>(m_promise));
-        m_result.findings.push_back({m_promise, requestId, std::move(detail)});
+        ++*m_result.breachCounts.at(static_cast<std::size_t>(m_guarantee));
+        m_result.findings.push_back({m_guarantee, requestId, std::move(detail)});
     }
 
     void compareCrossed()
     {
         for (const CallerRecord &caller : m_evidence.callers) {
             if (caller.check == AnswerCheck::Foreign)
-                found(caller.requestId, "the answer is not this request's");
+                addBreach(caller.requestId, "the answer is not this request's");
         }
     }
 
     void compareCut()
     {
         for (const CallerRecord &caller : m_evidence.callers) {
-            if (caller.view != CallerView::Whole)
+            if (caller.outcome != CallerOutcome::Whole)
                 continue;
             if (caller.check == AnswerCheck::Cut)
-                found(caller.requestId, "the answer ended as whole but has gaps or lacks tokens");
+                addBreach(caller.requestId,
+                          "the answer ended as whole but has gaps or lacks tokens");
             else if (caller.isModelCall && isShorterThanRun(caller))
-                found(caller.requestId, "the answer has fewer tokens than the engine made");
+                addBreach(caller.requestId, "the answer has fewer tokens than the engine made");
         }
     }
 
@@ -155,7 +160,7 @@
     {
         absl::flat_hash_set<std::string> seen;
         for (const CallerRecord &caller : m_evidence.callers) {
-            if (caller.view == CallerView::Refused)
+            if (caller.outcome == CallerOutcome::Refused)
                 checkRefused(caller.requestId, "caller", seen);
         }
         for (const OutcomeRecord &outcome : m_evidence.outcomes) {
@@ -164,14 +169,15 @@
         }
     }
 
-    void checkRefused(const std::string &requestId, std::string_view who,
+    void checkRefused(const std::string &requestId, std::string_view source,
                       absl::flat_hash_set<std::string> &seen)
     {
         const std::vector<Run> &runs = m_runs.byRequest(requestId);
         if (runs.empty() || !seen.insert(requestId).second)
             return;
-        found(requestId,
-              joined("refused as not run (", who, ") but ran on ", runs.front().ledger->endpoint));
+        addBreach(
+            requestId,
+            joined("refused as not run (", source, ") but ran on ", runs.front().ledger->endpoint));
     }
 
     void compareRanTwice()
@@ -186,8 +192,9 @@
             const bool isNew = caller.key.empty() ? seenRequests.insert(caller.requestId).second
                                                   : seenKeys.insert(caller.key).second;
             if (isNew && std::max(byRequest, byKey) > 1)
-                found(caller.requestId,
-                      joined("ran ", std::max(byRequest, byKey), " times, key '", caller.key, "'"));
+                addBreach(
+                    caller.requestId,
+                    joined("ran ", std::max(byRequest, byKey), " times, key '", caller.key, "'"));
         }
     }
 
@@ -195,14 +202,15 @@
     {
         absl::flat_hash_set<std::string> seen;
         for (const CallerRecord &caller : m_evidence.callers) {
-            if (caller.view != CallerView::Whole)
+            if (caller.outcome != CallerOutcome::Whole)
                 continue;
             seen.insert(caller.requestId);
             checkLost(caller.requestId, caller.key, caller.endpoint);
         }
         for (const OutcomeRecord &outcome : m_evidence.outcomes) {
-            const bool says = outcome.outcome == stateWhole && outcome.ran == ranYes;
-            if (says && !outcome.endpoint.empty() && seen.insert(outcome.requestId).second)
+            const bool isReportedWhole = outcome.outcome == stateWhole && outcome.ran == ranYes;
+            if (isReportedWhole && !outcome.endpoint.empty()
+                && seen.insert(outcome.requestId).second)
                 checkLost(outcome.requestId, {}, outcome.endpoint);
         }
     }
@@ -210,19 +218,21 @@
     void checkLost(const std::string &requestId, const std::string &key,
                    const std::string &endpoint)
     {
-        if (hasWhole(m_runs.byRequest(requestId)) || hasWhole(m_runs.byKey(key)))
+        if (hasCompletedRun(m_runs.byRequest(requestId)) || hasCompletedRun(m_runs.byKey(key)))
             return;
-        if (endpoint.empty() ? m_runs.hasPartial() : m_runs.isPartial(endpoint)) {
+        if (endpoint.empty() ? m_runs.hasAnyIncompleteLedger()
+                             : m_runs.hasIncompleteLedger(endpoint)) {
             ++m_result.unreconciled;
             return;
         }
-        found(requestId,
-              joined("answered as whole but no endpoint ran it whole, endpoint '", endpoint, "'"));
+        addBreach(
+            requestId,
+            joined("answered as whole but no endpoint ran it whole, endpoint '", endpoint, "'"));
     }
 
     void compareLeaving()
     {
-        for (const DrainMark &drain : m_evidence.drains) {
+        for (const DrainPeriod &drain : m_evidence.drains) {
             for (const Ledger &ledger : m_evidence.ledgers) {
                 if (ledger.endpoint == drain.endpoint)
                     compareLeaving(drain, ledger);
@@ -230,14 +240,14 @@
         }
     }
 
-    void compareLeaving(const DrainMark &drain, const Ledger &ledger)
+    void compareLeaving(const DrainPeriod &drain, const Ledger &ledger)
     {
         for (const LedgerEntry &entry : ledger.entries) {
             const std::int64_t after = entry.startedMs - drain.acceptedMs;
-            const bool isBack = drain.endedMs && entry.startedMs >= *drain.endedMs;
-            if (hasStarted(entry) && after > drainGraceMs && !isBack)
-                found(entry.requestId,
-                      joined("started on ", drain.endpoint, " ", after, " ms after its drain"));
+            const bool isAfterDrain = drain.endedMs && entry.startedMs >= *drain.endedMs;
+            if (hasStarted(entry) && after > drainGraceMs && !isAfterDrain)
+                addBreach(entry.requestId,
+                          joined("started on ", drain.endpoint, " ", after, " ms after its drain"));
         }
     }
 
@@ -247,9 +257,9 @@
         for (const RevisionSample &sample : m_evidence.revisions) {
             std::int64_t &last = highest[{sample.router, sample.object}];
             if (sample.revision < last)
-                found({},
-                      joined(sample.router, " went from revision ", last, " of ", sample.object,
-                             " back to ", sample.revision));
+                addBreach({},
+                          joined(sample.router, " went from revision ", last, " of ", sample.object,
+                                 " back to ", sample.revision));
             last = sample.revision;
         }
     }
@@ -257,27 +267,27 @@
     const Evidence &m_evidence;
     RunIndex m_runs;
     Reconciliation m_result;
-    Promise m_promise = Promise::CrossedAnswers;
+    Guarantee m_guarantee = Guarantee::CrossedAnswers;
 };
 
 } // namespace
 
-std::string_view toString(Promise promise)
+std::string_view toString(Guarantee guarantee)
 {
-    switch (promise) {
-    case Promise::CrossedAnswers:
+    switch (guarantee) {
+    case Guarantee::CrossedAnswers:
         return "crossed_answers";
-    case Promise::CutAnswers:
+    case Guarantee::CutAnswers:
         return "cut_answers";
-    case Promise::RefusedButRan:
+    case Guarantee::RefusedButRan:
         return "refused_but_ran";
-    case Promise::RanTwice:
+    case Guarantee::RanTwice:
         return "ran_twice";
-    case Promise::LostAccepted:
+    case Guarantee::LostAccepted:
         return "lost_accepted";
-    case Promise::SentToLeaving:
+    case Guarantee::SentToLeaving:
         return "sent_to_leaving";
-    case Promise::ConfigReverted:
+    case Guarantee::ConfigReverted:
         break;
     }
     return "config_reverted";
@@ -299,7 +309,7 @@
     }
     absl::flat_hash_map<std::string, std::map<int, const CallerRecord *>> chats;
     for (const CallerRecord &caller : evidence.callers) {
-        if (!caller.chat.empty() && caller.view == CallerView::Whole)
+        if (!caller.chat.empty() && caller.outcome == CallerOutcome::Whole)
             chats[caller.chat][caller.turn] = &caller;
     }
 
@@ -312,7 +322,7 @@
             const auto entry = whole.find(caller->requestId);
             if (entry == whole.end())
                 continue;
-            if (previous && caller->counts) {
+            if (previous && caller->isMeasured) {
                 const std::int64_t cached = entry->second->cachedTokens.value_or(0);
                 const std::int64_t needed = *previous->promptTokens / block * block;
                 ++reuse.returning;
--- a/src/libs/experiment/recordreader.cpp
+++ b/src/libs/experiment/recordreader.cpp
@@ -42,7 +42,7 @@
     };
 }
 
-/// The endpoint is that of the last attempt.
+/// Reads one outcome. Without an endpoint of its own, it gets that of the last attempt.
 OutcomeRecord outcomeOf(const Json &json)
 {
     OutcomeRecord record{textOf(json, "request"), textOf(json, "outcome"), textOf(json, "ran"),
@@ -75,7 +75,7 @@
     if (!list)
         return Errors::makeError(Errors::ErrorKind::BadMessage, "a ledger has 'entries'");
     Ledger ledger;
-    ledger.isWhole = !parsed.is_object() || numberOf(parsed, "dropped").value_or(0) == 0;
+    ledger.isComplete = !parsed.is_object() || numberOf(parsed, "dropped").value_or(0) == 0;
     ledger.entries.reserve(list->size());
     for (const Json &item : *list) {
         if (!item.is_object())
@@ -110,7 +110,7 @@
         return Errors::makeError(Errors::ErrorKind::BadMessage, "a load report has 'work'");
     LoadReport report;
     report.load.work = parsed["work"].get<double>();
-    report.load.largest = static_cast<double>(numberOf(parsed, "largest").value_or(0));
+    report.load.largestRequest = static_cast<double>(numberOf(parsed, "largest").value_or(0));
     const auto capacity = parsed.find("capacity");
     if (capacity != parsed.end() && capacity->is_number())
         report.load.capacity = capacity->get<double>();
--- a/src/libs/experiment/recordreader.h
+++ b/src/libs/experiment/recordreader.h
@@ -11,11 +11,11 @@
 
 namespace Lagoonbank::Experiment {
 
-/// Reads an endpoint's answer to GET /ledger; not whole if it dropped entries. Entries without a
-/// request id are left out.
+/// Reads an endpoint's answer to GET /ledger. The ledger is incomplete if the endpoint dropped
+/// entries. Entries without a request id are skipped.
 Errors::Result<Ledger> readLedger(std::string_view json);
 
-/// Reads a router's answer to GET /admin/outcomes: a list, or an object with "outcomes".
+/// Reads a router's answer to GET /admin/outcomes, which is a list or an object with "outcomes".
 Errors::Result<std::vector<OutcomeRecord>> readOutcomes(std::string_view json);
 
 /// An engine's answer to GET /v1/load.
@@ -28,11 +28,11 @@
 
 Errors::Result<LoadReport> readLoadReport(std::string_view json);
 
-/// Place in the configuration stream up to which a router has it in force, from its answer to
-/// GET /admin/status; nothing before it is ready.
+/// Offset in the configuration stream up to which a router has applied it, from its answer to
+/// GET /admin/status. No value before the router is ready.
 std::optional<std::int64_t> readConfigurationOffset(std::string_view json);
 
-/// What an error's body says.
+/// Contents of an error response.
 struct ErrorBody
 {
     std::string kind;
@@ -41,10 +41,10 @@
     Errors::Ran ran = Errors::Ran::Unknown;
 };
 
-/// Reads {"error": {...}} or the object within; nothing if it is neither.
+/// Reads {"error": {...}} or just the inner object; no value if \a json is neither.
 std::optional<ErrorBody> readErrorBody(std::string_view json);
 
-/// Reads the text of an unstreamed chat answer; nothing if it is no such answer.
+/// Reads the text of a chat answer that is not streamed; no value if \a json is not such an answer.
 std::optional<std::string> readChatAnswer(std::string_view json);
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/report.cpp
+++ b/src/libs/experiment/report.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t maxFindings = 20;
 
-/// Rounds so that a report can be read; four digits after the point are more than is measured.
+/// Rounds to four decimal places for readability; the measurements are less precise than that.
 Json numberOrNull(std::optional<double> value)
 {
     constexpr double digits = 10000;
@@ -30,13 +30,13 @@
             {"unknown", counts.unknown}};
 }
 
-Json promisesToJson(const Reconciliation &reconciliation)
+Json breachCountsToJson(const Reconciliation &reconciliation)
 {
     Json json = Json::object();
-    for (std::size_t i = 0; i < promiseCount; ++i) {
-        const auto promise = static_cast<Promise>(i);
-        const std::optional<std::int64_t> count = reconciliation.count(promise);
-        json[std::string(toString(promise))] = count ? Json(*count) : Json(nullptr);
+    for (std::size_t i = 0; i < guaranteeCount; ++i) {
+        const auto guarantee = static_cast<Guarantee>(i);
+        const std::optional<std::int64_t> count = reconciliation.breachCount(guarantee);
+        json[std::string(toString(guarantee))] = count ? Json(*count) : Json(nullptr);
     }
     return json;
 }
@@ -47,7 +47,7 @@
     for (const Finding &finding : reconciliation.findings) {
         if (json.size() == maxFindings)
             break;
-        json.push_back({{"promise", toString(finding.promise)},
+        json.push_back({{"promise", toString(finding.guarantee)},
                         {"request_id", finding.requestId},
                         {"detail", finding.detail}});
     }
@@ -83,12 +83,12 @@
     return {{"max_over_mean_p50", numberOrNull(samples.percentile(50))},
             {"max_over_mean_p99", numberOrNull(samples.percentile(99))},
             {"max_over_mean_max", numberOrNull(samples.max())},
-            {"less_largest_p50", numberOrNull(skew->lessLargest().percentile(50))},
-            {"less_largest_p99", numberOrNull(skew->lessLargest().percentile(99))},
+            {"less_largest_p50", numberOrNull(skew->samplesWithoutLargest().percentile(50))},
+            {"less_largest_p99", numberOrNull(skew->samplesWithoutLargest().percentile(99))},
             {"bound", skew->options().bound},
             {"samples", samples.size()},
-            {"idle_samples", skew->idle()},
-            {"over_bound_plus_one_request", skew->overBound()},
+            {"idle_samples", skew->idleSamples()},
+            {"over_bound_plus_one_request", skew->samplesOverBound()},
             {"excess_requests_p50", numberOrNull(skew->excessRequests().percentile(50))},
             {"excess_requests_p99", numberOrNull(skew->excessRequests().percentile(99))},
             {"typical_work", numberOrNull(skew->options().typicalWork)}};
@@ -138,17 +138,17 @@
 void CallCounts::add(const CallerRecord &record)
 {
     ++sent;
-    switch (record.view) {
-    case CallerView::Whole:
+    switch (record.outcome) {
+    case CallerOutcome::Whole:
         ++whole;
         break;
-    case CallerView::Refused:
+    case CallerOutcome::Refused:
         ++refused;
         break;
-    case CallerView::Failed:
+    case CallerOutcome::Failed:
         ++failed;
         break;
-    case CallerView::Unknown:
+    case CallerOutcome::Unknown:
         ++unknown;
         break;
     }
@@ -165,7 +165,7 @@
         {"seed", report.seed},
         {"seconds", report.seconds},
         {"requests", countsToJson(report.requests)},
-        {"broken_promises", promisesToJson(report.reconciliation)},
+        {"broken_promises", breachCountsToJson(report.reconciliation)},
         {"cache_reuse", cacheReuseToJson(report.cacheReuse)},
         {"skew", skewToJson(report.skew)},
         {"control_bytes_per_s",
--- a/src/libs/experiment/report.h
+++ b/src/libs/experiment/report.h
@@ -23,7 +23,7 @@
     void add(const CallerRecord &record);
 };
 
-/// What one run measured; an empty figure was not measured.
+/// Measurements of one run. Figures that were not measured are empty.
 struct Report
 {
     std::string experiment;
@@ -36,20 +36,20 @@
     Reconciliation reconciliation;
     CacheReuse cacheReuse;
     std::optional<SkewMeter> skew;
-    Samples controlBytesPerSecond; ///< One sample a router.
+    Samples controlBytesPerSecond; ///< One sample for each router.
     Samples firstTokenMs;
     Samples betweenTokensMs;
-    std::map<std::string, Samples> wholeAnswerMs; ///< Of unstreamed calls, by kind.
-    Samples sendDelayMs; ///< How late the bench itself sent.
+    std::map<std::string, Samples> wholeAnswerMs; ///< Calls without streaming, by kind of call.
+    Samples sendDelayMs; ///< Delay between the planned and the actual sending of calls.
     std::optional<double> decisionUsP50;
     std::optional<double> decisionUsP99;
-    std::vector<std::string> notes; ///< What could not be read, and why.
+    std::vector<std::string> notes; ///< Problems, such as data that could not be read.
 };
 
-/// The report as JSON text; figures that were not measured are null.
+/// The report as JSON. Figures that were not measured are null.
 std::string toJson(const Report &report);
 
-/// One report file as read back, with every number under its path such as "skew.bound".
+/// A report file, with each number under its path, such as "skew.bound".
 struct ReportFile
 {
     std::string file;
@@ -60,15 +60,15 @@
     std::optional<double> figure(const std::string &path) const;
 };
 
-/// Reads a report; an error is BadSettings with the file's name.
+/// Reads a report. Errors are of the kind BadSettings and name the file.
 Errors::Result<ReportFile> readReport(const std::string &file);
-/// The same of text; \a file is only named.
+/// Reads a report from \a text; \a file is only used for the column title and in errors.
 Errors::Result<ReportFile> readReportText(const std::string &file, const std::string &text);
 
-/// A table for people with a column for each report.
+/// A plain-text table with a column for each report.
 std::string formatTable(const std::vector<ReportFile> &reports);
 
-/// An SVG picture of cache reuse against skew with a dot for each report that has both.
+/// An SVG plot of cache reuse against skew, with a dot for each report that has both.
 std::string plotReuseAgainstSkew(const std::vector<ReportFile> &reports);
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/reportview.cpp
+++ b/src/libs/experiment/reportview.cpp
@@ -15,7 +15,7 @@
 
 struct TableRow
 {
-    std::string_view title; ///< Without a path: heading of the rows below.
+    std::string_view title; ///< Heading of the rows below if there is no path.
     std::string_view path;
 };
 
@@ -73,7 +73,7 @@
     return absl::StrFormat("%.3f", *value);
 }
 
-/// Rows for the kinds of unstreamed calls, which differ from experiment to experiment.
+/// Paths of the rows for calls without streaming, whose kinds depend on the experiment.
 std::vector<std::string> unstreamedPaths(const std::vector<ReportFile> &reports)
 {
     std::set<std::string> paths;
@@ -97,13 +97,13 @@
     return absl::StrReplaceAll(text, {{"&", "&amp;"}, {"<", "&lt;"}, {">", "&gt;"}});
 }
 
-/// Place of a figure on an axis.
+/// Maps values to pixel positions on an axis.
 struct Axis
 {
     double low = 0;
     double high = 1;
-    double from = 0; ///< Pixels at low.
-    double to = 1; ///< Pixels at high.
+    double from = 0; ///< Pixel position of the value low.
+    double to = 1; ///< Pixel position of the value high.
 
     double pixel(double value) const { return from + (value - low) / (high - low) * (to - from); }
 };
@@ -111,9 +111,9 @@
 Axis axisOver(const std::vector<double> &values, double from, double to)
 {
     constexpr double margin = 0.1;
-    constexpr double leastSpan = 0.1;
+    constexpr double minSpan = 0.1;
     const auto [low, high] = std::minmax_element(values.begin(), values.end());
-    const double span = std::max(*high - *low, leastSpan);
+    const double span = std::max(*high - *low, minSpan);
     return {*low - margin * span, *high + margin * span, from, to};
 }
 
--- a/src/libs/experiment/statistics.cpp
+++ b/src/libs/experiment/statistics.cpp
@@ -46,30 +46,31 @@
     double work = 0;
     double load = 0;
     double highest = 0;
-    double highestLess = 0;
+    double highestWithoutLargest = 0;
     double capacity = 0;
     for (const EngineLoad &engine : engines) {
-        const double own = engine.capacity > 0 ? engine.work / engine.capacity : 0;
+        const double engineLoad = engine.capacity > 0 ? engine.work / engine.capacity : 0;
         work += engine.work;
         capacity += engine.capacity;
-        load += own;
-        highest = std::max(highest, own);
+        load += engineLoad;
+        highest = std::max(highest, engineLoad);
         if (engine.capacity > 0)
-            highestLess = std::max(highestLess, (engine.work - engine.largest) / engine.capacity);
+            highestWithoutLargest = std::max(
+                highestWithoutLargest, (engine.work - engine.largestRequest) / engine.capacity);
     }
     const auto count = static_cast<double>(engines.size());
     if (work / count < m_options.typicalWork || load <= 0) {
-        ++m_idle;
+        ++m_idleSamples;
         return;
     }
     const double mean = load / count;
     m_samples.add(highest / mean);
-    m_lessLargest.add(highestLess / mean);
+    m_samplesWithoutLargest.add(highestWithoutLargest / mean);
     const double oneRequest = m_options.typicalWork / (capacity / count);
     const double excess = std::max(highest - m_options.bound * mean, 0.0);
     m_excessRequests.add(oneRequest > 0 ? excess / oneRequest : 0);
     if (excess > oneRequest)
-        ++m_overBound;
+        ++m_samplesOverBound;
 }
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/statistics.h
+++ b/src/libs/experiment/statistics.h
@@ -6,14 +6,14 @@
 
 namespace Lagoonbank::Experiment {
 
-/// Keeps every sample, so that percentiles are exact.
+/// A set of samples. All of them are kept, so percentiles are exact.
 class Samples
 {
 public:
     void add(double value);
     std::size_t size() const { return m_values.size(); }
     bool empty() const { return m_values.empty(); }
-    /// Nearest-rank percentile, \a percent from 0 to 100; nothing without samples.
+    /// Nearest-rank percentile for \a percent from 0 to 100; no value without samples.
     std::optional<double> percentile(double percent) const;
     std::optional<double> mean() const;
     std::optional<double> max() const;
@@ -23,26 +23,27 @@
     mutable bool m_sorted = true;
 };
 
-/// Load of one engine at one moment.
+/// Load of one engine at a point in time.
 struct EngineLoad
 {
-    double work = 0; ///< Work units still to be done.
-    double capacity = 1; ///< Work units that the engine takes at full speed.
-    double largest = 0; ///< Work units of its largest request.
+    double work = 0; ///< Outstanding work units.
+    double capacity = 1; ///< Work units that the engine can hold at full speed.
+    double largestRequest = 0; ///< Work units of the largest request of the engine.
 };
 
-/// How uneven load is over engines: the highest work per capacity over the mean of all.
+/// Measures how unevenly load is spread over engines, as the highest load (work per capacity)
+/// divided by the mean load of all engines.
 ///
-/// Where little work is in the fleet the quotient says nothing: with one request on ten engines
-/// it is 10. So a moment counts only if the mean work of an engine is at least that of one typical
-/// request; the others are counted as idle.
+/// The quotient is meaningless with little work in the fleet: a single request on ten engines gives
+/// 10. A sample is therefore only recorded if the mean work of an engine is at least that of a
+/// typical request; others are counted as idle.
 class SkewMeter
 {
 public:
     struct Options
     {
-        double bound = 1.25; ///< The routing policy's multiple of the mean.
-        double typicalWork = 1; ///< Work of one typical request.
+        double bound = 1.25; ///< Multiple of the mean load that the routing policy allows.
+        double typicalWork = 1; ///< Work units of a typical request.
     };
 
     explicit SkewMeter(const Options &options)
@@ -51,23 +52,25 @@
 
     void add(const std::vector<EngineLoad> &engines);
     const Samples &samples() const { return m_samples; }
-    std::size_t idle() const { return m_idle; }
-    /// Moments at which an engine had more than bound times the mean plus one typical request.
-    std::size_t overBound() const { return m_overBound; }
-    /// How many typical requests the highest engine has above bound times the mean; 0 if under.
+    std::size_t idleSamples() const { return m_idleSamples; }
+    /// Number of samples in which an engine exceeded bound times the mean by more than one typical
+    /// request.
+    std::size_t samplesOverBound() const { return m_samplesOverBound; }
+    /// Load of the most loaded engine above bound times the mean, in typical requests; 0 if below.
     const Samples &excessRequests() const { return m_excessRequests; }
-    /// Highest load less the largest request of that engine, over the mean: what the bound plus one
-    /// request is about, whatever the sizes of the requests.
-    const Samples &lessLargest() const { return m_lessLargest; }
+    /// Highest load without the largest request of each engine, divided by the mean. The policy
+    /// allows one request above the bound; leaving it out makes the figure comparable with the
+    /// bound whatever the sizes of the requests.
+    const Samples &samplesWithoutLargest() const { return m_samplesWithoutLargest; }
     const Options &options() const { return m_options; }
 
 private:
     Options m_options;
     Samples m_samples;
-    Samples m_lessLargest;
+    Samples m_samplesWithoutLargest;
     Samples m_excessRequests;
-    std::size_t m_idle = 0;
-    std::size_t m_overBound = 0;
+    std::size_t m_idleSamples = 0;
+    std::size_t m_samplesOverBound = 0;
 };
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/textparts.h
+++ b/src/libs/experiment/textparts.h
@@ -10,12 +10,12 @@
 
 namespace Lagoonbank::Experiment::Internal {
 
-/// Parts between \a separator; empty ones are left out.
+/// Splits \a text at each \a separator; empty parts are skipped.
 std::vector<std::string_view> splitParts(std::string_view text, char separator);
-/// Without white space at both ends.
+/// \a text without leading and trailing white space.
 std::string_view trimmed(std::string_view text);
 
-/// The whole text as a number.
+/// Parses \a text as a number; no value if anything else follows or precedes it.
 template<typename Number>
 std::optional<Number> toNumber(std::string_view text)
 {
@@ -27,7 +27,7 @@
     return value;
 }
 
-/// All parts as one text.
+/// Concatenates the values with the stream operator.
 template<typename... Parts>
 std::string joined(const Parts &...parts)
 {
--- a/src/libs/experiment/workload.cpp
+++ b/src/libs/experiment/workload.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// Weight of an output token in the engines' work units.
+/// Work units of an output token; a prompt token counts as 1.
 constexpr double outputTokenWork = 8;
 constexpr std::uint64_t seedStep = 0x9E3779B97F4A7C15ULL;
 
 double highestRate(const WorkspaceLoad &load)
 {
-    double times = 1;
+    double rateFactor = 1;
     for (const Surge &surge : load.surges)
-        times = std::max(times, surge.times);
-    return load.callsPerSecond * times;
+        rateFactor = std::max(rateFactor, surge.rateFactor);
+    return load.callsPerSecond * rateFactor;
 }
 
 } // namespace
@@ -26,13 +26,13 @@
     std::uint64_t seed = definition.seed;
     for (const WorkspaceLoad &load : definition.workspaces) {
         seed += seedStep;
-        Source source{Random(seed), highestRate(load), 0, {}};
+        WorkspaceState workspaceState{Random(seed), highestRate(load), 0, {}};
         for (const CallKind &kind : load.kinds)
-            source.kindWeights += kind.weight;
-        source.paused.resize(load.kinds.size());
-        m_sources.push_back(std::move(source));
+            workspaceState.kindWeights += kind.weight;
+        workspaceState.pausedChats.resize(load.kinds.size());
+        m_workspaceStates.push_back(std::move(workspaceState));
     }
-    for (std::size_t i = 0; i < m_sources.size(); ++i)
+    for (std::size_t i = 0; i < m_workspaceStates.size(); ++i)
         scheduleArrival(i, Base::Duration::zero());
 }
 
@@ -43,94 +43,99 @@
         m_arrivals.pop();
         if (call.isDuplicate)
             return call;
-        scheduleArrival(call.workspace, call.at);
-        Source &source = m_sources[call.workspace];
+        scheduleArrival(call.workspace, call.timeInRun);
+        WorkspaceState &workspaceState = m_workspaceStates[call.workspace];
         const WorkspaceLoad &load = m_definition.workspaces[call.workspace];
-        // Thinning: arrivals come at the highest rate, and only the share of this moment stays.
-        if (source.random.uniform() * source.highestRate >= rateAt(load, call.at))
+        // Thinning: arrivals are generated at the highest rate of the run; only the share that
+        // matches the current rate is kept.
+        if (workspaceState.random.uniform() * workspaceState.highestRate
+            >= rateAt(load, call.timeInRun))
             continue;
-        fill(call);
+        planCall(call);
         return call;
     }
     return std::nullopt;
 }
 
-double Workload::rateAt(const WorkspaceLoad &load, Base::Duration at) const
+double Workload::rateAt(const WorkspaceLoad &load, Base::Duration timeInRun) const
 {
-    double times = 1;
+    double rateFactor = 1;
     for (const Surge &surge : load.surges) {
-        if (at >= surge.from && at < surge.to)
-            times = std::max(times, surge.times);
+        if (timeInRun >= surge.from && timeInRun < surge.to)
+            rateFactor = std::max(rateFactor, surge.rateFactor);
     }
-    return load.callsPerSecond * times;
+    return load.callsPerSecond * rateFactor;
 }
 
 void Workload::scheduleArrival(std::size_t workspace, Base::Duration after)
 {
-    Source &source = m_sources[workspace];
-    if (source.highestRate <= 0)
+    WorkspaceState &workspaceState = m_workspaceStates[workspace];
+    if (workspaceState.highestRate <= 0)
         return;
     PlannedCall call;
     call.workspace = workspace;
-    call.at = after + Base::fromSeconds(source.random.exponential(1 / source.highestRate));
-    if (call.at < m_definition.length)
+    call.timeInRun = after
+        + Base::fromSeconds(workspaceState.random.exponential(1 / workspaceState.highestRate));
+    if (call.timeInRun < m_definition.length)
         m_arrivals.push(call);
 }
 
-void Workload::fill(PlannedCall &call)
+void Workload::planCall(PlannedCall &call)
 {
-    Source &source = m_sources[call.workspace];
+    WorkspaceState &workspaceState = m_workspaceStates[call.workspace];
     const WorkspaceLoad &load = m_definition.workspaces[call.workspace];
     call.number = ++m_lastNumber;
-    call.balancerDraw = source.random.bits();
-    call.caller = static_cast<int>(source.random.bits() % static_cast<unsigned>(load.callers));
+    call.balancerDraw = workspaceState.random.bits();
+    call.caller =
+        static_cast<int>(workspaceState.random.bits() % static_cast<unsigned>(load.callers));
 
-    double place = source.random.uniform() * source.kindWeights;
-    while (call.kind + 1 < load.kinds.size() && place >= load.kinds[call.kind].weight) {
-        place -= load.kinds[call.kind].weight;
+    double weightOffset = workspaceState.random.uniform() * workspaceState.kindWeights;
+    while (call.kind + 1 < load.kinds.size() && weightOffset >= load.kinds[call.kind].weight) {
+        weightOffset -= load.kinds[call.kind].weight;
         ++call.kind;
     }
     const CallKind &kind = load.kinds[call.kind];
     if (const auto *chat = std::get_if<ChatCall>(&kind.call))
-        fillChat(call, *chat, source);
+        planChatTurn(call, *chat, workspaceState);
     else
-        scheduleDuplicate(call, std::get<ServiceCall>(kind.call), source);
+        scheduleDuplicate(call, std::get<ServiceCall>(kind.call), workspaceState);
 }
 
-void Workload::fillChat(PlannedCall &call, const ChatCall &chat, Source &source)
+void Workload::planChatTurn(PlannedCall &call, const ChatCall &chat, WorkspaceState &workspaceState)
 {
-    ChatQueue &paused = source.paused[call.kind];
+    ChatQueue &pausedChats = workspaceState.pausedChats[call.kind];
     Chat state;
-    if (!paused.empty() && paused.top().due <= call.at) {
-        state = paused.top();
-        paused.pop();
+    if (!pausedChats.empty() && pausedChats.top().nextTurnTime <= call.timeInRun) {
+        state = pausedChats.top();
+        pausedChats.pop();
     } else {
         state.chat = ++m_lastChat;
         state.caller = call.caller;
-        state.turns = source.random.drawCount(chat.turns, 1);
+        state.turns = workspaceState.random.drawCount(chat.turns, 1);
     }
     call.chat = state.chat;
     call.caller = state.caller;
     call.turn = state.turn;
     call.isLastTurn = state.turn + 1 >= state.turns;
-    call.promptTokens = source.random.drawCount(chat.promptTokens, 1);
-    call.answerTokens = source.random.drawCount(chat.answerTokens, 1);
+    call.promptTokens = workspaceState.random.drawCount(chat.promptTokens, 1);
+    call.answerTokens = workspaceState.random.drawCount(chat.answerTokens, 1);
     if (call.isLastTurn)
         return;
     ++state.turn;
-    state.due = call.at + Base::fromSeconds(source.random.draw(chat.pauseSeconds));
-    paused.push(state);
+    state.nextTurnTime =
+        call.timeInRun + Base::fromSeconds(workspaceState.random.draw(chat.pauseSeconds));
+    pausedChats.push(state);
 }
 
 void Workload::scheduleDuplicate(const PlannedCall &call, const ServiceCall &service,
-                                 Source &source)
+                                 WorkspaceState &workspaceState)
 {
-    if (source.random.uniform() >= service.duplicateShare)
+    if (workspaceState.random.uniform() >= service.duplicateShare)
         return;
-    PlannedCall second = call;
-    second.isDuplicate = true;
-    second.at += Base::fromSeconds(source.random.draw(service.duplicateSeconds));
-    m_arrivals.push(second);
+    PlannedCall duplicate = call;
+    duplicate.isDuplicate = true;
+    duplicate.timeInRun += Base::fromSeconds(workspaceState.random.draw(service.duplicateSeconds));
+    m_arrivals.push(duplicate);
 }
 
 double typicalWork(const Definition &definition)
@@ -145,9 +150,10 @@
             const auto *chat = std::get_if<ChatCall>(&kind.call);
             if (!chat)
                 continue;
-            const double own = load.callsPerSecond * kind.weight / weights;
-            work += own * (chat->promptTokens.mean + outputTokenWork * chat->answerTokens.mean);
-            rate += own;
+            const double callRate = load.callsPerSecond * kind.weight / weights;
+            work +=
+                callRate * (chat->promptTokens.mean + outputTokenWork * chat->answerTokens.mean);
+            rate += callRate;
         }
     }
     return rate > 0 ? work / rate : 0;
--- a/src/libs/experiment/workload.h
+++ b/src/libs/experiment/workload.h
@@ -11,84 +11,88 @@
 
 namespace Lagoonbank::Experiment {
 
-/// One call that the bench will send.
+/// A call that the bench is going to send.
 struct PlannedCall
 {
-    Base::Duration at{}; ///< From the start of the run.
-    std::uint64_t number = 0; ///< A second sending has the number of the first.
+    Base::Duration timeInRun{}; ///< Time of sending since the start of the run.
+    std::uint64_t number = 0; ///< A duplicate has the number of the original call.
     std::size_t workspace = 0; ///< Index into Definition::workspaces.
     std::size_t kind = 0; ///< Index into WorkspaceLoad::kinds.
     int caller = 0;
-    std::uint64_t balancerDraw = 0;
-    bool isDuplicate = false; ///< Goes through another router than the first sending.
-    std::uint64_t chat = 0; ///< Chats only, as are the following.
+    std::uint64_t balancerDraw = 0; ///< Random number by which the balancer chooses a router.
+    bool isDuplicate = false; ///< Sent through another router than the original call.
+    std::uint64_t chat = 0; ///< Number of the chat; this and the rest are only set for chats.
     int turn = 0;
     bool isLastTurn = false;
     int promptTokens = 0;
     int answerTokens = 0;
 };
 
-/// Makes the calls of a run in order of time from the seed alone: what the fleet answers and how
-/// fast changes nothing (open loop).
+/// Generates the calls of a run, sorted by time. The load is open-loop: it depends on the seed
+/// alone, not on the answers of the fleet or their timing.
 ///
-/// Each workspace sends by a Poisson process. A chat's call takes the chat whose pause has been
-/// over for longest; if there is none it opens a new chat.
+/// The calls of each workspace are a Poisson process. A chat call continues the chat whose pause
+/// ended first, or starts a new chat if none is due.
 class Workload
 {
 public:
     explicit Workload(const Definition &definition);
 
-    /// The next call, or nothing once the run's length is reached.
+    /// The next call; no value once the length of the run is reached.
     std::optional<PlannedCall> next();
 
 private:
     struct Chat
     {
-        Base::Duration due{};
+        Base::Duration nextTurnTime{};
         std::uint64_t chat = 0;
         int caller = 0;
         int turn = 0;
         int turns = 1;
         friend bool operator>(const Chat &a, const Chat &b)
         {
-            return a.due != b.due ? a.due > b.due : a.chat > b.chat;
+            return a.nextTurnTime != b.nextTurnTime ? a.nextTurnTime > b.nextTurnTime
+                                                    : a.chat > b.chat;
         }
     };
     using ChatQueue = std::priority_queue<Chat, std::vector<Chat>, std::greater<>>;
 
-    struct Source
+    struct WorkspaceState
     {
         Random random;
         double highestRate = 0;
         double kindWeights = 0;
-        std::vector<ChatQueue> paused; ///< One for each kind.
+        std::vector<ChatQueue> pausedChats; ///< One queue for each kind of call.
     };
 
-    struct Later
+    struct IsLater
     {
         bool operator()(const PlannedCall &a, const PlannedCall &b) const
         {
-            return a.at != b.at ? a.at > b.at : a.number > b.number;
+            return a.timeInRun != b.timeInRun ? a.timeInRun > b.timeInRun : a.number > b.number;
         }
     };
 
-    double rateAt(const WorkspaceLoad &load, Base::Duration at) const;
+    double rateAt(const WorkspaceLoad &load, Base::Duration timeInRun) const;
     void scheduleArrival(std::size_t workspace, Base::Duration after);
-    void fill(PlannedCall &call);
-    void fillChat(PlannedCall &call, const ChatCall &chat, Source &source);
-    void scheduleDuplicate(const PlannedCall &call, const ServiceCall &service, Source &source);
+    void planCall(PlannedCall &call);
+    void planChatTurn(PlannedCall &call, const ChatCall &chat, WorkspaceState &workspaceState);
+    void scheduleDuplicate(const PlannedCall &call, const ServiceCall &service,
+                           WorkspaceState &workspaceState);
 
     const Definition &m_definition;
-    std::vector<Source> m_sources;
-    std::priority_queue<PlannedCall, std::vector<PlannedCall>, Later> m_arrivals;
+    std::vector<WorkspaceState> m_workspaceStates;
+    std::priority_queue<PlannedCall, std::vector<PlannedCall>, IsLater> m_arrivals;
     std::uint64_t m_lastNumber = 0;
     std::uint64_t m_lastChat = 0;
 };
 
-/// Work of one typical model call in the engines' units, over all kinds by their rates.
+/// Mean work of a model call in the engines' work units, weighted by the rates of the kinds of
+/// call.
 double typicalWork(const Definition &definition);
 
-/// The router of a call: by its caller if sticky, else at random; a second sending gets the next.
+/// The router for a call: fixed for each caller if sticky, otherwise random. A duplicate gets the
+/// next router.
 std::size_t chooseRouter(const PlannedCall &call, Balancer balancer, std::size_t routers);
 
 } // namespace Lagoonbank::Experiment
--- a/src/libs/experiment/yamlreader.cpp
+++ b/src/libs/experiment/yamlreader.cpp
@@ -36,18 +36,18 @@
     return {m_file, m_node[index], joined(m_key, "[", index, "]")};
 }
 
-void YamlReader::expectMap(std::initializer_list<std::string_view> known) const
+void YamlReader::expectMap(std::initializer_list<std::string_view> allowedKeys) const
 {
     if (!m_node.IsMap())
         fail(joined("'", m_key, "' must be a map"));
-    std::set<std::string> seen;
+    std::set<std::string> seenKeys;
     for (const auto &entry : m_node) {
         const auto key = entry.first.as<std::string>();
-        const YamlReader place(m_file, entry.first, key);
-        if (std::find(known.begin(), known.end(), key) == known.end())
-            place.fail(joined("unknown key '", key, "'"));
-        if (!seen.insert(key).second)
-            place.fail(joined("key '", key, "' is there twice"));
+        const YamlReader keyReader(m_file, entry.first, key);
+        if (std::find(allowedKeys.begin(), allowedKeys.end(), key) == allowedKeys.end())
+            keyReader.fail(joined("unknown key '", key, "'"));
+        if (!seenKeys.insert(key).second)
+            keyReader.fail(joined("key '", key, "' is there twice"));
     }
 }
 
--- a/src/libs/experiment/yamlreader.h
+++ b/src/libs/experiment/yamlreader.h
@@ -11,7 +11,7 @@
 
 namespace Lagoonbank::Experiment::Internal {
 
-/// A file that cannot be used; what() is "file:line: what is wrong".
+/// Error in a YAML file; what() is "file:line: message".
 class FileError : public std::exception
 {
 public:
@@ -24,7 +24,7 @@
     std::string m_text;
 };
 
-/// A YAML node that knows its file, so that each error names file and line. Throws FileError.
+/// A YAML node together with its file name. Errors are thrown as FileError and name file and line.
 class YamlReader
 {
 public:
@@ -39,13 +39,13 @@
     const std::string &file() const { return m_file; }
     const YAML::Node &node() const { return m_node; }
     bool has(const char *key) const { return m_node.IsMap() && m_node[key].IsDefined(); }
-    /// The child \a key, which must be there.
+    /// The child \a key; fails if it is missing.
     YamlReader at(const char *key) const;
     YamlReader item(std::size_t index) const;
     std::size_t size() const { return m_node.size(); }
 
-    /// Fails unless this is a map with keys of \a known alone, each once.
-    void expectMap(std::initializer_list<std::string_view> known) const;
+    /// Fails unless this node is a map that only has keys of \a allowedKeys, each at most once.
+    void expectMap(std::initializer_list<std::string_view> allowedKeys) const;
     void expectList() const;
 
     std::string text() const;
--- a/tests/auto/experiment/tst_answercheck.cpp
+++ b/tests/auto/experiment/tst_answercheck.cpp
@@ -32,13 +32,13 @@
 }
 
 const std::vector<Case> cases{
-    {"whole", answerOf("r1", 0, 5), AnswerCheck::Fits},
-    {"of another request", answerOf("r2", 0, 5), AnswerCheck::Foreign},
-    {"one piece of another request", answerOf("r1", 0, 4) + answerOf("r2", 4, 5),
+    {"whole", answerOf("r1", 0, 5), AnswerCheck::Matches},
+    {"answer to another request", answerOf("r2", 0, 5), AnswerCheck::Foreign},
+    {"one token of another request", answerOf("r1", 0, 4) + answerOf("r2", 4, 5),
      AnswerCheck::Foreign},
     {"too short", answerOf("r1", 0, 4), AnswerCheck::Cut},
     {"gap", answerOf("r1", 0, 2) + answerOf("r1", 3, 6), AnswerCheck::Cut},
-    {"piece twice", answerOf("r1", 0, 3) + answerOf("r1", 2, 5), AnswerCheck::Cut},
+    {"repeated token", answerOf("r1", 0, 3) + answerOf("r1", 2, 5), AnswerCheck::Cut},
     {"empty", "", AnswerCheck::Cut},
 };
 
@@ -52,12 +52,12 @@
 BOOST_AUTO_TEST_CASE(receiptBelongsToTheBody)
 {
     const std::string answer = "{\"receipt\":\"" + expectedReceipt("{\"room\":1}") + "\"}";
-    BOOST_TEST((checkServiceAnswer("{\"room\":1}", answer) == AnswerCheck::Fits));
+    BOOST_TEST((checkServiceAnswer("{\"room\":1}", answer) == AnswerCheck::Matches));
     BOOST_TEST((checkServiceAnswer("{\"room\":2}", answer) == AnswerCheck::Foreign));
     BOOST_TEST((checkServiceAnswer("{\"room\":1}", answer.substr(0, 9)) == AnswerCheck::Cut));
 }
 
-BOOST_AUTO_TEST_CASE(streamIsPutTogetherFromAnyPieces)
+BOOST_AUTO_TEST_CASE(streamIsReassembledFromAnyChunks)
 {
     const std::string stream = "data: {\"choices\":[{\"delta\":{\"role\":\"assistant\"}}]}\n\n"
                                "data: {\"choices\":[{\"delta\":{\"content\":\"a \"}}]}\r\n\r\n"
@@ -69,7 +69,7 @@
         for (std::size_t from = 0; from < stream.size(); from += size)
             reader.add(std::string_view(stream).substr(from, size));
         BOOST_TEST(reader.text() == "a b ");
-        BOOST_TEST(reader.pieces() == 2);
+        BOOST_TEST(reader.deltaCount() == 2);
         BOOST_TEST(reader.isDone());
     }
 }
@@ -85,13 +85,13 @@
     BOOST_TEST((error->ran == Errors::Ran::Yes));
 }
 
-BOOST_AUTO_TEST_CASE(recordsAreReadTolerantly)
+BOOST_AUTO_TEST_CASE(incompleteRecordsAreRead)
 {
     const auto ledger = readLedger(R"({"dropped": 2, "entries": [
         {"request_id": "r1", "state": "whole", "started_ms": 5, "ended_ms": null, "tokens": 3},
         {"state": "whole"}, 7]})");
     BOOST_REQUIRE(ledger.has_value());
-    BOOST_TEST(!ledger.value().isWhole);
+    BOOST_TEST(!ledger.value().isComplete);
     BOOST_REQUIRE(ledger.value().entries.size() == 1U);
     BOOST_TEST(ledger.value().entries.front().tokens.value() == 3);
     BOOST_TEST(!ledger.value().entries.front().cachedTokens.has_value());
--- a/tests/auto/experiment/tst_definition.cpp
+++ b/tests/auto/experiment/tst_definition.cpp
@@ -75,7 +75,7 @@
 {
     std::string from;
     std::string to;
-    std::string error; ///< After the file's name.
+    std::string error; ///< Expected start of the message after the file name.
 };
 
 std::ostream &operator<<(std::ostream &stream, const Mistake &mistake)
@@ -117,7 +117,7 @@
     BOOST_TEST((definition.events.front().kind == EventKind::Fault));
 }
 
-BOOST_AUTO_TEST_CASE(flagsGoBeforeTheFile)
+BOOST_AUTO_TEST_CASE(optionsOverrideTheFile)
 {
     const Folder folder;
     const auto result = readDefinition({.file = folder.write("experiment.yaml", experiment),
@@ -130,7 +130,7 @@
     BOOST_TEST(result.value().endpoints.back().address == "127.77.1.20:9100");
 }
 
-BOOST_AUTO_TEST_CASE(loadGoesToLoopbackAlone)
+BOOST_AUTO_TEST_CASE(onlyLoopbackAddressesAreAccepted)
 {
     const Folder folder;
     folder.write("deployment.yaml", replaced(deployment, "127.10.1.1}", "10.0.0.1}"));
@@ -139,7 +139,7 @@
     BOOST_TEST(result.error().detail.find("deployment.yaml:5: ") != std::string::npos);
 }
 
-BOOST_DATA_TEST_CASE(mistakesAreToldByLine, boost::unit_test::data::make(mistakes), mistake)
+BOOST_DATA_TEST_CASE(errorsNameTheLine, boost::unit_test::data::make(mistakes), mistake)
 {
     const Folder folder;
     const std::string file =
--- a/tests/auto/experiment/tst_reconciliation.cpp
+++ b/tests/auto/experiment/tst_reconciliation.cpp
@@ -18,9 +18,9 @@
 {
     return {.requestId = requestId,
             .endpoint = "engine-1",
-            .view = CallerView::Whole,
+            .outcome = CallerOutcome::Whole,
             .ran = Errors::Ran::Yes,
-            .check = AnswerCheck::Fits,
+            .check = AnswerCheck::Matches,
             .tokens = 4};
 }
 
@@ -29,7 +29,7 @@
     return {.requestId = requestId, .state = "whole", .startedMs = startMs, .tokens = 4};
 }
 
-/// A model call, a booking sent twice and a refused call, all as they should be.
+/// A model call, a booking sent twice and a refused call, without any breach.
 Evidence goodEvidence()
 {
     Evidence evidence;
@@ -40,13 +40,13 @@
     booking.isModelCall = false;
     booking.isIdempotent = false;
     booking.key = "key-1";
-    CallerRecord again = booking;
-    again.requestId = "booking-again";
+    CallerRecord duplicate = booking;
+    duplicate.requestId = "booking-again";
     evidence.callers.push_back(booking);
-    evidence.callers.push_back(again);
+    evidence.callers.push_back(duplicate);
 
     evidence.callers.push_back(
-        {.requestId = "refused", .view = CallerView::Refused, .ran = Errors::Ran::No});
+        {.requestId = "refused", .outcome = CallerOutcome::Refused, .ran = Errors::Ran::No});
 
     evidence.outcomes = {{"model", "whole", "yes", "engine-1"}, {"refused", "refused", "no", ""}};
     LedgerEntry run = wholeRun("booking");
@@ -62,7 +62,7 @@
 struct Breach
 {
     std::string name;
-    Promise promise;
+    Guarantee guarantee;
     std::function<void(Evidence &)> cause;
 };
 
@@ -72,31 +72,31 @@
 }
 
 const std::vector<Breach> breaches{
-    {"answer of another request", Promise::CrossedAnswers,
+    {"answer of another request", Guarantee::CrossedAnswers,
      [](Evidence &e) { e.callers[0].check = AnswerCheck::Foreign; }},
-    {"crossed answer that ended in an error", Promise::CrossedAnswers,
+    {"crossed answer that ended in an error", Guarantee::CrossedAnswers,
      [](Evidence &e) { e.callers.push_back({.requestId = "x", .check = AnswerCheck::Foreign}); }},
-    {"whole answer with a gap", Promise::CutAnswers,
+    {"whole answer with a gap", Guarantee::CutAnswers,
      [](Evidence &e) { e.callers[0].check = AnswerCheck::Cut; }},
-    {"answer shorter than the run", Promise::CutAnswers,
+    {"answer shorter than the run", Guarantee::CutAnswers,
      [](Evidence &e) { e.callers[0].tokens = 3; }},
-    {"caller was told that it did not run", Promise::RefusedButRan,
+    {"request reported to the caller as not run", Guarantee::RefusedButRan,
      [](Evidence &e) { e.ledgers[0].entries.push_back(wholeRun("refused")); }},
-    {"a run that crashed is a run", Promise::RefusedButRan,
+    {"crashed run of a refused request", Guarantee::RefusedButRan,
      [](Evidence &e) {
          LedgerEntry run = wholeRun("refused");
          run.state = "crashed";
          e.ledgers[0].entries.push_back(run);
      }},
-    {"router alone says that it did not run", Promise::RefusedButRan,
+    {"run reported as not run by the router alone", Guarantee::RefusedButRan,
      [](Evidence &e) { e.outcomes[0].ran = "no"; }},
-    {"one key ran at two endpoints", Promise::RanTwice,
+    {"one key run by two endpoints", Guarantee::RanTwice,
      [](Evidence &e) {
          LedgerEntry run = wholeRun("booking-again");
          run.key = "key-1";
          e.ledgers.push_back({.endpoint = "booking-2", .entries = {run}});
      }},
-    {"one request without a key ran twice", Promise::RanTwice,
+    {"request without a key run twice", Guarantee::RanTwice,
      [](Evidence &e) {
          CallerRecord call = wholeCall("once");
          call.isModelCall = false;
@@ -105,17 +105,17 @@
          e.ledgers[1].entries.push_back(wholeRun("once"));
          e.ledgers[1].entries.push_back(wholeRun("once"));
      }},
-    {"answered but no endpoint ran it", Promise::LostAccepted,
+    {"answered but not run by any endpoint", Guarantee::LostAccepted,
      [](Evidence &e) { e.ledgers[0].entries.clear(); }},
-    {"answered but the run was cancelled", Promise::LostAccepted,
+    {"answered but cancelled on the endpoint", Guarantee::LostAccepted,
      [](Evidence &e) { e.ledgers[0].entries[0].state = "cancelled"; }},
-    {"router alone says whole", Promise::LostAccepted,
+    {"reported as whole by the router alone", Guarantee::LostAccepted,
      [](Evidence &e) {
          e.outcomes.push_back({"ghost", "whole", "yes", "engine-1"});
      }},
-    {"work for a leaving endpoint", Promise::SentToLeaving,
+    {"work started on a leaving endpoint", Guarantee::SentToLeaving,
      [](Evidence &e) { e.ledgers[0].entries[0].startedMs = startMs + drainGraceMs + 1; }},
-    {"a revision goes down", Promise::ConfigReverted,
+    {"decreasing revision", Guarantee::ConfigReverted,
      [](Evidence &e) {
          e.revisions.push_back({"router-1", "policy/default", 3, 4});
      }},
@@ -123,56 +123,59 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(keptPromisesCountZero)
+BOOST_AUTO_TEST_CASE(noBreachesInGoodEvidence)
 {
     const Reconciliation result = reconcile(goodEvidence());
-    for (std::size_t i = 0; i < promiseCount; ++i)
-        BOOST_TEST(result.counts.at(i).value_or(-1) == 0, toString(static_cast<Promise>(i)));
+    for (std::size_t i = 0; i < guaranteeCount; ++i)
+        BOOST_TEST(result.breachCounts.at(i).value_or(-1) == 0,
+                   toString(static_cast<Guarantee>(i)));
     BOOST_TEST(result.findings.empty());
 }
 
-BOOST_DATA_TEST_CASE(brokenPromiseCountsOnce, boost::unit_test::data::make(breaches), breach)
+BOOST_DATA_TEST_CASE(breachIsCountedOnce, boost::unit_test::data::make(breaches), breach)
 {
     Evidence evidence = goodEvidence();
     breach.cause(evidence);
     const Reconciliation result = reconcile(evidence);
-    for (std::size_t i = 0; i < promiseCount; ++i) {
-        const std::int64_t expected = static_cast<Promise>(i) == breach.promise ? 1 : 0;
-        BOOST_TEST(result.counts.at(i).value_or(-1) == expected, toString(static_cast<Promise>(i)));
+    for (std::size_t i = 0; i < guaranteeCount; ++i) {
+        const std::int64_t expected = static_cast<Guarantee>(i) == breach.guarantee ? 1 : 0;
+        BOOST_TEST(result.breachCounts.at(i).value_or(-1) == expected,
+                   toString(static_cast<Guarantee>(i)));
     }
     BOOST_REQUIRE(result.findings.size() == 1);
-    BOOST_TEST((result.findings.front().promise == breach.promise));
+    BOOST_TEST((result.findings.front().guarantee == breach.guarantee));
 }
 
-BOOST_AUTO_TEST_CASE(whatWasNotMeasuredIsNoZero)
+BOOST_AUTO_TEST_CASE(countsWithoutEvidenceAreEmpty)
 {
     Evidence evidence = goodEvidence();
     evidence.ledgers.clear();
     evidence.drains.clear();
     evidence.revisions.clear();
     const Reconciliation result = reconcile(evidence);
-    for (const Promise promise : {Promise::RefusedButRan, Promise::RanTwice, Promise::LostAccepted,
-                                  Promise::SentToLeaving, Promise::ConfigReverted})
-        BOOST_TEST(!result.count(promise).has_value(), toString(promise));
-    BOOST_TEST(result.count(Promise::CrossedAnswers).has_value());
+    for (const Guarantee guarantee :
+         {Guarantee::RefusedButRan, Guarantee::RanTwice, Guarantee::LostAccepted,
+          Guarantee::SentToLeaving, Guarantee::ConfigReverted})
+        BOOST_TEST(!result.breachCount(guarantee).has_value(), toString(guarantee));
+    BOOST_TEST(result.breachCount(Guarantee::CrossedAnswers).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ledgerOfAReplacedEndpointProvesNoLoss)
+BOOST_AUTO_TEST_CASE(incompleteLedgerDoesNotProveALoss)
 {
     Evidence evidence = goodEvidence();
     evidence.ledgers[0].entries.clear();
-    evidence.ledgers[0].isWhole = false;
+    evidence.ledgers[0].isComplete = false;
     const Reconciliation result = reconcile(evidence);
-    BOOST_TEST(result.count(Promise::LostAccepted).value() == 0);
+    BOOST_TEST(result.breachCount(Guarantee::LostAccepted).value() == 0);
     BOOST_TEST(result.unreconciled == 1);
 }
 
-BOOST_AUTO_TEST_CASE(workAfterTheEndOfADrainIsFine)
+BOOST_AUTO_TEST_CASE(workAfterARevertedDrainIsNoBreach)
 {
     Evidence evidence = goodEvidence();
     evidence.ledgers[0].entries[0].startedMs = startMs + 2 * drainGraceMs;
     evidence.drains[0].endedMs = startMs + drainGraceMs;
-    BOOST_TEST(reconcile(evidence).count(Promise::SentToLeaving).value() == 0);
+    BOOST_TEST(reconcile(evidence).breachCount(Guarantee::SentToLeaving).value() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(retriedIdempotentCallMayRunTwice)
@@ -181,10 +184,10 @@
     LedgerEntry first = wholeRun("model");
     first.state = "crashed";
     evidence.ledgers[0].entries.push_back(first);
-    BOOST_TEST(reconcile(evidence).count(Promise::RanTwice).value() == 0);
+    BOOST_TEST(reconcile(evidence).breachCount(Guarantee::RanTwice).value() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(cacheReuseNeedsTheWholePreviousPrompt)
+BOOST_AUTO_TEST_CASE(cacheReuseNeedsTheCompletePreviousPrompt)
 {
     Evidence evidence;
     Ledger ledger{.endpoint = "engine-1"};
@@ -199,7 +202,7 @@
         run.cachedTokens = cached[static_cast<std::size_t>(turn)];
         ledger.entries.push_back(run);
     }
-    evidence.callers[3].view = CallerView::Unknown;
+    evidence.callers[3].outcome = CallerOutcome::Unknown;
     evidence.ledgers.push_back(ledger);
 
     const CacheReuse reuse = measureCacheReuse(evidence, 16);
--- a/tests/auto/experiment/tst_report.cpp
+++ b/tests/auto/experiment/tst_report.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(nothingMeasuredIsNull)
+BOOST_AUTO_TEST_CASE(missingMeasurementsAreNull)
 {
     const auto json = nlohmann::json::parse(toJson(Report()));
     for (const char *promise : {"crossed_answers", "cut_answers", "refused_but_ran", "ran_twice",
@@ -39,7 +39,7 @@
     BOOST_TEST(json.at("decision_us").at("p99").is_null());
 }
 
-BOOST_AUTO_TEST_CASE(figuresStandUnderTheirKeys)
+BOOST_AUTO_TEST_CASE(figuresAreWrittenUnderTheirKeys)
 {
     const auto json = nlohmann::json::parse(toJson(measuredReport()));
     BOOST_TEST(json.at("requests").at("whole") == 9);
@@ -49,7 +49,7 @@
     BOOST_TEST(json.at("latency_ms").at("first_token_p99") == 5);
 }
 
-BOOST_AUTO_TEST_CASE(reportsStandSideBySide)
+BOOST_AUTO_TEST_CASE(reportsAreComparedInColumns)
 {
     const auto first = readReportText("a.json", toJson(measuredReport()));
     const auto second = readReportText("b.json", toJson(Report()));
@@ -64,7 +64,7 @@
     BOOST_TEST(svg.ends_with("</svg>\n"));
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNoReportIsRefused)
+BOOST_AUTO_TEST_CASE(invalidReportsAreRejected)
 {
     BOOST_TEST(readReportText("a.json", "{").error().detail == "a.json:1: is no report");
     BOOST_TEST(readReportText("a.json", "{}").has_error());
--- a/tests/auto/experiment/tst_statistics.cpp
+++ b/tests/auto/experiment/tst_statistics.cpp
@@ -23,7 +23,7 @@
     BOOST_TEST(samples.percentile(0).value() == 0.5);
 }
 
-BOOST_AUTO_TEST_CASE(skewCountsLoadForItsCapacity)
+BOOST_AUTO_TEST_CASE(skewComparesLoadPerCapacity)
 {
     SkewMeter meter({.bound = 1.25, .typicalWork = 100});
     meter.add({{200, 1}, {200, 1}});
@@ -32,24 +32,24 @@
     BOOST_TEST(meter.samples().size() == 3U);
     BOOST_TEST(meter.samples().percentile(50).value() == 1);
     BOOST_TEST(meter.samples().max().value() == 400.0 / 300.0);
-    BOOST_TEST(meter.overBound() == 0U);
+    BOOST_TEST(meter.samplesOverBound() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(skewAllowsOneRequestOverTheBound)
 {
     SkewMeter meter({.bound = 1.25, .typicalWork = 100});
     meter.add({{500, 1}, {100, 1}});
-    BOOST_TEST(meter.overBound() == 1U);
+    BOOST_TEST(meter.samplesOverBound() == 1U);
     BOOST_TEST(meter.excessRequests().max().value() == 1.25);
     meter.add({{450, 1}, {150, 1}});
-    BOOST_TEST(meter.overBound() == 1U);
+    BOOST_TEST(meter.samplesOverBound() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(skewLessTheLargestRequestIgnoresItsSize)
+BOOST_AUTO_TEST_CASE(skewWithoutLargestRequestIgnoresItsSize)
 {
     SkewMeter meter({.bound = 1.25, .typicalWork = 100});
     meter.add({{1000, 1, 900}, {200, 1, 50}});
-    BOOST_TEST(meter.lessLargest().max().value() == 150.0 / 600.0);
+    BOOST_TEST(meter.samplesWithoutLargest().max().value() == 150.0 / 600.0);
 }
 
 BOOST_AUTO_TEST_CASE(nearlyIdleFleetHasNoSkew)
@@ -59,7 +59,7 @@
     meter.add({{0, 1}, {0, 1}});
     meter.add({});
     BOOST_TEST(meter.samples().empty());
-    BOOST_TEST(meter.idle() == 2U);
+    BOOST_TEST(meter.idleSamples() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(metricsAreRead)
@@ -75,7 +75,7 @@
     BOOST_TEST(!sumOf(metrics, "z").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(histogramTakesOutWhatWasBefore)
+BOOST_AUTO_TEST_CASE(histogramSubtractsEarlierSamples)
 {
     const auto before = readMetrics("d_bucket{le=\"1\"} 10\nd_bucket{le=\"2\"} 10\n"
                                     "d_bucket{le=\"+Inf\"} 10\n");
--- a/tests/auto/experiment/tst_workload.cpp
+++ b/tests/auto/experiment/tst_workload.cpp
@@ -51,8 +51,8 @@
 
 bool isSame(const PlannedCall &a, const PlannedCall &b)
 {
-    return a.at == b.at && a.number == b.number && a.chat == b.chat && a.turn == b.turn
-        && a.promptTokens == b.promptTokens && a.balancerDraw == b.balancerDraw;
+    return a.timeInRun == b.timeInRun && a.number == b.number && a.chat == b.chat
+        && a.turn == b.turn && a.promptTokens == b.promptTokens && a.balancerDraw == b.balancerDraw;
 }
 
 std::size_t countBetween(const std::vector<PlannedCall> &calls, std::size_t workspace,
@@ -60,15 +60,16 @@
 {
     std::size_t count = 0;
     for (const PlannedCall &call : calls) {
-        const double at = Base::toSeconds(call.at);
-        count += call.workspace == workspace && at >= fromSeconds && at < toSeconds ? 1 : 0;
+        const double seconds = Base::toSeconds(call.timeInRun);
+        count +=
+            call.workspace == workspace && seconds >= fromSeconds && seconds < toSeconds ? 1 : 0;
     }
     return count;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(oneSeedMakesOneWorkload)
+BOOST_AUTO_TEST_CASE(workloadDependsOnTheSeedAlone)
 {
     const auto first = callsOf(makeDefinition(7));
     const auto second = callsOf(makeDefinition(7));
@@ -78,12 +79,14 @@
     BOOST_TEST(!isSame(first.front(), other.front()));
 }
 
-BOOST_AUTO_TEST_CASE(callsComeInOrderAtTheirRate)
+BOOST_AUTO_TEST_CASE(callsAreSortedAndMatchTheRate)
 {
     const auto calls = callsOf(makeDefinition(7));
-    BOOST_TEST(std::is_sorted(calls.begin(), calls.end(),
-                              [](const auto &a, const auto &b) { return a.at < b.at; }));
-    // 20 s at 100/s plus half of the bookings again; five standard deviations wide.
+    BOOST_TEST(std::is_sorted(calls.begin(), calls.end(), [](const auto &a, const auto &b) {
+        return a.timeInRun < b.timeInRun;
+    }));
+    // 20 s at 100/s plus duplicates of half of the bookings; the limits are five standard
+    // deviations apart from the mean.
     const std::size_t large = countBetween(calls, 0, 0, 20);
     BOOST_TEST(large > 1850U);
     BOOST_TEST(large < 2350U);
@@ -113,14 +116,14 @@
             BOOST_TEST(call.turn == before->second.turn + 1);
             BOOST_TEST(call.caller == before->second.caller);
             BOOST_TEST(!before->second.isLastTurn);
-            BOOST_TEST(Base::toSeconds(call.at - before->second.at) >= 0.5);
+            BOOST_TEST(Base::toSeconds(call.timeInRun - before->second.timeInRun) >= 0.5);
         }
         last[call.chat] = call;
     }
     BOOST_TEST(returns > 500U);
 }
 
-BOOST_AUTO_TEST_CASE(secondSendingGoesThroughAnotherRouter)
+BOOST_AUTO_TEST_CASE(duplicateGoesThroughAnotherRouter)
 {
     std::map<std::uint64_t, PlannedCall> firsts;
     std::size_t duplicates = 0;
@@ -146,8 +149,8 @@
         if (call.isDuplicate)
             continue;
         const std::size_t router = chooseRouter(call, Balancer::Sticky, 6);
-        const auto [place, isNew] = routers.emplace(std::pair(call.workspace, call.caller), router);
-        BOOST_TEST((isNew || place->second == router));
+        const auto [known, isNew] = routers.emplace(std::pair(call.workspace, call.caller), router);
+        BOOST_TEST((isNew || known->second == router));
         used.insert(router);
     }
     BOOST_TEST(used.size() > 1U);
