--- a/src/apps/controller/main.cpp
+++ b/src/apps/controller/main.cpp
@@ -22,8 +22,9 @@
 
 int main(int argc, char **argv)
 {
-    absl::SetProgramUsageMessage("Probes the endpoints of a data centre and orders them.\n"
-                                 "lagoonbank-controller --settings controller.yaml");
+    absl::SetProgramUsageMessage(
+        "Probes the endpoints of a data centre and sends them their orders.\n"
+        "lagoonbank-controller --settings controller.yaml");
     absl::ParseCommandLine(argc, argv);
     const auto settings =
         Node::loadSettings<Schema::ControllerSettings>(program, absl::GetFlag(FLAGS_settings));
--- a/src/apps/ctl/main.cpp
+++ b/src/apps/ctl/main.cpp
@@ -1,4 +1,4 @@
-/// \file Runs one command of operators or support engineers to its end.
+/// \file Command-line tool for operators and support engineers; runs one command and exits.
 
 #include "http/client.h"
 #include "operations/commandline.h"
@@ -23,11 +23,11 @@
 
 namespace {
 
-/// For reading back an append whose answer was lost, before it is tried again.
-constexpr Base::Duration longestSettling = std::chrono::seconds(1);
-constexpr int settlingShare = 4;
+/// Longest time spent on reading back an append whose answer was lost, before it is retried.
+constexpr Base::Duration maxReadBackTimeout = std::chrono::seconds(1);
+constexpr int readBackTimeoutDivisor = 4;
 
-/// Unique for each run: when it began and a random number.
+/// A unique id of this run of the tool, made of the current time and a random number.
 std::string makeInvocation(const Runtime::Clock &clock)
 {
     std::random_device random;
@@ -47,7 +47,7 @@
     return static_cast<int>(report.status);
 }
 
-/// Goes to the server that each call names.
+/// Transport that sends each call to the server named in it.
 PlatformClient::Transport directTransport(Http::Client &client)
 {
     return {.start =
@@ -57,7 +57,7 @@
             .cancel = [&client](Http::CallId call) { client.cancel(call); }};
 }
 
-/// Runs the command on a loop until it has its report.
+/// Runs the command on an event loop until it returns its report.
 Operations::Report run(const Operations::CommandLine &line)
 {
     Runtime::Loop loop;
@@ -79,7 +79,7 @@
             .transport = context.platform,
             .timers = &loop.timers(),
             .appendTimeout = timeout,
-            .readBackTimeout = std::min(longestSettling, timeout / settlingShare),
+            .readBackTimeout = std::min(maxReadBackTimeout, timeout / readBackTimeoutDivisor),
             .readTimeout = timeout});
         context.log = log.get();
     }
@@ -92,9 +92,9 @@
         return *error;
     const auto &command = std::get<std::unique_ptr<Operations::Command>>(commandOrError);
     std::optional<Operations::Report> report;
-    const auto end = [&](Operations::Report ended) {
+    const auto end = [&](Operations::Report result) {
         if (!report)
-            report = std::move(ended);
+            report = std::move(result);
         loop.stop();
     };
     const bool follows = line.arguments.follows;
@@ -113,10 +113,10 @@
 
 int main(int argc, char **argv)
 {
-    const std::vector<std::string> words(argv + 1, argv + argc);
-    const Operations::ParsedCommandLine parsed = Operations::parseCommandLine(words);
-    if (const auto *ended = std::get_if<Operations::Report>(&parsed))
-        return print(*ended, false);
+    const std::vector<std::string> arguments(argv + 1, argv + argc);
+    const Operations::ParsedCommandLine parsed = Operations::parseCommandLine(arguments);
+    if (const auto *result = std::get_if<Operations::Report>(&parsed))
+        return print(*result, false);
     const auto &line = std::get<Operations::CommandLine>(parsed);
     return print(run(line), line.isJson);
 }
--- a/src/apps/router/main.cpp
+++ b/src/apps/router/main.cpp
@@ -25,31 +25,32 @@
 
 using Objects = std::vector<Schema::ConfigurationObject>;
 
-/// The configuration's objects from a file or folder, checked like published ones.
+/// Reads configuration objects from a file or folder and checks them like published ones.
 Schema::ReadResult<Objects> readObjects(const std::string &path)
 {
     auto read = Schema::readObjectFiles(path);
     if (!read)
         return read.error();
-    Schema::SettingsErrors wrong = Configuration::checkAll(read.value());
-    if (!wrong.empty())
-        return wrong;
+    Schema::SettingsErrors errors = Configuration::checkAll(read.value());
+    if (!errors.empty())
+        return errors;
     Objects objects;
     for (const Schema::ObjectDocument &document : read.value())
         objects.push_back(document.object);
     return objects;
 }
 
-/// What no single field shows to be wrong.
-Schema::SettingsErrors checkTogether(const Schema::RouterSettings &settings,
+/// Checks that TLS certificate and key are either both given or both missing, which the checks of
+/// the single fields cannot find.
+Schema::SettingsErrors checkTlsFiles(const Schema::RouterSettings &settings,
                                      const std::string &file)
 {
     if (settings.tlsCertificate.has_value() == settings.tlsKey.has_value())
         return {};
-    const char *there = settings.tlsCertificate ? "tls_certificate" : "tls_key";
+    const char *given = settings.tlsCertificate ? "tls_certificate" : "tls_key";
     const char *missing = settings.tlsCertificate ? "tls_key" : "tls_certificate";
     return {{file, 1,
-             std::string(there) + " is given without " + missing
+             std::string(given) + " is given without " + missing
                  + "; give both, or neither for plain text"}};
 }
 
@@ -57,22 +58,22 @@
 
 int main(int argc, char **argv)
 {
-    absl::SetProgramUsageMessage("Takes callers' requests and passes them to endpoints.\n"
+    absl::SetProgramUsageMessage("Receives callers' requests and forwards them to endpoints.\n"
                                  "lagoonbank-router --settings router.yaml");
     absl::ParseCommandLine(argc, argv);
     const auto settings =
         Node::loadSettings<Schema::RouterSettings>(program, absl::GetFlag(FLAGS_settings));
     if (!settings)
         return Node::usageFailure;
-    const Schema::SettingsErrors wrong = checkTogether(*settings, absl::GetFlag(FLAGS_settings));
-    if (!wrong.empty())
-        return Node::settingsFailure(wrong);
-    Objects fixed;
+    const Schema::SettingsErrors errors = checkTlsFiles(*settings, absl::GetFlag(FLAGS_settings));
+    if (!errors.empty())
+        return Node::settingsFailure(errors);
+    Objects bootstrapObjects;
     if (settings->bootstrap) {
         auto read = readObjects(*settings->bootstrap);
         if (!read)
             return Node::settingsFailure(read.error());
-        fixed = std::move(read.value());
+        bootstrapObjects = std::move(read.value());
     }
 
     Runtime::Loop loop;
@@ -80,7 +81,7 @@
     if (!Node::startProcess(program, router))
         return Node::runTimeFailure;
     if (settings->bootstrap)
-        router.setFixedConfiguration(std::move(fixed));
+        router.setFixedConfiguration(std::move(bootstrapObjects));
     loop.onSignal(SIGHUP, [&router] { router.reload(); });
     Node::runUntilStopped(loop, router);
     return 0;
