--- a/bench/gateway/bm_refusal.cpp
+++ b/bench/gateway/bm_refusal.cpp
@@ -1,6 +1,6 @@
-/// Processor time of a router's thread for a request that is answered by an endpoint and for one
-/// that is refused, over loopback. Callers and endpoint live on a thread of their own, whose time
-/// does not count; the column CPU is what counts.
+/// Measures the processor time of a router's thread for a request that an endpoint answers and for
+/// one that the router refuses, over loopback. Callers and endpoint run on a thread of their own,
+/// which is not measured; see the column CPU of the output.
 #include "gateway/gateway.h"
 #include "http/client.h"
 #include "http/server.h"
@@ -25,37 +25,39 @@
 namespace {
 
 constexpr std::size_t inFlight = 64;
-constexpr int places = 4;
+constexpr int endpointSlots = 4;
 
-/// Callers that keep a number of requests in flight, and the endpoint, on their own thread.
-class Others
+/// Callers that keep a fixed number of requests in flight, and an endpoint, on a thread of their
+/// own.
+class CallersAndEndpoint
 {
 public:
-    Others()
+    CallersAndEndpoint()
     {
         std::atomic<bool> isListening = false;
         m_thread = std::thread([this, &isListening] { run(isListening); });
         while (!isListening)
             std::this_thread::yield();
     }
-    ~Others()
+    ~CallersAndEndpoint()
     {
         m_isStopped = true;
         m_thread.join();
     }
-    Others(const Others &) = delete;
-    Others &operator=(const Others &) = delete;
+    CallersAndEndpoint(const CallersAndEndpoint &) = delete;
+    CallersAndEndpoint &operator=(const CallersAndEndpoint &) = delete;
 
     const Runtime::SocketAddress &endpoint() const { return m_endpointAddress; }
-    /// Starts to send to a router; the first \a held requests stay unanswered.
-    void call(const Runtime::SocketAddress &router, std::size_t held)
+    /// Starts to send requests to a router. The endpoint never answers the first \a unanswered
+    /// ones.
+    void startCalling(const Runtime::SocketAddress &router, std::size_t unanswered)
     {
         m_router = router;
-        m_held = held;
+        m_unanswered = unanswered;
         m_isCalling = true;
     }
-    std::size_t done() const { return m_done; }
-    std::size_t running() const { return m_running; }
+    std::size_t answeredCount() const { return m_answeredCount; }
+    std::size_t unansweredCount() const { return m_unansweredCount; }
 
 private:
     void run(std::atomic<bool> &isListening)
@@ -63,11 +65,11 @@
         Runtime::Loop loop;
         Http::Client client({.loop = &loop, .maxIdlePerServer = 2 * inFlight});
         Http::Server endpoint({.loop = &loop, .address = {"127.0.0.1", 0}});
-        std::vector<std::shared_ptr<Http::Responder>> held;
+        std::vector<std::shared_ptr<Http::Responder>> unanswered;
         endpoint.setHandler([&](const Http::Request &request, auto responder) {
-            if (held.size() < m_held) {
-                held.push_back(std::move(responder));
-                ++m_running;
+            if (unanswered.size() < m_unanswered) {
+                unanswered.push_back(std::move(responder));
+                ++m_unansweredCount;
                 return;
             }
             responder->send(200, {{"x-id", std::string(*request.headers.find("x-id"))}},
@@ -79,7 +81,7 @@
         isListening = true;
         std::size_t started = 0;
         while (!m_isStopped) {
-            while (m_isCalling && started < m_done + m_held + inFlight) {
+            while (m_isCalling && started < m_answeredCount + m_unanswered + inFlight) {
                 start(client, ++started);
             }
             loop.runOnce(std::chrono::milliseconds(1));
@@ -92,21 +94,22 @@
                         .target = "/v1/chat/completions",
                         .headers = {{"x-request", std::to_string(number)}},
                         .body = R"({"model":"m","messages":[{"role":"user","content":"hello"}]})"};
-        client.start(std::move(call), {.finished = [this](const Http::CallResult &) { ++m_done; }});
+        client.start(std::move(call),
+                     {.finished = [this](const Http::CallResult &) { ++m_answeredCount; }});
     }
 
     Runtime::SocketAddress m_endpointAddress;
     Runtime::SocketAddress m_router;
-    std::size_t m_held = 0;
+    std::size_t m_unanswered = 0;
     std::atomic<bool> m_isCalling = false;
     std::atomic<bool> m_isStopped = false;
-    std::atomic<std::size_t> m_done = 0;
-    std::atomic<std::size_t> m_running = 0;
+    std::atomic<std::size_t> m_answeredCount = 0;
+    std::atomic<std::size_t> m_unansweredCount = 0;
     std::thread m_thread;
 };
 
-/// Takes answers without a network.
-class NoCaller : public Http::Responder
+/// Discards answers, for requests that do not come over the network.
+class DiscardingResponder : public Http::Responder
 {
 public:
     void send(int, const Http::Headers &, std::string) override { }
@@ -133,11 +136,13 @@
                      .metrics = &m_metrics})
     {
         const Base::ServiceId service("service");
-        m_gateway.endpoints().put(
-            {.id = Base::EndpointId("e"), .service = service, .address = endpoint, .slots = places},
-            m_loop.clock().now());
+        m_gateway.endpoints().put({.id = Base::EndpointId("e"),
+                                   .service = service,
+                                   .address = endpoint,
+                                   .slots = endpointSlots},
+                                  m_loop.clock().now());
         Fleet::ConfigurationParts parts{.revision = Base::Revision(1)};
-        // As many kinds of request as a small deployment has.
+        // As many routes as a small deployment has.
         for (const char *prefix : {"/v1/", "/a/", "/b/", "/c/", "/d/", "/e/"}) {
             parts.routes.push_back({.name = prefix,
                                     .host = "a",
@@ -155,21 +160,21 @@
     }
 
     const Runtime::SocketAddress &address() const { return m_server.address(); }
-    /// A request of a caller without a network.
-    void ask(std::size_t number)
+    /// Handles a request as if it came from a caller, without the network.
+    void handleWithoutNetwork(std::size_t number)
     {
         handle({.method = "POST",
                 .path = "/v1/chat/completions",
                 .headers = {{"x-request", std::to_string(number)}}},
-               std::make_shared<NoCaller>());
+               std::make_shared<DiscardingResponder>());
     }
-    void turn()
+    void runLoopOnce()
     {
         m_loop.runOnce(std::chrono::milliseconds(10));
         const Base::MonoTime now = m_loop.clock().now();
-        if (now < m_flushAt)
+        if (now < m_nextLogFlush)
             return;
-        m_flushAt = now + std::chrono::milliseconds(100);
+        m_nextLogFlush = now + std::chrono::milliseconds(100);
         m_log.flush();
     }
 
@@ -189,10 +194,10 @@
     }
     static void refuse(Http::Responder &responder, const Gateway::Refusal &refusal)
     {
-        const auto back = refusal.retryAfter.value_or(Base::Duration::zero());
+        const auto retryAfter = refusal.retryAfter.value_or(Base::Duration::zero());
         responder.send(503,
                        {{"content-type", "application/json"},
-                        {"retry-after", std::to_string(Base::toSeconds(back))}},
+                        {"retry-after", std::to_string(Base::toSeconds(retryAfter))}},
                        std::string(Errors::toString(refusal.kind)));
     }
     static Gateway::EndpointProtocol protocol()
@@ -216,7 +221,7 @@
     }
 
     Runtime::Loop m_loop;
-    Base::MonoTime m_flushAt;
+    Base::MonoTime m_nextLogFlush;
     Logging::BoundedOutput m_output{{.descriptor = ::open("/dev/null", O_WRONLY | O_CLOEXEC)}};
     Logging::DecisionLog m_log{{.output = &m_output,
                                 .wallNow = [this] { return m_loop.clock().wallNow(); },
@@ -228,21 +233,21 @@
         {.loop = &m_loop, .address = {"127.0.0.1", 0}, .halfCloseMeansDisconnect = true}};
 };
 
-void measure(benchmark::State &state, std::size_t held, Base::Duration ownDelay)
+void measure(benchmark::State &state, std::size_t unanswered, Base::Duration ownDelay)
 {
-    Others others;
-    Router router(others.endpoint(), ownDelay);
-    others.call(router.address(), held);
-    while (others.running() < held || others.done() < 10 * inFlight)
-        router.turn();
-    std::size_t counted = others.done();
-    const std::size_t first = counted;
+    CallersAndEndpoint peers;
+    Router router(peers.endpoint(), ownDelay);
+    peers.startCalling(router.address(), unanswered);
+    while (peers.unansweredCount() < unanswered || peers.answeredCount() < 10 * inFlight)
+        router.runLoopOnce();
+    std::size_t answered = peers.answeredCount();
+    const std::size_t answeredAtStart = answered;
     for (auto _ : state) {
-        while (others.done() <= counted)
-            router.turn();
-        ++counted;
+        while (peers.answeredCount() <= answered)
+            router.runLoopOnce();
+        ++answered;
     }
-    state.SetItemsProcessed(static_cast<std::int64_t>(others.done() - first));
+    state.SetItemsProcessed(static_cast<std::int64_t>(peers.answeredCount() - answeredAtStart));
 }
 
 void BM_Answered(benchmark::State &state)
@@ -250,28 +255,28 @@
     measure(state, 0, Base::Duration::zero());
 }
 
-/// All places of the endpoint are taken, those for waiting there too.
+/// All slots of the endpoint are taken, including those for queued requests.
 void BM_RefusedForRoom(benchmark::State &state)
 {
-    measure(state, places * 4, Base::Duration::zero());
+    measure(state, endpointSlots * 4, Base::Duration::zero());
 }
 
-/// The router itself is far behind.
+/// The router is overloaded itself: its event loop lags by a second.
 void BM_RefusedForOwnDelay(benchmark::State &state)
 {
     measure(state, 0, std::chrono::seconds(1));
 }
 
-/// The same without reading and writing sockets: what deciding costs.
+/// The same without reading and writing sockets, which is the cost of the decision alone.
 void BM_RefusalDecided(benchmark::State &state)
 {
-    Others others;
-    Router router(others.endpoint(), std::chrono::seconds(1));
+    CallersAndEndpoint peers;
+    Router router(peers.endpoint(), std::chrono::seconds(1));
     std::size_t number = 0;
     for (auto _ : state) {
-        router.ask(++number);
+        router.handleWithoutNetwork(++number);
         if (number % inFlight == 0)
-            router.turn();
+            router.runLoopOnce();
     }
 }
 
--- a/bench/membership/bm_gossip.cpp
+++ b/bench/membership/bm_gossip.cpp
@@ -1,5 +1,6 @@
-// Control bytes, convergence and staleness of gossip against the size of the fleet, on a paused
-// clock over the network in memory of the tests. Prints one CSV line a case; the same on every run.
+// Measures the control bytes, the convergence time and the staleness of gossip for fleets of
+// various sizes, on the simulated clock and in-memory network of the tests. Prints one CSV line for
+// each case. The results are the same on every run, except for the run time.
 #include "membership/fakefleet.h"
 
 #include <algorithm>
@@ -23,23 +24,24 @@
 };
 
 constexpr Base::Duration warmUp = std::chrono::seconds(25);
-constexpr Base::Duration measured = std::chrono::seconds(30);
-constexpr Base::Duration window = std::chrono::seconds(10);
-constexpr int newsCount = 20;
-/// Answers of engines that each router sees a second, at the target's 8,600 over 330 routers.
+constexpr Base::Duration measuredTime = std::chrono::seconds(30);
+constexpr Base::Duration windowTime = std::chrono::seconds(10);
+constexpr int leavingCount = 20;
+/// Engine answers that each router receives per second: the target of 8,600 over 330 routers.
 constexpr double answersPerSecond = 26;
 
-/// Reports that routers get with the engines' answers, spread at random over the region.
-class Loads
+/// Simulates the load reports that routers receive with the engines' answers, spread at random over
+/// the engines of the region.
+class LoadReporter
 {
 public:
-    Loads(Tests::FakeFleet &fleet, const Case &row)
+    LoadReporter(Tests::FakeFleet &fleet, const Case &testCase)
         : m_fleet(fleet)
-        , m_perRegion(std::max<std::size_t>(row.engines / row.regions, 1))
+        , m_perRegion(std::max<std::size_t>(testCase.engines / testCase.regions, 1))
         , m_random(99)
     { }
 
-    void feed(Base::Duration step)
+    void reportLoads(Base::Duration step)
     {
         for (std::size_t i = 0; i < m_fleet.size(); ++i) {
             if (m_fleet.node(i).info.role != Membership::MemberRole::Router)
@@ -48,14 +50,15 @@
             if (static_cast<double>(m_random() % 1000) / 1000 >= chance)
                 continue;
             const std::size_t engine = m_random() % m_perRegion;
-            const Base::EndpointId endpoint = name(m_fleet.node(i).info.region, engine);
+            const Base::EndpointId endpoint = endpointId(m_fleet.node(i).info.region, engine);
             m_fleet.at(i).loads().report(endpoint, Base::WorkUnits(double(m_random() % 50000)),
                                          m_fleet.now());
             m_fleet.at(i).loads().setOwnWorkSinceSample(endpoint,
                                                         Base::WorkUnits(double(m_random() % 4000)));
         }
     }
-    /// Ages of the freshest samples that routers hold, in seconds; unknown ones count as 10.
+    /// Adds the ages in seconds of the latest samples that routers have. Missing samples count
+    /// as 10.
     void sampleAges(std::vector<double> &ages)
     {
         for (std::size_t i = 0; i < m_fleet.size(); i += 7) {
@@ -63,14 +66,14 @@
                 continue;
             for (std::size_t engine = 0; engine < m_perRegion; engine += 3) {
                 const auto sample =
-                    m_fleet.at(i).loads().sample(name(m_fleet.node(i).info.region, engine));
+                    m_fleet.at(i).loads().sample(endpointId(m_fleet.node(i).info.region, engine));
                 ages.push_back(sample ? toSeconds(m_fleet.now() - sample->sampledAt) : 10);
             }
         }
     }
 
 private:
-    static Base::EndpointId name(const std::string &region, std::size_t engine)
+    static Base::EndpointId endpointId(const std::string &region, std::size_t engine)
     {
         return Base::EndpointId(region + "/engine-" + std::to_string(engine));
     }
@@ -80,81 +83,85 @@
     std::mt19937_64 m_random;
 };
 
-double quantile(std::vector<double> &values, double part)
+double quantile(std::vector<double> &values, double share)
 {
     if (values.empty())
         return -1;
     std::sort(values.begin(), values.end());
-    return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+    return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-void measure(const Case &row)
+void measure(const Case &testCase)
 {
-    const auto started = std::chrono::steady_clock::now();
+    const auto startTime = std::chrono::steady_clock::now();
     Tests::FakeFleet fleet({.seed = 42,
-                            .loss = row.loss,
-                            .vms = row.vms,
-                            .dataCentres = row.dataCentres,
-                            .regions = row.regions,
-                            .withControllers = row.withControllers});
-    Loads loads(fleet, row);
-    fleet.eachStep = [&] { loads.feed(std::chrono::milliseconds(20)); };
-    const auto joined = fleet.runUntil([&] { return fleet.isConverged(); }, warmUp);
+                            .loss = testCase.loss,
+                            .vms = testCase.vms,
+                            .dataCentres = testCase.dataCentres,
+                            .regions = testCase.regions,
+                            .withControllers = testCase.withControllers});
+    LoadReporter loadReporter(fleet, testCase);
+    fleet.eachStep = [&] { loadReporter.reportLoads(std::chrono::milliseconds(20)); };
+    const auto joinTime = fleet.runUntil([&] { return fleet.isConverged(); }, warmUp);
     fleet.run(warmUp);
 
-    std::vector<std::uint64_t> before;
-    std::vector<std::uint64_t> pulls;
+    std::vector<std::uint64_t> bytesAtWindowStart;
+    std::vector<std::uint64_t> pullBytesBefore;
     std::vector<double> ages;
-    double worstWindow = 0;
+    double maxWindowRate = 0;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-        before.push_back(fleet.node(i).budget->spentBytes());
-        pulls.push_back(fleet.node(i).budget->spentBytes(Membership::ControlTraffic::Pull));
+        bytesAtWindowStart.push_back(fleet.node(i).budget->spentBytes());
+        pullBytesBefore.push_back(
+            fleet.node(i).budget->spentBytes(Membership::ControlTraffic::Pull));
     }
-    const std::vector<std::uint64_t> begin = before;
-    for (Base::Duration past{}; past < measured; past += window) {
-        fleet.run(window);
-        loads.sampleAges(ages);
+    const std::vector<std::uint64_t> bytesBefore = bytesAtWindowStart;
+    for (Base::Duration elapsed{}; elapsed < measuredTime; elapsed += windowTime) {
+        fleet.run(windowTime);
+        loadReporter.sampleAges(ages);
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             const std::uint64_t spent = fleet.node(i).budget->spentBytes();
-            worstWindow = std::max(worstWindow, double(spent - before[i]) / toSeconds(window));
-            before[i] = spent;
+            maxWindowRate = std::max(maxWindowRate,
+                                     double(spent - bytesAtWindowStart[i]) / toSeconds(windowTime));
+            bytesAtWindowStart[i] = spent;
         }
     }
-    double total = 0;
-    double most = 0;
-    double pulled = 0;
+    double totalRate = 0;
+    double maxRate = 0;
+    double totalPullBytes = 0;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-        const double rate = double(before[i] - begin[i]) / toSeconds(measured);
-        total += rate;
-        most = std::max(most, rate);
-        pulled +=
-            double(fleet.node(i).budget->spentBytes(Membership::ControlTraffic::Pull) - pulls[i]);
+        const double rate =
+            double(bytesAtWindowStart[i] - bytesBefore[i]) / toSeconds(measuredTime);
+        totalRate += rate;
+        maxRate = std::max(maxRate, rate);
+        totalPullBytes += double(fleet.node(i).budget->spentBytes(Membership::ControlTraffic::Pull)
+                                 - pullBytesBefore[i]);
     }
 
-    std::vector<double> news;
-    for (int i = 0; i < newsCount; ++i) {
+    std::vector<double> propagationTimes;
+    for (int i = 0; i < leavingCount; ++i) {
         const Base::EndpointId leaving("leaving-" + std::to_string(i));
         fleet.at((i * 31) % fleet.size())
             .announceLeaving(leaving, Base::Incarnation(1), fleet.now());
-        const auto time = fleet.runUntil(
+        const auto propagationTime = fleet.runUntil(
             [&] {
-                for (std::size_t m = 0; m < fleet.size(); ++m) {
-                    if (!fleet.at(m).isLeaving(leaving, Base::Incarnation(1)))
+                for (std::size_t member = 0; member < fleet.size(); ++member) {
+                    if (!fleet.at(member).isLeaving(leaving, Base::Incarnation(1)))
                         return false;
                 }
                 return true;
             },
             std::chrono::seconds(20));
-        news.push_back(time ? toSeconds(*time) : 20);
+        propagationTimes.push_back(propagationTime ? toSeconds(*propagationTime) : 20);
     }
-    const double cpu =
-        std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
-    std::printf("%zu,%zu,%zu,%.2f,%.1f,%.0f,%.0f,%.0f,%.1f,%.2f,%.2f,%.2f,%.2f,%zu,%.1f\n", row.vms,
-                fleet.size(), row.engines, row.loss, joined ? toSeconds(*joined) : -1.0,
-                total / double(fleet.size()), most, worstWindow,
-                pulled / double(fleet.size()) / toSeconds(measured), quantile(ages, 0.5),
-                quantile(ages, 0.95), quantile(news, 0.5), news.back(),
-                fleet.countEvents(Membership::MemberEvent::Died), cpu);
+    const double wallSeconds =
+        std::chrono::duration<double>(std::chrono::steady_clock::now() - startTime).count();
+    std::printf("%zu,%zu,%zu,%.2f,%.1f,%.0f,%.0f,%.0f,%.1f,%.2f,%.2f,%.2f,%.2f,%zu,%.1f\n",
+                testCase.vms, fleet.size(), testCase.engines, testCase.loss,
+                joinTime ? toSeconds(*joinTime) : -1.0, totalRate / double(fleet.size()), maxRate,
+                maxWindowRate, totalPullBytes / double(fleet.size()) / toSeconds(measuredTime),
+                quantile(ages, 0.5), quantile(ages, 0.95), quantile(propagationTimes, 0.5),
+                propagationTimes.back(), fleet.countEvents(Membership::MemberEvent::Died),
+                wallSeconds);
     std::fflush(stdout);
 }
 
--- a/bench/routing/decision/decision.cpp
+++ b/bench/routing/decision/decision.cpp
@@ -142,7 +142,8 @@
     }
 }
 
-/// Bytes asked for by all endpoints of a router, for each endpoint; placements aside.
+/// Bytes that a router allocates for each endpoint, without its placements, and for each chat of a
+/// placement table.
 void memoryOfEndpoints(benchmark::State &state)
 {
     double each = 0.0;
--- a/bench/routing/policymodel/enginemodel.cpp
+++ b/bench/routing/policymodel/enginemodel.cpp
@@ -8,15 +8,15 @@
 {
     std::int64_t hit = 0;
     if (const auto it = m_cached.find(job.chat); it != m_cached.end()) {
-        hit = std::min(it->second.tokens, job.known);
-        m_order.splice(m_order.begin(), m_order, it->second.place);
+        hit = std::min(it->second.tokens, job.previousTokens);
+        m_recentChats.splice(m_recentChats.begin(), m_recentChats, it->second.recentPosition);
     }
     const auto uncached = static_cast<double>(job.prompt - hit);
     const auto output = static_cast<double>(job.output);
     m_running.push_back({.job = job,
                          .prefill = uncached,
                          .output = output,
-                         .whole = uncached + m_options.outputWeight * output});
+                         .totalWork = uncached + m_options.outputWeight * output});
     return hit;
 }
 
@@ -36,19 +36,20 @@
     if (decoding == 0)
         return 0.0;
     const bool waiting = decoding < m_running.size();
-    const double most = waiting ? budget * m_options.decodeShare : budget;
-    const double each = std::min(seconds / m_options.tokenTime,
-                                 most / (static_cast<double>(decoding) * m_options.outputWeight));
+    const double maxWork = waiting ? budget * m_options.maxDecodeShare : budget;
+    const double tokensEach =
+        std::min(seconds / m_options.minTokenInterval,
+                 maxWork / (static_cast<double>(decoding) * m_options.outputWeight));
     for (Running &running : m_running) {
         if (running.prefill <= 0.0)
-            running.output -= each;
+            running.output -= tokensEach;
     }
-    return each * static_cast<double>(decoding) * m_options.outputWeight;
+    return tokensEach * static_cast<double>(decoding) * m_options.outputWeight;
 }
 
 void EngineModel::prefill(double budget)
 {
-    // Urgent ones first, each priority in order of arrival.
+    // The most urgent priority first, and each priority in the order of arrival.
     for (std::uint8_t priority = 0; priority < 3; ++priority) {
         for (Running &running : m_running) {
             if (budget <= 0.0)
@@ -86,9 +87,9 @@
     for (const Running &running : m_running)
         lost.push_back(running.job);
     m_running.clear();
-    m_order.clear();
+    m_recentChats.clear();
     m_cached.clear();
-    m_tokens = 0;
+    m_cachedTokens = 0;
     return lost;
 }
 
@@ -104,7 +105,7 @@
 {
     double largest = 0.0;
     for (const Running &running : m_running)
-        largest = std::max(largest, running.whole);
+        largest = std::max(largest, running.totalWork);
     return largest;
 }
 
@@ -120,19 +121,19 @@
 {
     const auto it = m_cached.find(chat);
     if (it != m_cached.end()) {
-        m_tokens += tokens - it->second.tokens;
+        m_cachedTokens += tokens - it->second.tokens;
         it->second.tokens = tokens;
-        m_order.splice(m_order.begin(), m_order, it->second.place);
+        m_recentChats.splice(m_recentChats.begin(), m_recentChats, it->second.recentPosition);
     } else {
-        m_order.push_front(chat);
-        m_cached[chat] = {.tokens = tokens, .place = m_order.begin()};
-        m_tokens += tokens;
+        m_recentChats.push_front(chat);
+        m_cached[chat] = {.tokens = tokens, .recentPosition = m_recentChats.begin()};
+        m_cachedTokens += tokens;
     }
-    while (m_tokens > m_options.cacheTokens && m_order.size() > 1) {
-        const std::uint32_t oldest = m_order.back();
-        m_tokens -= m_cached[oldest].tokens;
+    while (m_cachedTokens > m_options.cacheTokens && m_recentChats.size() > 1) {
+        const std::uint32_t oldest = m_recentChats.back();
+        m_cachedTokens -= m_cached[oldest].tokens;
         m_cached.erase(oldest);
-        m_order.pop_back();
+        m_recentChats.pop_back();
     }
 }
 
--- a/bench/routing/policymodel/enginemodel.h
+++ b/bench/routing/policymodel/enginemodel.h
@@ -6,34 +6,35 @@
 #include <unordered_map>
 #include <vector>
 
-/// Arrays that stand for a fleet, to compare routing policies on a virtual clock.
+/// Simulation of a fleet on a virtual clock, to compare routing policies.
 namespace Lagoonbank::PolicyModel {
 
-/// One request on its way through the model.
+/// One request of the simulation.
 struct Job
 {
     std::uint64_t id = 0;
     std::uint32_t chat = 0;
     std::uint32_t router = 0;
     std::uint8_t priority = 1;
-    std::int64_t prompt = 0;
-    std::int64_t output = 0;
-    std::int64_t known = 0; ///< Tokens of the prompt that were the chat's before; may be cached.
-    double arrivedAt = 0.0;
-    std::uint32_t tries = 0;
+    std::int64_t prompt = 0; ///< Prompt tokens.
+    std::int64_t output = 0; ///< Output tokens.
+    std::int64_t previousTokens = 0; ///< Prompt tokens of earlier turns, which may be cached.
+    double arrivedAt = 0.0; ///< Simulated time in seconds.
+    std::uint32_t attempts = 0;
 };
 
-/// A batching engine with a prefix cache: output tokens at a steady pace while the step allows,
-/// prefill in order of arrival with the rest, and the least lately used prefixes evicted.
+/// A batching engine with a prefix cache. Output tokens are generated at a steady pace as far as
+/// the engine's speed allows; the rest of its speed goes to prefill in the order of arrival. The
+/// least recently used prefixes are evicted from the cache.
 class EngineModel
 {
 public:
     struct Options
     {
-        double speed = 20000.0; ///< Work a second.
-        double outputWeight = 8.0; ///< Work of one output token.
-        double tokenTime = 0.034; ///< Shortest time between two output tokens, s.
-        double decodeShare = 0.7; ///< Most that output takes while a prefill waits.
+        double speed = 20000.0; ///< Work units per second.
+        double outputWeight = 8.0; ///< Work units of one output token; a prompt token is 1.
+        double minTokenInterval = 0.034; ///< Seconds between two output tokens of a job.
+        double maxDecodeShare = 0.7; ///< Limit for output while a prefill waits.
         std::int64_t cacheTokens = 1000000;
     };
 
@@ -44,31 +45,31 @@
     std::function<void(const Job &)> firstToken;
     std::function<void(const Job &)> finished;
 
-    /// Returns the tokens found in the cache.
+    /// Starts a job. Returns the number of prompt tokens found in the cache.
     std::int64_t add(const Job &job);
     void advance(double seconds);
-    /// Loses all work and the cache; returns the work's jobs.
+    /// Drops all jobs and the cache. Returns the dropped jobs.
     std::vector<Job> crash();
 
     double work() const;
-    double largestJob() const; ///< Whole work of the largest job held.
-    /// Calls back with each job past its prefill and the output tokens it has given.
+    double largestJob() const; ///< Work of the largest running job, including what is done.
+    /// Calls \a visit with each job past its prefill and the number of its output tokens so far.
     void forEachDecoding(const std::function<void(const Job &, double)> &visit) const;
     std::size_t jobs() const { return m_running.size(); }
-    bool holds(std::uint32_t chat) const { return m_cached.contains(chat); }
+    bool hasCached(std::uint32_t chat) const { return m_cached.contains(chat); }
 
 private:
     struct Running
     {
         Job job;
-        double prefill = 0.0; ///< Tokens left.
-        double output = 0.0; ///< Tokens left.
-        double whole = 0.0;
+        double prefill = 0.0; ///< Remaining prompt tokens.
+        double output = 0.0; ///< Remaining output tokens.
+        double totalWork = 0.0; ///< Work units when the job was started.
     };
     struct Cached
     {
         std::int64_t tokens = 0;
-        std::list<std::uint32_t>::iterator place;
+        std::list<std::uint32_t>::iterator recentPosition;
     };
 
     void store(std::uint32_t chat, std::int64_t tokens);
@@ -78,9 +79,9 @@
 
     Options m_options;
     std::vector<Running> m_running;
-    std::list<std::uint32_t> m_order; ///< Chats, lately used first.
+    std::list<std::uint32_t> m_recentChats; ///< Most recently used first.
     std::unordered_map<std::uint32_t, Cached> m_cached;
-    std::int64_t m_tokens = 0;
+    std::int64_t m_cachedTokens = 0;
 };
 
 } // namespace Lagoonbank::PolicyModel
--- a/bench/routing/policymodel/fleetmodel.h
+++ b/bench/routing/policymodel/fleetmodel.h
@@ -10,49 +10,49 @@
 
 namespace Lagoonbank::PolicyModel {
 
-/// What one run is made of.
+/// Parameters of a run. Times are in seconds.
 struct Scenario
 {
     std::uint32_t routers = 6;
     std::uint32_t engines = 20;
-    double requestsPerEngine = 9.0; ///< A second.
-    double meanPause = 20.0; ///< Between two turns of a chat, s.
-    double warmUp = 60.0; ///< s; nothing is counted in it.
-    double length = 240.0; ///< s, counted.
-    double reportEvery = 0.5; ///< s.
-    double reportLateLeast = 0.1;
-    double reportLateMost = 2.0;
+    double requestsPerEngine = 9.0; ///< Per second.
+    double meanPause = 20.0; ///< Between two turns of a chat.
+    double warmUp = 60.0; ///< Nothing is measured during this time.
+    double length = 240.0; ///< Measured time after the warm-up.
+    double reportInterval = 0.5; ///< Between two load reports of an engine.
+    double reportDelayMin = 0.1;
+    double reportDelayMax = 2.0;
     double reportLoss = 0.05;
-    double gossipEvery = 0.2; ///< Peers' in-flight; 0 for none.
-    double tokenShare = 0.8; ///< Callers that bring the placement token back.
+    double gossipInterval = 0.2; ///< Exchange of work in flight between routers; 0 for none.
+    double tokenShare = 0.8; ///< Share of callers that send the placement token back.
     bool churn = true;
     bool surge = true;
     std::uint64_t seed = 1;
     Routing::Router::Options router;
     EngineModel::Options engine;
-    double capacity = 40000.0; ///< Work that an engine takes at full speed, as it reports.
+    double capacity = 40000.0; ///< Reported work units that an engine can hold at full speed.
 };
 
-/// What one run shows.
+/// Results of a run.
 struct Figures
 {
-    double reuse = 0.0; ///< Cached share of the tokens that returning chats bring again.
-    double hits = 0.0; ///< Share of returning requests with nine tenths of these tokens cached.
-    double skewP50 = 0.0; ///< Load over capacity against the pool's mean, over engines and time.
+    double reuse = 0.0; ///< Cached share of the tokens that returning chats repeat.
+    double hits = 0.0; ///< Share of returning requests with at least 90% of these cached.
+    double skewP50 = 0.0; ///< Load of an engine over the pool's mean, over engines and time.
     double skewP99 = 0.0;
     double skewMax = 0.0;
-    double skewLessOneP99 = 0.0; ///< As skewP99, less the largest request that the engine holds.
-    double waitMean = 0.0; ///< To the first token, s.
+    double skewWithoutLargestP99 = 0.0; ///< As skewP99, without each engine's largest request.
+    double waitMean = 0.0; ///< Seconds until the first token.
     double waitP95 = 0.0;
-    double estimateErrorP50 = 0.0;
-    double estimateErrorP99 = 0.0; ///< |estimate - load| against the mean load.
+    double estimateErrorP50 = 0.0; ///< |estimate - load| over the mean load.
+    double estimateErrorP99 = 0.0;
     std::uint64_t requests = 0;
     std::uint64_t refused = 0;
-    std::uint64_t refusedUrgent = 0; ///< Those of the most urgent priority, a fifth of all.
-    std::uint64_t crashed = 0; ///< Tries lost to crashes; each was sent again.
+    std::uint64_t refusedUrgent = 0; ///< Refused requests of the most urgent priority.
+    std::uint64_t crashed = 0; ///< Attempts lost to crashes; each was retried.
 };
 
-/// Routers, engines and chats in arrays, moved on in small steps of a virtual clock.
+/// Simulates routers, engines and chats in small steps of a virtual clock.
 class FleetModel
 {
 public:
@@ -64,42 +64,43 @@
     {
         std::int64_t tokens = 0;
         std::optional<Routing::Placement> token;
-        bool surging = false;
+        bool isSurging = false;
     };
     struct Engine
     {
         std::unique_ptr<EngineModel> model;
-        bool up = true;
-        bool leaving = false;
+        bool isUp = true;
+        bool isLeaving = false;
         std::uint64_t incarnation = 1;
         double nextReport = 0.0;
     };
-    struct Flight
+    struct InFlightJob
     {
         Routing::SentRequest sent;
         std::uint32_t engine = 0;
         std::int64_t cached = 0;
     };
-    /// Something due at a time: a turn of a chat, a report, a list change.
+    /// A scheduled event, such as a turn of a chat, a load report or a change of an endpoint's
+    /// state. Events at the same time run in the order of their sequence numbers.
     struct Event
     {
-        double at = 0.0;
-        std::uint64_t order = 0;
+        double time = 0.0;
+        std::uint64_t sequence = 0;
         std::function<void()> run;
         bool operator>(const Event &other) const
         {
-            return at != other.at ? at > other.at : order > other.order;
+            return time != other.time ? time > other.time : sequence > other.sequence;
         }
     };
 
-    void at(double time, std::function<void()> run);
+    void schedule(double time, std::function<void()> run);
     Base::MonoTime mono() const;
     double uniform(double low, double high);
     double exponential(double mean);
 
     void startChats();
     void scheduleChurn();
-    void turn(std::uint32_t chat);
+    void startTurn(std::uint32_t chat);
     void route(const Job &job);
     void send(const Job &job, const Routing::Decision &decision);
     void retry(const Job &job);
@@ -107,32 +108,32 @@
     void jobFirstToken(const Job &job);
     void crash(std::uint32_t engine);
     void bringUp(std::uint32_t engine);
-    void setListed(std::uint32_t engine, Routing::EndpointState state);
-    void report(std::uint32_t engine);
+    void publishState(std::uint32_t engine, Routing::EndpointState state);
+    void sendLoadReport(std::uint32_t engine);
     void gossip();
-    void progress();
+    void reportProgress();
     void sample();
     Figures figures();
 
     Scenario m_scenario;
     std::mt19937_64 m_random;
     double m_now = 0.0;
-    std::uint64_t m_order = 0;
+    std::uint64_t m_sequence = 0;
     std::uint64_t m_jobs = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
     std::vector<std::unique_ptr<Routing::Router>> m_routers;
     std::vector<Engine> m_engines;
     std::vector<Chat> m_chats;
-    std::unordered_map<std::uint64_t, Flight> m_flights;
+    std::unordered_map<std::uint64_t, InFlightJob> m_inFlightJobs;
 
     Figures m_figures;
-    double m_again = 0.0;
-    double m_cached = 0.0;
+    double m_returningTokens = 0.0;
+    double m_returningCachedTokens = 0.0;
     std::uint64_t m_returning = 0;
     std::uint64_t m_hits = 0;
     std::vector<double> m_waits;
     std::vector<double> m_skews;
-    std::vector<double> m_skewsLessOne;
+    std::vector<double> m_skewsWithoutLargest;
     std::vector<double> m_errors;
 };
 
