--- a/tests/auto/docs/tst_documents.cpp
+++ b/tests/auto/docs/tst_documents.cpp
@@ -1,4 +1,5 @@
-/// Compares the pages with the code: error kinds, metrics, flags, examples and names of tests.
+/// Checks that the documentation matches the code: error kinds, metrics, flags, example objects and
+/// the names of programs, commands and test cases.
 #define BOOST_TEST_MODULE tst_documents
 #include <boost/test/unit_test.hpp>
 
@@ -52,7 +53,7 @@
     return files;
 }
 
-/// README and all pages under docs.
+/// The README and all pages below docs.
 std::vector<fs::path> pages()
 {
     std::vector<fs::path> files = filesBelow(sourceDir() / "docs", ".md");
@@ -65,7 +66,8 @@
     return {std::sregex_iterator(text.begin(), text.end(), pattern), std::sregex_iterator()};
 }
 
-/// Keeps the text that a page should have beside the build, to be copied where it is right.
+/// Compares a generated page with \a expected. If they differ, writes the expected page to the
+/// working directory of the test, from which it can be copied to docs.
 void checkPage(const std::string &page, const std::string &expected)
 {
     const bool isCurrent = readText(sourceDir() / "docs" / page) == expected;
@@ -102,7 +104,7 @@
     return std::regex_replace(joined, std::regex(R"(\\")"), "\"");
 }
 
-/// The flags of all sources of one program's folder, in their order.
+/// Flags declared in the sources below \a folder.
 std::vector<Flag> flagsBelow(const fs::path &folder)
 {
     static const std::regex declaration(
@@ -118,7 +120,7 @@
     return flags;
 }
 
-/// Flags stand in the program's folder or in a library that its build names.
+/// Flags of a program, which are declared in its folder or in a library that it depends on.
 std::vector<Flag> flagsOfProgram(const fs::path &folder, const std::string &dependencies)
 {
     std::vector<Flag> flags = flagsBelow(folder);
@@ -132,14 +134,14 @@
     return flags;
 }
 
-/// Programs and their flags.
+/// All programs with their flags, by name.
 std::map<std::string, std::vector<Flag>> programs()
 {
     static const std::regex target(
         R"((?:lagoonbank_application|add_executable)\((lagoonbank-[\w-]+)([^)]*))");
     std::map<std::string, std::vector<Flag>> found;
-    for (const char *part : {"src/apps", "src/standins", "platform"}) {
-        for (const fs::path &file : filesBelow(sourceDir() / part, ".txt")) {
+    for (const char *folder : {"src/apps", "src/standins", "platform"}) {
+        for (const fs::path &file : filesBelow(sourceDir() / folder, ".txt")) {
             const std::string text = readText(file);
             std::smatch match;
             if (std::regex_search(text, match, target))
@@ -161,7 +163,7 @@
     return page;
 }
 
-/// Every name of a metric in the programs' sources.
+/// Names of all metrics in the sources of the libraries.
 Names metricsInCode()
 {
     static const std::regex name(R"re("(lagoonbank_[a-z_]+)")re");
@@ -174,7 +176,7 @@
     return names;
 }
 
-/// The YAML blocks of a page that are configuration objects.
+/// The YAML blocks of a page that are configuration objects, which start with their kind.
 std::vector<std::string> objectExamples(const std::string &page)
 {
     static const std::regex block("```yaml\n([^`]*)```");
@@ -188,7 +190,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(everyErrorKindHasItsRow)
+BOOST_AUTO_TEST_CASE(errorTableIsCurrent)
 {
     const std::string page = readText(sourceDir() / "docs" / "OPERATIONS.md");
     static const std::regex row(R"(\n\| `(\w+)` \| (\d{3}) \| (no|yes|unknown) \| (yes|no) \|)");
@@ -218,14 +220,14 @@
         const std::string text = readText(file);
         for (const std::smatch &match : matches(text, name)) {
             const std::string found = match[0];
-            const std::string whole = std::regex_replace(found, histogramPart, "");
-            BOOST_TEST((known.contains(found) || known.contains(whole)),
+            const std::string withoutSuffix = std::regex_replace(found, histogramPart, "");
+            BOOST_TEST((known.contains(found) || known.contains(withoutSuffix)),
                        file << " names " << found << ", which no program has");
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(metricsOfTheCodeAreInThePage)
+BOOST_AUTO_TEST_CASE(metricsInCodeAreDocumented)
 {
     const std::string page = readText(sourceDir() / "docs" / "reference" / "metrics.md");
     for (const std::string &name : metricsInCode())
@@ -287,7 +289,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(exampleObjectsAreRight)
+BOOST_AUTO_TEST_CASE(exampleObjectsAreValid)
 {
     std::size_t count = 0;
     for (const fs::path &file : pages()) {
@@ -301,7 +303,7 @@
     BOOST_TEST(count > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(testsNamedForFailuresExist)
+BOOST_AUTO_TEST_CASE(testCasesNamedInFailuresPageExist)
 {
     static const std::regex reference(R"(`(tst_\w+)/(\w+)`)");
     std::map<std::string, std::string> sources;
