--- a/tests/auto/http/tst_client.cpp
+++ b/tests/auto/http/tst_client.cpp
@@ -120,7 +120,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(answersAreWholeOnlyWhenTheirFramingSaysSo)
+BOOST_AUTO_TEST_CASE(framingDeterminesWhetherAnswerIsComplete)
 {
     for (const AnswerCase &row : answerCases) {
         BOOST_TEST_CONTEXT(row.name)
@@ -287,7 +287,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(pooledConnectionThatTheServerClosedIsNotUsed)
+BOOST_AUTO_TEST_CASE(closedPooledConnectionIsNotReused)
 {
     Fixture f;
     f.start(f.call());
@@ -303,7 +303,7 @@
     BOOST_TEST(f.finished(2).end == CallEnd::Whole);
 }
 
-BOOST_AUTO_TEST_CASE(pooledConnectionClosedUnderTheRequestIsBrokenAndMayHaveLeft)
+BOOST_AUTO_TEST_CASE(pooledConnectionResetDuringRequestIsBroken)
 {
     Fixture f;
     f.start(f.call());
@@ -400,7 +400,7 @@
     BOOST_TEST(f.sendings == 0);
 }
 
-BOOST_AUTO_TEST_CASE(silentServersTimeOutAndTheirConnectionsAreNotUsedAgain)
+BOOST_AUTO_TEST_CASE(silentServersTimeOutAndConnectionsAreNotReused)
 {
     struct Row
     {
@@ -481,7 +481,7 @@
     BOOST_TEST(f.runUntil([&] { return server.isEnded(); }));
 }
 
-BOOST_AUTO_TEST_CASE(cancelDropsTheConnectionAndCallsNoHook)
+BOOST_AUTO_TEST_CASE(cancelClosesConnectionAndCallsNoHook)
 {
     Fixture f;
     const CallId id = f.start(f.call());
--- a/tests/auto/http/tst_server.cpp
+++ b/tests/auto/http/tst_server.cpp
@@ -245,7 +245,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(callerThatLeavesIsNoticed)
+BOOST_AUTO_TEST_CASE(callerDisconnectIsDetected)
 {
     struct Row
     {
--- a/tests/auto/operations/tst_publishing.cpp
+++ b/tests/auto/operations/tst_publishing.cpp
@@ -146,7 +146,7 @@
 }
 
 /// Publishes while appends fail, then requests the status of the change and publishes it again.
-BOOST_AUTO_TEST_CASE(tellsWhatBecameOfAppendsThatWentWrong)
+BOOST_AUTO_TEST_CASE(reportsOutcomeOfFailedAppends)
 {
     struct Case
     {
@@ -204,7 +204,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(oneOfTwoRacingOperatorsWins)
+BOOST_AUTO_TEST_CASE(rejectsTheSecondOfTwoConcurrentChanges)
 {
     publishBase();
     const std::string theirs = files.write("theirs.yml", contract(5));
@@ -242,7 +242,7 @@
     BOOST_TEST(contains(report.text, "bilal published the same change first"));
 }
 
-BOOST_AUTO_TEST_CASE(refusesAChangeThatIsBasedOnAnOlderRevision)
+BOOST_AUTO_TEST_CASE(rejectsChangeBasedOnOlderRevision)
 {
     publishBase();
     const std::string file = files.write("hall.yml", contract(1));
@@ -334,7 +334,7 @@
                == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(publishesNothingOnTopOfALogThatHasLostItsBeginning)
+BOOST_AUTO_TEST_CASE(publishesNothingAfterLogLostItsFirstRecords)
 {
     publishBase();
     firstRetainedOffset = 1;
--- a/tests/auto/operations/tst_requestcommand.cpp
+++ b/tests/auto/operations/tst_requestcommand.cpp
@@ -120,7 +120,7 @@
 }
 
 /// The router of the request has been replaced, so that only the log has the outcome.
-BOOST_AUTO_TEST_CASE(asksTheLogWhereNoProcessKnows)
+BOOST_AUTO_TEST_CASE(readsTheLogIfNoProcessHasTheOutcome)
 {
     struct Case
     {
@@ -187,7 +187,7 @@
     BOOST_TEST(report.json["outcomes"].size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(isNotCertainWhileSomebodyCannotBeAsked)
+BOOST_AUTO_TEST_CASE(failsIfAProcessOrTheLogIsUnreachable)
 {
     unreachableIp = "10.0.0.1";
     const Report process = runRequestCommand();
--- a/tests/auto/platformclient/tst_batchappender.cpp
+++ b/tests/auto/platformclient/tst_batchappender.cpp
@@ -52,7 +52,7 @@
     BOOST_TEST(outcomes["c"].offset == Base::LogOffset(9));
 }
 
-BOOST_FIXTURE_TEST_CASE(slowsDownWhileTheRateIsSpentAndLosesNothing, Fixture)
+BOOST_FIXTURE_TEST_CASE(slowsDownWhileRateLimitedAndLosesNothing, Fixture)
 {
     add("a");
     Base::Duration before = appender.interval();
@@ -70,7 +70,7 @@
     BOOST_TEST(appender.interval().count() < before.count());
 }
 
-BOOST_FIXTURE_TEST_CASE(anOutagePastTheDeadlineIsNotAppended, Fixture)
+BOOST_FIXTURE_TEST_CASE(expiredRecordsAreNotAppendedAfterOutage, Fixture)
 {
     add("a");
     for (int i = 0; i < 100 && outcomes.empty(); ++i) {
--- a/tests/auto/platformclient/tst_logclient.cpp
+++ b/tests/auto/platformclient/tst_logclient.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(settlesALostAnswerByReadingFromTheKnownEnd, Fixture)
+BOOST_FIXTURE_TEST_CASE(resolvesLostAnswerByReadingFromKnownEnd, Fixture)
 {
     append("first");
     BOOST_TEST(platform.answer(200, R"({"offsets":[2]})").target == "/log/claims/append");
--- a/tests/auto/platformclient/tst_weightstoreclient.cpp
+++ b/tests/auto/platformclient/tst_weightstoreclient.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(waitsAsLongAsTheStoreAsks, Fixture)
+BOOST_FIXTURE_TEST_CASE(waitsForRetryAfterOfTheStore, Fixture)
 {
     fetch("hints");
     fetch("tags");
--- a/tests/auto/standins/tst_enginemodel.cpp
+++ b/tests/auto/standins/tst_enginemodel.cpp
@@ -231,7 +231,7 @@
     BOOST_TEST(f.produced("a") == 2);
 }
 
-BOOST_AUTO_TEST_CASE(olderFencingNumberIsRefusedWhereChecked)
+BOOST_AUTO_TEST_CASE(olderFencingNumberIsRejectedIfChecked)
 {
     for (const bool check : {true, false}) {
         Runtime::ManualClock clock;
--- a/tests/contract/platform/tst_platformfaults.cpp
+++ b/tests/contract/platform/tst_platformfaults.cpp
@@ -92,7 +92,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(anAppendIsReportedAsWhatItWasUnderEachFault)
+BOOST_AUTO_TEST_CASE(appendOutcomeIsReportedUnderEachFault)
 {
     for (const FaultCase &row : faultCases) {
         BOOST_TEST_CONTEXT(row.name)
@@ -111,7 +111,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(aTailerReadsOnAfterASilentConnectionAndAnOutage, Fixture)
+BOOST_FIXTURE_TEST_CASE(tailerResumesAfterSilentConnectionAndOutage, Fixture)
 {
     tailer.start();
     add("a");
@@ -147,7 +147,7 @@
     BOOST_TEST(fixture.skippedRecords == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRecordThatWasAppendedTwiceIsReadOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(recordAppendedTwiceIsReadOnce, Fixture)
 {
     injectFault(R"({"fault":"lose_append_answers","count":1})");
     add("a");
@@ -161,7 +161,7 @@
     BOOST_TEST(tailer.position() == Base::LogOffset(3));
 }
 
-BOOST_AUTO_TEST_CASE(manyRecordsStayWithinTheLogsRate)
+BOOST_AUTO_TEST_CASE(appendsStayWithinTheLogsRateLimit)
 {
     Fixture fixture({.appendsPerSecond = 20});
     for (int i = 0; i < 200; ++i) {
@@ -173,7 +173,7 @@
         BOOST_TEST((outcome.state == AppendState::Appended));
 }
 
-BOOST_FIXTURE_TEST_CASE(theVmListIsKeptThroughAnOutage, Fixture)
+BOOST_FIXTURE_TEST_CASE(vmListIsKeptDuringOutage, Fixture)
 {
     PlatformClient::VmListClient vms({.transport = transport, .timers = &loop.timers()});
     call("PUT", "/vms", R"({"vms":[{"address":"1:1","data_centre":"d","id":"a","state":"live"}]})");
