--- a/src/libs/admission/sharedigest.h
+++ b/src/libs/admission/sharedigest.h
@@ -30,7 +30,8 @@
     std::uint16_t author = 0; ///< Index of the sender among its data centre's routers.
     std::uint16_t dataCentre = 0; ///< Index of the author's data centre.
     std::uint32_t demand = 0; ///< Demand of the author, in 1/10,000 of the fleet-wide limit.
-    bool representative = false; ///< Whether the author represents its data centre.
+    /// Whether the author exchanges shares with other data centres on behalf of its own.
+    bool representative = false;
     /// Set by a representative: demand of all routers of its data centre, in the unit of `demand`.
     std::uint32_t dataCentreDemand = 0;
     /// Set by a representative: how it divides the share of its data centre among the routers, as
--- a/src/libs/configuration/snapshotscheduler.h
+++ b/src/libs/configuration/snapshotscheduler.h
@@ -18,7 +18,8 @@
         Base::Duration retention = std::chrono::hours(1); ///< Retention time of the log.
         int snapshotsPerRetention = 4;
         Base::Duration startDelay = std::chrono::seconds(5); ///< Delay before the first snapshot.
-        Base::Duration rankStep = std::chrono::seconds(2); ///< Additional delay per rank.
+        /// Additional delay of a snapshot for each live controller that precedes this one.
+        Base::Duration delayPerRank = std::chrono::seconds(2);
         Base::Duration retryDelay =
             std::chrono::seconds(2); ///< Delay before an unseen snapshot is repeated.
     };
--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -72,7 +72,7 @@
     if (auto *refusal = std::get_if<Refusal>(&placement)) {
         if (refusal->error.kind == ErrorKind::NoEndpoint && m_runs > 0)
             refusal->error = lastRunError(); // All available endpoints have failed it.
-        refusal->error.ran = ranSoFar();
+        refusal->error.ran = anyAttemptRan();
         failRequest(std::move(*refusal));
         return;
     }
@@ -299,7 +299,7 @@
     return run == m_result.attempts.rend() ? Error{} : run->error;
 }
 
-Ran Exchange::ranSoFar() const
+Ran Exchange::anyAttemptRan() const
 {
     return m_mayHaveRun ? Ran::Unknown : Ran::No;
 }
@@ -358,7 +358,7 @@
             cancelUpstream(*m_target);
     }
     RequestResult end = std::move(m_result);
-    end.refusal = Refusal{.error = {ErrorKind::CallerLeft, {}, ranSoFar()}};
+    end.refusal = Refusal{.error = {ErrorKind::CallerLeft, {}, anyAttemptRan()}};
     end.cutOff = hasBegun();
     finish(std::move(end));
 }
@@ -372,7 +372,7 @@
         endAttempt(false, {ErrorKind::DeadlinePassed, {}, m_mayHaveSent ? Ran::Unknown : Ran::No});
         cancelUpstream(*m_target);
     }
-    failRequest({.error = {ErrorKind::DeadlinePassed, {}, ranSoFar()}});
+    failRequest({.error = {ErrorKind::DeadlinePassed, {}, anyAttemptRan()}});
 }
 
 void Exchange::finish(RequestResult end)
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -189,7 +189,7 @@
     void callerLeft();
     void deadlinePassed();
     Errors::Error lastRunError() const;
-    Errors::Ran ranSoFar() const;
+    Errors::Ran anyAttemptRan() const;
     void finish(RequestResult end);
 
     Options m_options;
--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -74,11 +74,11 @@
     return view.inFlight > 0 ? DrainStep::Wait : DrainStep::Done;
 }
 
-ProbeSchedule::Result ProbeSchedule::probesOf(const std::string &member,
-                                              const std::vector<std::string> &members,
-                                              const std::vector<Base::EndpointId> &endpoints) const
+ProbeSchedule::Assignment
+ProbeSchedule::probesOf(const std::string &member, const std::vector<std::string> &members,
+                        const std::vector<Base::EndpointId> &endpoints) const
 {
-    Result result{.period = m_options.period};
+    Assignment result{.period = m_options.period};
     for (const Base::EndpointId &endpoint : endpoints) {
         const auto weight = [&](const std::string &name) {
             return std::pair(hashText(name + '|' + endpoint.value()), name);
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -108,7 +108,7 @@
         double bytesPerProbe = 600; ///< Request, TCP acknowledgements of the response, and headers.
         double bytesPerSecond = 1500; ///< Limit of a member's probes; part of its control budget.
     };
-    struct Result
+    struct Assignment
     {
         std::vector<Base::EndpointId> endpoints;
         Base::Duration period; ///< Longer than Options::period if the budget requires it.
@@ -120,8 +120,8 @@
 
     /// The endpoints that \a member has to probe, of those in \a endpoints, and the period of its
     /// probes. \a members are all members that share the probing.
-    Result probesOf(const std::string &member, const std::vector<std::string> &members,
-                    const std::vector<Base::EndpointId> &endpoints) const;
+    Assignment probesOf(const std::string &member, const std::vector<std::string> &members,
+                        const std::vector<Base::EndpointId> &endpoints) const;
 
 private:
     Options m_options;
--- a/src/libs/router/inflightsharing.cpp
+++ b/src/libs/router/inflightsharing.cpp
@@ -13,11 +13,11 @@
 constexpr Base::Duration minBeaconInterval = std::chrono::milliseconds(50);
 constexpr Base::Duration maxBeaconInterval = std::chrono::seconds(1);
 /// Interval of beacons while no work changes; they only show that this router is alive.
-constexpr Base::Duration idleInterval = std::chrono::milliseconds(600);
+constexpr Base::Duration idleBeaconInterval = std::chrono::milliseconds(600);
 /// Time without a beacon after which a peer is assumed to be stopped or disconnected.
 constexpr Base::Duration peerTimeout = std::chrono::milliseconds(1500);
 /// Interval of beacons that report all endpoints, not only changed ones, as datagrams may be lost.
-constexpr Base::Duration fullInterval = std::chrono::milliseconds(1200);
+constexpr Base::Duration fullReportInterval = std::chrono::milliseconds(1200);
 
 } // namespace
 
@@ -74,7 +74,7 @@
 {
     const Base::MonoTime now = m_loop.clock().now();
     const std::vector<InFlight> changed = changedWork();
-    if (changed.empty() && now - m_lastSent.sentAt < idleInterval)
+    if (changed.empty() && now - m_lastSent.sentAt < idleBeaconInterval)
         return minBeaconInterval;
     m_lastSent.sentAt = now;
     const std::string body = encodeBeacon(Membership::PeerTransport::directMark, changed);
@@ -90,7 +90,7 @@
 {
     const Routing::Router &routing = m_placer.routing();
     const Routing::EndpointTable &endpoints = routing.endpoints();
-    const bool isFull = m_loop.clock().now() - m_lastSent.fullSentAt >= fullInterval;
+    const bool isFull = m_loop.clock().now() - m_lastSent.fullSentAt >= fullReportInterval;
     if (isFull)
         m_lastSent.fullSentAt = m_loop.clock().now();
     m_lastSent.work.resize(endpoints.size());
--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -18,7 +18,7 @@
 constexpr std::int64_t maxReportAgeMs = 60'000;
 /// Interval at which placement is retried for a request that waits for the engine that caches its
 /// chat.
-constexpr Base::Duration warmRetryInterval = std::chrono::milliseconds(10);
+constexpr Base::Duration placementRetryInterval = std::chrono::milliseconds(10);
 
 Routing::ExchangeResult toExchangeResult(const Exchange::AttemptResult &result)
 {
@@ -239,7 +239,7 @@
 
 void Placer::scheduleWarmRetry(std::uint64_t ticket)
 {
-    m_loop.timers().start(warmRetryInterval, [this, ticket] { retryPlacement(ticket); });
+    m_loop.timers().start(placementRetryInterval, [this, ticket] { retryPlacement(ticket); });
 }
 
 void Placer::retryPlacement(std::uint64_t ticket)
--- a/src/libs/routing/loadbound.h
+++ b/src/libs/routing/loadbound.h
@@ -34,7 +34,7 @@
         double overflowShareMultiple = 1.1;
         /// Maximum load as a multiple of the capacity; beyond it, requests wait or are refused.
         double maximumLoadFactor = 2.0;
-        /// Fraction of the bound of the absolute rule that only urgent priorities may use.
+        /// Fraction of the maximum load that only requests of urgent priorities may use.
         double reserve = 0.1;
         std::uint8_t urgentBelow = 1; ///< Priorities below this value may use the reserve.
     };
--- a/src/libs/routing/placementtoken.cpp
+++ b/src/libs/routing/placementtoken.cpp
@@ -21,8 +21,8 @@
 constexpr std::size_t versionOffset = 0;
 // Bytes 1 to 3 are zero, so that the text needs no padding.
 constexpr std::size_t endpointOffset = 4;
-constexpr std::size_t cachedOffset = 12;
-constexpr std::size_t issuedOffset = 16;
+constexpr std::size_t cachedTokensOffset = 12;
+constexpr std::size_t issueTimeOffset = 16;
 constexpr std::size_t signatureOffset = 20;
 constexpr std::size_t signatureLength = 16;
 constexpr std::size_t rawLength = signatureOffset + signatureLength;
@@ -57,16 +57,16 @@
 
 constexpr Byte notInAlphabet = 0xff;
 
-constexpr std::array<Byte, 256> makeDigits()
+constexpr std::array<Byte, 256> makeDecodingTable()
 {
-    std::array<Byte, 256> digits{};
-    digits.fill(notInAlphabet);
+    std::array<Byte, 256> table{};
+    table.fill(notInAlphabet);
     for (std::size_t i = 0; i < alphabet.size(); ++i)
-        digits[static_cast<Byte>(alphabet[i])] = static_cast<Byte>(i);
-    return digits;
+        table[static_cast<Byte>(alphabet[i])] = static_cast<Byte>(i);
+    return table;
 }
 
-constexpr std::array<Byte, 256> digits = makeDigits();
+constexpr std::array<Byte, 256> decodingTable = makeDecodingTable();
 
 void encode(const Raw &raw, PlacementToken::Text *text)
 {
@@ -84,7 +84,7 @@
     for (std::size_t i = 0, j = 0; i < rawLength; i += 3, j += 4) {
         std::uint32_t group = 0;
         for (std::size_t k = 0; k < 4; ++k) {
-            const Byte digit = digits[static_cast<Byte>(text[j + k])];
+            const Byte digit = decodingTable[static_cast<Byte>(text[j + k])];
             if (digit == notInAlphabet)
                 return false;
             group = (group << 6) | digit;
@@ -183,8 +183,8 @@
     store(raw.data() + endpointOffset, placement.endpointHash);
     const auto maximum = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
     const std::int64_t cached = std::clamp<std::int64_t>(placement.cached.value(), 0, maximum);
-    store(raw.data() + cachedOffset, static_cast<std::uint32_t>(cached));
-    store(raw.data() + issuedOffset, secondsOf(now));
+    store(raw.data() + cachedTokensOffset, static_cast<std::uint32_t>(cached));
+    store(raw.data() + issueTimeOffset, secondsOf(now));
     const Signature signature = m_current->sign(raw, chatHash);
     std::copy(signature.begin(), signature.end(), raw.begin() + signatureOffset);
     Text text;
@@ -203,11 +203,11 @@
     if (!verified)
         return std::nullopt;
     const Base::WallTime issued{
-        std::chrono::seconds(load<std::uint32_t>(raw.data() + issuedOffset))};
+        std::chrono::seconds(load<std::uint32_t>(raw.data() + issueTimeOffset))};
     if (issued > now + maximumClockSkew || now - issued > m_lifetime)
         return std::nullopt;
     return Placement{.endpointHash = load<std::uint64_t>(raw.data() + endpointOffset),
-                     .cached = Base::Tokens(load<std::uint32_t>(raw.data() + cachedOffset))};
+                     .cached = Base::Tokens(load<std::uint32_t>(raw.data() + cachedTokensOffset))};
 }
 
 } // namespace Lagoonbank::Routing
