--- a/bench/routing/policymodel/main.cpp
+++ b/bench/routing/policymodel/main.cpp
@@ -52,8 +52,8 @@
     scenario.surge = absl::GetFlag(FLAGS_surge);
     scenario.seed = static_cast<std::uint64_t>(absl::GetFlag(FLAGS_seed));
     scenario.router.selector.policy = policy;
-    scenario.router.selector.overflowChoices = absl::GetFlag(FLAGS_overflow_choices);
-    scenario.router.selector.bound.multiple = absl::GetFlag(FLAGS_multiple);
+    scenario.router.selector.overflowCandidateCount = absl::GetFlag(FLAGS_overflow_choices);
+    scenario.router.selector.bound.preferredShareMultiple = absl::GetFlag(FLAGS_multiple);
     scenario.router.selector.bound.overflowShareMultiple = absl::GetFlag(FLAGS_overflow_multiple);
     scenario.router.selector.warmWaitPerThousandTokens =
         Base::fromSeconds(absl::GetFlag(FLAGS_warm_wait));
--- a/src/libs/router/configurationapplier.cpp
+++ b/src/libs/router/configurationapplier.cpp
@@ -35,7 +35,7 @@
 {
     return {.dataCentre = settings.dataCentre,
             .selector = {.policy = toRoutingPolicy(policy.routing),
-                         .bound = {.multiple = policy.loadBound,
+                         .bound = {.preferredShareMultiple = policy.loadBound,
                                    .reserve = policy.priorityReserve,
                                    .urgentBelow =
                                        static_cast<std::uint8_t>(policy.reservePriority + 1)}},
--- a/src/libs/routing/loadbound.h
+++ b/src/libs/routing/loadbound.h
@@ -27,10 +27,10 @@
     struct Options
     {
         /// Multiple of the relative rule for the chat's warm and home endpoints; at least 1.
-        double multiple = 1.25;
-        /// Multiple of the relative rule for any other endpoint; from 1 to `multiple`. The
-        /// difference between the two is capacity reserved for chats whose warm or home endpoint it
-        /// is.
+        double preferredShareMultiple = 1.25;
+        /// Multiple of the relative rule for any other endpoint; from 1 to
+        /// `preferredShareMultiple`. The difference between the two is capacity reserved for chats
+        /// whose warm or home endpoint it is.
         double overflowShareMultiple = 1.1;
         /// Maximum load as a multiple of the capacity; beyond it, requests wait or are refused.
         double maximumLoadFactor = 2.0;
@@ -43,16 +43,16 @@
     explicit LoadBound(Options options)
         : m_options(options)
     {
-        m_options.multiple = std::max(options.multiple, 1.0);
+        m_options.preferredShareMultiple = std::max(options.preferredShareMultiple, 1.0);
         m_options.overflowShareMultiple =
-            std::clamp(options.overflowShareMultiple, 1.0, m_options.multiple);
+            std::clamp(options.overflowShareMultiple, 1.0, m_options.preferredShareMultiple);
     }
 
     /// Whether the chat's warm or home endpoint may take the request.
     bool admitsPreferred(double load, double capacity, double work, const PoolTotals &totals,
                          std::uint8_t priority) const
     {
-        return isWithinRelativeBound(m_options.multiple, load, capacity, work, totals)
+        return isWithinRelativeBound(m_options.preferredShareMultiple, load, capacity, work, totals)
             && isWithinAbsoluteBound(load, capacity, work, priority);
     }
 
--- a/src/libs/routing/placementtable.cpp
+++ b/src/libs/routing/placementtable.cpp
@@ -7,7 +7,7 @@
 namespace Lagoonbank::Routing {
 
 PlacementTable::PlacementTable(std::size_t chats)
-    : m_entries(std::bit_ceil(std::max(chats, setSize)))
+    : m_entries(std::bit_ceil(std::max(chats, entriesPerSet)))
 { }
 
 std::optional<Placement> PlacementTable::find(std::uint64_t chatHash)
@@ -31,7 +31,7 @@
                 return a.chat == 0;
             return m_useCount - a.lastUse > m_useCount - b.lastUse;
         };
-        entry = std::min_element(set, set + setSize, older);
+        entry = std::min_element(set, set + entriesPerSet, older);
     }
     const auto maximum = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
     const std::int64_t cached = std::clamp<std::int64_t>(placement.cached.value(), 0, maximum);
@@ -58,14 +58,14 @@
 
 PlacementTable::Entry *PlacementTable::setOf(std::uint64_t chatHash)
 {
-    const std::size_t sets = m_entries.size() / setSize;
-    return &m_entries[(chatHash & (sets - 1)) * setSize];
+    const std::size_t sets = m_entries.size() / entriesPerSet;
+    return &m_entries[(chatHash & (sets - 1)) * entriesPerSet];
 }
 
 PlacementTable::Entry *PlacementTable::entryOf(std::uint64_t chatHash)
 {
     Entry *set = setOf(chatHash);
-    Entry *end = set + setSize;
+    Entry *end = set + entriesPerSet;
     Entry *found =
         std::find_if(set, end, [&](const Entry &entry) { return entry.chat == chatHash; });
     return found == end || chatHash == 0 ? nullptr : found;
--- a/src/libs/routing/placementtable.h
+++ b/src/libs/routing/placementtable.h
@@ -34,7 +34,7 @@
     Base::Bytes memory() const { return Base::Bytes(m_entries.size() * sizeof(Entry)); }
 
 private:
-    static constexpr std::size_t setSize = 8;
+    static constexpr std::size_t entriesPerSet = 8;
 
     struct Entry
     {
--- a/src/libs/routing/router.cpp
+++ b/src/libs/routing/router.cpp
@@ -129,23 +129,23 @@
 Decision Router::choose(const RouteRequest &request, const std::optional<Placement> &token)
 {
     std::array<WarmEndpoint, 2> warm;
-    std::size_t count = 0;
+    std::size_t warmCount = 0;
     if (request.usesCache) {
         const std::optional<Placement> known = m_placements.find(request.chatHash);
         const bool evicted = known && token && known->cached.value() == 0
             && known->endpointHash == token->endpointHash;
         if (token && !evicted) {
             const EndpointIndex endpoint = m_table.findByHash(token->endpointHash);
-            warm[count++] = {.endpoint = endpoint, .cached = token->cached};
+            warm[warmCount++] = {.endpoint = endpoint, .cached = token->cached};
         }
         if (known && known->cached.value() > 0) {
             const EndpointIndex endpoint = m_table.findByHash(known->endpointHash);
-            if (count == 0 || warm[0].endpoint != endpoint)
-                warm[count++] = {.endpoint = endpoint, .cached = known->cached};
+            if (warmCount == 0 || warm[0].endpoint != endpoint)
+                warm[warmCount++] = {.endpoint = endpoint, .cached = known->cached};
         }
     }
     return m_selector.choose(request, m_candidates, m_table.members(request.pool),
-                             std::span(warm).first(count));
+                             std::span(warm).first(warmCount));
 }
 
 SentRequest Router::noteSent(const Decision &decision, Base::MonoTime now)
--- a/src/libs/routing/selector.cpp
+++ b/src/libs/routing/selector.cpp
@@ -163,7 +163,7 @@
                 .refusal = Errors::ErrorKind::Overloaded};
     }
 
-    const bool localFirst = !request.usesCache && m_options.localServices;
+    const bool localFirst = !request.usesCache && m_options.preferLocalServices;
     Scan scan;
     if (localFirst)
         scan = scanBounded(request, candidates, members, totals, true);
@@ -196,7 +196,7 @@
                                                     totals, request.priority);
     if (request.usesCache && homeAdmits)
         return scan.home;
-    return m_options.overflowChoices > 1 ? scan.lessLoaded(candidates) : scan.first;
+    return m_options.overflowCandidateCount > 1 ? scan.lessLoaded(candidates) : scan.first;
 }
 
 Selector::Scan Selector::scanBounded(const RouteRequest &request,
@@ -277,7 +277,7 @@
                                        std::span<const EndpointIndex> members)
 {
     for (std::size_t step = 0; step < members.size(); ++step) {
-        const EndpointIndex index = members[m_counter++ % members.size()];
+        const EndpointIndex index = members[m_selectionCounter++ % members.size()];
         if (usable(candidates[index]) && !request.tried.contains(index))
             return index;
     }
@@ -311,7 +311,7 @@
                                         std::span<const EndpointIndex> members)
 {
     // The counter gives each decision a new random order, whose first two endpoints are the pair.
-    const RendezvousCost order(mixHashes(request.chatHash, ++m_counter));
+    const RendezvousCost order(mixHashes(request.chatHash, ++m_selectionCounter));
     Scan scan;
     for (const EndpointIndex index : members) {
         const Candidate &candidate = candidates[index];
--- a/src/libs/routing/selector.h
+++ b/src/libs/routing/selector.h
@@ -107,12 +107,12 @@
         double outputWeight = 8.0; ///< Work of an output token relative to a prompt token.
         /// Sends requests of services to other data centres only if no local endpoint is usable and
         /// below its bound.
-        bool localServices = true;
+        bool preferLocalServices = true;
         /// Number of endpoints, 1 or 2, that a request may overflow to: the first ones below their
         /// bound in the rendezvous order, of which the least loaded is chosen. Applies to requests
         /// of services, and to chats whose warm and home endpoints are at their bound. Only used by
         /// Policy::Bounded.
-        int overflowChoices = 2;
+        int overflowCandidateCount = 2;
         /// Time that a request may wait for its warm endpoint for each 1000 tokens cached there;
         /// zero: never wait. Only used by Policy::Bounded.
         Base::Duration warmWaitPerThousandTokens = std::chrono::milliseconds(100);
@@ -169,7 +169,7 @@
 
     Options m_options;
     LoadBound m_bound;
-    std::uint64_t m_counter = 0;
+    std::uint64_t m_selectionCounter = 0;
 };
 
 } // namespace Lagoonbank::Routing
--- a/src/libs/routing/waitqueue.cpp
+++ b/src/libs/routing/waitqueue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double popRateGain = 0.2;
-constexpr Base::Duration minimumGap = std::chrono::milliseconds(1);
+constexpr double popRateSmoothing = 0.2;
+constexpr Base::Duration minimumPopInterval = std::chrono::milliseconds(1);
 
 } // namespace
 
@@ -59,9 +59,9 @@
     if (const std::optional<Ticket> ticket = m_order.pop())
         removeItem(*ticket);
     if (m_lastPop) {
-        const Base::Duration gap = std::max(now - *m_lastPop, minimumGap);
+        const Base::Duration gap = std::max(now - *m_lastPop, minimumPopInterval);
         const double rate = 1.0 / Base::toSeconds(gap);
-        m_popRate = m_popRate > 0.0 ? m_popRate + popRateGain * (rate - m_popRate) : rate;
+        m_popRate = m_popRate > 0.0 ? m_popRate + popRateSmoothing * (rate - m_popRate) : rate;
     }
     m_lastPop = now;
 }
--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -44,7 +44,7 @@
         : m_random(c.seed)
     {
         Router::Options options;
-        options.selector.bound = {.multiple = multiple,
+        options.selector.bound = {.preferredShareMultiple = multiple,
                                   .overflowShareMultiple = overflowShareMultiple};
         options.selector.warmWaitPerThousandTokens = {};
         for (std::size_t i = 0; i < c.routers; ++i) {
