--- a/src/libs/router/claimcoordinator.cpp
+++ b/src/libs/router/claimcoordinator.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// How long claims and outcomes are collected before they are appended as one batch.
-constexpr Base::Duration batchInterval = std::chrono::milliseconds(5);
+constexpr Base::Duration appendBatchInterval = std::chrono::milliseconds(5);
 /// Maximum time that a claim waits for the log, even if the call's deadline is later.
 constexpr Base::Duration maxClaimTimeout = std::chrono::seconds(5);
 /// Retry-After value for refused claims that can be retried, such as while an earlier call with the
@@ -29,7 +29,7 @@
     , m_appender({.log = options.log,
                   .timers = &options.loop->timers(),
                   .stream = std::string(Claims::claimsStream),
-                  .interval = batchInterval,
+                  .interval = appendBatchInterval,
                   .backoff = options.backoff})
     , m_claimer({.timers = &options.loop->timers(),
                  .append =
--- a/src/libs/router/inflightbeacon.cpp
+++ b/src/libs/router/inflightbeacon.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double workStep = 8; ///< In work units.
-constexpr double maxSteps = 65535;
+constexpr double workUnitsPerStep = 8; ///< In work units.
+constexpr double maxWorkSteps = 65535;
 constexpr int keyBytes = 4;
 constexpr int workBytes = 2;
 
@@ -34,7 +34,7 @@
     for (std::size_t i = 0; i < std::min(entries.size(), maxBeaconEntries); ++i) {
         appendNumber(body, entries[i].endpoint, keyBytes);
         const double steps =
-            std::clamp(std::round(entries[i].work.value() / workStep), 0.0, maxSteps);
+            std::clamp(std::round(entries[i].work.value() / workUnitsPerStep), 0.0, maxWorkSteps);
         appendNumber(body, static_cast<std::uint32_t>(steps), workBytes);
     }
     return body;
@@ -48,7 +48,7 @@
     for (std::size_t offset = 1; offset < body.size(); offset += beaconEntryBytes) {
         const std::uint32_t steps = readNumber(body.substr(offset + keyBytes), workBytes);
         entries.push_back({readNumber(body.substr(offset), keyBytes),
-                           Base::WorkUnits(static_cast<double>(steps) * workStep)});
+                           Base::WorkUnits(static_cast<double>(steps) * workUnitsPerStep)});
     }
     return entries;
 }
--- a/src/libs/router/placer.cpp
+++ b/src/libs/router/placer.cpp
@@ -14,7 +14,7 @@
 
 /// Upper limit of the numbers in a load report. It exceeds all valid values, whether work units or
 /// milliseconds since 1970.
-constexpr double maxAmount = 1e15;
+constexpr double maxReportedNumber = 1e15;
 constexpr std::int64_t maxReportAgeMs = 60'000;
 /// Interval at which placement is retried for a request that waits for the engine that caches its
 /// chat.
@@ -29,12 +29,12 @@
     return Routing::ExchangeResult::Broke;
 }
 
-std::optional<double> readAmount(std::string_view text)
+std::optional<double> readReportedNumber(std::string_view text)
 {
     double value = 0;
     const char *end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, value);
-    if (error != std::errc() || stop != end || !(value >= 0 && value <= maxAmount))
+    if (error != std::errc() || stop != end || !(value >= 0 && value <= maxReportedNumber))
         return std::nullopt;
     return value;
 }
@@ -61,7 +61,7 @@
         if (equals == std::string_view::npos)
             return std::nullopt;
         const std::string_view name = part.substr(0, equals);
-        const std::optional<double> value = readAmount(part.substr(equals + 1));
+        const std::optional<double> value = readReportedNumber(part.substr(equals + 1));
         if (!value)
             return std::nullopt;
         if (name == "work") {
--- a/src/libs/router/quotasharing.cpp
+++ b/src/libs/router/quotasharing.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Base::Duration updateInterval = std::chrono::seconds(1);
+constexpr Base::Duration shareUpdateInterval = std::chrono::seconds(1);
 /// Share of the control traffic budget for demand digests, in bytes per interval.
 constexpr Base::Bytes digestBytesPerInterval{1200};
 /// Overhead per datagram that is charged to digestBytesPerInterval.
@@ -23,7 +23,7 @@
         m_allocator.receive(Base::WorkspaceId(digest.workspace), digest.bytes,
                             m_options.loop->clock().now());
     };
-    m_timer = m_options.loop->timers().start(updateInterval, [this] { updateShares(); });
+    m_timer = m_options.loop->timers().start(shareUpdateInterval, [this] { updateShares(); });
 }
 
 QuotaSharing::~QuotaSharing()
@@ -73,7 +73,7 @@
     for (Admission::ShareAllocator::Outgoing &digest :
          m_allocator.digests(now, digestBytesPerInterval, overheadPerDatagram))
         m_options.membership->setDemand(digest.workspace, std::move(digest.bytes), now);
-    m_timer = m_options.loop->timers().start(updateInterval, [this] { updateShares(); });
+    m_timer = m_options.loop->timers().start(shareUpdateInterval, [this] { updateShares(); });
 }
 
 } // namespace Lagoonbank::Router
--- a/src/libs/router/retrybudgets.cpp
+++ b/src/libs/router/retrybudgets.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /// Retries per successful attempt for workspaces without a configured ratio.
-constexpr double defaultRatio = 0.1;
+constexpr double defaultRetriesPerSuccess = 0.1;
 
 } // namespace
 
@@ -27,7 +27,7 @@
     const auto retriesPerSuccess = m_workspaceRatios.find(workspace);
     const Retry::RetryBudget fresh(
         {.retriesPerSuccess = retriesPerSuccess == m_workspaceRatios.end()
-             ? defaultRatio
+             ? defaultRetriesPerSuccess
              : retriesPerSuccess->second},
         now);
     return m_workspaceBudgets.try_emplace(workspace, fresh).first->second;
@@ -36,7 +36,7 @@
 Retry::RetryBudget &RetryBudgets::endpointBudget(const Base::EndpointId &endpoint,
                                                  Base::MonoTime now)
 {
-    const Retry::RetryBudget fresh({.retriesPerSuccess = m_endpointRatio}, now);
+    const Retry::RetryBudget fresh({.retriesPerSuccess = m_endpointRetriesPerSuccess}, now);
     return m_endpointBudgets.try_emplace(endpoint, fresh).first->second;
 }
 
--- a/src/libs/router/retrybudgets.h
+++ b/src/libs/router/retrybudgets.h
@@ -15,7 +15,10 @@
     RetryBudgets();
 
     void setWorkspaceRatio(const Base::WorkspaceId &workspace, double retriesPerSuccess);
-    void setEndpointRatio(double retriesPerSuccess) { m_endpointRatio = retriesPerSuccess; }
+    void setEndpointRatio(double retriesPerSuccess)
+    {
+        m_endpointRetriesPerSuccess = retriesPerSuccess;
+    }
     void setMaxAttempts(int attempts) { m_maxAttempts = attempts; }
 
     /// Credits a successful attempt to the budgets of its workspace and endpoint.
@@ -43,7 +46,7 @@
 
     absl::BitGen m_random;
     Retry::Backoff m_backoff;
-    double m_endpointRatio = 0.1;
+    double m_endpointRetriesPerSuccess = 0.1;
     int m_maxAttempts = 3;
     absl::flat_hash_map<Base::WorkspaceId, double> m_workspaceRatios;
     absl::flat_hash_map<Base::WorkspaceId, Retry::RetryBudget> m_workspaceBudgets;
--- a/src/libs/router/routermetrics.cpp
+++ b/src/libs/router/routermetrics.cpp
@@ -10,7 +10,7 @@
 using Metrics::Metric;
 
 /// Histogram bounds of the decision time, in seconds.
-constexpr std::array decisionBounds{1e-6, 2e-6, 5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 1e-3};
+constexpr std::array decisionTimeBounds{1e-6, 2e-6, 5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 1e-3};
 
 const std::array catalogue{
     Metric{"lagoonbank_requests_total",
@@ -58,7 +58,8 @@
            "See first token seconds; if it is steady, engines generate more slowly.",
            Metrics::latencyBounds},
     Metric{"lagoonbank_decision_seconds", Kind::Histogram, "seconds",
-           "Time of one routing decision.", "The VM is short of processor time.", decisionBounds},
+           "Time of one routing decision.", "The VM is short of processor time.",
+           decisionTimeBounds},
     Metric{"lagoonbank_prompt_tokens_total",
            Kind::Counter,
            "tokens",
