--- a/src/libs/membership/membershipcross.cpp
+++ b/src/libs/membership/membershipcross.cpp
@@ -85,12 +85,13 @@
 {
     // The processes of the own data centre together probe each other data centre three times within
     // the timeout after which it counts as unreachable.
-    constexpr std::int64_t probesPerTimeout = 3;
-    constexpr std::size_t maxProbes = 6;
+    constexpr std::int64_t probesPerLinkTimeout = 3;
+    constexpr std::size_t maxProbesPerPeriod = 6;
     const auto periods = static_cast<std::size_t>(std::max<std::int64_t>(
-        1, m_options.timing.linkTimeout / (m_options.timing.crossProbePeriod * probesPerTimeout)));
+        1,
+        m_options.timing.linkTimeout / (m_options.timing.crossProbePeriod * probesPerLinkTimeout)));
     const std::size_t needed = (dataCentres + processes * periods - 1) / (processes * periods);
-    return std::min({needed, maxProbes, dataCentres});
+    return std::min({needed, maxProbesPerPeriod, dataCentres});
 }
 
 } // namespace Lagoonbank::Membership
--- a/src/libs/membership/membershipmessages.cpp
+++ b/src/libs/membership/membershipmessages.cpp
@@ -11,8 +11,8 @@
 
 /// Size up to which sections are filled. Reserves one more byte for the entry count of each of the
 /// five sections, which needs two bytes if a section has many entries.
-constexpr std::size_t fillLimit = maxDatagramBytes + datagramOverheadBytes - 5;
-constexpr std::size_t maxRelays = 256;
+constexpr std::size_t maxFilledBytes = maxDatagramBytes + datagramOverheadBytes - 5;
+constexpr std::size_t maxRelayedProbes = 256;
 constexpr std::size_t maxKnownMembers = 4096;
 /// Minimum time between repeated requests for the same configuration offset.
 constexpr Base::Duration offsetRequestPeriod = std::chrono::milliseconds(500);
@@ -117,7 +117,7 @@
                                     Base::MonoTime now)
 {
     const Member *target = m_table.find(message.target);
-    if (!target || m_relays.size() >= maxRelays)
+    if (!target || m_relays.size() >= maxRelayedProbes)
         return;
     const std::uint32_t number = ++m_probeNumber;
     m_relays[number] = {.requester = from,
@@ -225,7 +225,7 @@
                              Base::MonoTime now)
 {
     const auto availableBytes = [&](ControlPriority priority) {
-        return std::min(fillLimit, std::max(m_options.budget->available(priority, now), size))
+        return std::min(maxFilledBytes, std::max(m_options.budget->available(priority, now), size))
             - size;
     };
     const auto addMember = [&](const MemberUpdate &update, ControlPriority priority) {
@@ -266,10 +266,12 @@
             break;
         // After a cold start or a long partition, most updates arrive by pulls; gossiping all of
         // them with the full limit would use up the budget.
-        constexpr std::size_t manyUpdates = 32;
-        constexpr std::uint32_t reducedLimit = 4;
-        m_memberUpdates.markSent(
-            name, m_memberUpdates.count() > manyUpdates ? reducedLimit : retransmitLimit());
+        constexpr std::size_t reducedLimitThreshold = 32;
+        constexpr std::uint32_t reducedRetransmitLimit = 4;
+        m_memberUpdates.markSent(name,
+                                 m_memberUpdates.count() > reducedLimitThreshold
+                                     ? reducedRetransmitLimit
+                                     : retransmitLimit());
     }
 }
 
@@ -277,7 +279,7 @@
                              Base::MonoTime now)
 {
     const auto availableBytes = [&](ControlPriority priority) {
-        return std::min(fillLimit, std::max(m_options.budget->available(priority, now), size))
+        return std::min(maxFilledBytes, std::max(m_options.budget->available(priority, now), size))
             - size;
     };
     if (isOwnDataCentre(peer)) {
--- a/src/libs/membership/peercodec.cpp
+++ b/src/libs/membership/peercodec.cpp
@@ -158,13 +158,13 @@
 {
     if (sequence > m_highestSequence) {
         const std::uint64_t step = sequence - m_highestSequence;
-        m_seenSequences = step >= width ? std::bitset<width>() : m_seenSequences << step;
+        m_seenSequences = step >= windowSize ? std::bitset<windowSize>() : m_seenSequences << step;
         m_seenSequences.set(0);
         m_highestSequence = sequence;
         return true;
     }
     const std::uint64_t behind = m_highestSequence - sequence;
-    if (behind >= width || m_seenSequences.test(behind))
+    if (behind >= windowSize || m_seenSequences.test(behind))
         return false;
     m_seenSequences.set(behind);
     return true;
--- a/src/libs/membership/peercodec.h
+++ b/src/libs/membership/peercodec.h
@@ -88,9 +88,9 @@
     bool accept(std::uint64_t sequence);
 
 private:
-    static constexpr std::size_t width = 1024;
+    static constexpr std::size_t windowSize = 1024;
     std::uint64_t m_highestSequence = 0;
-    std::bitset<width> m_seenSequences; ///< Bit i: m_highestSequence - i was accepted.
+    std::bitset<windowSize> m_seenSequences; ///< Bit i: m_highestSequence - i was accepted.
 };
 
 /// Seals and opens messages between members. A sealed message consists of magic, version, sender,
--- a/src/libs/membership/peertransport.cpp
+++ b/src/libs/membership/peertransport.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::string_view pullPath = "/peer/";
-constexpr std::string_view stateName = "membership";
-constexpr Base::Duration minTick = std::chrono::milliseconds(5);
+constexpr std::string_view membershipStateName = "membership";
+constexpr Base::Duration minTickInterval = std::chrono::milliseconds(5);
 constexpr Base::Duration pullConnectTimeout = std::chrono::seconds(1);
 constexpr Base::Duration pullTimeout = std::chrono::seconds(5);
 constexpr std::size_t maxPullRequestBytes = 256 * 1024;
@@ -144,7 +144,7 @@
         [this](const Http::Request &request, const std::shared_ptr<Http::Responder> &responder) {
             answer(request, *responder);
         });
-    setProvider(std::string(stateName),
+    setProvider(std::string(membershipStateName),
                 [this](std::string_view argument) -> Errors::Result<std::string> {
                     const Errors::Result<StateRequest> request = decodeStateRequest(argument);
                     if (!request)
@@ -281,7 +281,7 @@
     const Errors::Result<std::string> body = encodeStateRequest(request);
     if (!body)
         return;
-    pull(peer, std::string(stateName), body.value(),
+    pull(peer, std::string(membershipStateName), body.value(),
          [this](const Errors::Result<std::string> &answer) {
              if (!answer)
                  return;
@@ -295,9 +295,9 @@
 {
     m_options.membership->advance(now());
     const Base::Duration wait = m_options.membership->nextDue() - now();
-    constexpr Base::Duration maxTick = std::chrono::milliseconds(50);
-    m_timer =
-        m_options.loop->timers().start(std::clamp(wait, minTick, maxTick), [this] { tick(); });
+    constexpr Base::Duration maxTickInterval = std::chrono::milliseconds(50);
+    m_timer = m_options.loop->timers().start(std::clamp(wait, minTickInterval, maxTickInterval),
+                                             [this] { tick(); });
 }
 
 } // namespace Lagoonbank::Membership
