--- a/src/libs/configuration/record.cpp
+++ b/src/libs/configuration/record.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t maxNameBytes = 256;
 constexpr std::size_t maxTimeBytes = 64;
 constexpr std::size_t maxFileBytes = 4096;
-constexpr std::size_t maxLines = 64;
-constexpr std::uint32_t maxParts = 100000;
+constexpr std::size_t maxLineEntries = 64;
+constexpr std::uint32_t maxSnapshotParts = 100000;
 
 /// Reads fields of one JSON object and keeps the first error.
 class FieldReader
@@ -61,7 +61,7 @@
     {
         std::map<std::string, std::uint32_t> lines;
         const Json *value = find(key);
-        if (!value || !value->is_object() || value->size() > maxLines)
+        if (!value || !value->is_object() || value->size() > maxLineEntries)
             return fail<std::map<std::string, std::uint32_t>>(key);
         for (const auto &[name, line] : value->items()) {
             if (!line.is_number_unsigned() || line.get<std::uint64_t>() > INT32_MAX)
@@ -164,8 +164,8 @@
     SnapshotPart part;
     part.snapshot = reader.text("snapshot", maxNameBytes);
     part.writer = reader.text("writer", maxNameBytes);
-    part.part = static_cast<std::uint32_t>(reader.number("part", maxParts));
-    part.parts = static_cast<std::uint32_t>(reader.number("parts", maxParts));
+    part.part = static_cast<std::uint32_t>(reader.number("part", maxSnapshotParts));
+    part.parts = static_cast<std::uint32_t>(reader.number("parts", maxSnapshotParts));
     part.through = Base::LogOffset(reader.number("through"));
     part.hash = reader.number("hash");
     const Json *objects = reader.list("objects");
--- a/src/libs/configuration/reducer.cpp
+++ b/src/libs/configuration/reducer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t maxRecordIdBytes = 256;
-constexpr Base::LogOffset one(1);
+constexpr Base::LogOffset oneRecord(1);
 
 constexpr std::array<std::string_view, 8> eventNames{
     "record_skipped",   "gap_found",      "gap_closed",     "snapshot_seen",
@@ -76,7 +76,7 @@
     if (record.offset < m_readNext)
         return;
     m_outOfOrder.emplace(record.offset, record);
-    if (m_outOfOrder.size() > m_options.maxOutOfOrder)
+    if (m_outOfOrder.size() > m_options.maxOutOfOrderRecords)
         m_outOfOrder.erase(std::prev(m_outOfOrder.end()));
     applyOutOfOrder();
 }
@@ -114,7 +114,7 @@
 
 void Reducer::consume(const LogRecord &record)
 {
-    m_readNext = record.offset + one;
+    m_readNext = record.offset + oneRecord;
     if (m_hasGap) {
         bufferAfterGap(record);
         return;
@@ -127,8 +127,8 @@
 void Reducer::bufferAfterGap(const LogRecord &record)
 {
     m_buffered.emplace(record.offset, record);
-    if (m_buffered.size() > m_options.maxBuffered) {
-        m_bufferedFrom = m_buffered.begin()->first + one;
+    if (m_buffered.size() > m_options.maxBufferedRecords) {
+        m_bufferedFrom = m_buffered.begin()->first + oneRecord;
         m_buffered.erase(m_buffered.begin());
     }
     const Errors::Result<Record> decoded = decodeRecord(record);
--- a/src/libs/configuration/reducer.h
+++ b/src/libs/configuration/reducer.h
@@ -47,8 +47,9 @@
     struct Options
     {
         std::size_t maxChangeResults = 1024; ///< Number of latest results kept for the history.
-        std::size_t maxBuffered = 65536; ///< Maximum number of records buffered behind a gap.
-        std::size_t maxOutOfOrder = 1024; ///< Maximum number of buffered records from peers.
+        /// Maximum number of records buffered behind a gap.
+        std::size_t maxBufferedRecords = 65536;
+        std::size_t maxOutOfOrderRecords = 1024; ///< Maximum number of buffered records from peers.
     };
 
     explicit Reducer(const Options &options);
--- a/src/libs/configuration/snapshot.cpp
+++ b/src/libs/configuration/snapshot.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::size_t maxUnfinished = 4;
-constexpr std::uint32_t maxParts = 4096;
+constexpr std::size_t maxUnfinishedSnapshots = 4;
+constexpr std::uint32_t maxSnapshotParts = 4096;
 /// Maximum total size of the objects of one part. It is well below maxRecordBytes, as escaping
 /// makes the bodies longer.
 constexpr std::size_t maxPartBytes = 64 * 1024;
@@ -42,7 +42,7 @@
 
 std::optional<Snapshot> SnapshotCollector::add(const SnapshotPart &part)
 {
-    if (part.parts > maxParts)
+    if (part.parts > maxSnapshotParts)
         return std::nullopt;
     Unfinished *unfinished = find(part);
     unfinished->receivedParts.insert_or_assign(part.part, part);
@@ -60,7 +60,7 @@
         return &*it;
     if (it != m_unfinished.end())
         m_unfinished.erase(it);
-    if (m_unfinished.size() >= maxUnfinished)
+    if (m_unfinished.size() >= maxUnfinishedSnapshots)
         m_unfinished.pop_front();
     return &m_unfinished.emplace_back(Unfinished{part.snapshot, part.parts, {}});
 }
--- a/tests/auto/configuration/tst_reducer.cpp
+++ b/tests/auto/configuration/tst_reducer.cpp
@@ -337,7 +337,7 @@
     log.append(old);
     log.readInto(peer);
 
-    Reducer small(Reducer::Options{.maxBuffered = 5});
+    Reducer small(Reducer::Options{.maxBufferedRecords = 5});
     log.readInto(small, 5);
     BOOST_TEST(small.hasGap()); // Some records after the snapshot's state were dropped.
     log.append(peer.makeSnapshot("new", "vm"));
@@ -345,7 +345,7 @@
     BOOST_TEST(!small.hasGap());
     BOOST_TEST(small.hash() == peer.hash());
 
-    Reducer eager(Reducer::Options{.maxOutOfOrder = 3});
+    Reducer eager(Reducer::Options{.maxOutOfOrderRecords = 3});
     for (std::size_t i = log.records.size(); i-- > 0;)
         eager.recordFromPeer(log.records[i]);
     BOOST_TEST(eager.next() == Base::LogOffset(3));
