--- a/src/libs/admission/gcra.cpp
+++ b/src/libs/admission/gcra.cpp
@@ -11,7 +11,7 @@
 
 // Tolerance in units, so that rounding to nanoseconds does not refuse a call that arrives exactly
 // on time.
-constexpr double tolerance = 1e-6;
+constexpr double unitTolerance = 1e-6;
 // Upper bound of waits, so that adding one to a time point does not overflow.
 constexpr double maxWaitSeconds = 30.0 * 24 * 3600;
 
@@ -34,11 +34,11 @@
 {
     if (m_options.rate <= 0)
         return std::nullopt;
-    if (cost > m_options.burst + m_options.debt + tolerance)
+    if (cost > m_options.burst + m_options.debt + unitTolerance)
         return std::nullopt;
     const double allowedInUse = std::max(0.0, m_options.burst - cost);
     const double excess = unitsInUse(now) - allowedInUse;
-    if (excess <= tolerance)
+    if (excess <= unitTolerance)
         return Duration::zero();
     return timeFor(excess, m_options.rate);
 }
--- a/src/libs/admission/shareallocator.cpp
+++ b/src/libs/admission/shareallocator.cpp
@@ -123,8 +123,8 @@
             m_pendingWorkspaces.push_back(workspace);
     }
     std::vector<Outgoing> outgoing;
-    std::uint64_t used = 0;
-    while (!m_pendingWorkspaces.empty() && used < maxBytes.value()) {
+    std::uint64_t usedBytes = 0;
+    while (!m_pendingWorkspaces.empty() && usedBytes < maxBytes.value()) {
         const WorkspaceId workspace = std::move(m_pendingWorkspaces.back());
         m_pendingWorkspaces.pop_back();
         const auto found = m_workspaces.find(workspace);
@@ -136,7 +136,7 @@
         outgoing.push_back(
             {workspace, encode(*digest), receivers(workspace, digest->representative)});
         const Outgoing &last = outgoing.back();
-        used += (last.bytes.size() + datagramOverhead.value()) * last.receivers.size();
+        usedBytes += (last.bytes.size() + datagramOverhead.value()) * last.receivers.size();
     }
     return outgoing;
 }
--- a/src/libs/admission/workspacegate.cpp
+++ b/src/libs/admission/workspacegate.cpp
@@ -122,8 +122,8 @@
 
 void WorkspaceGate::applyShare(MonoTime now)
 {
-    m_requests.setOptions(requestOptions(m_limits, m_share), now);
-    m_tokens.setOptions(tokenOptions(m_limits, m_share), now);
+    m_requestLimiter.setOptions(requestOptions(m_limits, m_share), now);
+    m_tokenLimiter.setOptions(tokenOptions(m_limits, m_share), now);
 }
 
 AdmitResult WorkspaceGate::admit(const Call &call, MonoTime now)
@@ -145,7 +145,7 @@
     if (auto refusal = checkTokens(call, now))
         return std::move(*refusal);
 
-    m_requests.charge(1, now);
+    m_requestLimiter.charge(1, now);
     chargeTokens(static_cast<double>(call.estimatedTokens.value()), now);
     ++m_running;
     m_startSum += now - m_origin;
@@ -213,7 +213,7 @@
 {
     if (!m_limits.requestsPerSecond)
         return std::nullopt;
-    const std::optional<Duration> wait = m_requests.waitFor(1, now);
+    const std::optional<Duration> wait = m_requestLimiter.waitFor(1, now);
     if (wait && *wait == Duration::zero())
         return std::nullopt;
     return Refusal{ErrorKind::RateLimited, "requests_per_second",
@@ -225,7 +225,7 @@
     if (!m_limits.tokensPerSecond || call.estimatedTokens.value() <= 0)
         return std::nullopt;
     const std::optional<Duration> wait =
-        m_tokens.waitFor(static_cast<double>(call.estimatedTokens.value()), now);
+        m_tokenLimiter.waitFor(static_cast<double>(call.estimatedTokens.value()), now);
     if (wait && *wait == Duration::zero())
         return std::nullopt;
     return Refusal{ErrorKind::TokenRateLimited, "tokens_per_second",
@@ -260,14 +260,14 @@
 void WorkspaceGate::refundCharges(Tokens estimate, MonoTime now)
 {
     if (m_limits.requestsPerSecond)
-        m_requests.charge(-1, now);
+        m_requestLimiter.charge(-1, now);
     chargeTokens(-static_cast<double>(estimate.value()), now);
 }
 
 void WorkspaceGate::chargeTokens(double tokens, MonoTime now)
 {
     if (m_limits.tokensPerSecond)
-        m_tokens.charge(tokens, now);
+        m_tokenLimiter.charge(tokens, now);
 }
 
 double WorkspaceGate::decayedRate(double rate, MonoTime now) const
--- a/src/libs/admission/workspacegate.h
+++ b/src/libs/admission/workspacegate.h
@@ -117,8 +117,8 @@
 
     WorkspaceLimits m_limits;
     double m_share = 1;
-    Gcra m_requests;
-    Gcra m_tokens;
+    Gcra m_requestLimiter;
+    Gcra m_tokenLimiter;
     int m_running = 0;
     Base::Duration m_startSum{}; // sum of the running calls' start times since m_origin
     Base::MonoTime m_origin{};
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -11,20 +11,20 @@
 namespace {
 
 constexpr auto totalUnits = static_cast<double>(ShareLedger::totalUnits);
-constexpr double headroom = 1.2; ///< Factor on the demand, so that the demand can grow.
+constexpr double demandHeadroom = 1.2; ///< Factor on the demand, so that the demand can grow.
 constexpr double idleFraction = 0.125; ///< Fraction of the equal share that an idle router keeps.
 /// A participant is active, so that digests are sent for it, if its demand reaches this fraction of
 /// its share, or if its share deviates from the equal share by more than this fraction.
 constexpr double activeFraction = 0.5;
 /// Fraction of a surplus that is transferred in one step. It is below one because the other routers
 /// may not have received earlier transfers yet.
-constexpr double transferGain = 0.5;
+constexpr double transferFraction = 0.5;
 /// Maximum fraction of its data centre's share that a representative transfers in one step. While
 /// router lists differ, two routers may act as representative at a time; together they still
 /// transfer no more than the data centre holds.
-constexpr double maxDataCentreFraction = 0.5;
+constexpr double maxTransferFraction = 0.5;
 /// Minimum transfer, as a fraction of the equal share; a smaller one does not justify a message.
-constexpr double minTransfer = 0.01;
+constexpr double minTransferFraction = 0.01;
 /// Maximum number of transfer totals between data centres in one digest; the others in it are
 /// between routers.
 constexpr std::size_t maxDataCentreTransfers = 4;
@@ -47,9 +47,9 @@
 
 void WorkspaceShares::setTopology(const ShareTopology &topology, MonoTime now)
 {
-    const bool newRouters = topology.routersHash != m_topology.routersHash;
-    const bool newDataCentres = topology.dataCentresHash != m_topology.dataCentresHash;
-    if (!newRouters && !newDataCentres)
+    const bool routersChanged = topology.routersHash != m_topology.routersHash;
+    const bool dataCentresChanged = topology.dataCentresHash != m_topology.dataCentresHash;
+    if (!routersChanged && !dataCentresChanged)
         return;
     m_shareCap = share(now);
     m_shareCapUntil = now + m_timing.propagationTime;
@@ -57,7 +57,7 @@
     m_routerLedger = ShareLedger(topology.routers, Duration::zero());
     m_routerDemands.clear();
     m_division.reset();
-    if (!newDataCentres)
+    if (!dataCentresChanged)
         return;
     m_dataCentreLedger = ShareLedger(topology.dataCentres, m_timing.propagationTime);
     m_dataCentreDemands.clear();
@@ -100,7 +100,7 @@
     const double part = dataCentreUnits(now);
     if (part <= 0)
         return idle;
-    return std::max(idle, headroom * demand * totalUnits / part);
+    return std::max(idle, demandHeadroom * demand * totalUnits / part);
 }
 
 FairDivision WorkspaceShares::ownDivision(MonoTime now) const
@@ -119,8 +119,8 @@
         return;
     const auto holding = static_cast<double>(m_routerLedger.units(m_topology.self, now));
     const double surplus = holding - m_division->division.shareOf(scaledDemand(m_demand, now));
-    const double amount = transferGain * surplus;
-    if (amount >= std::max(1.0, minTransfer * totalUnits / m_topology.routers))
+    const double amount = transferFraction * surplus;
+    if (amount >= std::max(1.0, minTransferFraction * totalUnits / m_topology.routers))
         m_routerLedger.transferUnits({m_topology.self, m_representative}, std::llround(amount),
                                      now);
 }
@@ -162,7 +162,7 @@
             continue;
         const double demand = isSelf ? dataCentreDemand(now) : m_dataCentreDemands.at(i).demand;
         indexes.push_back(i);
-        demands.push_back(std::max(idle, headroom * demand));
+        demands.push_back(std::max(idle, demandHeadroom * demand));
         total += static_cast<double>(m_dataCentreLedger.units(i, now));
     }
     const FairDivision division = divideFairly(demands, total);
@@ -181,8 +181,8 @@
     if (surplus <= 0 || totalDeficit <= 0)
         return;
     const double maxAmount =
-        std::min(transferGain * surplus, maxDataCentreFraction * dataCentreUnits(now));
-    if (maxAmount < std::max(1.0, minTransfer * totalUnits / m_topology.dataCentres))
+        std::min(transferFraction * surplus, maxTransferFraction * dataCentreUnits(now));
+    if (maxAmount < std::max(1.0, minTransferFraction * totalUnits / m_topology.dataCentres))
         return;
     for (std::size_t i = 0; i < indexes.size(); ++i) {
         const double amount = maxAmount * deficits[i] / totalDeficit;
