--- a/src/libs/claims/claimer.cpp
+++ b/src/libs/claims/claimer.cpp
@@ -91,7 +91,7 @@
     const ClaimOutcome claimOutcome{claim, std::move(outcome)};
     m_table.apply(claimOutcome, now());
     decideWaiting(claim.key);
-    if (m_unrecorded.size() >= m_options.maxUnrecorded) {
+    if (m_unrecorded.size() >= m_options.maxUnrecordedOutcomes) {
         ++m_droppedOutcomes;
         return;
     }
@@ -109,7 +109,7 @@
         return;
     if (!m_isLogUsable)
         return decideWithoutLog(id);
-    if (m_table.isFull() || m_pending.size() > m_options.maxPending)
+    if (m_table.isFull() || m_pending.size() > m_options.maxPendingClaims)
         return decide(id, {.verdict = Verdict::Unavailable});
     appendClaim(id);
 }
--- a/src/libs/claims/claimer.h
+++ b/src/libs/claims/claimer.h
@@ -59,8 +59,9 @@
                            std::function<void(PlatformClient::AppendOutcome)>)>
             append;
         ClaimTable::IsGone isGone;
-        std::size_t maxPending = 10'000; ///< Maximum number of undecided claims.
-        std::size_t maxUnrecorded = 20'000; ///< Maximum number of outcomes not yet appended.
+        std::size_t maxPendingClaims = 10'000; ///< Maximum number of undecided claims.
+        /// Maximum number of outcomes not yet appended.
+        std::size_t maxUnrecordedOutcomes = 20'000;
         /// Delay before an outcome whose append failed is appended again.
         PlatformClient::Backoff::Options backoff;
     };
@@ -91,7 +92,8 @@
     std::size_t unrecorded() const { return m_unrecorded.size(); }
     /// Number of records that could not be parsed.
     std::uint64_t skippedRecords() const { return m_skippedRecords; }
-    /// Number of outcomes that were dropped because maxUnrecorded were waiting to be appended.
+    /// Number of outcomes that were dropped because maxUnrecordedOutcomes were waiting to be
+    /// appended.
     std::uint64_t droppedOutcomes() const { return m_droppedOutcomes; }
 
 private:
