--- a/src/libs/orders/orderplan.cpp
+++ b/src/libs/orders/orderplan.cpp
@@ -92,7 +92,8 @@
             result.endpoints.push_back(endpoint);
     }
     const double cost = static_cast<double>(result.endpoints.size()) * m_options.bytesPerProbe;
-    result.period = std::max(result.period, Base::fromSeconds(cost / m_options.bytesPerSecond));
+    result.period =
+        std::max(result.period, Base::fromSeconds(cost / m_options.maxProbeBytesPerSecond));
     return result;
 }
 
--- a/src/libs/orders/orderplan.h
+++ b/src/libs/orders/orderplan.h
@@ -106,7 +106,8 @@
         /// Time between two probes by the same prober.
         Base::Duration period = std::chrono::seconds(1);
         double bytesPerProbe = 600; ///< Request, TCP acknowledgements of the response, and headers.
-        double bytesPerSecond = 1500; ///< Limit of a member's probes; part of its control budget.
+        /// Limit of a member's probes; part of its control budget.
+        double maxProbeBytesPerSecond = 1500;
     };
     struct Assignment
     {
