--- a/src/libs/controller/controllerprocess.cpp
+++ b/src/libs/controller/controllerprocess.cpp
@@ -393,7 +393,7 @@
 
 void ControllerProcess::stopWhenIdle()
 {
-    constexpr Base::Duration interval = std::chrono::milliseconds(50);
+    constexpr Base::Duration idleCheckInterval = std::chrono::milliseconds(50);
     // An order can take effect some time after it was sent. The lease is kept while orders are in
     // flight, so that no older order takes effect after an order of the next holder.
     if (m_orders->ordersInFlight() == 0)
@@ -404,7 +404,7 @@
         m_loop.stop();
         return;
     }
-    m_loop.timers().start(interval, [this] { stopWhenIdle(); });
+    m_loop.timers().start(idleCheckInterval, [this] { stopWhenIdle(); });
 }
 
 } // namespace Lagoonbank::Controller
--- a/src/libs/controller/ordercoordinator.cpp
+++ b/src/libs/controller/ordercoordinator.cpp
@@ -15,7 +15,7 @@
 constexpr int httpOk = 200;
 constexpr std::size_t maxAnswerBytes = 64 * 1024;
 /// Cost of a state check: request, acknowledgements of the answer, and headers.
-constexpr std::size_t bytesPerCheck = 600;
+constexpr std::size_t bytesPerStatusCheck = 600;
 
 } // namespace
 
@@ -83,7 +83,8 @@
         const bool isDue = !entry.isBusy && now() >= entry.nextCheckAt;
         if (!isDue || !m_options.mayOrder(entry.target.checksFencing))
             continue;
-        if (running >= m_options.maxConcurrentEngines || !m_options.takeFromBudget(bytesPerCheck))
+        if (running >= m_options.maxConcurrentEngines
+            || !m_options.takeFromBudget(bytesPerStatusCheck))
             return;
         ++running;
         readState(entry);
