--- a/src/libs/exchange/exchange.cpp
+++ b/src/libs/exchange/exchange.cpp
@@ -70,7 +70,7 @@
     if (m_finished)
         return;
     if (auto *refusal = std::get_if<Refusal>(&placement)) {
-        if (refusal->error.kind == ErrorKind::NoEndpoint && m_runs > 0)
+        if (refusal->error.kind == ErrorKind::NoEndpoint && m_runCount > 0)
             refusal->error = lastRunError(); // All available endpoints have failed it.
         refusal->error.ran = anyAttemptRan();
         failRequest(std::move(*refusal));
@@ -84,10 +84,10 @@
 {
     m_mayHaveSent = false;
     m_status = 0;
-    m_load.clear();
+    m_loadHeader.clear();
     m_attemptTokens = 0;
     m_resumed = resume;
-    ++(resume ? m_resumes : m_runs);
+    ++(resume ? m_resumeCount : m_runCount);
     m_attemptStarted = now();
     m_lastProgress = m_attemptStarted;
     m_options.hooks.attemptStarted(*m_target);
@@ -110,9 +110,10 @@
              [self](int status, const Http::Headers &headers) {
                  self->m_status = status;
                  self->noteProgress();
-                 self->m_load = std::string(headers.find("x-load").value_or(""));
-                 if (!self->m_load.empty())
-                     self->m_options.hooks.loadReported(self->m_target->endpoint, self->m_load);
+                 self->m_loadHeader = std::string(headers.find("x-load").value_or(""));
+                 if (!self->m_loadHeader.empty())
+                     self->m_options.hooks.loadReported(self->m_target->endpoint,
+                                                        self->m_loadHeader);
                  const auto echo = headers.find("x-request-id");
                  if (echo && *echo != self->m_options.request.value()) {
                      self->failAttempt({ErrorKind::AnswerMismatch, {}, Ran::Unknown});
@@ -219,7 +220,7 @@
                          .work = m_target->work,
                          .succeeded = succeeded,
                          .error = std::move(error),
-                         .load = m_load,
+                         .load = m_loadHeader,
                          .cachedTokens = m_result.cachedTokens,
                          .answerTokens = Base::Tokens(m_attemptTokens),
                          .resumed = m_resumed};
@@ -245,8 +246,8 @@
     return {.idempotent = m_options.route.idempotent,
             .resumable = m_options.resumable,
             .earlierMayHaveRun = m_mayHaveRun,
-            .attempts = m_runs,
-            .resumes = m_resumes,
+            .attempts = m_runCount,
+            .resumes = m_resumeCount,
             .deadline = {.answerBy = m_options.route.deadline}};
 }
 
--- a/src/libs/exchange/exchange.h
+++ b/src/libs/exchange/exchange.h
@@ -200,12 +200,12 @@
     bool m_mayHaveSent = false; ///< Bytes of the running attempt may have been sent.
     bool m_mayHaveRun = false; ///< An earlier attempt may have been executed.
     int m_status = 0;
-    std::string m_load;
+    std::string m_loadHeader;
     Base::MonoTime m_attemptStarted;
     Base::MonoTime m_lastProgress;
     bool m_resumed = false; ///< The running attempt resumes the stream of the previous one.
-    int m_runs = 0; ///< Attempts that were not resumes.
-    int m_resumes = 0;
+    int m_runCount = 0; ///< Attempts that were not resumes.
+    int m_resumeCount = 0;
     std::int64_t m_attemptTokens = 0;
     std::optional<Runtime::TimerId> m_progressTimer;
     std::optional<Runtime::TimerId> m_deadlineTimer;
