--- a/src/libs/fleetsync/fleetsync.h
+++ b/src/libs/fleetsync/fleetsync.h
@@ -75,8 +75,9 @@
         /// ms, and one of two messages in that time may be lost. The limit leaves time for a read
         /// before this leader's own standbys consider it to be failing.
         Base::Duration maxFollowedAge = std::chrono::milliseconds(1250);
-        /// A leader that follows another one reads the store itself if a pull takes longer than
-        /// this, because its data centre then still has to pull the result from it.
+        /// A leader that follows the leader of another data centre pulls the state from it instead
+        /// of reading the store. If a pull takes longer than this, it reads the store itself,
+        /// because the routers of its own data centre then still have to pull the result from it.
         Base::Duration followedPullTimeout = std::chrono::milliseconds(300);
         /// A starting router reads everything once, so that it is ready as soon as possible. If a
         /// stronger router of its data centre is registered, it then does not read the store for
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -174,8 +174,8 @@
     }
     if (!leaders.empty())
         return randomPeer(leaders);
-    constexpr std::uint64_t choices = 2;
-    return m_random() % choices == 0 ? randomPeer(others) : strongestOf(others);
+    constexpr std::uint64_t selectionMethods = 2;
+    return m_random() % selectionMethods == 0 ? randomPeer(others) : strongestOf(others);
 }
 
 const Peer *PeerTable::strongestOf(const std::vector<const Peer *> &peers)
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -23,7 +23,7 @@
 constexpr double usedConnectionShare = 0.8;
 /// Load, relative to the average load, that no endpoint of a service may exceed. A metric counts
 /// the answers of endpoints above it.
-constexpr Placement::LoadThreshold fleetBound{.factor = 2, .slack = 3};
+constexpr Placement::LoadThreshold fleetBound{.meanLoadFactor = 2, .slack = 3};
 
 /// Returns the options with the features disabled that `options.policy` switches off.
 Gateway::Options applyPolicySwitches(Gateway::Options options)
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -74,12 +74,12 @@
 class Placement
 {
 public:
-    /// Load threshold in requests: factor x mean load of the candidates + slack.
+    /// Load threshold in requests: meanLoadFactor x mean load of the candidates + slack.
     struct LoadThreshold
     {
-        double factor = 1;
+        double meanLoadFactor = 1;
         double slack = 0;
-        double forMeanLoad(double mean) const { return factor * mean + slack; }
+        double forMeanLoad(double mean) const { return meanLoadFactor * mean + slack; }
     };
     struct Options
     {
@@ -100,8 +100,8 @@
         /// fraction that overflows grows as the load approaches the bound. As all routers receive
         /// load reports about a second late, they would otherwise switch away from the home and
         /// back in step. Short prompts overflow first, as prefilling them again costs little.
-        LoadThreshold shortPromptOverflow{.factor = 1.0, .slack = 0.5};
-        LoadThreshold longPromptOverflow{.factor = 1.4, .slack = 1};
+        LoadThreshold shortPromptOverflow{.meanLoadFactor = 1.0, .slack = 0.5};
+        LoadThreshold longPromptOverflow{.meanLoadFactor = 1.4, .slack = 1};
         /// In a large fleet, requests whose home is above the bound are spread over the endpoints
         /// that follow it in the rendezvous-hash order: this many endpoints for each request above
         /// the bound. If all routers chose the next endpoint, that would be overloaded before they
@@ -193,7 +193,7 @@
     }
     LoadThreshold bound() const
     {
-        return {.factor = m_options.boundFactor, .slack = m_options.boundSlack};
+        return {.meanLoadFactor = m_options.boundFactor, .slack = m_options.boundSlack};
     }
     PlacementResult chooseByCost(const Candidates &candidates, Base::MonoTime now) const;
     static PlacementResult chooseLastResort(const PlacementRequest &request,
--- a/src/libs/gateway/warmupquota.h
+++ b/src/libs/gateway/warmupquota.h
@@ -71,7 +71,9 @@
 
     Options m_options;
     Fleet m_fleet;
-    std::uint64_t m_selfHash = 0; ///< Hash of this router's name; the same on every router.
+    /// Hash of this router's name. All routers use the same hash function, and so agree on the
+    /// order of the routers.
+    std::uint64_t m_selfHash = 0;
     std::vector<std::uint64_t> m_otherHashes;
     std::uint64_t m_generation = 1;
 };
--- a/src/libs/keyedlog/keyedview.cpp
+++ b/src/libs/keyedlog/keyedview.cpp
@@ -21,7 +21,7 @@
     m_isRunning = true;
     // The log may have been unavailable while this view was stopped.
     m_hasReportedHealth = false;
-    fill();
+    readListing();
 }
 
 void KeyedView::startAfter(Base::LogOffset known, const Keys &keys)
@@ -30,7 +30,7 @@
     for (const std::string &key : keys)
         m_offsets.try_emplace(key, known);
     m_hasReportedHealth = false;
-    m_isFilling = false;
+    m_isListing = false;
     m_isFilled = true;
     m_position = std::max(m_position, known + Base::LogOffset(1));
     follow();
@@ -50,8 +50,8 @@
         return;
     stop();
     m_isRunning = true;
-    if (m_isFilling)
-        fill();
+    if (m_isListing)
+        readListing();
     else
         follow();
 }
@@ -63,26 +63,26 @@
     return m_options.timers->clock().now() - *m_answeredAt;
 }
 
-void KeyedView::fill()
+void KeyedView::readListing()
 {
-    m_isFilling = true;
-    m_after.clear();
-    m_fillEnd.reset();
+    m_isListing = true;
+    m_lastListedKey.clear();
+    m_listingEnd.reset();
     m_listedKeys.clear();
     m_read = m_options.source.readNewest(
-        m_after, [this](const Errors::Result<NewestPage> &page) { pageRead(page); });
+        m_lastListedKey, [this](const Errors::Result<NewestPage> &page) { pageRead(page); });
 }
 
 void KeyedView::pageRead(const Errors::Result<NewestPage> &page)
 {
     m_read.reset();
     if (!page) {
-        readFailed(&KeyedView::fill);
+        readFailed(&KeyedView::readListing);
         return;
     }
     readSucceeded();
-    if (!m_fillEnd)
-        m_fillEnd = page.value().end;
+    if (!m_listingEnd)
+        m_listingEnd = page.value().end;
     for (const KeyedRecord &record : page.value().records) {
         m_listedKeys.insert(record.key);
         apply(record);
@@ -90,21 +90,21 @@
     if (!m_isRunning)
         return;
     if (!page.value().hasMore || page.value().records.empty()) {
-        fillEnded();
+        listingEnded();
         return;
     }
-    m_after = page.value().records.back().key;
+    m_lastListedKey = page.value().records.back().key;
     m_read = m_options.source.readNewest(
-        m_after, [this](const Errors::Result<NewestPage> &next) { pageRead(next); });
+        m_lastListedKey, [this](const Errors::Result<NewestPage> &next) { pageRead(next); });
 }
 
 /// A key that is missing from the listing has been dropped, unless its record is newer than the
 /// listing.
-void KeyedView::fillEnded()
+void KeyedView::listingEnded()
 {
     std::vector<std::string> dropped;
     for (const auto &[key, offset] : m_offsets) {
-        if (!m_listedKeys.contains(key) && offset < *m_fillEnd)
+        if (!m_listedKeys.contains(key) && offset < *m_listingEnd)
             dropped.push_back(key);
     }
     for (const std::string &key : dropped) {
@@ -112,15 +112,15 @@
         // The offset is the last one of the listing, as the record at the end may be the key's
         // next.
         if (keyDropped)
-            keyDropped(key, *m_fillEnd - Base::LogOffset(1));
+            keyDropped(key, *m_listingEnd - Base::LogOffset(1));
     }
-    m_isFilling = false;
+    m_isListing = false;
     m_isFilled = true;
     // Records appended during the listing are read again, which has no effect.
-    m_position = std::max(m_position, *m_fillEnd);
+    m_position = std::max(m_position, *m_listingEnd);
     const Keys keys = std::exchange(m_listedKeys, {});
-    if (filled)
-        filled(keys, *m_fillEnd);
+    if (listingCompleted)
+        listingCompleted(keys, *m_listingEnd);
     if (caughtUp)
         caughtUp();
     if (m_isRunning)
@@ -145,7 +145,7 @@
     const bool isOverdue = isAnswerOverdue();
     readSucceeded();
     if (page.value().isOutOfRange || isOverdue) {
-        fill();
+        readListing();
         return;
     }
     applyTail(page.value().records);
--- a/src/libs/keyedlog/keyedview.h
+++ b/src/libs/keyedlog/keyedview.h
@@ -59,7 +59,7 @@
     /// Whether all keys have been read at least once.
     bool isFilled() const { return m_isFilled; }
     /// Whether the keys are being listed. Values reported meanwhile are an incomplete set.
-    bool isFilling() const { return m_isFilling; }
+    bool isListing() const { return m_isListing; }
     /// Whether the last read succeeded.
     bool isUp() const { return m_isLogAvailable; }
     /// The time since the last answer; not set before the first one.
@@ -71,7 +71,7 @@
     std::function<void(const std::string &key, Base::LogOffset offset)> keyDropped;
     /// Called when a listing is complete, also for repeated ones. \a keys are all keys present;
     /// keys with records before \a end that are not among them have been dropped.
-    std::function<void(const Keys &keys, Base::LogOffset end)> filled;
+    std::function<void(const Keys &keys, Base::LogOffset end)> listingCompleted;
     /// Called when everything that the log held at the time of an answer has been reported; for a
     /// listing, after its last page.
     std::function<void()> caughtUp;
@@ -80,9 +80,9 @@
     std::function<void(bool isUp)> healthChanged;
 
 private:
-    void fill();
+    void readListing();
     void pageRead(const Errors::Result<NewestPage> &page);
-    void fillEnded();
+    void listingEnded();
     void follow();
     void tailRead(const Errors::Result<TailPage> &page);
     void applyTail(const std::vector<KeyedRecord> &records);
@@ -96,15 +96,15 @@
     PlatformClient::Backoff m_backoff;
     bool m_isRunning = false;
     bool m_isFilled = false;
-    bool m_isFilling = true;
+    bool m_isListing = true;
     bool m_isLogAvailable = false;
     bool m_hasReportedHealth = false; ///< Whether healthChanged() was called since start().
     std::optional<Base::MonoTime> m_answeredAt;
     Base::LogOffset m_position; ///< Offset of the next record to read from the tail.
     absl::flat_hash_map<std::string, Base::LogOffset> m_offsets; ///< Newest record of each key.
     // State of the current listing.
-    std::string m_after; ///< Last key of the previous page.
-    std::optional<Base::LogOffset> m_fillEnd; ///< End of the log at the first page.
+    std::string m_lastListedKey; ///< Last key of the previous page.
+    std::optional<Base::LogOffset> m_listingEnd; ///< End of the log at the first page.
     Keys m_listedKeys; ///< Keys in the pages of the listing so far.
     std::optional<ReadId> m_read;
     Runtime::TimerId m_timer;
--- a/tests/auto/gateway/tst_reachability.cpp
+++ b/tests/auto/gateway/tst_reachability.cpp
@@ -50,7 +50,7 @@
             clock.advance(step);
             timers.runDue();
             for (auto &[server, checked] : std::exchange(checks, {})) {
-                ++count;
+                ++checkCount;
                 if (!cut.contains(server))
                     checked(true);
                 else
@@ -59,7 +59,7 @@
             }
         }
     }
-    int unreachable()
+    int unreachableCount()
     {
         int sum = 0;
         for (int i = 0; i < 9; ++i)
@@ -71,7 +71,7 @@
     Runtime::TimerQueue timers{clock};
     EndpointRegistry registry{{}};
     std::set<std::string> cut;
-    int count = 0;
+    int checkCount = 0;
     std::vector<std::pair<std::string, std::function<void(bool)>>> checks;
     Reachability reachability{{.registry = &registry,
                                .timers = &timers,
@@ -88,7 +88,7 @@
     f.cut = {"10.0.0.1", "10.0.0.4", "10.0.0.7"};
     f.reachability.reportUnreachable(f.endpoint(1));
     f.pass(std::chrono::milliseconds(110));
-    BOOST_TEST(f.unreachable() == 3);
+    BOOST_TEST(f.unreachableCount() == 3);
     Placement placement({});
     for (std::uint64_t prompt = 1; prompt < 100; ++prompt) {
         const PlacementResult result = placement.choose(
@@ -97,7 +97,7 @@
     }
     f.cut.clear();
     f.pass(std::chrono::milliseconds(600));
-    BOOST_TEST(f.unreachable() == 0);
+    BOOST_TEST(f.unreachableCount() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(crashedEndpointDoesNotAffectOthers)
@@ -106,19 +106,19 @@
     f.cut = {"10.0.0.1"};
     f.reachability.reportUnreachable(f.endpoint(1));
     f.pass(std::chrono::milliseconds(400));
-    BOOST_TEST(f.unreachable() == 1);
-    const int before = f.count;
+    BOOST_TEST(f.unreachableCount() == 1);
+    const int before = f.checkCount;
     f.pass(std::chrono::seconds(4));
-    BOOST_TEST(f.count - before <= 13);
+    BOOST_TEST(f.checkCount - before <= 13);
 }
 
 BOOST_AUTO_TEST_CASE(lostPacketExcludesAnEndpointForMilliseconds)
 {
     Fixture f;
     f.reachability.reportUnreachable(f.endpoint(1));
-    BOOST_TEST(f.unreachable() == 1);
+    BOOST_TEST(f.unreachableCount() == 1);
     f.pass(std::chrono::milliseconds(6));
-    BOOST_TEST(f.unreachable() == 0);
+    BOOST_TEST(f.unreachableCount() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(removedEndpointIsNoLongerChecked)
@@ -129,9 +129,9 @@
     f.pass(std::chrono::milliseconds(200));
     f.registry.remove(Base::EndpointId("e1"));
     f.pass(std::chrono::seconds(1));
-    const int before = f.count;
+    const int before = f.checkCount;
     f.pass(std::chrono::seconds(2));
-    BOOST_TEST(f.count == before);
+    BOOST_TEST(f.checkCount == before);
 }
 
 /// In a data centre with hundreds of engines, single ones crash all the time. If each of hundreds
@@ -146,14 +146,14 @@
     f.cut = {"10.1.0.7"};
     f.reachability.reportUnreachable(f.registry.find(Base::EndpointId("big7")));
     f.pass(std::chrono::milliseconds(200));
-    BOOST_TEST(f.count <= 10);
+    BOOST_TEST(f.checkCount <= 10);
     // The whole data centre is partitioned.
     for (int i = 0; i < 500; ++i)
         f.cut.insert("10.1.0." + std::to_string(i));
     f.reachability.reportUnreachable(f.registry.find(Base::EndpointId("big8")));
     f.pass(std::chrono::milliseconds(420));
-    int unreachable = 0;
+    int unreachableCount = 0;
     for (const EndpointPtr &endpoint : f.registry.inDataCentre(Base::DataCentreId("big")))
-        unreachable += endpoint->isUnreachable ? 1 : 0;
-    BOOST_TEST(unreachable == 500);
+        unreachableCount += endpoint->isUnreachable ? 1 : 0;
+    BOOST_TEST(unreachableCount == 500);
 }
--- a/tests/auto/keyedlog/tst_keyedview.cpp
+++ b/tests/auto/keyedlog/tst_keyedview.cpp
@@ -96,7 +96,9 @@
         view.keyDropped = [this](const std::string &key, Base::LogOffset) {
             reported += "-" + key + " ";
         };
-        view.filled = [this](const KeyedView::Keys &, Base::LogOffset) { reported += "filled "; };
+        view.listingCompleted = [this](const KeyedView::Keys &, Base::LogOffset) {
+            reported += "filled ";
+        };
         view.healthChanged = [this](bool isUp) { reported += isUp ? "up " : "down "; };
         view.start();
     }
--- a/tests/auto/simulation/simulatedrouter.cpp
+++ b/tests/auto/simulation/simulatedrouter.cpp
@@ -170,7 +170,8 @@
     run->endpointView->keyDropped = [run](const std::string &key, Base::LogOffset offset) {
         run->directory->entryDropped(Base::EndpointId(key), offset);
     };
-    run->endpointView->filled = [run](const KeyedLog::KeyedView::Keys &keys, Base::LogOffset end) {
+    run->endpointView->listingCompleted = [run](const KeyedLog::KeyedView::Keys &keys,
+                                                Base::LogOffset end) {
         absl::flat_hash_set<Base::EndpointId> present;
         for (const std::string &key : keys)
             present.insert(Base::EndpointId(key));
