--- a/src/libs/fleetsync/crashgossip.cpp
+++ b/src/libs/fleetsync/crashgossip.cpp
@@ -128,7 +128,7 @@
         std::min<std::size_t>(message.quarantined.size(), maxItemsPerDatagram));
     std::vector<Runtime::SocketAddress> peers = m_options.peers();
     std::shuffle(peers.begin(), peers.end(), m_random);
-    peers.resize(std::min(peers.size(), m_options.resendPeers));
+    peers.resize(std::min(peers.size(), m_options.resendPeerCount));
     for (const Runtime::SocketAddress &peer : peers)
         send(peer, message);
 }
--- a/src/libs/fleetsync/crashgossip.h
+++ b/src/libs/fleetsync/crashgossip.h
@@ -48,7 +48,7 @@
         Base::Duration interval = std::chrono::seconds(1);
         /// Number of peers to which each round sends. Each router then receives the quarantines
         /// about twice a second, and misses them for 3 s only in one case of 400.
-        std::size_t resendPeers = 2;
+        std::size_t resendPeerCount = 2;
     };
 
     explicit CrashGossip(Options options);
--- a/src/libs/fleetsync/fleetlink.cpp
+++ b/src/libs/fleetsync/fleetlink.cpp
@@ -151,7 +151,7 @@
         if (!isAlive.expired())
             pullFinished(peer, startedAt, result);
     };
-    ++m_pulls;
+    ++m_pullsInFlight;
     m_options.client->start(std::move(call), {.finished = finished});
 }
 
@@ -159,7 +159,7 @@
                              const Http::CallResult &result)
 {
     const Base::Duration duration = m_options.loop->clock().now() - startedAt;
-    const std::size_t inFlight = m_pulls--;
+    const std::size_t inFlight = m_pullsInFlight--;
     const bool isTooSlow = result.end == Http::CallEnd::TimedOut && result.status == ok;
     m_pullTimeout = isTooSlow ? std::min(2 * m_pullTimeout, maxPullTimeout) : initialPullTimeout;
     if (result.end == Http::CallEnd::Whole && result.status == tooBusy) {
--- a/src/libs/fleetsync/fleetlink.h
+++ b/src/libs/fleetsync/fleetlink.h
@@ -74,7 +74,7 @@
     Admission::Gcra m_stateByteBudget;
     std::unique_ptr<Runtime::UdpSocket> m_socket;
     std::unique_ptr<Http::Server> m_server;
-    std::size_t m_pulls = 0; ///< Pulls in flight.
+    std::size_t m_pullsInFlight = 0;
     Base::Duration m_pullTimeout; ///< Timeout of the next pull.
     /// Lets callbacks of pulls detect that this object has been destroyed.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
--- a/src/libs/fleetsync/peertable.cpp
+++ b/src/libs/fleetsync/peertable.cpp
@@ -67,7 +67,7 @@
     if (!isLocal(peer)) {
         const auto others = static_cast<double>(otherDataCentreCount());
         interval = std::chrono::duration_cast<Base::Duration>(
-            interval * std::max(1.0, others / static_cast<double>(m_options.contacts)));
+            interval * std::max(1.0, others / static_cast<double>(m_options.contactCount)));
     } else if (!isStandbyOf(peer)) {
         interval = localInterval();
     }
@@ -88,7 +88,7 @@
         if (isAlive(*peer) && !peer->isLeaving)
             living.push_back(peer);
     }
-    const std::size_t count = std::min(living.size(), m_options.standbys);
+    const std::size_t count = std::min(living.size(), m_options.standbyCount);
     std::partial_sort(living.begin(), living.begin() + static_cast<std::ptrdiff_t>(count),
                       living.end(), isStrongerThan);
     std::vector<std::string> ids;
@@ -113,8 +113,8 @@
 
 Base::Duration PeerTable::localInterval() const
 {
-    const double seconds =
-        static_cast<double>(localCount()) * m_options.beaconBytes / m_options.localBytesPerSecond;
+    const double seconds = static_cast<double>(localRouterCount()) * m_options.beaconBytes
+        / m_options.localBytesPerSecond;
     const auto needed =
         std::chrono::duration_cast<Base::Duration>(std::chrono::duration<double>(seconds));
     return std::max(m_options.beaconInterval, needed);
@@ -139,8 +139,8 @@
             dataCentres.push_back(dataCentre);
     }
     std::shuffle(dataCentres.begin(), dataCentres.end(), m_random);
-    dataCentres.resize(
-        std::min(dataCentres.size(), isReading ? m_options.readerContacts : m_options.contacts));
+    dataCentres.resize(std::min(dataCentres.size(),
+                                isReading ? m_options.readerContactCount : m_options.contactCount));
     std::vector<const Peer *> found;
     found.reserve(dataCentres.size());
     for (const std::string &dataCentre : dataCentres)
@@ -153,7 +153,7 @@
     return peers.empty() ? nullptr : peers[m_random() % peers.size()];
 }
 
-std::size_t PeerTable::localCount() const
+std::size_t PeerTable::localRouterCount() const
 {
     const auto found = m_routerCounts.find(m_options.dataCentre);
     return found == m_routerCounts.end() ? 0 : found->second;
--- a/src/libs/fleetsync/peertable.h
+++ b/src/libs/fleetsync/peertable.h
@@ -68,7 +68,7 @@
         /// Size of a beacon with UDP and IP headers, for names of 20 letters.
         double beaconBytes = 105;
         /// Number of standbys: two, as a leader and its first standby may fail at the same time.
-        std::size_t standbys = 2;
+        std::size_t standbyCount = 2;
         /// Number of beacon intervals without a beacon after which a peer is considered dead. It
         /// allows for two lost beacons and some delay.
         double missedIntervals = 2.6;
@@ -80,10 +80,10 @@
         Base::Duration remoteTransit = std::chrono::milliseconds(50);
         /// Number of other data centres to which a leader sends a beacon in each interval. They
         /// propagate its content to the rest.
-        std::size_t contacts = 2;
+        std::size_t contactCount = 2;
         /// Number of other data centres to which the store reader sends a beacon in each interval.
         /// It is larger because their leaders follow the store reader.
-        std::size_t readerContacts = 5;
+        std::size_t readerContactCount = 5;
     };
 
     explicit PeerTable(Options options);
@@ -132,10 +132,10 @@
 
 private:
     void countRouter(const std::string &dataCentre) { ++m_routerCounts[dataCentre]; }
-    std::size_t localCount() const;
+    std::size_t localRouterCount() const;
     std::size_t otherDataCentreCount() const
     {
-        return m_routerCounts.size() - (localCount() > 0 ? 1 : 0);
+        return m_routerCounts.size() - (localRouterCount() > 0 ? 1 : 0);
     }
     const Peer *chooseContact(const std::string &dataCentre);
     static const Peer *strongestOf(const std::vector<const Peer *> &peers);
--- a/src/libs/fleetsync/promptgossip.cpp
+++ b/src/libs/fleetsync/promptgossip.cpp
@@ -28,7 +28,7 @@
 {
     if (m_pending.prompts.size() >= maxPrompts && !evictForNew(isNew))
         return;
-    const bool isFirstNew = isNew && m_newCount == 0;
+    const bool isFirstNew = isNew && m_newPromptCount == 0;
     add(prompt, isNew);
     if (m_timer && !isFirstNew)
         return;
@@ -43,7 +43,7 @@
 bool PromptGossip::evictForNew(bool isNew)
 {
     ++m_dropped; // Either the prompt to be added or the one dropped for it.
-    if (!isNew || m_newCount >= maxPrompts)
+    if (!isNew || m_newPromptCount >= maxPrompts)
         return false;
     m_pending.prompts.pop_back();
     return true;
@@ -57,9 +57,9 @@
         m_pending.prompts.push_back(prompt);
         return;
     }
-    const auto endOfNew = m_pending.prompts.begin() + static_cast<std::ptrdiff_t>(m_newCount);
+    const auto endOfNew = m_pending.prompts.begin() + static_cast<std::ptrdiff_t>(m_newPromptCount);
     m_pending.prompts.insert(endOfNew, prompt);
-    ++m_newCount;
+    ++m_newPromptCount;
 }
 
 void PromptGossip::receive(const Schema::PromptUpdate &message) const
@@ -74,7 +74,7 @@
 {
     m_timer.reset();
     const Schema::PromptUpdate message = std::exchange(m_pending, {});
-    const bool hasNew = std::exchange(m_newCount, 0) > 0;
+    const bool hasNew = std::exchange(m_newPromptCount, 0) > 0;
     const std::vector<Runtime::SocketAddress> peers = m_options.peers();
     const auto count = static_cast<double>(message.prompts.size());
     const double cost =
--- a/src/libs/fleetsync/promptgossip.h
+++ b/src/libs/fleetsync/promptgossip.h
@@ -65,7 +65,7 @@
     Options m_options;
     Admission::Gcra m_byteBudget;
     Schema::PromptUpdate m_pending; ///< Prompts that have not been sent to the peers yet.
-    std::size_t m_newCount = 0; ///< Number of new prompts, which are first in m_pending.
+    std::size_t m_newPromptCount = 0; ///< Number of new prompts, which are first in m_pending.
     std::optional<Runtime::TimerId> m_timer;
     std::uint64_t m_dropped = 0;
 };
--- a/src/libs/fleetsync/quarantinelog.cpp
+++ b/src/libs/fleetsync/quarantinelog.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Value of each key that is present; the key carries all information.
-constexpr const char *present = "1";
+constexpr const char *presentValue = "1";
 
 } // namespace
 
@@ -30,7 +30,7 @@
 {
     const std::string key = absl::StrCat(absl::Hex(request, absl::kZeroPad16));
     scheduleDrop(key);
-    write(key, present);
+    write(key, presentValue);
 }
 
 void QuarantineLog::recordRead(const KeyedLog::KeyedRecord &record)
