--- a/src/libs/gateway/fleetretrybudget.cpp
+++ b/src/libs/gateway/fleetretrybudget.cpp
@@ -24,7 +24,7 @@
 {
     const double requests = std::accumulate(counts.requests.begin(), counts.requests.end(), 0U);
     const double retries = std::accumulate(counts.retries.begin(), counts.retries.end(), 0U);
-    const double budget = m_options.ratio * requests + m_options.slack / m_routers;
+    const double budget = m_options.ratio * requests + m_options.slack / m_routerCount;
     return budget * m_options.usedShare - retries;
 }
 
--- a/src/libs/gateway/fleetretrybudget.h
+++ b/src/libs/gateway/fleetretrybudget.h
@@ -33,7 +33,7 @@
 
     void setOptions(const Options &options) { m_options = options; }
     /// Sets the number of routers that share the slack, including this one.
-    void setRouterCount(int routers) { m_routers = routers > 1 ? routers : 1; }
+    void setRouterCount(int routers) { m_routerCount = routers > 1 ? routers : 1; }
 
     void requestArrived(const Base::ServiceId &service, Base::MonoTime now);
     /// Takes one retry from the budget; returns false and takes none if none remains.
@@ -57,7 +57,7 @@
     double remainingOf(const Counts &counts) const;
 
     Options m_options;
-    int m_routers = 1;
+    int m_routerCount = 1;
     absl::flat_hash_map<Base::ServiceId, Counts> m_services;
 };
 
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -57,7 +57,7 @@
     /// Silence limit of an endpoint that answers other requests, as a multiple of the target
     /// latency or, within a stream, of the route's maximum pause. The limit is higher for such an
     /// endpoint, as it is only busy and moving the request costs another prefill of its prompt.
-    double busyFactor = 2.0;
+    double busySilenceFactor = 2.0;
     /// A caller is assumed to abandon a stream after a pause of
     ///     max(callerTimeout, callerTimeoutTargets x targetLatency,
     ///         callerTimeoutPauses x maxEventGap)
--- a/src/libs/gateway/loadsharing.cpp
+++ b/src/libs/gateway/loadsharing.cpp
@@ -91,7 +91,7 @@
 void LoadSharing::noteHot(EndpointRecord &endpoint, double averageLoad, Base::MonoTime now) const
 {
     const double requests = endpoint.report->running + endpoint.report->waiting;
-    if (requests > m_options.hotFactor * averageLoad + m_options.hotSlack)
+    if (requests > m_options.hotLoadFactor * averageLoad + m_options.hotLoadSlack)
         endpoint.hotAt = std::min(now, endpoint.reportedAt);
 }
 
--- a/src/libs/gateway/loadsharing.h
+++ b/src/libs/gateway/loadsharing.h
@@ -23,12 +23,12 @@
     {
         EndpointRegistry *registry = nullptr;
         std::uint64_t randomSeed = 1;
-        /// An endpoint is hot if its load exceeds hotFactor x average load + hotSlack. Its load is
-        /// then announced to peers. The threshold is below the load at which requests overflow from
-        /// their home endpoint, so that routers can still place requests there while the
-        /// announcement propagates.
-        double hotFactor = 1.2;
-        double hotSlack = 1;
+        /// An endpoint is hot if its load exceeds hotLoadFactor x average load + hotLoadSlack. Its
+        /// load is then announced to peers. The threshold is below the load at which requests
+        /// overflow from their home endpoint, so that routers can still place requests there while
+        /// the announcement propagates.
+        double hotLoadFactor = 1.2;
+        double hotLoadSlack = 1;
         /// Time for which an endpoint is announced after it was last hot, until all routers have
         /// received its lower load.
         Base::Duration hotLifetime = std::chrono::milliseconds(2500);
--- a/src/libs/gateway/placement.cpp
+++ b/src/libs/gateway/placement.cpp
@@ -24,7 +24,8 @@
 
 bool isTried(const PlacementRequest &request, const EndpointPtr &endpoint)
 {
-    return std::find(request.tried.begin(), request.tried.end(), endpoint) != request.tried.end();
+    return std::find(request.triedEndpoints.begin(), request.triedEndpoints.end(), endpoint)
+        != request.triedEndpoints.end();
 }
 
 bool isBelowConnectionShare(const PlacementRequest &request, const EndpointRecord &endpoint)
@@ -90,7 +91,7 @@
         result = chooseByCost(candidates, now);
     }
     result.meanLoad = mean;
-    result.candidates = count;
+    result.candidateCount = count;
     return result;
 }
 
@@ -107,7 +108,7 @@
     for (const EndpointPtr &endpoint : sets.full)
         sum += registry.fleetLoad(*endpoint, now);
     return {.meanLoad = sum / static_cast<double>(sets.full.size()),
-            .candidates = sets.full.size(),
+            .candidateCount = sets.full.size(),
             .isFull = true};
 }
 
--- a/src/libs/gateway/placement.h
+++ b/src/libs/gateway/placement.h
@@ -28,7 +28,7 @@
     bool mayRepeat = false;
     bool checkCapacity = true; ///< Excludes endpoints without a free slot.
     bool excludeSuspected = true; ///< Excludes endpoints that failed recently.
-    std::vector<EndpointPtr> tried; ///< Endpoints that are not tried again.
+    std::vector<EndpointPtr> triedEndpoints; ///< Endpoints that are not tried again.
     /// Maximum number of requests from this router in flight at one endpoint; unset for no limit.
     std::optional<std::size_t> connectionShare;
     /// Fraction of an endpoint's slots that may be in use for the request to be sent there.
@@ -63,7 +63,7 @@
     /// Maximum load at which the endpoint may be chosen for the prompt of the request; unset if the
     /// request has no prompt.
     std::optional<double> maximumLoad;
-    std::size_t candidates = 0;
+    std::size_t candidateCount = 0;
     bool isFull = false; ///< No candidate has a free slot for the request.
     /// Time at which the first endpoint accepts requests again; set if all endpoints in service
     /// have asked routers to back off.
--- a/src/libs/gateway/requestquarantine.cpp
+++ b/src/libs/gateway/requestquarantine.cpp
@@ -38,7 +38,7 @@
     crashes.lastAt = now;
     if (!crashes.has(crash.endpoint))
         crashes.endpoints.push_back(crash.endpoint);
-    if (crashes.endpoints.size() < m_options.maxCrashes)
+    if (crashes.endpoints.size() < m_options.crashesToQuarantine)
         return false;
     return quarantine({.request = crash.request, .remaining = m_options.quarantineTime}, now);
 }
@@ -49,7 +49,8 @@
     if (found == m_crashes.end() || !isFresh(found->second, now))
         return false;
     const Crashes &crashes = found->second;
-    return crashes.endpoints.size() + (crashes.has(crash.endpoint) ? 0 : 1) >= m_options.maxCrashes;
+    return crashes.endpoints.size() + (crashes.has(crash.endpoint) ? 0 : 1)
+        >= m_options.crashesToQuarantine;
 }
 
 bool RequestQuarantine::quarantine(const QuarantinedRequest &quarantined, Base::MonoTime now)
--- a/src/libs/gateway/requestquarantine.h
+++ b/src/libs/gateway/requestquarantine.h
@@ -51,12 +51,12 @@
         /// Number of endpoints that may crash while running a request before it is quarantined.
         /// With fewer, two crashes in a row would quarantine harmless streams that were resumed at
         /// the second endpoint after the first one had crashed.
-        std::size_t maxCrashes = 3;
+        std::size_t crashesToQuarantine = 3;
         /// Time for which crashes are remembered after the last one of a request; callers repeat
         /// such a request within minutes.
         Base::Duration crashLifetime = std::chrono::minutes(10);
         /// Duration of a quarantine. It gives operators time to fix the cause. Afterwards the
-        /// request may crash maxCrashes endpoints before it is quarantined again.
+        /// request may crash crashesToQuarantine endpoints before it is quarantined again.
         Base::Duration quarantineTime = std::chrono::hours(1);
         /// Maximum number of requests whose crashes are remembered. Requests with more crashes are
         /// kept first; among equals, those with more recent ones.
--- a/src/libs/gateway/requestrun.cpp
+++ b/src/libs/gateway/requestrun.cpp
@@ -184,7 +184,7 @@
 
 std::optional<std::uint64_t> RequestRun::resumeAfter() const
 {
-    return m_lastEvent ? m_lastEvent : m_request.resumeAfter;
+    return m_lastEventId ? m_lastEventId : m_request.resumeAfter;
 }
 
 void RequestRun::send(const EndpointPtr &endpoint, const CacheSource &cacheSource)
@@ -240,7 +240,7 @@
          {"reached", failure.mayHaveReached},
          {"may_have_run", failure.mayHaveRun},
          {"own_lack", failure.isLocalResourceShortage},
-         {"events", m_events},
+         {"events", m_eventCount},
          {"goes_on", isRetried},
          {"quiet_ms", m_timers.clock().now() - m_lastActivityAt},
          {"all_quiet_ms", m_timers.clock().now() - m_gateway.m_endpoints.lastContactAt()},
@@ -260,7 +260,7 @@
         return false;
     if (!m_mayHaveRunAt.empty() && (!m_route->mayRepeat() || isEndpointLimitReached()))
         return false;
-    const bool isRepeat = m_sends > 0;
+    const bool isRepeat = m_sendCount > 0;
     return !isRepeat || m_gateway.m_retryBudget.remaining(m_service, m_timers.clock().now()) >= 1;
 }
 
@@ -285,7 +285,7 @@
 void RequestRun::retry(const Failure &failure)
 {
     m_isBudgetedRetry =
-        m_sends > 0 && m_gateway.m_retryBudget.spend(m_service, m_timers.clock().now());
+        m_sendCount > 0 && m_gateway.m_retryBudget.spend(m_service, m_timers.clock().now());
     m_gateway.m_options.metrics->repeats(failure.kind).increment();
     const std::optional<PlacementResult> next = std::exchange(m_nextPlacement, std::nullopt);
     if (!next)
@@ -428,8 +428,8 @@
          {"workspace", m_workspace ? m_workspace->name.value() : std::string_view()},
          {"endpoint",
           m_triedEndpoints.empty() ? std::string_view() : m_triedEndpoints.back()->info.id.value()},
-         {"sends", m_sends},
-         {"events", m_events},
+         {"sends", m_sendCount},
+         {"events", m_eventCount},
          {"found_load", m_reportedLoad},
          // For an incomplete answer: how long the endpoint had been silent, and why the request was
          // not moved to another endpoint.
--- a/src/libs/gateway/requestrun.h
+++ b/src/libs/gateway/requestrun.h
@@ -173,12 +173,12 @@
     std::vector<EndpointPtr> m_triedEndpoints; ///< One entry per attempt.
     bool m_isBudgetedRetry = false; ///< The current attempt was taken from the retry budget.
     std::vector<EndpointPtr> m_mayHaveRunAt; ///< Endpoints where the request may have run.
-    int m_sends = 0; ///< Attempts in which the request was sent.
+    int m_sendCount = 0; ///< Attempts in which the request was sent.
     /// Number of requests that the last endpoint reported with its answer; -1 if it reported none.
     int m_reportedLoad = -1;
     bool m_hasStreamBegun = false; ///< The head of a stream was forwarded.
-    std::optional<std::uint64_t> m_lastEvent; ///< Id of the last forwarded event.
-    std::int64_t m_events = 0; ///< Number of forwarded events.
+    std::optional<std::uint64_t> m_lastEventId; ///< Id of the last forwarded event.
+    std::int64_t m_eventCount = 0; ///< Number of forwarded events.
     EventSplitter m_eventSplitter;
     std::optional<Runtime::TimerId> m_deadlineTimer;
     std::optional<Runtime::TimerId> m_silenceTimer;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -29,7 +29,7 @@
                         return;
                     self->m_attempt->mayHaveBeenSent = true;
                     self->m_mayHaveRunAt.push_back(self->m_attempt->endpoint);
-                    ++self->m_sends;
+                    ++self->m_sendCount;
                 },
             .headReceived =
                 [weak](int status, const Http::Headers &headers) {
@@ -90,14 +90,14 @@
 {
     Attempt &attempt = *m_attempt;
     const Base::MonoTime now = m_timers.clock().now();
-    if (event.id && m_lastEvent) {
-        if (*event.id <= *m_lastEvent)
+    if (event.id && m_lastEventId) {
+        if (*event.id <= *m_lastEventId)
             return true; // The caller has it already.
-        if (*event.id > *m_lastEvent + 1)
+        if (*event.id > *m_lastEventId + 1)
             return false;
     }
     if (event.id)
-        m_lastEvent = event.id;
+        m_lastEventId = event.id;
     if (!m_hasStreamBegun) {
         m_hasStreamBegun = true;
         m_gateway.m_options.metrics->firstEvent.observe(Base::toSeconds(now - m_arrivedAt));
@@ -116,7 +116,7 @@
     attempt.lastEventAt = now;
     m_lastActivityAt = now;
     m_lastForwardedAt = now;
-    ++m_events;
+    ++m_eventCount;
     m_responder->write(event.bytes);
     if (monitorsSilence() && m_route->maxEventGap > Base::Duration::zero())
         armSilenceTimer(silenceLimit(false));
--- a/src/libs/gateway/requestrunplace.cpp
+++ b/src/libs/gateway/requestrunplace.cpp
@@ -93,7 +93,7 @@
             .mayRepeat = m_route->mayRepeat(),
             .checkCapacity = policy.shedding,
             .excludeSuspected = policy.doubt,
-            .tried = endpointsToAvoid(),
+            .triedEndpoints = endpointsToAvoid(),
             .connectionShare = m_gateway.connectionShare(m_service),
             .usableShare = usableShare(),
             .waitingPerSlot = isStream ? 0 : waitingPerRunning};
@@ -197,7 +197,7 @@
          {"load", placement.load},
          {"mean_load", placement.meanLoad},
          {"most_load", placement.maximumLoad.value_or(unknownValue)},
-         {"candidates", placement.candidates},
+         {"candidates", placement.candidateCount},
          {"load_age_ms", m_timers.clock().now() - placement.endpoint->reportedAt},
          {"load_told", placement.endpoint->isReportFromPeer},
          {"cold_ms", coldMilliseconds(*placement.endpoint)},
@@ -276,7 +276,7 @@
              {"usable_share", usableShare()},
              // Of this request's last placement; 0 if no endpoint was sought for it.
              {"mean_load", m_lastFullPlacement.meanLoad},
-             {"candidates", m_lastFullPlacement.candidates},
+             {"candidates", m_lastFullPlacement.candidateCount},
              {"own_requests", m_gateway.m_endpoints.inFlight(m_service)},
              {"own_limit", m_gateway.concurrencyLimit(m_service).value()},
              {"in_line", m_gateway.m_admissionQueue.size()},
--- a/src/libs/gateway/requestrunsilence.cpp
+++ b/src/libs/gateway/requestrunsilence.cpp
@@ -30,8 +30,8 @@
     const GatewayTimeouts &timeouts = m_gateway.m_options.timeouts;
     const bool isFirst = !m_attempt->lastEventAt;
     const Base::Duration reference = isFirst ? m_route->targetLatency : m_route->maxEventGap;
-    const double share =
-        isBusy ? timeouts.busyFactor : (isFirst ? timeouts.firstEventShare : timeouts.pauseShare);
+    const double share = isBusy ? timeouts.busySilenceFactor
+                                : (isFirst ? timeouts.firstEventShare : timeouts.pauseShare);
     auto limit = std::chrono::duration_cast<Base::Duration>(reference * share);
     if (isFirst && m_request.prompt)
         limit += timeouts.perPromptToken * m_request.prompt->promptTokens.value();
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -164,9 +164,11 @@
     draining.state = Fleet::EndpointState::Draining;
     f.registry.put(draining, f.now);
     BOOST_TEST(f.choose(1).endpoint->info.id.value() == "e1");
-    const PlacementResult none = f.placement.choose(
-        {.service = service, .affinity = 1, .tried = {f.registry.find(Base::EndpointId("e1"))}},
-        f.registry, f.now);
+    const PlacementResult none =
+        f.placement.choose({.service = service,
+                            .affinity = 1,
+                            .triedEndpoints = {f.registry.find(Base::EndpointId("e1"))}},
+                           f.registry, f.now);
     BOOST_TEST(!none.endpoint);
 }
 
