--- a/bench/routing/policymodel/fleetmodel.cpp
+++ b/bench/routing/policymodel/fleetmodel.cpp
@@ -351,14 +351,14 @@
 void FleetModel::sample()
 {
     double load = 0.0;
-    double count = 0.0;
+    double upEngineCount = 0.0;
     for (const Engine &engine : m_engines) {
         if (!engine.isUp || engine.isLeaving)
             continue;
         load += engine.model->work();
-        count += 1.0;
+        upEngineCount += 1.0;
     }
-    const double mean = load / std::max(count, 1.0);
+    const double mean = load / std::max(upEngineCount, 1.0);
     if (mean <= 0.0)
         return;
     const Routing::Router &router = *m_routers[m_random() % m_routers.size()];
--- a/src/apps/bench/balancer.cpp
+++ b/src/apps/bench/balancer.cpp
@@ -22,7 +22,7 @@
 void Balancer::start()
 {
     for (std::size_t i = 0; i < m_addresses.size(); ++i)
-        check(i);
+        checkReadiness(i);
 }
 
 std::size_t Balancer::readyCount() const
@@ -42,7 +42,7 @@
     return preferred % count;
 }
 
-void Balancer::check(std::size_t router)
+void Balancer::checkReadiness(std::size_t router)
 {
     Http::Call call{
         .server = m_addresses[router],
@@ -57,7 +57,7 @@
             if (m_isStopped)
                 return;
             m_options.loop->timers().start(m_options.definition->healthCheckInterval,
-                                           [this, router] { check(router); });
+                                           [this, router] { checkReadiness(router); });
         }});
 }
 
--- a/src/apps/bench/balancer.h
+++ b/src/apps/bench/balancer.h
@@ -35,7 +35,7 @@
     const Runtime::SocketAddress &address(std::size_t router) const { return m_addresses[router]; }
 
 private:
-    void check(std::size_t router);
+    void checkReadiness(std::size_t router);
 
     Options m_options;
     std::vector<Runtime::SocketAddress> m_addresses;
--- a/src/libs/base/ids.h
+++ b/src/libs/base/ids.h
@@ -12,11 +12,12 @@
 using RegionId = TextId<struct RegionIdTag>;
 /// A customer, identified by its bearer key.
 using WorkspaceId = TextId<struct WorkspaceIdTag>;
-/// A model engine or a process of a plain service.
+/// A process that serves requests: a model engine, or a process of a plain service.
 using EndpointId = TextId<struct EndpointIdTag>;
 /// A model that engines serve.
 using ModelId = TextId<struct ModelIdTag>;
-/// A plain service that endpoints serve.
+/// A plain service: an application that is not a model and is served by endpoints beside the
+/// engines, such as bookings.
 using ServiceId = TextId<struct ServiceIdTag>;
 /// A conversation of several requests, whose prefix an engine may have cached.
 using ChatId = TextId<struct ChatIdTag>;
--- a/src/libs/node/adminanswers.cpp
+++ b/src/libs/node/adminanswers.cpp
@@ -27,9 +27,9 @@
 std::int64_t numberParameter(const QueryParameters &query, std::string_view name)
 {
     const std::string value = textParameter(query, name);
-    std::int64_t out = 0;
-    std::from_chars(value.data(), value.data() + value.size(), out);
-    return out;
+    std::int64_t number = 0;
+    std::from_chars(value.data(), value.data() + value.size(), number);
+    return number;
 }
 
 Json membersJson(const PeerLink &peers, Base::MonoTime now)
--- a/src/libs/operations/changepublisher.cpp
+++ b/src/libs/operations/changepublisher.cpp
@@ -42,27 +42,27 @@
 }
 
 void ChangePublisher::addObject(const Schema::ConfigurationObject &object,
-                                std::optional<Base::Revision> base)
+                                std::optional<Base::Revision> baseRevision)
 {
     const Base::Revision current = m_log.reducer().state().revision(Configuration::keyOf(object));
-    Change change{
-        .record = Configuration::makeChange(object, base.value_or(current), m_context.operatorName),
-        .object = object};
-    add(std::move(change), base);
+    Change change{.record = Configuration::makeChange(object, baseRevision.value_or(current),
+                                                      m_context.operatorName),
+                  .object = object};
+    add(std::move(change), baseRevision);
 }
 
 void ChangePublisher::addRemoval(const Configuration::ObjectKey &key,
-                                 std::optional<Base::Revision> base)
+                                 std::optional<Base::Revision> baseRevision)
 {
     Change change;
     change.record.key = key;
-    change.record.base = base.value_or(m_log.reducer().state().revision(key));
+    change.record.base = baseRevision.value_or(m_log.reducer().state().revision(key));
     change.record.publisher = m_context.operatorName;
     change.record.removes = true;
-    add(std::move(change), base);
+    add(std::move(change), baseRevision);
 }
 
-void ChangePublisher::add(Change change, std::optional<Base::Revision> base)
+void ChangePublisher::add(Change change, std::optional<Base::Revision> baseRevision)
 {
     change.outcome.key = change.record.key;
     const Schema::ObjectState *entry = m_log.entry(change.record.key);
@@ -73,9 +73,9 @@
     if (isInForce(change)) {
         change.outcome.state = ChangeState::Unchanged;
         change.isSettled = true;
-    } else if (base && *base != change.outcome.revision) {
+    } else if (baseRevision && *baseRevision != change.outcome.revision) {
         rejectStale(change,
-                    absl::StrCat("based on revision ", base->value(), ", but revision ",
+                    absl::StrCat("based on revision ", baseRevision->value(), ", but revision ",
                                  change.outcome.revision.value(), " is current"));
     } else {
         change.outcome.recordId = absl::StrCat("ctl:", m_context.operatorName, ":",
--- a/src/libs/operations/changepublisher.h
+++ b/src/libs/operations/changepublisher.h
@@ -46,9 +46,11 @@
     ChangePublisher(const ChangePublisher &) = delete;
     ChangePublisher &operator=(const ChangePublisher &) = delete;
 
-    /// Adds a change based on the object's current revision, or on `base` if it is given.
-    void addObject(const Schema::ConfigurationObject &object, std::optional<Base::Revision> base);
-    void addRemoval(const Configuration::ObjectKey &key, std::optional<Base::Revision> base);
+    /// Adds a change based on the object's current revision, or on \a baseRevision if it is given.
+    void addObject(const Schema::ConfigurationObject &object,
+                   std::optional<Base::Revision> baseRevision);
+    void addRemoval(const Configuration::ObjectKey &key,
+                    std::optional<Base::Revision> baseRevision);
     /// Sends the added changes. Calls `done` once, possibly before this function returns.
     void start(Done done);
 
@@ -66,7 +68,7 @@
         bool mayHaveBeenSent = false;
     };
 
-    void add(Change change, std::optional<Base::Revision> base);
+    void add(Change change, std::optional<Base::Revision> baseRevision);
     std::string nextTimestamp();
     void rejectStale(Change &change, const std::string &why) const;
     void sendNext();
--- a/src/libs/operations/commandline.cpp
+++ b/src/libs/operations/commandline.cpp
@@ -151,14 +151,14 @@
 {
     return {.operands = std::move(operands),
             .record = absl::GetFlag(FLAGS_record),
-            .base = absl::GetFlag(FLAGS_base),
+            .baseRevision = absl::GetFlag(FLAGS_base),
             .workspace = absl::GetFlag(FLAGS_workspace),
             .key = absl::GetFlag(FLAGS_key),
             .endpoint = absl::GetFlag(FLAGS_endpoint),
             .request = absl::GetFlag(FLAGS_request),
             .since = absl::GetFlag(FLAGS_since),
             .format = absl::GetFlag(FLAGS_format),
-            .out = absl::GetFlag(FLAGS_out),
+            .outputFile = absl::GetFlag(FLAGS_out),
             .follows = absl::GetFlag(FLAGS_follow)};
 }
 
--- a/src/libs/operations/commandtable.cpp
+++ b/src/libs/operations/commandtable.cpp
@@ -32,12 +32,13 @@
     return failure(ExitStatus::Usage, what);
 }
 
-CommandOrError withBase(const Arguments &arguments,
-                        const std::function<CommandOrError(std::optional<Base::Revision>)> &make)
+CommandOrError
+withBaseRevision(const Arguments &arguments,
+                 const std::function<CommandOrError(std::optional<Base::Revision>)> &make)
 {
-    if (arguments.base.empty())
+    if (arguments.baseRevision.empty())
         return make(std::nullopt);
-    const auto number = Base::parseNumber<std::uint64_t>(arguments.base);
+    const auto number = Base::parseNumber<std::uint64_t>(arguments.baseRevision);
     if (!number)
         return usage("--base takes the number of a revision, as `show` prints it.");
     return make(Base::Revision(*number));
@@ -55,10 +56,12 @@
 
 CommandOrError makePublish(const Context &context, const Arguments &arguments)
 {
-    return withBase(arguments, [&](std::optional<Base::Revision> base) -> CommandOrError {
-        return std::make_unique<PublishCommand>(
-            context, PublishCommand::Options{.paths = arguments.operands, .base = base});
-    });
+    return withBaseRevision(
+        arguments, [&](std::optional<Base::Revision> baseRevision) -> CommandOrError {
+            return std::make_unique<PublishCommand>(
+                context,
+                PublishCommand::Options{.paths = arguments.operands, .baseRevision = baseRevision});
+        });
 }
 
 CommandOrError makeRemove(const Context &context, const Arguments &arguments)
@@ -66,9 +69,10 @@
     const auto key = parseObjectKey(arguments.operands[0], arguments.operands[1]);
     if (!key)
         return unknownKind(arguments.operands[0]);
-    return withBase(arguments, [&](std::optional<Base::Revision> base) -> CommandOrError {
-        return std::make_unique<RemoveCommand>(context, *key, base);
-    });
+    return withBaseRevision(arguments,
+                            [&](std::optional<Base::Revision> baseRevision) -> CommandOrError {
+                                return std::make_unique<RemoveCommand>(context, *key, baseRevision);
+                            });
 }
 
 CommandOrError makeHistory(const Context &context, const Arguments &arguments)
@@ -142,7 +146,7 @@
     TimelineCommand::Options options{.query = {.workspace = arguments.workspace,
                                                .endpoint = arguments.endpoint,
                                                .request = arguments.request},
-                                     .file = arguments.out,
+                                     .file = arguments.outputFile,
                                      .follows = arguments.follows};
     const auto format = timelineFormat(arguments.format);
     if (!format)
--- a/src/libs/operations/commandtable.h
+++ b/src/libs/operations/commandtable.h
@@ -17,14 +17,14 @@
 {
     std::vector<std::string> operands; ///< Without the command's name.
     std::string record;
-    std::string base;
+    std::string baseRevision;
     std::string workspace;
     std::string key;
     std::string endpoint;
     std::string request;
     std::string since;
     std::string format = "text";
-    std::string out;
+    std::string outputFile;
     bool follows = false;
 };
 
--- a/src/libs/operations/publishcommand.cpp
+++ b/src/libs/operations/publishcommand.cpp
@@ -18,13 +18,13 @@
     const Schema::SettingsErrors errors = checkWithExisting(documents, log().objects());
     if (!errors.empty())
         return fileFailure(errors);
-    if (m_options.base && documents.size() != 1) {
+    if (m_options.baseRevision && documents.size() != 1) {
         return failure(ExitStatus::Usage,
                        "--base is the revision of one object; publish a file with one object.");
     }
     sortForPublishing(documents);
     for (const Schema::ObjectDocument &document : documents)
-        publisher().addObject(document.object, m_options.base);
+        publisher().addObject(document.object, m_options.baseRevision);
     return std::nullopt;
 }
 
--- a/src/libs/operations/publishcommand.h
+++ b/src/libs/operations/publishcommand.h
@@ -12,7 +12,8 @@
     struct Options
     {
         std::vector<std::string> paths;
-        std::optional<Base::Revision> base; ///< Revision the file is based on; for one object only.
+        /// Revision the file is based on; for one object only.
+        std::optional<Base::Revision> baseRevision;
     };
 
     PublishCommand(const Context &context, Options options);
--- a/src/libs/operations/removecommand.cpp
+++ b/src/libs/operations/removecommand.cpp
@@ -3,10 +3,10 @@
 namespace Lagoonbank::Operations {
 
 RemoveCommand::RemoveCommand(const Context &context, Configuration::ObjectKey key,
-                             std::optional<Base::Revision> base)
+                             std::optional<Base::Revision> baseRevision)
     : ChangeCommand(context)
     , m_key(std::move(key))
-    , m_base(base)
+    , m_baseRevision(baseRevision)
 { }
 
 std::optional<Report> RemoveCommand::plan()
@@ -16,7 +16,7 @@
                        "There is no " + toString(m_key)
                            + "; `lagoonbank-ctl show` lists the objects that exist.");
     }
-    publisher().addRemoval(m_key, m_base);
+    publisher().addRemoval(m_key, m_baseRevision);
     return std::nullopt;
 }
 
--- a/src/libs/operations/removecommand.h
+++ b/src/libs/operations/removecommand.h
@@ -9,14 +9,14 @@
 {
 public:
     RemoveCommand(const Context &context, Configuration::ObjectKey key,
-                  std::optional<Base::Revision> base);
+                  std::optional<Base::Revision> baseRevision);
 
 protected:
     std::optional<Report> plan() override;
 
 private:
     Configuration::ObjectKey m_key;
-    std::optional<Base::Revision> m_base;
+    std::optional<Base::Revision> m_baseRevision;
 };
 
 } // namespace Lagoonbank::Operations
--- a/tests/auto/operations/tst_publishing.cpp
+++ b/tests/auto/operations/tst_publishing.cpp
@@ -68,7 +68,7 @@
                    std::optional<Base::Revision> base = {})
     {
         const Context context = this->context(operatorName);
-        PublishCommand command(context, {.paths = {path}, .base = base});
+        PublishCommand command(context, {.paths = {path}, .baseRevision = base});
         return run(command);
     }
     /// Publishes the objects that the other files refer to.
@@ -213,7 +213,7 @@
         FakeFleet other;
         other.records("configuration") = records("configuration");
         const Context context = other.context("bilal");
-        PublishCommand command(context, {.paths = {theirs}, .base = {}});
+        PublishCommand command(context, {.paths = {theirs}, .baseRevision = {}});
         BOOST_REQUIRE(other.run(command).status == ExitStatus::Ok);
         records("configuration") = other.records("configuration");
     };
@@ -232,7 +232,7 @@
         FakeFleet other;
         other.records("configuration") = records("configuration");
         const Context context = other.context("bilal");
-        PublishCommand command(context, {.paths = {file}, .base = {}});
+        PublishCommand command(context, {.paths = {file}, .baseRevision = {}});
         BOOST_REQUIRE(other.run(command).status == ExitStatus::Ok);
         records("configuration") = other.records("configuration");
     };
