--- a/bench/gateway/bm_refusal.cpp
+++ b/bench/gateway/bm_refusal.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr std::size_t inFlight = 64;
+constexpr std::size_t callsInFlight = 64;
 constexpr int endpointSlots = 4;
 
 /// Callers that keep a fixed number of requests in flight, and an endpoint, on a thread of their
@@ -63,7 +63,7 @@
     void run(std::atomic<bool> &isListening)
     {
         Runtime::Loop loop;
-        Http::Client client({.loop = &loop, .maxIdlePerServer = 2 * inFlight});
+        Http::Client client({.loop = &loop, .maxIdlePerServer = 2 * callsInFlight});
         Http::Server endpoint({.loop = &loop, .address = {"127.0.0.1", 0}});
         std::vector<std::shared_ptr<Http::Responder>> unanswered;
         endpoint.setHandler([&](const Http::Request &request, auto responder) {
@@ -81,7 +81,7 @@
         isListening = true;
         std::size_t started = 0;
         while (!m_isStopped) {
-            while (m_isCalling && started < m_answeredCount + m_unanswered + inFlight) {
+            while (m_isCalling && started < m_answeredCount + m_unanswered + callsInFlight) {
                 start(client, ++started);
             }
             loop.runOnce(std::chrono::milliseconds(1));
@@ -227,7 +227,7 @@
                                 .wallNow = [this] { return m_loop.clock().wallNow(); },
                                 .now = [this] { return m_loop.clock().now(); }}};
     Gateway::GatewayMetrics m_metrics;
-    Http::Client m_client{{.loop = &m_loop, .maxIdlePerServer = 2 * inFlight}};
+    Http::Client m_client{{.loop = &m_loop, .maxIdlePerServer = 2 * callsInFlight}};
     Gateway::Gateway m_gateway;
     Http::Server m_server{
         {.loop = &m_loop, .address = {"127.0.0.1", 0}, .halfCloseMeansDisconnect = true}};
@@ -238,7 +238,7 @@
     CallersAndEndpoint peers;
     Router router(peers.endpoint(), ownDelay);
     peers.startCalling(router.address(), unanswered);
-    while (peers.unansweredCount() < unanswered || peers.answeredCount() < 10 * inFlight)
+    while (peers.unansweredCount() < unanswered || peers.answeredCount() < 10 * callsInFlight)
         router.runLoopOnce();
     std::size_t answered = peers.answeredCount();
     const std::size_t answeredAtStart = answered;
@@ -275,7 +275,7 @@
     std::size_t number = 0;
     for (auto _ : state) {
         router.handleWithoutNetwork(++number);
-        if (number % inFlight == 0)
+        if (number % callsInFlight == 0)
             router.runLoopOnce();
     }
 }
--- a/bench/membership/bm_gossip.cpp
+++ b/bench/membership/bm_gossip.cpp
@@ -25,7 +25,7 @@
 
 constexpr Base::Duration warmUp = std::chrono::seconds(25);
 constexpr Base::Duration measuredTime = std::chrono::seconds(30);
-constexpr Base::Duration windowTime = std::chrono::seconds(10);
+constexpr Base::Duration rateWindow = std::chrono::seconds(10);
 constexpr int leavingCount = 20;
 /// Engine answers that each router receives per second: the target of 8,600 over 330 routers.
 constexpr double answersPerSecond = 26;
@@ -108,31 +108,31 @@
     std::vector<std::uint64_t> bytesAtWindowStart;
     std::vector<std::uint64_t> pullBytesBefore;
     std::vector<double> ages;
-    double maxWindowRate = 0;
+    double maxWindowByteRate = 0;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         bytesAtWindowStart.push_back(fleet.node(i).budget->spentBytes());
         pullBytesBefore.push_back(
             fleet.node(i).budget->spentBytes(Membership::ControlTraffic::Pull));
     }
     const std::vector<std::uint64_t> bytesBefore = bytesAtWindowStart;
-    for (Base::Duration elapsed{}; elapsed < measuredTime; elapsed += windowTime) {
-        fleet.run(windowTime);
+    for (Base::Duration elapsed{}; elapsed < measuredTime; elapsed += rateWindow) {
+        fleet.run(rateWindow);
         loadReporter.sampleAges(ages);
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             const std::uint64_t spent = fleet.node(i).budget->spentBytes();
-            maxWindowRate = std::max(maxWindowRate,
-                                     double(spent - bytesAtWindowStart[i]) / toSeconds(windowTime));
+            maxWindowByteRate = std::max(
+                maxWindowByteRate, double(spent - bytesAtWindowStart[i]) / toSeconds(rateWindow));
             bytesAtWindowStart[i] = spent;
         }
     }
-    double totalRate = 0;
-    double maxRate = 0;
+    double totalByteRate = 0;
+    double maxByteRate = 0;
     double totalPullBytes = 0;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         const double rate =
             double(bytesAtWindowStart[i] - bytesBefore[i]) / toSeconds(measuredTime);
-        totalRate += rate;
-        maxRate = std::max(maxRate, rate);
+        totalByteRate += rate;
+        maxByteRate = std::max(maxByteRate, rate);
         totalPullBytes += double(fleet.node(i).budget->spentBytes(Membership::ControlTraffic::Pull)
                                  - pullBytesBefore[i]);
     }
@@ -155,13 +155,13 @@
     }
     const double wallSeconds =
         std::chrono::duration<double>(std::chrono::steady_clock::now() - startTime).count();
-    std::printf("%zu,%zu,%zu,%.2f,%.1f,%.0f,%.0f,%.0f,%.1f,%.2f,%.2f,%.2f,%.2f,%zu,%.1f\n",
-                testCase.vms, fleet.size(), testCase.engines, testCase.loss,
-                joinTime ? toSeconds(*joinTime) : -1.0, totalRate / double(fleet.size()), maxRate,
-                maxWindowRate, totalPullBytes / double(fleet.size()) / toSeconds(measuredTime),
-                quantile(ages, 0.5), quantile(ages, 0.95), quantile(propagationTimes, 0.5),
-                propagationTimes.back(), fleet.countEvents(Membership::MemberEvent::Died),
-                wallSeconds);
+    std::printf(
+        "%zu,%zu,%zu,%.2f,%.1f,%.0f,%.0f,%.0f,%.1f,%.2f,%.2f,%.2f,%.2f,%zu,%.1f\n", testCase.vms,
+        fleet.size(), testCase.engines, testCase.loss, joinTime ? toSeconds(*joinTime) : -1.0,
+        totalByteRate / double(fleet.size()), maxByteRate, maxWindowByteRate,
+        totalPullBytes / double(fleet.size()) / toSeconds(measuredTime), quantile(ages, 0.5),
+        quantile(ages, 0.95), quantile(propagationTimes, 0.5), propagationTimes.back(),
+        fleet.countEvents(Membership::MemberEvent::Died), wallSeconds);
     std::fflush(stdout);
 }
 
--- a/bench/routing/policymodel/enginemodel.cpp
+++ b/bench/routing/policymodel/enginemodel.cpp
@@ -22,7 +22,7 @@
 
 void EngineModel::advance(double seconds)
 {
-    const double budget = m_options.speed * seconds;
+    const double budget = m_options.workPerSecond * seconds;
     const double used = decode(budget, seconds);
     prefill(budget - used);
     endFinished();
--- a/bench/routing/policymodel/fleetmodel.cpp
+++ b/bench/routing/policymodel/fleetmodel.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr double stepTime = 0.01;
-constexpr double sampleTime = 0.25;
-constexpr double progressTime = 0.5;
-constexpr double retryTime = 0.05;
-constexpr double maxWait = 2.0;
+constexpr double samplingInterval = 0.25;
+constexpr double progressReportInterval = 0.5;
+constexpr double retryDelay = 0.05;
+constexpr double maxRetryPeriod = 2.0;
 constexpr double expectedOutput = 150.0; ///< Output tokens that routers assume for a request.
 constexpr std::int64_t maxChatTokens = 12000;
 
@@ -90,11 +90,11 @@
             gossip();
         }
         if (m_now >= nextProgress) {
-            nextProgress += progressTime;
+            nextProgress += progressReportInterval;
             reportProgress();
         }
         if (m_now >= nextSample) {
-            nextSample += sampleTime;
+            nextSample += samplingInterval;
             sample();
         }
     }
@@ -193,8 +193,8 @@
         send(job, decision);
         return;
     }
-    if (m_now - job.arrivedAt < maxWait) {
-        schedule(m_now + retryTime, [this, job] { route(job); });
+    if (m_now - job.arrivedAt < maxRetryPeriod) {
+        schedule(m_now + retryDelay, [this, job] { route(job); });
         return;
     }
     if (m_now >= m_scenario.warmUp) {
@@ -216,17 +216,18 @@
         retry(job);
         return;
     }
-    const std::int64_t cached = engine.model->add(job);
-    m_inFlightJobs[job.id] = {.sent = sent, .engine = decision.endpoint, .cached = cached};
+    const std::int64_t cachedTokens = engine.model->add(job);
+    m_inFlightJobs[job.id] = {
+        .sent = sent, .engine = decision.endpoint, .cachedTokens = cachedTokens};
     if (m_now < m_scenario.warmUp || job.attempts > 0)
         return;
     ++m_figures.requests;
     if (job.previousTokens == 0)
         return;
-    ++m_returning;
+    ++m_returningRequests;
     m_returningTokens += static_cast<double>(job.previousTokens);
-    m_returningCachedTokens += static_cast<double>(cached);
-    m_hits += 10 * cached >= 9 * job.previousTokens ? 1 : 0;
+    m_returningCachedTokens += static_cast<double>(cachedTokens);
+    m_cacheHits += 10 * cachedTokens >= 9 * job.previousTokens ? 1 : 0;
 }
 
 void FleetModel::retry(const Job &job)
@@ -241,7 +242,7 @@
     if (m_now >= m_scenario.warmUp)
         m_waits.push_back(m_now - job.arrivedAt);
     InFlightJob &inFlightJob = m_inFlightJobs[job.id];
-    const auto uncached = static_cast<double>(job.prompt - inFlightJob.cached);
+    const auto uncached = static_cast<double>(job.prompt - inFlightJob.cachedTokens);
     m_routers[job.router]->noteProgress(&inFlightJob.sent, Base::WorkUnits(uncached), mono());
 }
 
@@ -369,7 +370,7 @@
         m_skews.push_back(work / mean);
         m_skewsWithoutLargest.push_back((work - m_engines[i].model->largestJob()) / mean);
         if (i < router.candidates().size())
-            m_errors.push_back(std::abs(router.candidates()[i].load - work) / mean);
+            m_estimateErrors.push_back(std::abs(router.candidates()[i].load - work) / mean);
     }
 }
 
@@ -377,8 +378,9 @@
 {
     Figures result = m_figures;
     result.reuse = m_returningTokens > 0.0 ? m_returningCachedTokens / m_returningTokens : 0.0;
-    result.hits =
-        m_returning > 0 ? static_cast<double>(m_hits) / static_cast<double>(m_returning) : 0.0;
+    result.cacheHitShare = m_returningRequests > 0
+        ? static_cast<double>(m_cacheHits) / static_cast<double>(m_returningRequests)
+        : 0.0;
     result.skewP50 = quantile(m_skews, 0.5);
     result.skewP99 = quantile(m_skews, 0.99);
     result.skewMax = quantile(m_skews, 1.0);
@@ -387,8 +389,8 @@
                                       : std::accumulate(m_waits.begin(), m_waits.end(), 0.0)
             / static_cast<double>(m_waits.size());
     result.waitP95 = quantile(m_waits, 0.95);
-    result.estimateErrorP50 = quantile(m_errors, 0.5);
-    result.estimateErrorP99 = quantile(m_errors, 0.99);
+    result.estimateErrorP50 = quantile(m_estimateErrors, 0.5);
+    result.estimateErrorP99 = quantile(m_estimateErrors, 0.99);
     return result;
 }
 
--- a/bench/routing/policymodel/fleetmodel.h
+++ b/bench/routing/policymodel/fleetmodel.h
@@ -37,7 +37,7 @@
 struct Figures
 {
     double reuse = 0.0; ///< Cached share of the tokens that returning chats repeat.
-    double hits = 0.0; ///< Share of returning requests with at least 90% of these cached.
+    double cacheHitShare = 0.0; ///< Share of returning requests with at least 90% of these cached.
     double skewP50 = 0.0; ///< Load of an engine over the pool's mean, over engines and time.
     double skewP99 = 0.0;
     double skewMax = 0.0;
@@ -78,7 +78,7 @@
     {
         Routing::SentRequest sent;
         std::uint32_t engine = 0;
-        std::int64_t cached = 0;
+        std::int64_t cachedTokens = 0;
     };
     /// A scheduled event, such as a turn of a chat, a load report or a change of an endpoint's
     /// state. Events at the same time run in the order of their sequence numbers.
@@ -129,12 +129,12 @@
     Figures m_figures;
     double m_returningTokens = 0.0;
     double m_returningCachedTokens = 0.0;
-    std::uint64_t m_returning = 0;
-    std::uint64_t m_hits = 0;
+    std::uint64_t m_returningRequests = 0;
+    std::uint64_t m_cacheHits = 0;
     std::vector<double> m_waits;
     std::vector<double> m_skews;
     std::vector<double> m_skewsWithoutLargest;
-    std::vector<double> m_errors;
+    std::vector<double> m_estimateErrors;
 };
 
 } // namespace Lagoonbank::PolicyModel
--- a/bench/routing/policymodel/main.cpp
+++ b/bench/routing/policymodel/main.cpp
@@ -70,10 +70,11 @@
 {
     std::printf("%-12s %7.2f %7.2f %8.3f %8.3f %8.3f %8.3f %8.1f %8.1f %8.3f %8.3f %9llu %8llu "
                 "%8llu %8llu\n",
-                std::string(toString(policy)).c_str(), 100.0 * figures.reuse, 100.0 * figures.hits,
-                figures.skewP50, figures.skewP99, figures.skewMax, figures.skewWithoutLargestP99,
-                1000.0 * figures.waitMean, 1000.0 * figures.waitP95, figures.estimateErrorP50,
-                figures.estimateErrorP99, static_cast<unsigned long long>(figures.requests),
+                std::string(toString(policy)).c_str(), 100.0 * figures.reuse,
+                100.0 * figures.cacheHitShare, figures.skewP50, figures.skewP99, figures.skewMax,
+                figures.skewWithoutLargestP99, 1000.0 * figures.waitMean, 1000.0 * figures.waitP95,
+                figures.estimateErrorP50, figures.estimateErrorP99,
+                static_cast<unsigned long long>(figures.requests),
                 static_cast<unsigned long long>(figures.refused),
                 static_cast<unsigned long long>(figures.refusedUrgent),
                 static_cast<unsigned long long>(figures.crashed));
