--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::string_view http2Preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 /// Bytes to buffer after a request that is being processed; reading pauses beyond that.
-constexpr std::size_t maxReadAhead = 64 * 1024;
+constexpr std::size_t maxReadAheadBytes = 64 * 1024;
 /// Time for the caller to read the last answer and then close the connection.
 constexpr Base::Duration lingerTimeout = std::chrono::seconds(2);
 /// Uncertainty up to which an arrival time is accepted; beyond it, the kernel is asked.
@@ -132,7 +132,7 @@
         m_isContinueSent = true;
         write("HTTP/1.1 100 Continue\r\n\r\n");
     }
-    if (m_state == State::Answering && m_socket->input->size > maxReadAhead) {
+    if (m_state == State::Answering && m_socket->input->size > maxReadAheadBytes) {
         h2o_socket_read_stop(m_socket);
         m_isReadStopped = true;
     }
--- a/src/libs/http/messagesyntax.cpp
+++ b/src/libs/http/messagesyntax.cpp
@@ -16,7 +16,7 @@
 bool readField(std::string_view line, Headers &headers)
 {
     const std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos || headers.fields().size() >= maxFields)
+    if (colon == std::string_view::npos || headers.fields().size() >= maxHeaderFields)
         return false;
     const std::string_view name = line.substr(0, colon);
     const std::string_view value = trimmed(line.substr(colon + 1));
--- a/src/libs/http/server.cpp
+++ b/src/libs/http/server.cpp
@@ -21,11 +21,11 @@
 
 std::size_t Server::callerConnectionLimit()
 {
-    constexpr std::size_t parts = 3;
+    constexpr std::size_t limitDivisor = 3;
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY)
         return std::numeric_limits<std::size_t>::max();
-    return limit.rlim_cur / parts;
+    return limit.rlim_cur / limitDivisor;
 }
 
 Server::Server(Options options)
