--- a/src/libs/node/adminanswers.cpp
+++ b/src/libs/node/adminanswers.cpp
@@ -14,7 +14,7 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr std::size_t maxEvents = 20'000;
+constexpr std::size_t maxEventsPerAnswer = 20'000;
 
 } // namespace
 
@@ -62,7 +62,7 @@
     if (query.contains("since"))
         filter.sinceMs = numberParameter(query, "since");
     Json list = Json::array();
-    for (const Timeline::ProcessEvent &event : events.events(filter, maxEvents))
+    for (const Timeline::ProcessEvent &event : events.events(filter, maxEventsPerAnswer))
         list.push_back(Timeline::toJson(event));
     return AdminPort::json({{"events", std::move(list)}});
 }
--- a/src/libs/node/adminport.cpp
+++ b/src/libs/node/adminport.cpp
@@ -13,20 +13,20 @@
 {
     constexpr std::size_t escapeLength = 3;
     constexpr int hexadecimal = 16;
-    std::string out;
+    std::string decoded;
     for (std::size_t i = 0; i < text.size(); ++i) {
         unsigned value = 0;
         const char *digits = text.data() + i + 1;
         const bool isEscape = text[i] == '%' && i + escapeLength <= text.size()
             && std::from_chars(digits, digits + 2, value, hexadecimal).ptr == digits + 2;
         if (isEscape) {
-            out += static_cast<char>(value);
+            decoded += static_cast<char>(value);
             i += 2;
         } else {
-            out += text[i] == '+' ? ' ' : text[i];
+            decoded += text[i] == '+' ? ' ' : text[i];
         }
     }
-    return out;
+    return decoded;
 }
 
 } // namespace
--- a/src/libs/node/logicaltime.cpp
+++ b/src/libs/node/logicaltime.cpp
@@ -15,10 +15,11 @@
                                        .counter = time.counter};
     };
     membership.timeReceived = [&events, &clock](const Membership::MessageTime &time) {
-        constexpr std::uint64_t latest = std::numeric_limits<std::int64_t>::max();
-        events.clock().received({.wallMs = static_cast<std::int64_t>(std::min(time.wallMs, latest)),
-                                 .counter = time.counter},
-                                clock.wallNow());
+        constexpr std::uint64_t maxWallMs = std::numeric_limits<std::int64_t>::max();
+        events.clock().received(
+            {.wallMs = static_cast<std::int64_t>(std::min(time.wallMs, maxWallMs)),
+             .counter = time.counter},
+            clock.wallNow());
     };
 }
 
--- a/src/libs/node/peerlink.cpp
+++ b/src/libs/node/peerlink.cpp
@@ -15,9 +15,9 @@
 
 Membership::ControlBudget::Options budgetOptions(const Schema::ControlSettings &control)
 {
-    // The margin keeps the traffic below the limit during bursts too.
-    constexpr double margin = 0.92;
-    const double rate = control.bytesPerSecond * margin;
+    // Using less than the limit keeps the traffic below it during bursts too.
+    constexpr double usableShare = 0.92;
+    const double rate = control.bytesPerSecond * usableShare;
     return {.bytesPerSecond = rate, .burstBytes = rate, .overdraftBytes = rate / 2};
 }
 
