--- a/src/libs/experiment/report.cpp
+++ b/src/libs/experiment/report.cpp
@@ -12,13 +12,13 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr std::size_t maxFindings = 20;
+constexpr std::size_t maxReportedFindings = 20;
 
 /// Rounds to four decimal places for readability; the measurements are less precise than that.
 Json numberOrNull(std::optional<double> value)
 {
-    constexpr double digits = 10000;
-    return value ? Json(std::round(*value * digits) / digits) : Json(nullptr);
+    constexpr double scale = 10000;
+    return value ? Json(std::round(*value * scale) / scale) : Json(nullptr);
 }
 
 Json countsToJson(const CallCounts &counts)
@@ -45,7 +45,7 @@
 {
     Json json = Json::array();
     for (const Finding &finding : reconciliation.findings) {
-        if (json.size() == maxFindings)
+        if (json.size() == maxReportedFindings)
             break;
         json.push_back({{"promise", toString(finding.guarantee)},
                         {"request_id", finding.requestId},
