--- a/src/libs/operations/changepublisher.cpp
+++ b/src/libs/operations/changepublisher.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::array<std::string_view, 5> stateNames{"accepted", "unchanged", "rejected", "unknown",
                                                      "not_sent"};
-constexpr std::size_t batchRecords = 100;
-constexpr std::size_t batchBytes = 256 * 1024;
+constexpr std::size_t maxBatchRecords = 100;
+constexpr std::size_t maxBatchBytes = 256 * 1024;
 
 PlatformClient::Record toRecord(const std::string &id, const Configuration::ChangeRecord &change)
 {
@@ -131,7 +131,7 @@
         if (change.isSettled)
             continue;
         bytes += change.record.body.size();
-        if (!batch.empty() && (batch.size() >= batchRecords || bytes > batchBytes))
+        if (!batch.empty() && (batch.size() >= maxBatchRecords || bytes > maxBatchBytes))
             break;
         batch.push_back(&change);
     }
--- a/src/libs/platformclient/weightstoreclient.cpp
+++ b/src/libs/platformclient/weightstoreclient.cpp
@@ -67,7 +67,7 @@
                               Fetched fetched)
 {
     const bool isSafe = isSafeName(model.value()) && isSafeName(version);
-    if (!isSafe || m_queue.size() >= m_options.maxQueued) {
+    if (!isSafe || m_queue.size() >= m_options.maxQueuedFetches) {
         const auto error = isSafe
             ? Errors::makeError(Errors::ErrorKind::QueueFull, "Too many fetches of weights wait.")
             : Errors::makeError(Errors::ErrorKind::BadRequest,
--- a/src/libs/platformclient/weightstoreclient.h
+++ b/src/libs/platformclient/weightstoreclient.h
@@ -27,7 +27,7 @@
         Runtime::TimerQueue *timers = nullptr;
         Base::Duration timeout = std::chrono::seconds(5); ///< Limit for one call.
         Base::Duration deadline = std::chrono::seconds(60); ///< For one fetch with retries.
-        std::size_t maxQueued = 1000;
+        std::size_t maxQueuedFetches = 1000;
         Backoff::Options backoff; ///< Between retries.
     };
     using Fetched = std::function<void(Errors::Result<Base::Bytes>)>;
