--- a/src/standins/engine/app/main.cpp
+++ b/src/standins/engine/app/main.cpp
@@ -39,13 +39,13 @@
 {
     Standins::EngineModel::Options options;
     options.clock = &clock;
-    options.maxBatch = absl::GetFlag(FLAGS_max_batch);
-    options.maxQueue = absl::GetFlag(FLAGS_max_queue);
+    options.maxBatchRequests = absl::GetFlag(FLAGS_max_batch);
+    options.maxQueuedRequests = absl::GetFlag(FLAGS_max_queue);
     options.step = Base::fromSeconds(absl::GetFlag(FLAGS_step_ms) / 1000);
     options.prefillTokensPerMs = absl::GetFlag(FLAGS_prefill_tokens_per_ms);
     options.cacheBlocks = absl::GetFlag(FLAGS_cache_blocks);
     options.events.delay = milliseconds(absl::GetFlag(FLAGS_event_delay_ms));
-    options.events.gapEvery = absl::GetFlag(FLAGS_event_gap_every);
+    options.events.gapInterval = absl::GetFlag(FLAGS_event_gap_every);
     options.loadLag = milliseconds(absl::GetFlag(FLAGS_load_lag_ms));
     options.capacity = Base::WorkUnits(absl::GetFlag(FLAGS_capacity));
     options.endedRunRetention = milliseconds(absl::GetFlag(FLAGS_keep_ms));
--- a/src/standins/engine/cacheeventlog.cpp
+++ b/src/standins/engine/cacheeventlog.cpp
@@ -8,7 +8,7 @@
 void CacheEventLog::append(Base::MonoTime now, CacheOp op, Base::ChatId chat, Base::Tokens tokens)
 {
     const std::uint64_t offset = m_firstOffset + m_entries.size();
-    const bool isLost = m_options.gapEvery > 0 && (offset + 1) % m_options.gapEvery == 0;
+    const bool isLost = m_options.gapInterval > 0 && (offset + 1) % m_options.gapInterval == 0;
     m_entries.push_back({now, {offset, op, std::move(chat), tokens}, isLost});
     if (m_entries.size() <= m_options.maxEvents)
         return;
@@ -23,7 +23,7 @@
         page.next = m_firstOffset + m_entries.size();
     for (std::size_t i = page.next - m_firstOffset; i < m_entries.size(); ++i) {
         const Entry &entry = m_entries[i];
-        if (entry.time + m_options.delay > now || page.events.size() >= m_options.maxPerRead)
+        if (entry.time + m_options.delay > now || page.events.size() >= m_options.maxEventsPerRead)
             break;
         if (!entry.isLost)
             page.events.push_back(entry.event);
--- a/src/standins/engine/cacheeventlog.h
+++ b/src/standins/engine/cacheeventlog.h
@@ -29,8 +29,8 @@
     {
         std::size_t maxEvents = 4096;
         Base::Duration delay{}; ///< Time until readers see an event.
-        std::uint64_t gapEvery = 0; ///< Readers never see each n-th event; 0 for no gaps.
-        std::size_t maxPerRead = 1000;
+        std::uint64_t gapInterval = 0; ///< Readers never see each n-th event; 0 for no gaps.
+        std::size_t maxEventsPerRead = 1000;
     };
     struct Page
     {
--- a/src/standins/engine/enginemodel.cpp
+++ b/src/standins/engine/enginemodel.cpp
@@ -20,7 +20,7 @@
     , m_cache(options.cacheBlocks)
     , m_events(options.events)
     , m_loadHistory(options.loadLag, options.clock->now())
-    , m_ledger(options.maxLedger)
+    , m_ledger(options.maxLedgerEntries)
 {
     m_cache.stored = [this](const Base::ChatId &chat, Base::Tokens cached) {
         m_events.append(m_options.clock->now(), CacheOp::Stored, chat, cached);
@@ -32,7 +32,7 @@
 
 std::optional<RunNumber> EngineModel::submit(const Generation &generation)
 {
-    if (m_queue.size() >= m_options.maxQueue)
+    if (m_queue.size() >= m_options.maxQueuedRequests)
         return std::nullopt;
     if (isIdle()) {
         m_nextStepTime = m_options.clock->now() + stepDuration();
@@ -50,7 +50,7 @@
     run.promptTokens = static_cast<std::int64_t>(run.chain.tokenCount());
     run.maxTokens = generation.maxTokens.value();
     run.cachedTokens = m_cache.cachedTokens(run.chain.hashes()).value();
-    run.prefillLeft = run.promptTokens - run.cachedTokens;
+    run.remainingPrefillTokens = run.promptTokens - run.cachedTokens;
     run.ledgerNumber = m_ledger.begin({.requestId = run.requestId,
                                        .chat = run.chat,
                                        .started = m_options.clock->wallNow(),
@@ -166,7 +166,7 @@
 
 void EngineModel::admit()
 {
-    while (m_batch.size() < m_options.maxBatch && !m_queue.empty()) {
+    while (m_batch.size() < m_options.maxBatchRequests && !m_queue.empty()) {
         Run &run = *m_queue.begin()->second;
         m_queue.erase(m_queue.begin());
         m_batch.push_back(&run);
@@ -179,7 +179,7 @@
     // The cache may have changed while the request waited.
     m_pendingWork -= workOf(run);
     run.cachedTokens = m_cache.cachedTokens(run.chain.hashes()).value();
-    run.prefillLeft = run.promptTokens - run.cachedTokens;
+    run.remainingPrefillTokens = run.promptTokens - run.cachedTokens;
     m_pendingWork += workOf(run);
     if (LedgerEntry *entry = m_ledger.find(run.ledgerNumber))
         entry->cachedTokens = Base::Tokens(run.cachedTokens);
@@ -189,11 +189,12 @@
 {
     if (run.produced > 0)
         return true;
-    const std::int64_t share = std::min(run.prefillLeft, static_cast<std::int64_t>(budget));
-    run.prefillLeft -= share;
+    const std::int64_t share =
+        std::min(run.remainingPrefillTokens, static_cast<std::int64_t>(budget));
+    run.remainingPrefillTokens -= share;
     m_pendingWork -= static_cast<double>(share);
     budget -= static_cast<double>(share);
-    if (run.prefillLeft > 0)
+    if (run.remainingPrefillTokens > 0)
         return false;
     m_cache.store(run.chat, run.chain.hashes());
     run.chain.appendToken(answerRole);
@@ -244,7 +245,7 @@
 
 double EngineModel::workOf(const Run &run) const
 {
-    return static_cast<double>(run.prefillLeft)
+    return static_cast<double>(run.remainingPrefillTokens)
         + workPerOutputToken * static_cast<double>(run.maxTokens - run.produced);
 }
 
@@ -267,7 +268,7 @@
 {
     if (m_options.capacity.value() > 0)
         return m_options.capacity;
-    return Base::WorkUnits(static_cast<double>(m_options.maxBatch) * averageWorkPerRequest);
+    return Base::WorkUnits(static_cast<double>(m_options.maxBatchRequests) * averageWorkPerRequest);
 }
 
 CacheEventLog::Page EngineModel::cacheEvents(std::uint64_t from) const
--- a/src/standins/engine/enginemodel.h
+++ b/src/standins/engine/enginemodel.h
@@ -57,8 +57,8 @@
     struct Options
     {
         const Runtime::Clock *clock = nullptr;
-        std::size_t maxBatch = 16;
-        std::size_t maxQueue = 1024;
+        std::size_t maxBatchRequests = 16;
+        std::size_t maxQueuedRequests = 1024;
         Base::Duration step = std::chrono::milliseconds(5);
         double prefillTokensPerMs = 20; ///< Shared by all requests of the batch.
         std::size_t cacheBlocks = 4096;
@@ -67,7 +67,7 @@
         Base::WorkUnits capacity; ///< 0 for the work of a full batch of average requests.
         Base::Duration endedRunRetention = std::chrono::seconds(30);
         std::size_t maxEndedRuns = 20000;
-        std::size_t maxLedger = 200000;
+        std::size_t maxLedgerEntries = 200000;
     };
 
     explicit EngineModel(const Options &options);
@@ -114,7 +114,7 @@
         std::pair<int, std::uint64_t> queueKey; ///< Priority, then order of arrival.
         std::int64_t promptTokens = 0;
         std::int64_t cachedTokens = 0;
-        std::int64_t prefillLeft = 0;
+        std::int64_t remainingPrefillTokens = 0;
         std::int64_t maxTokens = 0;
         std::int64_t produced = 0;
         RunState state = RunState::Running;
--- a/src/standins/service/app/main.cpp
+++ b/src/standins/service/app/main.cpp
@@ -35,7 +35,7 @@
          .name = absl::GetFlag(FLAGS_name),
          .workTime = Base::fromSeconds(absl::GetFlag(FLAGS_work_ms) / 1000),
          .concurrency = absl::GetFlag(FLAGS_concurrency),
-         .maxQueue = absl::GetFlag(FLAGS_max_queue),
+         .maxQueuedRequests = absl::GetFlag(FLAGS_max_queue),
          .loadLag = std::chrono::milliseconds(absl::GetFlag(FLAGS_load_lag_ms))});
     return Standins::runStandin(
         {.program = "lagoonbank-standin-service",
--- a/src/standins/service/serviceapi.cpp
+++ b/src/standins/service/serviceapi.cpp
@@ -28,7 +28,7 @@
     , m_clock(options.timers->clock())
     , m_incarnation(static_cast<std::uint64_t>(wallMilliseconds(m_clock.wallNow())))
     , m_faults(m_clock)
-    , m_ledger(options.maxLedger)
+    , m_ledger(options.maxLedgerEntries)
     , m_loadHistory(options.loadLag, m_clock.now())
 { }
 
@@ -59,7 +59,7 @@
         return;
     if (m_isDraining && !faults.has(FaultKind::AcceptWhileDraining))
         return refuse(*responder, httpUnavailable, "draining");
-    if (m_queue.size() >= m_options.maxQueue)
+    if (m_queue.size() >= m_options.maxQueuedRequests)
         return refuse(*responder, httpTooManyRequests, "the queue is full");
     auto run = std::make_shared<Run>();
     run->requestId = Base::RequestId(headerText(request, "x-request-id"));
--- a/src/standins/service/serviceapi.h
+++ b/src/standins/service/serviceapi.h
@@ -26,9 +26,9 @@
         std::string name;
         Base::Duration workTime = std::chrono::milliseconds(5);
         std::size_t concurrency = 16; ///< Maximum number of requests that run at once.
-        std::size_t maxQueue = 1024; ///< Maximum number of queued requests; more are refused.
+        std::size_t maxQueuedRequests = 1024; ///< More are refused.
         Base::Duration loadLag{};
-        std::size_t maxLedger = 200000;
+        std::size_t maxLedgerEntries = 200000;
     };
 
     explicit ServiceApi(const Options &options);
--- a/tests/auto/standins/tst_enginemodel.cpp
+++ b/tests/auto/standins/tst_enginemodel.cpp
@@ -75,7 +75,7 @@
 
 BOOST_AUTO_TEST_CASE(requestsBeyondTheBatchWait)
 {
-    Fixture f({.maxBatch = 2});
+    Fixture f({.maxBatchRequests = 2});
     for (const char *id : {"a", "b", "c"})
         f.model.submit(generation(id, 0, 3));
     f.runSteps(2);
@@ -95,7 +95,7 @@
 
 BOOST_AUTO_TEST_CASE(urgentRequestsRunFirst)
 {
-    Fixture f({.maxBatch = 1});
+    Fixture f({.maxBatchRequests = 1});
     f.model.submit(generation("first", 0, 1, 5));
     f.model.submit(generation("low", 0, 1, 5));
     f.model.submit(generation("high-1", 0, 1, 0));
@@ -162,7 +162,7 @@
 
 BOOST_AUTO_TEST_CASE(cancelStopsQueuedAndRunningRuns)
 {
-    Fixture f({.maxBatch = 1});
+    Fixture f({.maxBatchRequests = 1});
     f.model.submit(generation("runs", 0, 100));
     f.model.submit(generation("waits", 0, 100));
     f.runSteps(3);
@@ -203,7 +203,7 @@
 
 BOOST_AUTO_TEST_CASE(fullQueueRejectsRequests)
 {
-    Fixture f({.maxBatch = 1, .maxQueue = 2});
+    Fixture f({.maxBatchRequests = 1, .maxQueuedRequests = 2});
     BOOST_TEST(f.model.submit(generation("a", 0, 1)).has_value());
     BOOST_TEST(f.model.submit(generation("b", 0, 1)).has_value());
     BOOST_TEST(!f.model.submit(generation("c", 0, 1)).has_value());
--- a/tests/auto/standins/tst_prefixcache.cpp
+++ b/tests/auto/standins/tst_prefixcache.cpp
@@ -109,7 +109,8 @@
 BOOST_AUTO_TEST_CASE(eventsAreDelayedWithGapsAndBounded)
 {
     using std::chrono::milliseconds;
-    CacheEventLog log({.maxEvents = 4, .delay = milliseconds(100), .gapEvery = 3, .maxPerRead = 2});
+    CacheEventLog log(
+        {.maxEvents = 4, .delay = milliseconds(100), .gapInterval = 3, .maxEventsPerRead = 2});
     const Base::MonoTime start{std::chrono::hours(1)};
     for (int i = 0; i < 6; ++i)
         log.append(start + milliseconds(10 * i), CacheOp::Stored, chatA, Base::Tokens(i));
--- a/tests/contract/standins/tst_serviceapi.cpp
+++ b/tests/contract/standins/tst_serviceapi.cpp
@@ -176,7 +176,7 @@
 
 BOOST_AUTO_TEST_CASE(fullQueueAndDrainingRefuseWithoutRunning)
 {
-    Fixture f({.concurrency = 1, .maxQueue = 1});
+    Fixture f({.concurrency = 1, .maxQueuedRequests = 1});
     f.book("runs");
     f.book("waits");
     const auto full = f.book("too-many");
