--- a/tests/auto/simulation/simulatedendpoints.cpp
+++ b/tests/auto/simulation/simulatedendpoints.cpp
@@ -175,7 +175,7 @@
 
 bool SimulatedEndpoints::isStoreAvailable() const
 {
-    return m_options.storeFaults->refuses + m_options.storeFaults->silent == 0;
+    return m_options.storeFaults->activeRefusals + m_options.storeFaults->activeSilences == 0;
 }
 
 void SimulatedEndpoints::heartbeat(std::size_t number, Base::Duration delay)
--- a/tests/auto/simulation/storelink.cpp
+++ b/tests/auto/simulation/storelink.cpp
@@ -130,10 +130,11 @@
 void StoreLink::reply(std::uint64_t id, Answer answer)
 {
     const bool isLossy =
-        m_options.sharedFaults->losesAnswers + m_options.routerFaults->losesAnswers > 0;
+        m_options.sharedFaults->activeAnswerLosses + m_options.routerFaults->activeAnswerLosses > 0;
     if (isLossy && m_random.chance(answerLossPercent))
         return;
-    const bool isSlow = m_options.sharedFaults->slow + m_options.routerFaults->slow > 0;
+    const bool isSlow =
+        m_options.sharedFaults->activeSlowdowns + m_options.routerFaults->activeSlowdowns > 0;
     const Base::Duration delay = m_random.between(minDelay, isSlow ? maxSlowDelay : maxDelay);
     after(delay, [this, id, answer = std::move(answer)] {
         if (!isSilent())
--- a/tests/auto/simulation/storelink.h
+++ b/tests/auto/simulation/storelink.h
@@ -12,12 +12,15 @@
 /// Active faults that affect calls to the store. They are counted, as faults may overlap.
 struct StoreFaults
 {
-    int refuses = 0; ///< Calls fail without effect.
-    int silent = 0; ///< Calls have no effect and get no answer.
-    int losesAnswers = 0; ///< Half of the answers are lost after the call took effect.
-    int slow = 0; ///< Answers take up to 0.9 s.
+    int activeRefusals = 0; ///< Calls fail without effect.
+    int activeSilences = 0; ///< Calls have no effect and get no answer.
+    int activeAnswerLosses = 0; ///< Half of the answers are lost after the call took effect.
+    int activeSlowdowns = 0; ///< Answers take up to 0.9 s.
 
-    bool isAny() const { return refuses + silent + losesAnswers + slow > 0; }
+    bool isAny() const
+    {
+        return activeRefusals + activeSilences + activeAnswerLosses + activeSlowdowns > 0;
+    }
 };
 
 /// Calls of a router to the store during one run of its process, with the timeouts of
@@ -73,11 +76,11 @@
     void after(Lagoonbank::Base::Duration delay, std::function<void()> step);
     bool isRefusing() const
     {
-        return m_options.sharedFaults->refuses + m_options.routerFaults->refuses > 0;
+        return m_options.sharedFaults->activeRefusals + m_options.routerFaults->activeRefusals > 0;
     }
     bool isSilent() const
     {
-        return m_options.sharedFaults->silent + m_options.routerFaults->silent > 0;
+        return m_options.sharedFaults->activeSilences + m_options.routerFaults->activeSilences > 0;
     }
 
     Options m_options;
--- a/tests/auto/simulation/world.cpp
+++ b/tests/auto/simulation/world.cpp
@@ -141,22 +141,22 @@
     };
     switch (step.kind) {
     case StepKind::StoreRefuses:
-        forAllRouters(&StoreFaults::refuses);
+        forAllRouters(&StoreFaults::activeRefusals);
         return true;
     case StepKind::StoreSilent:
-        forAllRouters(&StoreFaults::silent);
+        forAllRouters(&StoreFaults::activeSilences);
         return true;
     case StepKind::StoreLosesAnswers:
-        forAllRouters(&StoreFaults::losesAnswers);
+        forAllRouters(&StoreFaults::activeAnswerLosses);
         return true;
     case StepKind::StoreSlow:
-        forAllRouters(&StoreFaults::slow);
+        forAllRouters(&StoreFaults::activeSlowdowns);
         return true;
     case StepKind::StoreRefusesOne:
-        forOneRouter(&StoreFaults::refuses);
+        forOneRouter(&StoreFaults::activeRefusals);
         return true;
     case StepKind::StoreSilentForOne:
-        forOneRouter(&StoreFaults::silent);
+        forOneRouter(&StoreFaults::activeSilences);
         return true;
     default:
         return false;
@@ -202,7 +202,7 @@
         const VmIndex in = inside->vm();
         if (step.value == 1) {
             applyFault(m_vmFaults.at(in), step,
-                       [this, in](int change) { router(in).storeFaults.silent += change; });
+                       [this, in](int change) { router(in).storeFaults.activeSilences += change; });
         }
         for (const auto &outside : m_routers) {
             const VmIndex out = outside->vm();
--- a/tests/auto/simulation/world.h
+++ b/tests/auto/simulation/world.h
@@ -57,7 +57,10 @@
     /// Calls \a change with 1 now, and with -1 when the step ends.
     void applyDuring(const Step &step, const std::function<void(int change)> &change);
     void applyFault(FaultState &state, const Step &step, const std::function<void(int)> &change);
-    bool isStoreUnavailable() const { return m_storeFaults.refuses + m_storeFaults.silent > 0; }
+    bool isStoreUnavailable() const
+    {
+        return m_storeFaults.activeRefusals + m_storeFaults.activeSilences > 0;
+    }
     void configure(std::size_t bytes);
     SimulatedRouter &router(VmIndex vm) { return *m_routers.at(vm); }
     Lagoonbank::Base::MonoTime nextDue();
