--- a/tests/auto/gateway/gatewayfixture.h
+++ b/tests/auto/gateway/gatewayfixture.h
@@ -110,17 +110,17 @@
         FakeEndpoint *found = nullptr;
         BOOST_REQUIRE(runUntil([&] {
             for (const auto &endpoint : endpoints) {
-                if (endpoint->requests() > seen[endpoint.get()])
+                if (endpoint->requests() > handledRequests[endpoint.get()])
                     found = endpoint.get();
             }
             return found != nullptr;
         }));
-        ++seen[found];
+        ++handledRequests[found];
         return *found;
     }
 
     std::vector<std::unique_ptr<FakeEndpoint>> endpoints;
-    std::map<FakeEndpoint *, std::size_t> seen;
+    std::map<FakeEndpoint *, std::size_t> handledRequests;
     std::optional<Lagoonbank::Base::Duration> remainingTimeout = std::chrono::seconds(5);
     Lagoonbank::Base::Duration unread{}; ///< Added to the time that requests were unread.
     std::optional<Lagoonbank::Gateway::Prompt> prompt; ///< Prompt of the requests.
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -161,11 +161,11 @@
     struct Event
     {
         double at = 0;
-        long order = 0;
+        long sequenceNumber = 0;
         std::function<void()> run;
         bool operator<(const Event &other) const
         {
-            return at != other.at ? at > other.at : order > other.order;
+            return at != other.at ? at > other.at : sequenceNumber > other.sequenceNumber;
         }
     };
     struct Second
@@ -207,7 +207,8 @@
     }
     void at(double time, std::function<void()> run)
     {
-        m_events.push({.at = time, .order = ++m_order, .run = std::move(run)});
+        m_events.push(
+            {.at = time, .sequenceNumber = ++m_lastSequenceNumber, .run = std::move(run)});
     }
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
     double exponential(double mean)
@@ -294,7 +295,7 @@
     double maximumOverBoundShare() const
     {
         constexpr int window = 5;
-        double worst = 0;
+        double maxShare = 0;
         const int first = static_cast<int>(m_options.warmUp);
         for (int from = first; from + window <= first + m_options.seconds; ++from) {
             Second sum;
@@ -303,9 +304,10 @@
                 sum.requests += at->second.requests;
                 sum.requestsOverBound += at->second.requestsOverBound;
             }
-            worst = std::max(worst, double(sum.requestsOverBound) / std::max(1, sum.requests));
+            maxShare =
+                std::max(maxShare, double(sum.requestsOverBound) / std::max(1, sum.requests));
         }
-        return worst;
+        return maxShare;
     }
 
     void gossip(std::size_t from)
@@ -333,7 +335,7 @@
     std::map<std::uint64_t, std::set<std::size_t>> m_held; ///< Engines that hold a prompt.
     std::priority_queue<Event> m_events;
     double m_now = 0;
-    long m_order = 0;
+    long m_lastSequenceNumber = 0;
     std::map<int, Second> m_seconds;
     Figures m_figures;
     std::size_t m_bytes = 0;
--- a/tests/auto/gateway/overloadmodel.h
+++ b/tests/auto/gateway/overloadmodel.h
@@ -30,7 +30,7 @@
     {
         std::string name;
         int priority = 0;
-        double perSecond = 0; ///< Requests per second of all workspaces.
+        double requestsPerSecond = 0; ///< Requests per second of all workspaces.
         double seconds = 0; ///< Run time of a request on an idle engine.
         double target = 0; ///< Target latency of the first event, in seconds.
         double timeout = 0; ///< Timeout of the callers, in seconds.
@@ -48,7 +48,7 @@
         /// Number of workspaces, starting with the first, that have a higher priority.
         int urgentWorkspaces = 0;
         /// Requests of the first workspace as a multiple of each other workspace's.
-        double firstWorkspaceFactor = 1;
+        double firstWorkspaceRequestFactor = 1;
         bool isShedding = true;
         bool isSharing = false; ///< Whether routers gossip the loads of engines.
         bool isLimiting = false; ///< Whether each router applies a ConcurrencyLimit.
@@ -56,9 +56,10 @@
         int queue = std::numeric_limits<int>::max();
         double seconds = 30;
         double measuredFrom = 0; ///< Callers that arrive before this time are not counted.
-        /// The first lostEngines engines are down from lostFrom to lostTo; their requests are lost.
-        double lostFrom = 0;
-        double lostTo = 0;
+        /// The first lostEngines engines are down from enginesLostFrom to enginesLostUntil; their
+        /// requests are lost.
+        double enginesLostFrom = 0;
+        double enginesLostUntil = 0;
         int lostEngines = 0;
     };
     struct Tally
@@ -107,8 +108,8 @@
                 after(0.001 * static_cast<double>(router), [this, router] { gossipLoads(router); });
         }
         if (m_options.lostEngines > 0) {
-            after(m_options.lostFrom, [this] { loseEngines(); });
-            after(m_options.lostTo, [this] { returnEngines(); });
+            after(m_options.enginesLostFrom, [this] { loseEngines(); });
+            after(m_options.enginesLostUntil, [this] { returnEngines(); });
         }
         while (!m_events.empty() && m_events.top().at < m_options.seconds + 5) {
             const Event event = m_events.top();
@@ -171,11 +172,11 @@
     struct Event
     {
         double at = 0;
-        long order = 0;
+        long sequenceNumber = 0;
         std::function<void()> run;
         bool operator<(const Event &other) const
         {
-            return at != other.at ? at > other.at : order > other.order;
+            return at != other.at ? at > other.at : sequenceNumber > other.sequenceNumber;
         }
     };
 
@@ -192,7 +193,7 @@
     }
     void after(double delay, std::function<void()> run)
     {
-        m_events.push({m_now + delay, ++m_order, std::move(run)});
+        m_events.push({m_now + delay, ++m_lastSequenceNumber, std::move(run)});
     }
     Tally &kindOf(const Job &job) { return m_byKind[m_options.kinds[job.kind].name]; }
     void count(const Job &job, int Tally::*field)
@@ -251,7 +252,7 @@
 
     void scheduleNext(std::size_t kind)
     {
-        std::exponential_distribution<double> gap(m_options.kinds[kind].perSecond);
+        std::exponential_distribution<double> gap(m_options.kinds[kind].requestsPerSecond);
         after(gap(m_random), [this, kind] {
             if (m_now > m_options.seconds)
                 return;
@@ -259,9 +260,9 @@
             job->kind = kind;
             job->arrivedAt = m_now;
             std::uniform_real_distribution<double> part(
-                0, m_options.workspaces - 1 + m_options.firstWorkspaceFactor);
+                0, m_options.workspaces - 1 + m_options.firstWorkspaceRequestFactor);
             job->workspace = static_cast<int>(
-                std::max(0.0, part(m_random) - m_options.firstWorkspaceFactor + 1));
+                std::max(0.0, part(m_random) - m_options.firstWorkspaceRequestFactor + 1));
             if (const int prompts = m_options.kinds[kind].prompts; prompts > 0) {
                 job->prompt = Lagoonbank::Routing::mixHashes(
                     kind + 1, std::uniform_int_distribution<std::uint64_t>(1, prompts)(m_random));
@@ -426,7 +427,7 @@
     Options m_options;
     std::mt19937_64 m_random{7};
     double m_now = 0;
-    long m_order = 0;
+    long m_lastSequenceNumber = 0;
     int m_rejected = 0;
     std::priority_queue<Event> m_events;
     std::vector<std::unique_ptr<Router>> m_routers;
--- a/tests/auto/gateway/slowroutermodel.h
+++ b/tests/auto/gateway/slowroutermodel.h
@@ -40,12 +40,13 @@
     {
         std::vector<Kind> kinds;
         double load = 1; ///< Arrival rate relative to the router's capacity.
-        double burst = 1; ///< Factor applied to the load from second 4 to 12.
+        double burstLoadFactor = 1; ///< Factor applied to the load from second 4 to 12.
         int workspaces = 10;
         /// Requests of the first workspace as a multiple of each other workspace's.
-        double firstWorkspaceFactor = 1;
+        double firstWorkspaceRequestFactor = 1;
         int immediateRetries = 0; ///< Immediate retries of the first workspace's callers.
-        double stall = 0; ///< Seconds for which the router does nothing, starting at second 6.
+        /// Seconds for which the router does nothing, starting at second 6.
+        double stallSeconds = 0;
         bool isControlled = true;
         /// Whether the router knows how long a request was unread, and refuses one that was unread
         /// for its caller's whole timeout.
@@ -74,8 +75,8 @@
     void run()
     {
         scheduleNext();
-        if (m_options.stall > 0)
-            at(6, [this] { m_busyUntil = std::max(m_busyUntil, m_now + m_options.stall); });
+        if (m_options.stallSeconds > 0)
+            at(6, [this] { m_busyUntil = std::max(m_busyUntil, m_now + m_options.stallSeconds); });
         while (!m_events.empty()) {
             const Event event = m_events.top();
             m_events.pop();
@@ -132,11 +133,11 @@
     struct Event
     {
         double at = 0;
-        long order = 0;
+        long sequenceNumber = 0;
         std::function<void()> run;
         bool operator<(const Event &other) const
         {
-            return at != other.at ? at > other.at : order > other.order;
+            return at != other.at ? at > other.at : sequenceNumber > other.sequenceNumber;
         }
     };
 
@@ -164,7 +165,7 @@
     }
     void at(double time, std::function<void()> run)
     {
-        m_events.push({time, ++m_order, std::move(run)});
+        m_events.push({time, ++m_lastSequenceNumber, std::move(run)});
     }
     void after(double delay, std::function<void()> run) { at(m_now + delay, std::move(run)); }
     void count(const Caller &caller, int Tally::*field)
@@ -176,7 +177,7 @@
     void scheduleNext()
     {
         const bool isBurst = m_now >= 4 && m_now < 12;
-        const double rate = m_options.load * (isBurst ? m_options.burst : 1) / answerCost;
+        const double rate = m_options.load * (isBurst ? m_options.burstLoadFactor : 1) / answerCost;
         after(std::exponential_distribution<double>(rate)(m_random), [this] {
             if (m_now > m_options.seconds)
                 return;
@@ -193,9 +194,9 @@
         caller->kind =
             std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(m_random);
         std::uniform_real_distribution<double> part(
-            0, m_options.workspaces - 1 + m_options.firstWorkspaceFactor);
-        caller->workspace =
-            static_cast<int>(std::max(0.0, part(m_random) - m_options.firstWorkspaceFactor + 1));
+            0, m_options.workspaces - 1 + m_options.firstWorkspaceRequestFactor);
+        caller->workspace = static_cast<int>(
+            std::max(0.0, part(m_random) - m_options.firstWorkspaceRequestFactor + 1));
         caller->arrivedAt = m_now;
         count(*caller, &Tally::callers);
         after(m_options.kinds[caller->kind].timeout, [this, caller] { leave(*caller); });
@@ -314,7 +315,7 @@
     std::mt19937_64 m_random;
     Lagoonbank::Gateway::BacklogControl m_control;
     double m_now = 0;
-    long m_order = 0;
+    long m_lastSequenceNumber = 0;
     std::priority_queue<Event> m_events;
     std::deque<std::function<void()>> m_eventQueue; ///< Unprocessed events of running answers.
     std::deque<Unread> m_unread;
--- a/tests/auto/gateway/tst_backlogcontrol.cpp
+++ b/tests/auto/gateway/tst_backlogcontrol.cpp
@@ -27,8 +27,8 @@
 SlowRouterModel::Options overload(unsigned seed)
 {
     SlowRouterModel::Options options = headOffice(0.7);
-    options.burst = 4;
-    options.firstWorkspaceFactor = 6;
+    options.burstLoadFactor = 4;
+    options.firstWorkspaceRequestFactor = 6;
     options.immediateRetries = 3;
     options.seed = seed;
     options.isAgeKnown = false; // Shows admission control alone.
@@ -52,7 +52,7 @@
 {
     SlowRouterModel::Options options = overload(number == 1 ? 7 : 13);
     if (number == 2) {
-        options.stall = 0.6;
+        options.stallSeconds = 0.6;
         options.isAgeKnown = true; // No backlog is detected in the first 0.1 s after the stall.
     }
     return options;
@@ -102,7 +102,7 @@
             BOOST_TEST_CONTEXT("load " << load << ", stall " << stall)
             {
                 SlowRouterModel::Options options = headOffice(0.8 * load);
-                options.stall = stall;
+                options.stallSeconds = stall;
                 SlowRouterModel model(options);
                 model.run();
                 report(model, "load " + std::to_string(load) + ", stall " + std::to_string(stall));
--- a/tests/auto/gateway/tst_concurrencylimit.cpp
+++ b/tests/auto/gateway/tst_concurrencylimit.cpp
@@ -25,21 +25,21 @@
     load *= static_cast<double>(engines) / usersEngines;
     return {.kinds = {{.name = "hint",
                        .priority = 1,
-                       .perSecond = 120 * load,
+                       .requestsPerSecond = 120 * load,
                        .seconds = 0.8,
                        .target = 0.5,
                        .timeout = 12,
                        .prompts = 209},
                       {.name = "question",
                        .priority = 0,
-                       .perSecond = 211 * load,
+                       .requestsPerSecond = 211 * load,
                        .seconds = 0.6,
                        .target = 0.25,
                        .timeout = 10,
                        .prompts = 319},
                       {.name = "check",
                        .priority = 2,
-                       .perSecond = 233 * load,
+                       .requestsPerSecond = 233 * load,
                        .seconds = 0.05,
                        .target = 0.25,
                        .timeout = 2.5,
@@ -117,8 +117,8 @@
     OverloadModel::Options options = bookings(85, 1.3);
     options.engines = 60;
     options.lostEngines = 42;
-    options.lostFrom = 5;
-    options.lostTo = 15;
+    options.enginesLostFrom = 5;
+    options.enginesLostUntil = 15;
     options.measuredFrom = 10;
     OverloadModel duringLoss(options);
     duringLoss.run();
--- a/tests/auto/gateway/tst_crashingrequest.cpp
+++ b/tests/auto/gateway/tst_crashingrequest.cpp
@@ -44,7 +44,7 @@
     FakeEndpoint *withNewRequest()
     {
         for (const auto &endpoint : endpoints) {
-            if (endpoint->requests() > seen[endpoint.get()])
+            if (endpoint->requests() > handledRequests[endpoint.get()])
                 return endpoint.get();
         }
         return nullptr;
@@ -69,7 +69,7 @@
         RawSocket caller = call(path);
         BOOST_REQUIRE(runUntil([&] {
             if (FakeEndpoint *endpoint = withNewRequest()) {
-                ++seen[endpoint];
+                ++handledRequests[endpoint];
                 endpoint->last().close();
             }
             return caller.has("\r\n\r\n");
@@ -84,7 +84,7 @@
         const std::string id = "r" + std::to_string(lastRequest + 1);
         return runUntil([&] {
             if (FakeEndpoint *endpoint = withNewRequest()) {
-                ++seen[endpoint];
+                ++handledRequests[endpoint];
                 endpoint->last().send("HTTP/1.1 200 OK\r\nx-id: " + id
                                       + "\r\ncontent-length: 4\r\n\r\ndone");
             }
@@ -120,7 +120,7 @@
     RawSocket waiting = f.call("/x");
     FakeEndpoint *endpoint = nullptr;
     BOOST_REQUIRE(f.runUntil([&] { return (endpoint = f.withNewRequest()) != nullptr; }));
-    ++f.seen[endpoint];
+    ++f.handledRequests[endpoint];
     for (int attempt = 0; attempt < maxCrashes; ++attempt)
         f.attemptThatCrashes("/x");
     BOOST_REQUIRE(f.crashes == maxCrashes);
--- a/tests/auto/gateway/tst_eventsplitter.cpp
+++ b/tests/auto/gateway/tst_eventsplitter.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-struct Seen
+struct EventCollector
 {
     std::vector<std::string> events;
     std::vector<std::optional<std::uint64_t>> ids;
 
-    bool read(EventSplitter &cutter, std::string_view piece)
+    bool read(EventSplitter &splitter, std::string_view piece)
     {
-        return cutter.read(piece, [this](const EventSplitter::Event &event) {
+        return splitter.read(piece, [this](const EventSplitter::Event &event) {
             events.emplace_back(event.bytes);
             ids.push_back(event.id);
         });
@@ -34,38 +34,38 @@
     for (std::size_t size = 1; size <= stream.size(); ++size) {
         BOOST_TEST_CONTEXT("pieces of " << size)
         {
-            EventSplitter cutter;
-            Seen seen;
+            EventSplitter splitter;
+            EventCollector collector;
             for (std::size_t at = 0; at < stream.size(); at += size)
-                BOOST_TEST(seen.read(cutter, std::string_view(stream).substr(at, size)));
+                BOOST_TEST(collector.read(splitter, std::string_view(stream).substr(at, size)));
             std::string joined;
-            for (const std::string &event : seen.events)
+            for (const std::string &event : collector.events)
                 joined += event;
             BOOST_TEST(joined == stream);
-            BOOST_TEST((seen.ids == ids));
-            BOOST_TEST(cutter.remainder().empty());
+            BOOST_TEST((collector.ids == ids));
+            BOOST_TEST(splitter.remainder().empty());
         }
     }
 }
 
 BOOST_AUTO_TEST_CASE(incompleteEventIsKeptAsRemainder)
 {
-    EventSplitter cutter;
-    Seen seen;
-    BOOST_TEST(seen.read(cutter, "id: 1\ndata: a\n\nid: 2\ndata: b\n"));
-    BOOST_TEST(seen.events.size() == 1U);
-    BOOST_TEST(cutter.remainder() == "id: 2\ndata: b\n");
-    cutter.clear();
-    BOOST_TEST(seen.read(cutter, "id: 2\ndata: b\n\n"));
-    BOOST_TEST(seen.events.back() == "id: 2\ndata: b\n\n");
+    EventSplitter splitter;
+    EventCollector collector;
+    BOOST_TEST(collector.read(splitter, "id: 1\ndata: a\n\nid: 2\ndata: b\n"));
+    BOOST_TEST(collector.events.size() == 1U);
+    BOOST_TEST(splitter.remainder() == "id: 2\ndata: b\n");
+    splitter.clear();
+    BOOST_TEST(collector.read(splitter, "id: 2\ndata: b\n\n"));
+    BOOST_TEST(collector.events.back() == "id: 2\ndata: b\n\n");
 }
 
 BOOST_AUTO_TEST_CASE(oversizedEventIsRefused)
 {
-    EventSplitter cutter;
-    Seen seen;
+    EventSplitter splitter;
+    EventCollector collector;
     const std::string block(512 * 1024, 'x');
-    BOOST_TEST(seen.read(cutter, block));
-    BOOST_TEST(seen.read(cutter, block));
-    BOOST_TEST(!seen.read(cutter, block));
+    BOOST_TEST(collector.read(splitter, block));
+    BOOST_TEST(collector.read(splitter, block));
+    BOOST_TEST(!collector.read(splitter, block));
 }
--- a/tests/auto/gateway/tst_gatewayplacement.cpp
+++ b/tests/auto/gateway/tst_gatewayplacement.cpp
@@ -90,7 +90,7 @@
     for (int i = 0; i < 9; ++i)
         f.endpoint(i).info.slots = 100; // Slots for all 400 requests, which never end.
     std::mt19937_64 random(1);
-    double worst = 0;
+    double maxExcess = 0;
     for (int i = 0; i < 400; ++i) {
         const bool isHot = random() % 4 == 0;
         const PlacementResult result = f.choose(isHot ? 42 : random());
@@ -101,9 +101,9 @@
             sum += f.endpoint(e).inFlight;
             maximum = std::max<double>(maximum, f.endpoint(e).inFlight);
         }
-        worst = std::max(worst, maximum - (2 * sum / 9 + 3));
+        maxExcess = std::max(maxExcess, maximum - (2 * sum / 9 + 3));
     }
-    BOOST_TEST(worst <= 0);
+    BOOST_TEST(maxExcess <= 0);
 }
 
 /// An engine takes five times as long for each step. New streams avoid it until its latency
@@ -264,11 +264,11 @@
         const EndpointPtr home =
             f.placement.choose({.service = service, .affinity = 42}, f.registry, f.now).endpoint;
         f.registry.loadReported(*home, {.running = load, .waiting = 0, .slots = 20}, f.now);
-        int left = 0;
+        int awayFromHome = 0;
         for (std::uint64_t request = 0; request < 1024; ++request)
-            left += choose(request).endpoint != home ? 1 : 0;
+            awayFromHome += choose(request).endpoint != home ? 1 : 0;
         f.registry.loadReported(*home, {.running = 0, .waiting = 0, .slots = 20}, f.now);
-        return left;
+        return awayFromHome;
     };
     constexpr int shortPrompt = 700;
     constexpr int longPrompt = 10000;
@@ -470,10 +470,10 @@
 BOOST_AUTO_TEST_CASE(heldPromptOverflowsGradually)
 {
     HeldHomeFixture f(8);
-    int left = 0;
+    int awayFromHome = 0;
     constexpr int requests = 1024;
     for (std::uint64_t request = 0; request < requests; ++request)
-        left += f.choose(request) != f.home ? 1 : 0;
-    BOOST_TEST(left > requests / 5);
-    BOOST_TEST(left < requests);
+        awayFromHome += f.choose(request) != f.home ? 1 : 0;
+    BOOST_TEST(awayFromHome > requests / 5);
+    BOOST_TEST(awayFromHome < requests);
 }
--- a/tests/auto/gateway/tst_loadshedder.cpp
+++ b/tests/auto/gateway/tst_loadshedder.cpp
@@ -20,19 +20,19 @@
     const double scale = load * 55; // Requests per second of a kind with factor 1.
     return {.kinds = {{.name = "plan",
                        .priority = 1,
-                       .perSecond = 0.7 * scale,
+                       .requestsPerSecond = 0.7 * scale,
                        .seconds = 1.3,
                        .target = 0.8,
                        .timeout = 15},
                       {.name = "counter",
                        .priority = 0,
-                       .perSecond = 1.0 * scale,
+                       .requestsPerSecond = 1.0 * scale,
                        .seconds = 1.0,
                        .target = 0.3,
                        .timeout = 12},
                       {.name = "tag",
                        .priority = 2,
-                       .perSecond = 1.1 * scale,
+                       .requestsPerSecond = 1.1 * scale,
                        .seconds = 0.1,
                        .target = 0.4,
                        .timeout = 3}}};
@@ -125,7 +125,7 @@
 BOOST_AUTO_TEST_CASE(greedyWorkspaceDoesNotDisplaceOthers)
 {
     OverloadModel::Options options = headOffice(1.5);
-    options.firstWorkspaceFactor = 8;
+    options.firstWorkspaceRequestFactor = 8;
     OverloadModel model(options);
     model.run();
     const OverloadModel::Tally others = model.otherWorkspaces();
--- a/tests/auto/gateway/tst_scarcememory.cpp
+++ b/tests/auto/gateway/tst_scarcememory.cpp
@@ -25,9 +25,9 @@
 
 constexpr int engineCount = 12;
 constexpr int routerCount = 8;
-constexpr std::int64_t engineMemory = 78'000;
+constexpr std::int64_t engineMemoryTokens = 78'000;
 /// Memory taken by running requests.
-constexpr std::int64_t ownTokens = 19'500;
+constexpr std::int64_t runningRequestTokens = 19'500;
 
 /// Cache with least-recently-used eviction.
 class Cache
@@ -44,7 +44,7 @@
         else
             m_held += tokens;
         m_entries.emplace_front(prompt, tokens);
-        for (; m_held > engineMemory - ownTokens; m_entries.pop_back())
+        for (; m_held > engineMemoryTokens - runningRequestTokens; m_entries.pop_back())
             m_held -= m_entries.back().second;
         return !isHeld;
     }
@@ -94,19 +94,20 @@
     {
         std::discrete_distribution<std::size_t> which(m_weights.begin(), m_weights.end());
         std::uniform_int_distribution<std::size_t> router(0, m_routers.size() - 1);
-        std::set<std::uint64_t> seen;
-        double again = 0;
-        double all = 0;
+        std::set<std::uint64_t> prefilledPrompts;
+        double repeatedTokens = 0;
+        double totalTokens = 0;
         for (int i = 0; i < requests; ++i) {
             m_now += std::chrono::milliseconds(11);
             const PromptPrefix &prompt = m_prompts[which(m_random)];
             const std::size_t engine = send(*m_routers[router(m_random)], prompt);
             const bool isPrefilled = m_caches[engine].use(prompt.hash, prompt.tokens.value());
             const auto tokens = static_cast<double>(prompt.tokens.value());
-            all += tokens;
-            again += isPrefilled && !seen.insert(prompt.hash).second ? tokens : 0;
+            totalTokens += tokens;
+            repeatedTokens +=
+                isPrefilled && !prefilledPrompts.insert(prompt.hash).second ? tokens : 0;
         }
-        return again / all;
+        return repeatedTokens / totalTokens;
     }
 
 private:
@@ -117,11 +118,11 @@
                                      .affinity = prompt.hash,
                                      .sharedTokens = prompt.tokens,
                                      .prompts = m_isShared ? &router.prompts : nullptr,
-                                     .memory = Base::Tokens(engineMemory)},
+                                     .memory = Base::Tokens(engineMemoryTokens)},
                                     router.registry, m_now);
         const PromptHolding holding{.prompt = prompt,
                                     .endpoint = result.endpoint->startHash,
-                                    .memory = Base::Tokens(engineMemory)};
+                                    .memory = Base::Tokens(engineMemoryTokens)};
         if (router.prompts.recordUse(holding, m_now) != PromptDirectory::Announcement::None) {
             for (const auto &other : m_routers) {
                 if (other.get() != &router)
--- a/tests/auto/gateway/tst_silentendpoint.cpp
+++ b/tests/auto/gateway/tst_silentendpoint.cpp
@@ -84,10 +84,10 @@
     for (std::size_t i = 1; i < f.endpoints.size(); ++i)
         f.record(i).inFlight = 3; // Leaves one of four slots free.
     f.pass(milliseconds(240));
-    std::size_t most = 0;
+    std::size_t maxRequests = 0;
     for (std::size_t i = 1; i < f.endpoints.size(); ++i)
-        most = std::max(most, f.endpoints[i]->requests());
-    BOOST_TEST(most == 1U);
+        maxRequests = std::max(maxRequests, f.endpoints[i]->requests());
+    BOOST_TEST(maxRequests == 1U);
 }
 
 /// The only other endpoint is suspect and due for a trial. Probing it must not use up the trial
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -16,8 +16,8 @@
 /// In any five seconds, at most 3 in 100 requests may go to engines with more than twice the mean
 /// load plus 3. The loads of real engines vary more than those of the model, so that most cases
 /// require a third less.
-constexpr double maximumOverBound = 0.02;
-constexpr double maximumAllowed = 0.03;
+constexpr double strictOverBoundShareLimit = 0.02;
+constexpr double overBoundShareLimit = 0.03;
 /// Limit for load announcements, out of 5,000 for all control traffic of a router.
 constexpr double maximumBytesPerSecond = 1500;
 
@@ -78,8 +78,8 @@
     const auto before = ManyRoutersModel({.gossipSeconds = 0, .placement = withoutSharing()}).run();
     const auto after = ManyRoutersModel({}).run();
     compare("300 routers, 200 engines", before, after);
-    BOOST_TEST(before.maximumOverBoundShare > maximumOverBound);
-    BOOST_TEST(after.maximumOverBoundShare < maximumOverBound);
+    BOOST_TEST(before.maximumOverBoundShare > strictOverBoundShareLimit);
+    BOOST_TEST(after.maximumOverBoundShare < strictOverBoundShareLimit);
     BOOST_TEST(after.overBoundShare() < before.overBoundShare() / 2);
     BOOST_TEST(after.tokensPrefilledAgain < before.tokensPrefilledAgain);
     BOOST_TEST(after.bytesPerSecond < maximumBytesPerSecond);
@@ -112,7 +112,7 @@
     const auto before = ManyRoutersModel(options(false)).run();
     const auto after = ManyRoutersModel(options(true)).run();
     compare("80 routers, 60 engines, short prompts", before, after);
-    BOOST_TEST(after.maximumOverBoundShare < maximumOverBound);
+    BOOST_TEST(after.maximumOverBoundShare < strictOverBoundShareLimit);
     BOOST_TEST(after.overBoundShare() < before.overBoundShare() / 2);
 }
 
@@ -135,7 +135,7 @@
     for (unsigned seed = 1; seed <= incidentSeeds; ++seed) {
         const auto figures = ManyRoutersModel(incidentFleet(seed)).run();
         BOOST_TEST_MESSAGE("seed " << seed << ": " << text(figures));
-        BOOST_TEST(figures.maximumOverBoundShare < maximumOverBound);
+        BOOST_TEST(figures.maximumOverBoundShare < strictOverBoundShareLimit);
         BOOST_TEST(figures.bytesPerSecond < maximumBytesPerSecond);
     }
 }
@@ -150,7 +150,7 @@
 BOOST_AUTO_TEST_CASE(promptOfAQuarterOfRequestsOverloadsNoEndpoint)
 {
     for (unsigned seed = 1; seed <= incidentSeeds; ++seed)
-        BOOST_TEST(overBoundShareWithHotPrompt(incidentFleet(seed)) < maximumAllowed);
+        BOOST_TEST(overBoundShareWithHotPrompt(incidentFleet(seed)) < overBoundShareLimit);
 }
 
 /// The same failure in smaller fleets: with 22 real routers, 4.2 in 100 requests were over the
@@ -164,7 +164,7 @@
     for (const int routers : {10, 12, 16, 23}) {
         for (unsigned seed = 1; seed <= incidentSeeds; ++seed)
             BOOST_TEST(overBoundShareWithHotPrompt(incidentFleet(seed, routers, 60))
-                       < maximumAllowed);
+                       < overBoundShareLimit);
     }
 }
 
@@ -340,6 +340,6 @@
                  .seed = seed})
                 .run();
         BOOST_TEST_MESSAGE("drained, seed " << seed << ": " << text(figures));
-        BOOST_TEST(figures.maximumOverBoundShare < maximumAllowed);
+        BOOST_TEST(figures.maximumOverBoundShare < overBoundShareLimit);
     }
 }
--- a/tests/auto/gateway/tst_warmupquota.cpp
+++ b/tests/auto/gateway/tst_warmupquota.cpp
@@ -24,10 +24,12 @@
 
 /// The users' engines are cold for 3 s and sustain 18 requests a second in this time.
 constexpr double sustainableRate = 18;
-/// The users allow `excess` times the sustainable rate plus `slack` requests in any second.
-constexpr double excess = 1.5;
-constexpr double slack = 5;
-constexpr double maximumPerSecond = excess * sustainableRate + slack;
+/// The users allow `sustainableRateFactor` times the sustainable rate plus `extraRequestsPerSecond`
+/// requests in any second.
+constexpr double sustainableRateFactor = 1.5;
+constexpr double extraRequestsPerSecond = 5;
+constexpr double maxRequestsPerSecond =
+    sustainableRateFactor * sustainableRate + extraRequestsPerSecond;
 
 std::string routerName(int number)
 {
@@ -55,9 +57,9 @@
         quotas[static_cast<std::size_t>(router)].setFleet(std::move(fleet));
     }
     /// Maximum number of requests in any second.
-    std::size_t worstSecond(std::uint64_t endpoint, Base::Duration duration = seconds(3))
+    std::size_t maxRequestsInOneSecond(std::uint64_t endpoint, Base::Duration duration = seconds(3))
     {
-        std::size_t worst = 0;
+        std::size_t maxRequests = 0;
         std::deque<Base::MonoTime> sends;
         std::mt19937_64 random(endpoint);
         for (Base::MonoTime now = start; now < start + duration; now += milliseconds(1)) {
@@ -71,9 +73,9 @@
             }
             while (!sends.empty() && now - sends.front() >= seconds(1))
                 sends.pop_front();
-            worst = std::max(worst, sends.size());
+            maxRequests = std::max(maxRequests, sends.size());
         }
-        return worst;
+        return maxRequests;
     }
 
     std::vector<WarmupQuota> quotas;
@@ -137,11 +139,11 @@
     for (const int routers : {1, 6, 17, 18, 19, 24, 85, 300}) {
         RouterFleet fleet(routers);
         for (std::uint64_t endpoint = 1; endpoint <= 20; ++endpoint) {
-            const std::size_t worst = fleet.worstSecond(endpoint * 7919);
+            const std::size_t maxRequests = fleet.maxRequestsInOneSecond(endpoint * 7919);
             BOOST_TEST_CONTEXT(routers << " routers")
             {
-                BOOST_TEST(worst <= sustainableRate);
-                BOOST_TEST(worst >= sustainableRate * 0.9);
+                BOOST_TEST(maxRequests <= sustainableRate);
+                BOOST_TEST(maxRequests >= sustainableRate * 0.9);
             }
             fleet.records.assign(fleet.records.size(), {});
         }
@@ -157,7 +159,7 @@
     for (int i = 20; i < 30; ++i)
         fleet.setKnownFleet(i, i % 5, false);
     for (std::uint64_t endpoint = 1; endpoint <= 50; ++endpoint) {
-        BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= maximumPerSecond);
+        BOOST_TEST(fleet.maxRequestsInOneSecond(endpoint * 7919) <= maxRequestsPerSecond);
         fleet.records.assign(fleet.records.size(), {});
     }
 }
@@ -170,7 +172,7 @@
         for (int i = 0; i < routers * 4 / 5; ++i)
             fleet.setKnownFleet(i, routers * 4 / 5, true);
         for (std::uint64_t endpoint = 1; endpoint <= 50; ++endpoint) {
-            BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= maximumPerSecond);
+            BOOST_TEST(fleet.maxRequestsInOneSecond(endpoint * 7919) <= maxRequestsPerSecond);
             fleet.records.assign(fleet.records.size(), {});
         }
     }
@@ -184,7 +186,7 @@
         for (int i = 0; i < routers; ++i)
             fleet.setKnownFleet(i, 0, false);
         for (std::uint64_t endpoint = 1; endpoint <= 50; ++endpoint) {
-            BOOST_TEST(fleet.worstSecond(endpoint * 7919) <= maximumPerSecond);
+            BOOST_TEST(fleet.maxRequestsInOneSecond(endpoint * 7919) <= maxRequestsPerSecond);
             fleet.records.assign(fleet.records.size(), {});
         }
     }
