--- a/tests/auto/http/tst_client.cpp
+++ b/tests/auto/http/tst_client.cpp
@@ -36,7 +36,7 @@
     }
     Hooks hooks()
     {
-        return {.sending = [this] { ++sendings; },
+        return {.sending = [this] { ++sendingCalls; },
                 .finished = [this](CallResult result) { results.push_back(std::move(result)); }};
     }
     CallId start(Call given) { return client.start(std::move(given), hooks()); }
@@ -55,7 +55,7 @@
     RawListener listener;
     Client client;
     std::vector<CallResult> results;
-    int sendings = 0;
+    int sendingCalls = 0;
 };
 
 constexpr std::string_view completeAnswer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -136,7 +136,7 @@
             BOOST_TEST(result.end == row.end);
             BOOST_TEST(result.body == row.body);
             BOOST_TEST(result.mayHaveBeenSent);
-            BOOST_TEST(f.sendings == 1);
+            BOOST_TEST(f.sendingCalls == 1);
             BOOST_TEST(f.client.activeCalls() == 0U);
         }
     }
@@ -241,7 +241,7 @@
         const CallResult &result = f.finished();
         BOOST_TEST(result.end == CallEnd::NotConnected);
         BOOST_TEST(!result.mayHaveBeenSent);
-        BOOST_TEST(f.sendings == 0);
+        BOOST_TEST(f.sendingCalls == 0);
         BOOST_TEST(f.listener.accept() == -1);
     }
 }
@@ -332,7 +332,7 @@
     first.reset();
     BOOST_TEST(f.finished(1).end == CallEnd::TurnedAway);
     BOOST_TEST(!f.results.back().mayHaveBeenSent);
-    BOOST_TEST(f.sendings == 0);
+    BOOST_TEST(f.sendingCalls == 0);
     f.start(call);
     RawSocket second = f.accept();
     BOOST_TEST(!second.has("POST"));
@@ -342,7 +342,7 @@
     }));
     second.send(completeAnswer);
     BOOST_TEST(f.finished(2).end == CallEnd::Whole);
-    BOOST_TEST(f.sendings == 1);
+    BOOST_TEST(f.sendingCalls == 1);
 }
 
 BOOST_AUTO_TEST_CASE(callLimitsKeptIdleConnections)
@@ -397,7 +397,7 @@
     const CallResult &result = f.finished();
     BOOST_TEST(result.end == CallEnd::NotConnected);
     BOOST_TEST(!result.mayHaveBeenSent);
-    BOOST_TEST(f.sendings == 0);
+    BOOST_TEST(f.sendingCalls == 0);
 }
 
 BOOST_AUTO_TEST_CASE(silentServersTimeOutAndConnectionsAreNotReused)
--- a/tests/auto/http/tst_manycalls.cpp
+++ b/tests/auto/http/tst_manycalls.cpp
@@ -23,14 +23,14 @@
         for (int i = 0; i < manyCalls; ++i) {
             client.start({.server = server.address()},
                          {.finished = [&](const Http::CallResult &result) {
-                             ++ended;
-                             complete += result.end == Http::CallEnd::Whole;
+                             ++endedCalls;
+                             completeCalls += result.end == Http::CallEnd::Whole;
                          }});
         }
     }
 
-    int complete = 0;
-    int ended = 0;
+    int completeCalls = 0;
+    int endedCalls = 0;
     Http::Server server{{.loop = &loop, .address = {"127.0.0.1", 0}}};
     Http::Client client{{.loop = &loop, .maxIdlePerServer = manyCalls}};
 };
@@ -42,7 +42,7 @@
     // All rounds but the first reuse connections.
     for (int round = 1; round <= 4; ++round) {
         loop.timers().start({}, [&] { startMany(); });
-        BOOST_REQUIRE(runUntil([&] { return ended == round * manyCalls; }));
+        BOOST_REQUIRE(runUntil([&] { return endedCalls == round * manyCalls; }));
     }
-    BOOST_TEST(complete == ended);
+    BOOST_TEST(completeCalls == endedCalls);
 }
