--- a/tests/auto/controller/tst_ordercoordinator.cpp
+++ b/tests/auto/controller/tst_ordercoordinator.cpp
@@ -29,7 +29,7 @@
                                .desired = {.model = "m", .version = "v1", .draining = false},
                                .revision = Base::Revision(1)});
         }
-        coordinator.orderDone = [this](const OrderTarget &) { ++done; };
+        coordinator.orderDone = [this](const OrderTarget &) { ++finishedOrders; };
         coordinator.orderRefused = [this](const OrderTarget &, int status) {
             refusals.push_back(status);
         };
@@ -68,7 +68,7 @@
     bool hasWeights = true;
     std::vector<std::string> fetched;
     std::vector<OrderTarget> targets;
-    int done = 0;
+    int finishedOrders = 0;
     std::vector<int> refusals;
     std::size_t movedChats = 0;
     OrderCoordinator coordinator{
@@ -103,7 +103,8 @@
     struct Case
     {
         Orders::EndpointSettings desired;
-        std::string set; ///< Expected values of the only order; empty if no order is expected.
+        /// Expected values of the only order; empty if no order is expected.
+        std::string expectedOrder;
     };
     const std::vector<Case> cases{
         {{}, ""},
@@ -118,13 +119,13 @@
         bench.set(0, each.desired);
         bench.run(5s);
         const auto &orders = bench.engine(0).orders;
-        BOOST_TEST_CONTEXT("set " << each.set)
+        BOOST_TEST_CONTEXT("set " << each.expectedOrder)
         {
-            BOOST_REQUIRE(orders.size() == (each.set.empty() ? 0U : 1U));
-            BOOST_TEST(bench.done == (each.set.empty() ? 0 : 1));
+            BOOST_REQUIRE(orders.size() == (each.expectedOrder.empty() ? 0U : 1U));
+            BOOST_TEST(bench.finishedOrders == (each.expectedOrder.empty() ? 0 : 1));
             BOOST_TEST(bench.coordinator.pending() == 0U);
             if (!orders.empty()) {
-                BOOST_TEST(orders[0]["set"].dump() == each.set);
+                BOOST_TEST(orders[0]["set"].dump() == each.expectedOrder);
                 BOOST_TEST(orders[0]["fencing"] == 5U);
             }
         }
@@ -146,7 +147,7 @@
         bench.run(6s);
         BOOST_TEST(bench.engine(0).state["role"] == "prefill");
         BOOST_TEST(bench.engine(0).orders.size() == 1U);
-        BOOST_TEST(bench.done == 1);
+        BOOST_TEST(bench.finishedOrders == 1);
         BOOST_TEST(bench.coordinator.ordersInFlight() == 0U);
     }
 }
