--- a/tests/auto/standins/tst_prefixcache.cpp
+++ b/tests/auto/standins/tst_prefixcache.cpp
@@ -48,7 +48,7 @@
     {
         const char *what;
         std::string prompt;
-        std::int64_t cached;
+        std::int64_t cachedTokens;
     };
     const Row rows[] = {{"the same", words(0, 40), 32},
                         {"longer", words(0, 80), 32},
@@ -58,7 +58,8 @@
                         {"changed in the second block", words(0, 20) + "x " + words(21, 19), 16}};
     for (const Row &row : rows) {
         BOOST_TEST_CONTEXT(row.what)
-        BOOST_TEST(cache.cachedTokens(BlockHashChain(row.prompt).hashes()).value() == row.cached);
+        BOOST_TEST(cache.cachedTokens(BlockHashChain(row.prompt).hashes()).value()
+                   == row.cachedTokens);
     }
 }
 
