--- a/tests/auto/routing/tst_boundproperty.cpp
+++ b/tests/auto/routing/tst_boundproperty.cpp
@@ -18,7 +18,7 @@
 constexpr int staleSteps = 20;
 constexpr EndpointIndex engineCount = 12;
 constexpr double capacity = 100000.0;
-constexpr double multiple = 1.25;
+constexpr double preferredShareMultiple = 1.25;
 constexpr double overflowShareMultiple = 1.1;
 
 struct Running
@@ -44,7 +44,7 @@
         : m_random(c.seed)
     {
         Router::Options options;
-        options.selector.bound = {.preferredShareMultiple = multiple,
+        options.selector.bound = {.preferredShareMultiple = preferredShareMultiple,
                                   .overflowShareMultiple = overflowShareMultiple};
         options.selector.warmWaitPerThousandTokens = {};
         for (std::size_t i = 0; i < c.routers; ++i) {
@@ -76,8 +76,8 @@
         }
     }
 
-    int checked() const { return m_checked; }
-    int beyondEstimate() const { return m_beyondEstimate; }
+    int checkedRequests() const { return m_checkedRequests; }
+    int requestsBeyondEstimate() const { return m_requestsBeyondEstimate; }
 
 private:
     /// Loads of the engines and work sent by the routers at one step.
@@ -138,9 +138,9 @@
         const int at = m_sampleAt[r][e];
         const Snapshot *snapshot =
             at > 0 ? &m_snapshots[static_cast<std::size_t>(at - 1)] : nullptr;
-        const double all = m_sent[e] - (snapshot ? snapshot->sent[e] : 0.0);
-        const double own = m_sentBy[r][e] - (snapshot ? snapshot->sentBy[r][e] : 0.0);
-        return all - own;
+        const double byAll = m_sent[e] - (snapshot ? snapshot->sent[e] : 0.0);
+        const double byThisRouter = m_sentBy[r][e] - (snapshot ? snapshot->sentBy[r][e] : 0.0);
+        return byAll - byThisRouter;
     }
 
     void routeOne()
@@ -158,19 +158,20 @@
         const EndpointIndex e = decision.endpoint;
         const double work = decision.work.value();
         const double sentByOthers = sentByOthersSinceSample(r, e);
-        const double allowedMultiple =
-            decision.reason == DecisionReason::Overflow ? overflowShareMultiple : multiple;
+        const double allowedMultiple = decision.reason == DecisionReason::Overflow
+            ? overflowShareMultiple
+            : preferredShareMultiple;
         const double bound = allowedMultiple * (estimated + work) / engineCount + work;
         const SentRequest sent = router.noteSent(decision, m_now);
         m_load[e] += work;
         BOOST_TEST_REQUIRE(router.candidates()[e].load <= bound + tolerance);
         BOOST_TEST_REQUIRE(m_load[e] <= bound + sentByOthers + tolerance);
-        m_beyondEstimate += m_load[e] > bound ? 1 : 0;
+        m_requestsBeyondEstimate += m_load[e] > bound ? 1 : 0;
         m_sent[e] += work;
         m_sentBy[r][e] += work;
         m_running.push_back(
             {.sent = sent, .router = r, .work = work, .endsAt = m_step + draw(1, 60)});
-        ++m_checked;
+        ++m_checkedRequests;
     }
 
     static constexpr double tolerance = 1e-6;
@@ -178,8 +179,8 @@
     std::mt19937_64 m_random;
     Base::MonoTime m_now{std::chrono::hours(1)};
     int m_step = 0;
-    int m_checked = 0;
-    int m_beyondEstimate = 0;
+    int m_checkedRequests = 0;
+    int m_requestsBeyondEstimate = 0;
     std::vector<std::unique_ptr<Router>> m_routers;
     std::vector<double> m_load;
     std::vector<double> m_sent = std::vector<double>(engineCount, 0.0);
@@ -198,13 +199,13 @@
         {
             StaleFleet fleet(c);
             fleet.run();
-            BOOST_TEST(fleet.checked() > 4000);
+            BOOST_TEST(fleet.checkedRequests() > 4000);
             // A single router knows all load. With more routers, stale reports must have had an
             // effect.
             if (c.routers == 1)
-                BOOST_TEST(fleet.beyondEstimate() == 0);
+                BOOST_TEST(fleet.requestsBeyondEstimate() == 0);
             else
-                BOOST_TEST(fleet.beyondEstimate() > 0);
+                BOOST_TEST(fleet.requestsBeyondEstimate() > 0);
         }
     }
 }
--- a/tests/auto/routing/tst_selector.cpp
+++ b/tests/auto/routing/tst_selector.cpp
@@ -52,7 +52,7 @@
     {
         const char *name;
         std::vector<double> loads;
-        std::int64_t prompt;
+        std::int64_t promptTokens;
         std::uint8_t priority;
         Outcome outcome;
     };
@@ -78,7 +78,7 @@
             const Pool pool(c.loads);
             Selector selector({.warmWaitPerThousandTokens = {}});
             for (std::uint64_t chat = 0; chat < 50; ++chat) {
-                const RouteRequest request = requestOf(chat, c.prompt, c.priority);
+                const RouteRequest request = requestOf(chat, c.promptTokens, c.priority);
                 const Decision decision =
                     selector.choose(request, pool.candidates, pool.members, {});
                 BOOST_TEST((decision.outcome == c.outcome));
@@ -125,7 +125,7 @@
     {
         const char *name;
         double warmLoad;
-        std::int64_t cached;
+        std::int64_t cachedTokens;
         bool tried;
         Candidate::Use use;
         bool isChosen;
@@ -150,13 +150,13 @@
             if (c.tried)
                 request.tried.add(warm);
             const std::vector<WarmEndpoint> warmEndpoints{
-                {.endpoint = warm, .cached = Base::Tokens(c.cached)}};
+                {.endpoint = warm, .cached = Base::Tokens(c.cachedTokens)}};
             Selector selector({.warmWaitPerThousandTokens = {}});
             const Decision decision =
                 selector.choose(request, pool.candidates, pool.members, warmEndpoints);
             BOOST_TEST((decision.outcome == Outcome::Send));
             BOOST_TEST((decision.endpoint == warm) == c.isChosen);
-            BOOST_TEST(decision.work.value() == (c.isChosen ? 100.0 - c.cached : 100.0));
+            BOOST_TEST(decision.work.value() == (c.isChosen ? 100.0 - c.cachedTokens : 100.0));
         }
     }
 }
