--- a/tests/auto/runtime/tst_looplag.cpp
+++ b/tests/auto/runtime/tst_looplag.cpp
@@ -59,14 +59,14 @@
     std::vector<LoopLag::Statistics> ends;
 };
 
-constexpr Base::Duration none{};
+constexpr Base::Duration noTime{};
 
 } // namespace
 
 BOOST_FIXTURE_TEST_CASE(waitIsNotLag, Fixture)
 {
-    iterate(milliseconds(500), none);
-    BOOST_TEST((lag.current() == none));
+    iterate(milliseconds(500), noTime);
+    BOOST_TEST((lag.current() == noTime));
     lag.beginPoll(true);
     pollWait = milliseconds(300);
     clock.advance(milliseconds(307));
@@ -80,9 +80,9 @@
     lag.beginPoll(false);
     clock.advance(milliseconds(20));
     BOOST_TEST((lag.current() == milliseconds(100)));
-    lag.endPoll(none);
+    lag.endPoll(noTime);
     lag.endIteration();
-    iterate(none, milliseconds(30));
+    iterate(noTime, milliseconds(30));
     BOOST_TEST((lag.current() == milliseconds(50)));
 }
 
@@ -94,7 +94,7 @@
             starts.clear();
             ends.clear();
             iterate(milliseconds(5), milliseconds(stallMs));
-            iterate(none, milliseconds(1));
+            iterate(noTime, milliseconds(1));
             const std::size_t reports = stallMs >= 200 ? 1 : 0;
             BOOST_TEST(starts.size() == reports);
             BOOST_TEST(lag.isLagging() == (reports == 1));
@@ -114,8 +114,8 @@
 BOOST_FIXTURE_TEST_CASE(reportsFluctuatingLagOnce, Fixture)
 {
     for (int i = 0; i < 100; ++i) {
-        iterate(none, milliseconds(210));
-        iterate(milliseconds(40), none);
+        iterate(noTime, milliseconds(210));
+        iterate(milliseconds(40), noTime);
     }
     BOOST_TEST(starts.size() == 1U);
     BOOST_TEST(ends.empty());
@@ -165,7 +165,7 @@
         std::this_thread::sleep_for(wait);
         BOOST_REQUIRE_EQUAL(write(pipeEnds[1], "x", 1), 1);
     });
-    while (lagInCallback == none)
+    while (lagInCallback == noTime)
         loop.runOnce(std::chrono::seconds(10));
     writer.join();
     BOOST_TEST((lagInCallback >= work - milliseconds(2)));
