--- a/tests/auto/retry/tst_retrydecision.cpp
+++ b/tests/auto/retry/tst_retrydecision.cpp
@@ -137,10 +137,10 @@
         const RetryDecision decision = decideFor(in);
         if (decision.action == RetryAction::Fail)
             return;
-        const bool inTime = in.traits.deadline.leavesTime(start, decision.wait, 1ms);
+        const bool isInTime = in.traits.deadline.leavesTime(start, decision.wait, 1ms);
         const bool isResume = decision.action == RetryAction::ResumeSameEndpoint;
-        const bool underCount = isResume ? in.traits.resumes < 3 : in.traits.attempts < 3;
-        if (!in.workspaceHasBudget || !in.endpointHasBudget || !inTime || !underCount)
+        const bool isBelowLimit = isResume ? in.traits.resumes < 3 : in.traits.attempts < 3;
+        if (!in.workspaceHasBudget || !in.endpointHasBudget || !isInTime || !isBelowLimit)
             ++violations;
     });
     BOOST_TEST(violations == 0);
