--- a/tests/auto/admission/tst_shareallocator.cpp
+++ b/tests/auto/admission/tst_shareallocator.cpp
@@ -45,7 +45,7 @@
 
 struct Network
 {
-    double loss = 0;
+    double lossProbability = 0;
     Duration minDelay = std::chrono::milliseconds(10);
     Duration maxDelay = std::chrono::milliseconds(400); // above minDelay: messages are reordered
 };
@@ -157,7 +157,7 @@
         });
         if (to == m_routers.end() || (isCut && isCut(from, *to)))
             return;
-        if (std::uniform_real_distribution<>(0, 1)(m_random) < m_network.loss)
+        if (std::uniform_real_distribution<>(0, 1)(m_random) < m_network.lossProbability)
             return;
         std::uniform_int_distribution<Duration::rep> delay(m_network.minDelay.count(),
                                                            m_network.maxDelay.count());
@@ -290,7 +290,7 @@
     for (const double loss : {0.0, 0.3, 0.7}) {
         for (unsigned seed = 1; seed <= 10; ++seed) {
             // One router per data centre: no updates have to propagate within a data centre.
-            Fleet fleet(5, 1, {.loss = loss, .maxDelay = Duration(5s)}, seed);
+            Fleet fleet(5, 1, {.lossProbability = loss, .maxDelay = Duration(5s)}, seed);
             std::mt19937 random(seed);
             for (int turn = 0; turn < 20; ++turn) {
                 fleet[random() % 5].demand = static_cast<double>(random() % 100) / 50;
@@ -320,7 +320,7 @@
 BOOST_AUTO_TEST_CASE(lateDigestsStayWithinDocumentedBound)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
-        Fleet fleet(3, 4, {.loss = 0.5, .maxDelay = Duration(3s)}, seed);
+        Fleet fleet(3, 4, {.lossProbability = 0.5, .maxDelay = Duration(3s)}, seed);
         std::mt19937 random(seed);
         for (int turn = 0; turn < 20; ++turn) {
             fleet[random() % 12].demand = static_cast<double>(random() % 100) / 50;
