--- a/tests/auto/experiment/tst_workload.cpp
+++ b/tests/auto/experiment/tst_workload.cpp
@@ -104,7 +104,7 @@
 BOOST_AUTO_TEST_CASE(chatsReturnAfterTheirPause)
 {
     std::map<std::uint64_t, PlannedCall> last;
-    std::size_t returns = 0;
+    std::size_t returningCalls = 0;
     for (const PlannedCall &call : callsOf(makeDefinition(7))) {
         if (call.chat == 0)
             continue;
@@ -112,7 +112,7 @@
         if (before == last.end()) {
             BOOST_TEST(call.turn == 0);
         } else {
-            ++returns;
+            ++returningCalls;
             BOOST_TEST(call.turn == before->second.turn + 1);
             BOOST_TEST(call.caller == before->second.caller);
             BOOST_TEST(!before->second.isLastTurn);
@@ -120,7 +120,7 @@
         }
         last[call.chat] = call;
     }
-    BOOST_TEST(returns > 500U);
+    BOOST_TEST(returningCalls > 500U);
 }
 
 BOOST_AUTO_TEST_CASE(duplicateGoesThroughAnotherRouter)
