--- a/bench/membership/bm_gossip.cpp
+++ b/bench/membership/bm_gossip.cpp
@@ -95,7 +95,7 @@
 {
     const auto startTime = std::chrono::steady_clock::now();
     Tests::FakeFleet fleet({.seed = 42,
-                            .loss = testCase.loss,
+                            .lossFraction = testCase.loss,
                             .vms = testCase.vms,
                             .dataCentres = testCase.dataCentres,
                             .regions = testCase.regions,
--- a/tests/auto/membership/fakefleet.h
+++ b/tests/auto/membership/fakefleet.h
@@ -24,8 +24,8 @@
     struct Options
     {
         std::uint64_t seed = 1;
-        double loss = 0; ///< Fraction of the datagrams that are lost.
-        double duplicates = 0; ///< Fraction of the datagrams that are delivered twice.
+        double lossFraction = 0; ///< Fraction of the datagrams that are lost.
+        double duplicateFraction = 0; ///< Fraction of the datagrams that are delivered twice.
         Base::Duration minDelay = std::chrono::microseconds(200);
         Base::Duration maxDelay = std::chrono::milliseconds(3);
         Base::Duration step = std::chrono::milliseconds(20);
@@ -97,7 +97,7 @@
     void stop(std::size_t i) { m_nodes.at(i)->isRunning = false; }
     void pause(std::size_t i, bool paused) { m_nodes.at(i)->isPaused = paused; }
 
-    void setLoss(double loss) { m_options.loss = loss; }
+    void setLossFraction(double fraction) { m_options.lossFraction = fraction; }
     /// Whether the network drops all datagrams between these nodes, given by index.
     std::function<bool(std::size_t from, std::size_t to)> isCut;
     void cutDataCentre(const std::string &dataCentre)
@@ -178,13 +178,13 @@
     struct InFlightDatagram
     {
         Base::MonoTime due;
-        std::uint64_t order = 0;
+        std::uint64_t sequenceNumber = 0;
         std::size_t from = 0;
         std::size_t to = 0;
         std::string bytes;
         friend bool operator>(const InFlightDatagram &a, const InFlightDatagram &b)
         {
-            return a.due != b.due ? a.due > b.due : a.order > b.order;
+            return a.due != b.due ? a.due > b.due : a.sequenceNumber > b.sequenceNumber;
         }
     };
 
@@ -235,11 +235,11 @@
     {
         if (isCut && isCut(from, to))
             return;
-        if (randomFraction() < m_options.loss)
+        if (randomFraction() < m_options.lossFraction)
             return;
-        if (randomFraction() < m_options.duplicates)
-            m_inFlight.push({m_now + delay(), ++m_order, from, to, datagram});
-        m_inFlight.push({m_now + delay(), ++m_order, from, to, std::move(datagram)});
+        if (randomFraction() < m_options.duplicateFraction)
+            m_inFlight.push({m_now + delay(), ++m_lastSequenceNumber, from, to, datagram});
+        m_inFlight.push({m_now + delay(), ++m_lastSequenceNumber, from, to, std::move(datagram)});
     }
 
     void deliver()
@@ -305,7 +305,7 @@
     Options m_options;
     std::mt19937_64 m_random;
     Base::MonoTime m_now{std::chrono::hours(1)};
-    std::uint64_t m_order = 0;
+    std::uint64_t m_lastSequenceNumber = 0;
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::vector<Runtime::SocketAddress> m_seeds;
     std::map<std::pair<std::uint32_t, std::uint16_t>, std::size_t> m_byAddress;
--- a/tests/auto/membership/tst_membership.cpp
+++ b/tests/auto/membership/tst_membership.cpp
@@ -41,9 +41,9 @@
 BOOST_DATA_TEST_CASE(noFalseDeathUnderLoss, boost::unit_test::data::make({0.0, 0.05, 0.1, 0.2}),
                      loss)
 {
-    FakeFleet fleet({.seed = 7, .duplicates = 0.02, .vms = 24, .dataCentres = 4});
+    FakeFleet fleet({.seed = 7, .duplicateFraction = 0.02, .vms = 24, .dataCentres = 4});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
-    fleet.setLoss(loss);
+    fleet.setLossFraction(loss);
     bool wasConverged = true;
     fleet.eachStep = [&] { wasConverged = wasConverged && fleet.isConverged(); };
     fleet.run(std::chrono::minutes(3));
@@ -54,7 +54,7 @@
 // Every member detects a crash within a bounded time.
 BOOST_DATA_TEST_CASE(crashIsDetected, boost::unit_test::data::make({6, 24, 60}), vms)
 {
-    FakeFleet fleet({.seed = 3, .loss = 0.02, .vms = static_cast<std::size_t>(vms)});
+    FakeFleet fleet({.seed = 3, .lossFraction = 0.02, .vms = static_cast<std::size_t>(vms)});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
     fleet.run(std::chrono::seconds(5));
     fleet.stop(5);
@@ -270,7 +270,7 @@
     FakeFleet fleet({.vms = 24, .withControllers = true});
     BOOST_REQUIRE(fleet.runUntil([&] { return fleet.isConverged(); }, settleTime));
     fleet.run(std::chrono::seconds(5));
-    fleet.setLoss(loss);
+    fleet.setLossFraction(loss);
     fleet.at(7).announceLeaving(EndpointId("engine-3"), Incarnation(12), fleet.now());
     const auto isEverywhere = [&] {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
