--- a/tests/auto/orders/tst_lease.cpp
+++ b/tests/auto/orders/tst_lease.cpp
@@ -27,7 +27,7 @@
         LeaseRecord record;
     };
     std::vector<Entry> entries;
-    std::size_t first = 0;
+    std::size_t firstRetained = 0;
     bool isUnavailable = false;
     /// Appends in flight by arrival time; they arrive even if the sender has ended.
     std::multimap<MonoTime, Entry> inFlight;
@@ -62,18 +62,18 @@
         if (log.isUnavailable) {
             keeper.logFailed();
         } else {
-            next = std::max(next, log.first);
-            for (; next < log.entries.size(); ++next)
-                keeper.recordRead(LogOffset(next + 1), log.entries[next].id,
-                                  log.entries[next].record, now);
-            keeper.caughtUp(LogOffset(log.first + 1));
+            nextEntry = std::max(nextEntry, log.firstRetained);
+            for (; nextEntry < log.entries.size(); ++nextEntry)
+                keeper.recordRead(LogOffset(nextEntry + 1), log.entries[nextEntry].id,
+                                  log.entries[nextEntry].record, now);
+            keeper.caughtUp(LogOffset(log.firstRetained + 1));
         }
         keeper.advance(isCandidate, now);
     }
 
     FakeLog &log;
     LeaseKeeper keeper;
-    std::size_t next = 0;
+    std::size_t nextEntry = 0;
     MonoTime polledAt{};
     bool isPaused = false;
     bool isCandidate = true;
@@ -217,7 +217,7 @@
     Controller &a = bench.add("a/1");
     bench.run(std::chrono::seconds(20));
     a.isPaused = true;
-    bench.log.first = bench.log.entries.size();
+    bench.log.firstRetained = bench.log.entries.size();
     bench.add("b/1");
     bench.add("c/1");
     bench.run(std::chrono::seconds(30));
