--- a/bench/routing/policymodel/enginemodel.h
+++ b/bench/routing/policymodel/enginemodel.h
@@ -31,7 +31,7 @@
 public:
     struct Options
     {
-        double workPerSecond = 20000.0; ///< In work units.
+        double workPerSecond = 20000.0;
         double outputWeight = 8.0; ///< Work units of one output token; a prompt token is 1.
         double minTokenInterval = 0.034; ///< Seconds between two output tokens of a job.
         double maxDecodeShare = 0.7; ///< Limit for output while a prefill waits.
--- a/src/apps/bench/fleetprobe.h
+++ b/src/apps/bench/fleetprobe.h
@@ -20,7 +20,7 @@
 
 /// Collects data from routers and endpoints: the engines' loads and the routers' configuration
 /// revisions during the run, the routers' metrics at its start and end, and after it the endpoints'
-/// ledgers of the requests they ran and the routers' outcomes of requests.
+/// ledgers of their runs and the routers' outcomes of requests.
 class FleetProbe
 {
 public:
--- a/src/libs/admission/workspaceshares.cpp
+++ b/src/libs/admission/workspaceshares.cpp
@@ -93,7 +93,9 @@
     transferToDataCentres(now);
 }
 
-// Converts a demand from units of the fleet-wide limit to units of the data centre's share.
+// Converts a demand from units of the fleet-wide limit to units of the data centre's share, which
+// its routers divide among themselves; the limit and the share are totalUnits each. Adds headroom
+// and raises low demands to a minimum.
 double WorkspaceShares::scaledDemand(double demand, MonoTime now) const
 {
     const double idle = idleFraction * totalUnits / m_topology.routers;
--- a/src/libs/gateway/requestrunanswer.cpp
+++ b/src/libs/gateway/requestrunanswer.cpp
@@ -92,7 +92,7 @@
     const Base::MonoTime now = m_timers.clock().now();
     if (event.id && m_lastEventId) {
         if (*event.id <= *m_lastEventId)
-            return true; // The caller has it already.
+            return true; // The caller has already received this event.
         if (*event.id > *m_lastEventId + 1)
             return false;
     }
--- a/src/libs/http/http1connection.cpp
+++ b/src/libs/http/http1connection.cpp
@@ -86,8 +86,10 @@
 void Http1Connection::readable(h2o_socket_t *socket, const char *error)
 {
     const std::shared_ptr<Http1Connection> self = connectionOf(socket).shared_from_this();
+    // The next request arrives when its last byte does. If bytes that came during the previous
+    // answer were only a part of it, their time of arrival does not count.
     if (self->m_state != State::Answering)
-        self->m_pipelinedSince.reset(); // The earlier bytes were an incomplete request.
+        self->m_pipelinedSince.reset();
     else if (socket->input->size > 0 && !self->m_pipelinedSince)
         self->m_pipelinedSince = self->m_context.loop->clock().now();
     if (self->m_state == State::Lingering)
--- a/src/libs/operations/streamreader.cpp
+++ b/src/libs/operations/streamreader.cpp
@@ -43,7 +43,7 @@
         return retryOrFail(page.error());
     const PlatformClient::ReadPage &read = page.value();
     if (read.first > m_next) {
-        m_first = read.first;
+        m_firstRetained = read.first;
         m_next = read.first;
         if (m_gapFound)
             m_gapFound(read.first);
--- a/src/libs/operations/streamreader.h
+++ b/src/libs/operations/streamreader.h
@@ -31,7 +31,7 @@
     /// Continues reading at next(). Must not be called again before `finished` has been called.
     void readToEnd(Finished finished);
 
-    Base::LogOffset first() const { return m_first; }
+    Base::LogOffset first() const { return m_firstRetained; }
     Base::LogOffset next() const { return m_next; }
 
 private:
@@ -45,7 +45,7 @@
     RecordRead m_recordRead;
     std::function<void(Base::LogOffset)> m_gapFound;
     Finished m_finished;
-    Base::LogOffset m_first;
+    Base::LogOffset m_firstRetained;
     Base::LogOffset m_next;
     RetryPolicy m_retryPolicy;
     PlatformClient::LogClient::ReadId m_read;
--- a/tests/auto/adapter/keyedstore.h
+++ b/tests/auto/adapter/keyedstore.h
@@ -97,13 +97,13 @@
         std::map<std::string, std::size_t> offsets;
         for (std::size_t i = 0; i < records.size(); ++i)
             offsets[records[i].first] = i;
-        std::string items;
+        std::string itemsJson;
         for (const auto &[key, offset] : offsets) {
-            items += (items.empty() ? R"({"key":")" : R"(,{"key":")") + key + R"(","value":")"
-                + std::string(absl::Base64Escape(records[offset].second)) + R"(","offset":)"
-                + std::to_string(offset) + "}";
+            itemsJson += (itemsJson.empty() ? R"({"key":")" : R"(,{"key":")") + key
+                + R"(","value":")" + std::string(absl::Base64Escape(records[offset].second))
+                + R"(","offset":)" + std::to_string(offset) + "}";
         }
-        return R"({"items":[)" + items + R"(],"has_more":false,"end":)"
+        return R"({"items":[)" + itemsJson + R"(],"has_more":false,"end":)"
             + std::to_string(records.size()) + "}";
     }
     std::string tail(const std::string &topic, std::uint64_t from)
--- a/tests/auto/gateway/manyroutersmodel.h
+++ b/tests/auto/gateway/manyroutersmodel.h
@@ -50,7 +50,7 @@
             {378, 1.4, 497, 10512}, {282, 1.0, 832, 699}, {893, 0.15, 1762, 2041}};
         double skew = 0.3;
         /// Fraction of the first kind's requests that share one prompt, from second 8 to 14.
-        double hotFraction = 0;
+        double sharedPromptFraction = 0;
         /// Mean number of requests that arrive at the same time.
         double burstSize = 1;
         /// Number of idle engines that join one by one from second 10 to 15.
@@ -239,7 +239,7 @@
     std::uint64_t nextPrompt(std::size_t kind)
     {
         const bool isHot =
-            kind == 0 && m_now > 8 && m_now < 14 && uniform() < m_options.hotFraction;
+            kind == 0 && m_now > 8 && m_now < 14 && uniform() < m_options.sharedPromptFraction;
         const std::uint64_t number = isHot ? 0 : 1 + m_prompts[kind](m_random);
         constexpr std::uint64_t spread = 1000003;
         return (kind + 1) * spread * spread + number * spread;
--- a/tests/auto/gateway/tst_callerleft.cpp
+++ b/tests/auto/gateway/tst_callerleft.cpp
@@ -43,7 +43,7 @@
     struct Row
     {
         std::string_view name;
-        bool isKept;
+        bool reusesConnection;
         bool resets;
         bool isPipelined;
     };
@@ -59,7 +59,7 @@
                     GatewayFixture f(1);
                     f.setRoute(routeOf(RouteKind::Idempotent));
                     std::optional<RawSocket> caller;
-                    if (row.isKept)
+                    if (row.reusesConnection)
                         caller.emplace(keptCaller(f));
                     f.setRoute(routeOf(kind));
                     const std::size_t before = f.requests();
--- a/tests/auto/gateway/tst_unknownload.cpp
+++ b/tests/auto/gateway/tst_unknownload.cpp
@@ -56,7 +56,7 @@
 
 double overBoundShareWithHotPrompt(ManyRoutersModel::Options options)
 {
-    options.hotFraction = 0.28;
+    options.sharedPromptFraction = 0.28;
     const auto figures = ManyRoutersModel(options).run();
     BOOST_TEST_MESSAGE(options.routers << " routers, seed " << options.seed << ": "
                                        << text(figures));
@@ -89,9 +89,10 @@
 BOOST_AUTO_TEST_CASE(hotPromptIsSpreadBeforeItsHomeIsOverloaded)
 {
     const auto before =
-        ManyRoutersModel({.hotFraction = 0.07, .gossipSeconds = 0, .placement = withoutSharing()})
+        ManyRoutersModel(
+            {.sharedPromptFraction = 0.07, .gossipSeconds = 0, .placement = withoutSharing()})
             .run();
-    const auto after = ManyRoutersModel({.hotFraction = 0.07}).run();
+    const auto after = ManyRoutersModel({.sharedPromptFraction = 0.07}).run();
     compare("a hot prompt", before, after);
     BOOST_TEST(after.maximumOverBoundShare < 0.03);
     BOOST_TEST(after.overBoundShare() < before.overBoundShare());
--- a/tests/auto/routing/tst_fairshare.cpp
+++ b/tests/auto/routing/tst_fairshare.cpp
@@ -35,7 +35,7 @@
 {
     struct Row
     {
-        double workOfSecond;
+        double workOfSecondWorkspace;
         double weightOfSecond;
         int firstOf60; ///< Expected pops from the first workspace out of 60.
         int tolerance;
@@ -45,7 +45,7 @@
         FairShare queue(1000);
         for (std::uint64_t i = 0; i < 100; ++i) {
             queue.push(entry(i, 1));
-            queue.push(entry(i, 2, 0, row.workOfSecond, row.weightOfSecond));
+            queue.push(entry(i, 2, 0, row.workOfSecondWorkspace, row.weightOfSecond));
         }
         int first = 0;
         for (int i = 0; i < 60; ++i)
--- a/tests/auto/simulation/checks.cpp
+++ b/tests/auto/simulation/checks.cpp
@@ -29,8 +29,8 @@
 constexpr Base::Duration repeatedWriteTime = milliseconds(3000);
 /// After the last step, entries may still expire (3.6 s), and endpoints may still finish a drain or
 /// write their entries again (1.9 s).
-constexpr Base::Duration expiryTime = milliseconds(4000);
-/// Maximum time after expiryTime until all routers agree: recoveryBound plus a takeover.
+constexpr Base::Duration timeUntilQuiet = milliseconds(4000);
+/// Maximum time after timeUntilQuiet until all routers agree: recoveryBound plus a takeover.
 constexpr Base::Duration agreementBound = milliseconds(6000);
 /// Maximum time without exactly one leader or store reader. A router that misses a beacon of the
 /// store reader may start to read too; it stops once it has received a beacon of the first reader
@@ -53,7 +53,7 @@
 
 Checks::Checks(World &world, const History &history)
     : m_world(world)
-    , m_quietSince(milliseconds(endOfStepsMs(history)) + expiryTime)
+    , m_quietSince(milliseconds(endOfStepsMs(history)) + timeUntilQuiet)
 {
     watchEvents();
 }
